--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -14,7 +14,7 @@
 
 /* A pause of this process counts as this long; see
    mq_gate_programs_expire.  */
-#define LIVED_STEP_MS 1000ULL
+#define ACTIVE_STEP_MAX_MS 1000ULL
 
 /* Used by every part.  */
 
@@ -56,8 +56,8 @@
 }
 
 void
-mq_gate_state (struct mq_gate *gate, enum mq_state_change change,
-               uint64_t number, const char *subject)
+mq_gate_log_state (struct mq_gate *gate, enum mq_state_change change,
+                   uint64_t number, const char *subject)
 {
   struct mq_action *action = mq_actions_add (gate->actions, MQ_ACT_STATE);
 
@@ -67,9 +67,9 @@
 }
 
 void
-mq_gate_span (struct mq_gate *gate, const char *name, const char *traceparent,
-              const struct mq_call_ref *ref, uint64_t start_us,
-              enum mq_error_type error)
+mq_gate_record_span (struct mq_gate *gate, const char *name,
+                     const char *traceparent, const struct mq_call_ref *ref,
+                     uint64_t start_us, enum mq_error_type error)
 {
   struct mq_span *span = &mq_actions_add (gate->actions, MQ_ACT_SPAN)->u.span;
 
@@ -152,7 +152,7 @@
   if (gate->peers == NULL)
     abort ();
   gate->peers[gate->peer_count++] = peer;
-  mq_gate_load_tell (gate, peer);
+  mq_gate_load_send (gate, peer);
 }
 
 /* Its calls go on and their outcomes are kept: another connection or owner
@@ -175,28 +175,28 @@
   switch (message->type)
     {
     case MQ_MSG_CALL:
-      mq_gate_take_call (gate, peer, &message->u.call);
+      mq_gate_handle_call (gate, peer, &message->u.call);
       break;
     case MQ_MSG_CANCEL:
-      mq_gate_take_cancel (gate, peer, &message->u.ref);
+      mq_gate_handle_cancel (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_SEAL:
-      mq_gate_take_seal (gate, peer, &message->u.ref);
+      mq_gate_handle_seal (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_RECOVER:
-      mq_gate_take_recover (gate, peer, &message->u.recover);
+      mq_gate_handle_recover (gate, peer, &message->u.recover);
       break;
     case MQ_MSG_FORGET:
-      mq_gate_take_forget (gate, peer, &message->u.ref);
+      mq_gate_handle_forget (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_LEASE:
-      mq_gate_take_lease (gate, peer, &message->u.lease);
+      mq_gate_handle_lease (gate, peer, &message->u.lease);
       break;
     case MQ_MSG_ORDER:
-      mq_gate_take_order (gate, peer, &message->u.order);
+      mq_gate_handle_order (gate, peer, &message->u.order);
       break;
     case MQ_MSG_PROBE:
-      mq_gate_take_probe (gate, peer, &message->u.probe);
+      mq_gate_handle_probe (gate, peer, &message->u.probe);
       break;
     default:
       /* Between entry hosts, or about the configuration: not the gate's.  */
@@ -219,7 +219,7 @@
   worker->up = true;
   gate->load_dirty = true;
   if (!same)
-    mq_gate_cache_emptied (gate, worker);
+    mq_gate_cache_reset (gate, worker);
   mq_gate_orders_apply (gate, worker);
 }
 
@@ -241,7 +241,7 @@
   if (gate->leaving)
     return;
   gate->leaving = true;
-  mq_gate_state (gate, MQ_STATE_LEAVING, 0, gate->host);
+  mq_gate_log_state (gate, MQ_STATE_LEAVING, 0, gate->host);
   for (size_t i = 0; i < gate->worker_count; i++)
     mq_gate_queue_refuse_all (gate, &gate->workers[i], MQ_ERR_LEAVING);
   mq_gate_load_push (gate, true);
@@ -279,19 +279,19 @@
       gate->moved = NULL;
       take_message (gate, input->peer, input->u.message);
       if (gate->moved != NULL)
-        mq_gate_calls_follow (gate, gate->moved, input->peer);
+        mq_gate_calls_reattach (gate, gate->moved, input->peer);
       break;
     case MQ_GATE_TOKEN:
-      mq_gate_take_token (gate, &input->u.token);
+      mq_gate_handle_token (gate, &input->u.token);
       break;
     case MQ_GATE_DONE:
-      mq_gate_take_done (gate, &input->u.done);
+      mq_gate_handle_done (gate, &input->u.done);
       break;
     case MQ_GATE_EVICTED:
-      mq_gate_take_evicted (gate, &input->u.evicted);
+      mq_gate_handle_evicted (gate, &input->u.evicted);
       break;
     case MQ_GATE_CACHE:
-      mq_gate_take_cache (gate, &input->u.cache);
+      mq_gate_handle_cache_report (gate, &input->u.cache);
       break;
     case MQ_GATE_ENGINE_UP:
       take_engine_up (gate, input->u.worker, input->engine_boot);
@@ -300,7 +300,7 @@
       take_engine_down (gate, input->u.worker);
       break;
     case MQ_GATE_ORDERED:
-      mq_gate_take_ordered (gate, &input->u.ordered);
+      mq_gate_handle_order_done (gate, &input->u.ordered);
       break;
     case MQ_GATE_LEAVE:
       take_leave (gate);
@@ -319,19 +319,19 @@
     return;
   elapsed_us = now_us - gate->now_us;
   gate->now_us = now_us;
-  mq_gate_cache_clock (gate, elapsed_us);
-  gate->lived_us += elapsed_us < LIVED_STEP_MS * MQ_US_PER_MS
-                        ? elapsed_us
-                        : LIVED_STEP_MS * MQ_US_PER_MS;
+  mq_gate_cache_accumulate (gate, elapsed_us);
+  gate->active_us += elapsed_us < ACTIVE_STEP_MAX_MS * MQ_US_PER_MS
+                         ? elapsed_us
+                         : ACTIVE_STEP_MAX_MS * MQ_US_PER_MS;
 }
 
 static void
-note_drained (struct mq_gate *gate)
+report_drained (struct mq_gate *gate)
 {
   if (gate->drained || !mq_gate_is_drained (gate))
     return;
   gate->drained = true;
-  mq_gate_state (gate, MQ_STATE_DRAINED, 0, gate->host);
+  mq_gate_log_state (gate, MQ_STATE_DRAINED, 0, gate->host);
 }
 
 void
@@ -343,7 +343,7 @@
   take_input (gate, input);
   tick (gate);
   mq_gate_load_push (gate, false);
-  note_drained (gate);
+  report_drained (gate);
   gate->actions = NULL;
 }
 
@@ -359,15 +359,16 @@
 mq_gate_next_tick (const struct mq_gate *gate)
 {
   const struct gate_program *program = mq_gate_heap_first (&gate->leases);
-  const struct gate_holding *holding = mq_gate_heap_first (&gate->retries);
-  uint64_t next_us = gate->now_us + LIVED_STEP_MS * MQ_US_PER_MS;
+  const struct gate_cached_program *cached_program
+      = mq_gate_heap_first (&gate->retries);
+  uint64_t next_us = gate->now_us + ACTIVE_STEP_MAX_MS * MQ_US_PER_MS;
 
   if (gate->peer_count > 0)
     next_us = earlier (next_us, mq_gate_load_due (gate));
   if (program != NULL)
     next_us = earlier (next_us, program->lease_until_us);
-  if (holding != NULL)
-    next_us = earlier (next_us, holding->retry_us);
+  if (cached_program != NULL)
+    next_us = earlier (next_us, cached_program->retry_us);
   for (size_t i = 0; i < gate->worker_count; i++)
     {
       const struct gate_call *call
--- a/src/core/gate/gate_cache.c
+++ b/src/core/gate/gate_cache.c
@@ -1,7 +1,7 @@
 /* gate_cache.c - programs' caches: eviction, and what is really held.
 
-   A holding is a program's cache at one worker.  It is made when a call of
-   the program starts there or a report of the engine names it, and goes
+   A cached_program is a program's cache at one worker.  It is made when a call
+   of the program starts there or a report of the engine names it, and goes
    when an eviction is confirmed, the engine is known to be empty, or two
    reports in a row no longer name it.
 
@@ -19,18 +19,18 @@
 
 #define NEVER UINT64_MAX
 
-static struct gate_holding *
+static struct gate_cached_program *
 find_holding (const struct gate_program *program, uint32_t worker)
 {
-  struct gate_node *node = program->holdings.first;
+  struct gate_node *node = program->cached_programs.first;
 
   while (node != NULL)
     {
-      struct gate_holding *holding
-          = GATE_ENTRY (node, struct gate_holding, by_program);
+      struct gate_cached_program *cached_program
+          = GATE_ENTRY (node, struct gate_cached_program, by_program);
 
-      if (holding->worker == worker)
-        return holding;
+      if (cached_program->worker == worker)
+        return cached_program;
       node = node->next;
     }
   return NULL;
@@ -46,10 +46,13 @@
 mq_gate_cache_tokens (struct mq_gate *gate, const struct gate_program *program,
                       uint32_t worker)
 {
-  const struct gate_holding *holding = find_holding (program, worker);
+  const struct gate_cached_program *cached_program
+      = find_holding (program, worker);
 
   (void)gate;
-  return holding == NULL || holding->evicting ? 0 : holding->tokens;
+  return cached_program == NULL || cached_program->evicting
+             ? 0
+             : cached_program->tokens;
 }
 
 /* Accounts.  */
@@ -65,7 +68,7 @@
 
 /* Time has passed since the last input, with the sums of then.  */
 void
-mq_gate_cache_clock (struct mq_gate *gate, uint64_t elapsed_us)
+mq_gate_cache_accumulate (struct mq_gate *gate, uint64_t elapsed_us)
 {
   gate->counters.cache_token_ms
       += integrate (gate->held_tokens, elapsed_us, &gate->held_remainder);
@@ -75,57 +78,58 @@
 
 /* Brings the idle time of HOLDING up to now.  */
 static void
-settle_idle (struct mq_gate *gate, struct gate_holding *holding)
+update_idle (struct mq_gate *gate, struct gate_cached_program *cached_program)
 {
-  uint64_t idle_us = gate->now_us - holding->idle_since_us;
+  uint64_t idle_us = gate->now_us - cached_program->idle_since_us;
 
-  if (holding->runs == 0)
-    holding->idle_token_ms += holding->tokens * idle_us / MQ_US_PER_MS;
-  holding->idle_since_us = gate->now_us;
+  if (cached_program->runs == 0)
+    cached_program->unused_token_ms
+        += cached_program->tokens * idle_us / MQ_US_PER_MS;
+  cached_program->idle_since_us = gate->now_us;
 }
 
 static void
-waste_idle (struct mq_gate *gate, struct gate_holding *holding)
+count_wasted (struct mq_gate *gate, struct gate_cached_program *cached_program)
 {
-  settle_idle (gate, holding);
-  if (!holding->evicting)
-    gate->counters.cache_wasted_token_ms += holding->idle_token_ms;
-  holding->idle_token_ms = 0;
+  update_idle (gate, cached_program);
+  if (!cached_program->evicting)
+    gate->counters.cache_wasted_token_ms += cached_program->unused_token_ms;
+  cached_program->unused_token_ms = 0;
 }
 
 static void
-set_tokens (struct mq_gate *gate, struct gate_holding *holding,
+set_tokens (struct mq_gate *gate, struct gate_cached_program *cached_program,
             uint32_t tokens)
 {
-  struct gate_worker *worker = &gate->workers[holding->worker];
+  struct gate_worker *worker = &gate->workers[cached_program->worker];
 
-  settle_idle (gate, holding);
+  update_idle (gate, cached_program);
   worker->held_tokens += tokens;
-  worker->held_tokens -= holding->tokens;
+  worker->held_tokens -= cached_program->tokens;
   gate->held_tokens += tokens;
-  gate->held_tokens -= holding->tokens;
-  if (holding->evicting)
+  gate->held_tokens -= cached_program->tokens;
+  if (cached_program->evicting)
     {
       gate->ended_tokens += tokens;
-      gate->ended_tokens -= holding->tokens;
+      gate->ended_tokens -= cached_program->tokens;
     }
   gate->counters.cache_ended_tokens = gate->ended_tokens;
-  if (holding->tokens != tokens)
+  if (cached_program->tokens != tokens)
     gate->load_dirty = true;
-  holding->tokens = tokens;
+  cached_program->tokens = tokens;
 }
 
 static bool
 retry_before (const void *left, const void *right)
 {
-  const struct gate_holding *a = left;
-  const struct gate_holding *b = right;
+  const struct gate_cached_program *a = left;
+  const struct gate_cached_program *b = right;
 
   return a->retry_us < b->retry_us;
 }
 
 static bool
-lapse_before (const void *left, const void *right)
+lease_before (const void *left, const void *right)
 {
   const struct gate_program *a = left;
   const struct gate_program *b = right;
@@ -136,120 +140,126 @@
 void
 mq_gate_cache_create (struct mq_gate *gate)
 {
-  mq_gate_heap_create (&gate->leases, gate, lapse_before,
+  mq_gate_heap_create (&gate->leases, gate, lease_before,
                        offsetof (struct gate_program, lease_position));
   mq_gate_heap_create (&gate->retries, gate, retry_before,
-                       offsetof (struct gate_holding, retry_position));
+                       offsetof (struct gate_cached_program, retry_position));
 }
 
-struct gate_holding *
-mq_gate_get_holding (struct mq_gate *gate, struct gate_program *program,
-                     struct gate_worker *worker)
+struct gate_cached_program *
+mq_gate_get_cached_program (struct mq_gate *gate, struct gate_program *program,
+                            struct gate_worker *worker)
 {
-  struct gate_holding *holding = find_holding (program, worker->index);
+  struct gate_cached_program *cached_program
+      = find_holding (program, worker->index);
 
-  if (holding != NULL)
-    return holding;
-  holding = mq_gate_alloc (gate, sizeof *holding, "struct gate_holding");
-  holding->program = program;
-  holding->worker = worker->index;
-  holding->idle_since_us = gate->now_us;
-  holding->touched_us = gate->now_us;
-  mq_gate_list_add (&program->holdings, &holding->by_program);
-  mq_gate_list_add (&worker->holdings, &holding->by_worker);
-  return holding;
+  if (cached_program != NULL)
+    return cached_program;
+  cached_program
+      = mq_gate_alloc (gate, sizeof *cached_program, "struct gate_holding");
+  cached_program->program = program;
+  cached_program->worker = worker->index;
+  cached_program->idle_since_us = gate->now_us;
+  cached_program->touched_us = gate->now_us;
+  mq_gate_list_add (&program->cached_programs, &cached_program->by_program);
+  mq_gate_list_add (&worker->cached_programs, &cached_program->by_worker);
+  return cached_program;
 }
 
 static void
-free_holding (struct mq_gate *gate, struct gate_holding *holding)
+free_holding (struct mq_gate *gate, struct gate_cached_program *cached_program)
 {
-  waste_idle (gate, holding);
-  set_tokens (gate, holding, 0);
-  mq_gate_heap_remove (&gate->retries, holding);
-  mq_gate_list_remove (&holding->program->holdings, &holding->by_program);
-  mq_gate_list_remove (&gate->workers[holding->worker].holdings,
-                       &holding->by_worker);
-  talloc_free (holding);
+  count_wasted (gate, cached_program);
+  set_tokens (gate, cached_program, 0);
+  mq_gate_heap_remove (&gate->retries, cached_program);
+  mq_gate_list_remove (&cached_program->program->cached_programs,
+                       &cached_program->by_program);
+  mq_gate_list_remove (&gate->workers[cached_program->worker].cached_programs,
+                       &cached_program->by_worker);
+  talloc_free (cached_program);
 }
 
 /* Eviction.  */
 
 static void
-set_retry (struct mq_gate *gate, struct gate_holding *holding, uint64_t at_us)
+set_retry (struct mq_gate *gate, struct gate_cached_program *cached_program,
+           uint64_t at_us)
 {
-  holding->retry_us = at_us;
-  mq_gate_heap_remove (&gate->retries, holding);
+  cached_program->retry_us = at_us;
+  mq_gate_heap_remove (&gate->retries, cached_program);
   if (at_us != NEVER)
-    mq_gate_heap_add (&gate->retries, holding);
+    mq_gate_heap_add (&gate->retries, cached_program);
 }
 
 /* The worker answers each EVICT; should the answer get lost, it is asked
    again after the longest pause.  */
 static void
-ask_eviction (struct mq_gate *gate, struct gate_holding *holding)
+ask_eviction (struct mq_gate *gate, struct gate_cached_program *cached_program)
 {
   struct mq_action *action = mq_actions_add (gate->actions, MQ_ACT_EVICT);
 
-  action->u.evict.worker = holding->worker;
-  action->u.evict.program = holding->program->id;
-  holding->asked = true;
-  holding->asked_us = gate->now_us;
-  set_retry (gate, holding,
+  action->u.evict.worker = cached_program->worker;
+  action->u.evict.program = cached_program->program->id;
+  cached_program->asked = true;
+  cached_program->asked_us = gate->now_us;
+  set_retry (gate, cached_program,
              gate->now_us + MQ_GATE_EVICT_RETRY_MAX_MS * MQ_US_PER_MS);
 }
 
 /* While a call of the program runs there the engine would fill the cache
    again; its end asks.  */
 static void
-begin_eviction (struct mq_gate *gate, struct gate_holding *holding)
+begin_eviction (struct mq_gate *gate,
+                struct gate_cached_program *cached_program)
 {
-  if (holding->evicting)
+  if (cached_program->evicting)
     return;
-  waste_idle (gate, holding);
-  holding->evicting = true;
-  holding->pause_ms = MQ_GATE_EVICT_RETRY_MS;
-  gate->ended_tokens += holding->tokens;
+  count_wasted (gate, cached_program);
+  cached_program->evicting = true;
+  cached_program->pause_ms = MQ_GATE_EVICT_RETRY_MS;
+  gate->ended_tokens += cached_program->tokens;
   gate->counters.cache_ended_tokens = gate->ended_tokens;
-  if (holding->runs == 0)
-    ask_eviction (gate, holding);
+  if (cached_program->runs == 0)
+    ask_eviction (gate, cached_program);
 }
 
 void
-mq_gate_cancel_eviction (struct mq_gate *gate, struct gate_holding *holding)
+mq_gate_cancel_eviction (struct mq_gate *gate,
+                         struct gate_cached_program *cached_program)
 {
-  if (!holding->evicting)
+  if (!cached_program->evicting)
     return;
-  settle_idle (gate, holding);
-  holding->idle_token_ms = 0;
-  holding->evicting = false;
-  holding->asked = false;
-  gate->ended_tokens -= holding->tokens;
+  update_idle (gate, cached_program);
+  cached_program->unused_token_ms = 0;
+  cached_program->evicting = false;
+  cached_program->asked = false;
+  gate->ended_tokens -= cached_program->tokens;
   gate->counters.cache_ended_tokens = gate->ended_tokens;
-  set_retry (gate, holding, NEVER);
+  set_retry (gate, cached_program, NEVER);
 }
 
 void
 mq_gate_begin_evictions (struct mq_gate *gate, struct gate_program *program)
 {
-  struct gate_node *node = program->holdings.first;
+  struct gate_node *node = program->cached_programs.first;
 
   while (node != NULL)
     {
-      begin_eviction (gate,
-                      GATE_ENTRY (node, struct gate_holding, by_program));
+      begin_eviction (
+          gate, GATE_ENTRY (node, struct gate_cached_program, by_program));
       node = node->next;
     }
 }
 
 /* Tells the asker once nothing of an ended program is left.  */
 void
-mq_gate_tell_evicted (struct mq_gate *gate, struct gate_program *program)
+mq_gate_notify_evicted (struct mq_gate *gate, struct gate_program *program)
 {
   struct mq_message message = { .type = MQ_MSG_EVICTED };
 
-  if (program->lease != GATE_LEASE_ENDED || program->holdings.count > 0)
+  if (program->lease != GATE_LEASE_ENDED || program->cached_programs.count > 0)
     return;
-  program->swept = true;
+  program->fully_evicted = true;
   if (program->waiter == 0)
     return;
   message.u.evicted.program = program->id;
@@ -259,64 +269,69 @@
 }
 
 static void
-confirm_eviction (struct mq_gate *gate, struct gate_holding *holding)
+confirm_eviction (struct mq_gate *gate,
+                  struct gate_cached_program *cached_program)
 {
-  struct gate_program *program = holding->program;
+  struct gate_program *program = cached_program->program;
 
   gate->counters.evictions++;
-  free_holding (gate, holding);
-  mq_gate_tell_evicted (gate, program);
+  free_holding (gate, cached_program);
+  mq_gate_notify_evicted (gate, program);
 }
 
 /* Failure: an engine is busy, down or slow and does not confirm; it shows as
-   memory held for programs that have ended.  The holding stays and is asked
-   for until it is confirmed or the engine is known to be empty.  */
+   memory held for programs that have ended.  The cached_program stays and is
+   asked for until it is confirmed or the engine is known to be empty.  */
 static void
-fail_eviction (struct mq_gate *gate, struct gate_holding *holding)
+fail_eviction (struct mq_gate *gate,
+               struct gate_cached_program *cached_program)
 {
   char program[MQ_ID_TEXT];
 
-  if (!holding->failed)
+  if (!cached_program->failed)
     {
-      mq_id_format (holding->program->id, program);
-      mq_gate_state (gate, MQ_STATE_EVICT_RETRY, holding->worker, program);
+      mq_id_format (cached_program->program->id, program);
+      mq_gate_log_state (gate, MQ_STATE_EVICT_RETRY, cached_program->worker,
+                         program);
     }
-  holding->failed = true;
-  holding->asked = false;
-  set_retry (gate, holding, gate->now_us + holding->pause_ms * MQ_US_PER_MS);
-  holding->pause_ms *= 2;
-  if (holding->pause_ms > MQ_GATE_EVICT_RETRY_MAX_MS)
-    holding->pause_ms = MQ_GATE_EVICT_RETRY_MAX_MS;
+  cached_program->failed = true;
+  cached_program->asked = false;
+  set_retry (gate, cached_program,
+             gate->now_us + cached_program->pause_ms * MQ_US_PER_MS);
+  cached_program->pause_ms *= 2;
+  if (cached_program->pause_ms > MQ_GATE_EVICT_RETRY_MAX_MS)
+    cached_program->pause_ms = MQ_GATE_EVICT_RETRY_MAX_MS;
 }
 
 void
-mq_gate_take_evicted (struct mq_gate *gate,
-                      const struct mq_gate_evicted *evicted)
+mq_gate_handle_evicted (struct mq_gate *gate,
+                        const struct mq_gate_evicted *evicted)
 {
   struct gate_program *program = mq_gate_program_find (gate, evicted->program);
-  struct gate_holding *holding;
+  struct gate_cached_program *cached_program;
 
   if (program == NULL)
     return;
-  holding = find_holding (program, evicted->worker);
-  if (holding == NULL || !holding->asked)
+  cached_program = find_holding (program, evicted->worker);
+  if (cached_program == NULL || !cached_program->asked)
     return;
   if (evicted->confirmed)
-    confirm_eviction (gate, holding);
+    confirm_eviction (gate, cached_program);
   else
-    fail_eviction (gate, holding);
+    fail_eviction (gate, cached_program);
 }
 
 void
 mq_gate_retry_evictions (struct mq_gate *gate)
 {
-  struct gate_holding *holding = mq_gate_heap_first (&gate->retries);
+  struct gate_cached_program *cached_program
+      = mq_gate_heap_first (&gate->retries);
 
-  while (holding != NULL && holding->retry_us <= gate->now_us)
+  while (cached_program != NULL && cached_program->retry_us <= gate->now_us)
     {
       gate->counters.evictions_retried++;
-      ask_eviction (gate, holding);
-      holding = mq_gate_heap_first (&gate->retries);
+      ask_eviction (gate, cached_program);
+      cached_program = mq_gate_heap_first (&gate->retries);
     }
 }
 
@@ -326,13 +341,13 @@
 mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
-  struct gate_holding *holding;
+  struct gate_cached_program *cached_program;
 
   if (!mq_gate_has_cache (worker))
     return;
-  holding = mq_gate_get_holding (gate, run->program, worker);
-  settle_idle (gate, holding);
-  holding->runs++;
+  cached_program = mq_gate_get_cached_program (gate, run->program, worker);
+  update_idle (gate, cached_program);
+  cached_program->runs++;
 }
 
 static void
@@ -343,7 +358,7 @@
 
   if (hash == 0)
     return;
-  for (uint32_t i = 0; i < GATE_PREFIXES; i++)
+  for (uint32_t i = 0; i < GATE_PREFIXES_MAX; i++)
     {
       struct gate_prefix *prefix = &worker->prefixes[i];
 
@@ -365,10 +380,10 @@
 /* Prompt tokens that were cached here before and had to be computed
    again.  */
 static uint32_t
-count_recomputed (const struct gate_holding *holding,
+count_recomputed (const struct gate_cached_program *cached_program,
                   const struct gate_run *run, const struct mq_gate_done *done)
 {
-  uint32_t had = holding->tokens;
+  uint32_t had = cached_program->tokens;
 
   if (!run->continuing || had <= done->cached_tokens)
     return 0;
@@ -378,17 +393,18 @@
 }
 
 static void
-note_use (struct mq_gate *gate, struct gate_holding *holding,
+note_use (struct mq_gate *gate, struct gate_cached_program *cached_program,
           const struct gate_run *run, const struct mq_gate_done *done)
 {
   if (done->tokens_in == 0)
     return;
-  gate->counters.recomputed_tokens += count_recomputed (holding, run, done);
+  gate->counters.recomputed_tokens
+      += count_recomputed (cached_program, run, done);
   if (done->cached_tokens > 0)
-    holding->idle_token_ms = 0;
+    cached_program->unused_token_ms = 0;
   else
-    waste_idle (gate, holding);
-  set_tokens (gate, holding, done->tokens_in + done->tokens_out);
+    count_wasted (gate, cached_program);
+  set_tokens (gate, cached_program, done->tokens_in + done->tokens_out);
 }
 
 void
@@ -396,38 +412,39 @@
                      const struct mq_gate_done *done)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
-  struct gate_holding *holding;
+  struct gate_cached_program *cached_program;
 
   if (!mq_gate_has_cache (worker))
     return;
-  holding = mq_gate_get_holding (gate, run->program, worker);
-  note_use (gate, holding, run, done);
+  cached_program = mq_gate_get_cached_program (gate, run->program, worker);
+  note_use (gate, cached_program, run, done);
   if (done->error == MQ_ERR_NONE)
     note_prefix (worker, run->shared_prefix,
                  run->continuing ? 0 : done->cached_tokens, gate->now_us);
-  if (holding->runs > 0)
-    holding->runs--;
-  holding->idle_since_us = gate->now_us;
-  holding->touched_us = gate->now_us;
-  if (holding->evicting && holding->runs == 0 && !holding->asked)
-    ask_eviction (gate, holding);
+  if (cached_program->runs > 0)
+    cached_program->runs--;
+  cached_program->idle_since_us = gate->now_us;
+  cached_program->touched_us = gate->now_us;
+  if (cached_program->evicting && cached_program->runs == 0
+      && !cached_program->asked)
+    ask_eviction (gate, cached_program);
 }
 
 /* What is really held.  */
 
 static void
-note_entry (struct mq_gate *gate, struct gate_worker *worker,
-            const struct mq_gate_cache_entry *entry)
+apply_report_entry (struct mq_gate *gate, struct gate_worker *worker,
+                    const struct mq_gate_cache_entry *entry)
 {
   struct gate_program *program = mq_gate_program_get (gate, entry->program);
-  struct gate_holding *holding;
+  struct gate_cached_program *cached_program;
 
   if (program == NULL)
     return;
-  holding = mq_gate_get_holding (gate, program, worker);
-  holding->report = worker->report;
-  if (holding->runs == 0)
-    set_tokens (gate, holding, entry->tokens);
+  cached_program = mq_gate_get_cached_program (gate, program, worker);
+  cached_program->report = worker->report;
+  if (cached_program->runs == 0)
+    set_tokens (gate, cached_program, entry->tokens);
   switch (program->lease)
     {
     case GATE_LEASE_HELD:
@@ -435,9 +452,9 @@
     case GATE_LEASE_NONE:
       mq_gate_set_lease (gate, program, MQ_GATE_LEASE_GRACE_MS);
       break;
-    case GATE_LEASE_LAPSED:
+    case GATE_LEASE_EXPIRED:
     case GATE_LEASE_ENDED:
-      begin_eviction (gate, holding);
+      begin_eviction (gate, cached_program);
       break;
     }
 }
@@ -445,33 +462,34 @@
 /* A report may have been read before a call ended that it does not show, so
    only what was quiet since the report before it is believed to be gone.  */
 static bool
-is_gone (const struct gate_worker *worker, const struct gate_holding *holding)
+is_gone (const struct gate_worker *worker,
+         const struct gate_cached_program *cached_program)
 {
-  uint64_t last_us = holding->asked_us > holding->touched_us
-                         ? holding->asked_us
-                         : holding->touched_us;
+  uint64_t last_us = cached_program->asked_us > cached_program->touched_us
+                         ? cached_program->asked_us
+                         : cached_program->touched_us;
 
-  return holding->report != worker->report && holding->runs == 0
+  return cached_program->report != worker->report && cached_program->runs == 0
          && last_us < worker->previous_report_us;
 }
 
 static void
 drop_gone (struct mq_gate *gate, struct gate_worker *worker)
 {
-  struct gate_node *node = worker->holdings.first;
+  struct gate_node *node = worker->cached_programs.first;
 
   while (node != NULL)
     {
-      struct gate_holding *holding
-          = GATE_ENTRY (node, struct gate_holding, by_worker);
+      struct gate_cached_program *cached_program
+          = GATE_ENTRY (node, struct gate_cached_program, by_worker);
 
       node = node->next;
-      if (!is_gone (worker, holding))
+      if (!is_gone (worker, cached_program))
         continue;
-      if (holding->evicting)
-        confirm_eviction (gate, holding);
+      if (cached_program->evicting)
+        confirm_eviction (gate, cached_program);
       else
-        free_holding (gate, holding);
+        free_holding (gate, cached_program);
     }
 }
 
@@ -480,7 +498,8 @@
    report makes it true again: what has no lease is given a short one to be
    claimed under, what has ended is evicted.  */
 void
-mq_gate_take_cache (struct mq_gate *gate, const struct mq_gate_cache *cache)
+mq_gate_handle_cache_report (struct mq_gate *gate,
+                             const struct mq_gate_cache *cache)
 {
   struct gate_worker *worker;
 
@@ -497,33 +516,33 @@
     if (mq_id_is_zero (cache->entries[i].program))
       worker->shared_tokens += cache->entries[i].tokens;
     else
-      note_entry (gate, worker, &cache->entries[i]);
+      apply_report_entry (gate, worker, &cache->entries[i]);
   drop_gone (gate, worker);
   worker->reported = true;
 }
 
 /* The engine of WORKER was started anew: its cache is empty.  */
 void
-mq_gate_cache_emptied (struct mq_gate *gate, struct gate_worker *worker)
+mq_gate_cache_reset (struct mq_gate *gate, struct gate_worker *worker)
 {
-  struct gate_node *node = worker->holdings.first;
+  struct gate_node *node = worker->cached_programs.first;
 
   while (node != NULL)
     {
-      struct gate_holding *holding
-          = GATE_ENTRY (node, struct gate_holding, by_worker);
+      struct gate_cached_program *cached_program
+          = GATE_ENTRY (node, struct gate_cached_program, by_worker);
 
       node = node->next;
-      if (holding->runs > 0)
-        set_tokens (gate, holding, 0);
-      else if (holding->evicting)
-        confirm_eviction (gate, holding);
+      if (cached_program->runs > 0)
+        set_tokens (gate, cached_program, 0);
+      else if (cached_program->evicting)
+        confirm_eviction (gate, cached_program);
       else
-        free_holding (gate, holding);
+        free_holding (gate, cached_program);
     }
   worker->shared_tokens = 0;
   worker->reported = true;
-  for (uint32_t i = 0; i < GATE_PREFIXES; i++)
+  for (uint32_t i = 0; i < GATE_PREFIXES_MAX; i++)
     worker->prefixes[i] = (struct gate_prefix){ 0 };
 }
 
@@ -534,7 +553,7 @@
 {
   if (hash == 0)
     return 0;
-  for (uint32_t i = 0; i < GATE_PREFIXES; i++)
+  for (uint32_t i = 0; i < GATE_PREFIXES_MAX; i++)
     if (worker->prefixes[i].hash == hash)
       return worker->prefixes[i].tokens == 0 ? 1 : worker->prefixes[i].tokens;
   return 0;
@@ -544,8 +563,8 @@
    prefix.  A prefix whose length was not measured yet counts as one
    token.  */
 void
-mq_gate_take_probe (struct mq_gate *gate, uint32_t peer,
-                    const struct mq_probe_msg *msg)
+mq_gate_handle_probe (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_probe_msg *msg)
 {
   const struct gate_program *program
       = mq_gate_program_find (gate, msg->program);
--- a/src/core/gate/gate_calls.c
+++ b/src/core/gate/gate_calls.c
@@ -109,9 +109,9 @@
 
 /* Sends the kept outcome of CALL to PEER, under the attempt it asked for.  */
 void
-mq_gate_send_kept (struct mq_gate *gate, uint32_t peer,
-                   const struct gate_call *call, uint32_t attempt,
-                   bool recovered)
+mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
+                      const struct gate_call *call, uint32_t attempt,
+                      bool recovered)
 {
   struct mq_outcome_msg outcome = call->outcome;
 
@@ -127,20 +127,20 @@
 unlink_kept (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
-    mq_gate_list_remove (&gate->kept_idempotent, &call->by_age);
-  gate->kept_count--;
-  gate->kept_bytes -= call->outcome_bytes;
-  gate->counters.outcomes_kept = gate->kept_count;
+    mq_gate_list_remove (&gate->retained_idempotent, &call->by_age);
+  gate->retained_count--;
+  gate->retained_bytes -= call->outcome_bytes;
+  gate->counters.outcomes_kept = gate->retained_count;
 }
 
 static void
 link_kept (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
-    mq_gate_list_add (&gate->kept_idempotent, &call->by_age);
-  gate->kept_count++;
-  gate->kept_bytes += call->outcome_bytes;
-  gate->counters.outcomes_kept = gate->kept_count;
+    mq_gate_list_add (&gate->retained_idempotent, &call->by_age);
+  gate->retained_count++;
+  gate->retained_bytes += call->outcome_bytes;
+  gate->counters.outcomes_kept = gate->retained_count;
 }
 
 static void
@@ -205,8 +205,8 @@
   about.ref.attempt = call->asked;
   mq_gate_mark_not_run (call->program, &about.ref, call->answer_fence,
                         call->idempotent);
-  mq_gate_span (gate, "queue", call->traceparent, &call->ref, call->arrived_us,
-                error);
+  mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
+                       call->arrived_us, error);
   mq_gate_call_drop (gate, call);
   mq_gate_count_refusal (gate, error);
   if (mq_gate_peer_is_up (gate, peer))
@@ -219,7 +219,7 @@
 static bool
 drop_oldest_kept (struct mq_gate *gate)
 {
-  struct gate_node *node = gate->kept_idempotent.first;
+  struct gate_node *node = gate->retained_idempotent.first;
 
   if (node == NULL)
     return false;
@@ -235,7 +235,7 @@
 make_room (struct mq_gate *gate)
 {
   while (gate->calls.count >= gate->outcomes_max
-         || gate->kept_bytes > MQ_GATE_OUTCOME_BYTES_MAX)
+         || gate->retained_bytes > MQ_GATE_OUTCOME_BYTES_MAX)
     if (!drop_oldest_kept (gate))
       return false;
   return true;
@@ -334,12 +334,13 @@
 }
 
 static void
-note_top (struct gate_program *program, const struct mq_call_msg *msg)
+update_latest (struct gate_program *program, const struct mq_call_msg *msg)
 {
-  if (msg->fence == program->top_fence && msg->ref.call <= program->top_call)
+  if (msg->fence == program->latest_fence
+      && msg->ref.call <= program->latest_call)
     return;
-  program->top_fence = msg->fence;
-  program->top_call = msg->ref.call;
+  program->latest_fence = msg->fence;
+  program->latest_call = msg->ref.call;
 }
 
 static void
@@ -348,11 +349,11 @@
              struct gate_partition *partition)
 {
   drop_superseded (gate, program, msg);
-  note_top (program, msg);
+  update_latest (program, msg);
   fill_call (gate, call, msg);
   call->peer = peer;
   link_call (gate, call, program, partition);
-  mq_gate_cache_claim (gate, program, &gate->workers[call->worker]);
+  mq_gate_grant_lease (gate, program, &gate->workers[call->worker]);
   mq_gate_queue_add (gate, call);
   mq_gate_queue_run (gate, &gate->workers[call->worker]);
 }
@@ -364,7 +365,7 @@
 {
   const struct gate_worker *worker = &gate->workers[call->worker];
 
-  *retry_after_ms = mq_gate_queue_retry_ms (gate, worker);
+  *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!worker->up)
     return MQ_ERR_NO_TARGET;
   if (!make_room (gate))
@@ -382,7 +383,7 @@
   enum mq_error_type why;
   uint32_t retry_after_ms = 0;
 
-  if (program != NULL && mq_gate_is_late (program, msg, &ran))
+  if (program != NULL && mq_gate_is_stale_call (program, msg, &ran))
     {
       refuse_message (gate, peer, msg, MQ_ERR_SEALED, ran, 0);
       return;
@@ -418,7 +419,7 @@
   gate->counters.calls_repeated++;
   mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
   if (call->state == GATE_CALL_DONE)
-    mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+    mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
 }
 
 /* Failure: a frame is doubled, or an owner that is in doubt sends another
@@ -427,8 +428,8 @@
    it is found.  An attempt below the accepted one was settled before that
    one was sent.  */
 static void
-repeat_once (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-             const struct mq_call_msg *msg)
+repeat_non_idempotent (struct mq_gate *gate, uint32_t peer,
+                       struct gate_call *call, const struct mq_call_msg *msg)
 {
   if (msg->ref.attempt < call->ref.attempt)
     refuse_message (gate, peer, msg, MQ_ERR_SEALED, MQ_RAN_NOT_RUN, 0);
@@ -471,7 +472,7 @@
   if (call->run != NULL)
     call->run->ref = call->ref;
   drop_superseded (gate, call->program, msg);
-  note_top (call->program, msg);
+  update_latest (call->program, msg);
   answer_repeat (gate, peer, call, msg);
 }
 
@@ -501,10 +502,10 @@
 /* The operators' text may change whether a route can be repeated between
    two attempts; the stricter of the two holds.  */
 static void
-forbid_repeat (struct mq_gate *gate, struct gate_call *call)
+clear_idempotent (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->state == GATE_CALL_DONE)
-    mq_gate_list_remove (&gate->kept_idempotent, &call->by_age);
+    mq_gate_list_remove (&gate->retained_idempotent, &call->by_age);
   call->idempotent = false;
 }
 
@@ -515,11 +516,11 @@
 {
   if (call->idempotent && !msg->idempotent
       && msg->fence == call->accepted_fence)
-    forbid_repeat (gate, call);
+    clear_idempotent (gate, call);
   if (call->idempotent)
     repeat_idempotent (gate, peer, call, msg, partition);
   else
-    repeat_once (gate, peer, call, msg);
+    repeat_non_idempotent (gate, peer, call, msg);
 }
 
 /* Failure: a rebooted gate has forgotten its seals and what it ran, and an
@@ -554,7 +555,7 @@
   if (mq_gate_call_find (gate, &msg->ref) != NULL)
     ran = MQ_RAN_UNKNOWN;
   else if (program != NULL)
-    mq_gate_is_late (program, msg, &ran);
+    mq_gate_is_stale_call (program, msg, &ran);
   refuse_message (gate, peer, msg, MQ_ERR_STALE_FENCE, ran, 0);
 }
 
@@ -565,8 +566,8 @@
 }
 
 void
-mq_gate_take_call (struct mq_gate *gate, uint32_t peer,
-                   const struct mq_call_msg *from)
+mq_gate_handle_call (struct mq_gate *gate, uint32_t peer,
+                     const struct mq_call_msg *from)
 {
   struct gate_partition *partition
       = mq_gate_raise_fence (gate, from->partition, from->fence, peer);
@@ -624,7 +625,7 @@
     outcome->ran = MQ_RAN_RAN;
   if (outcome->ran == MQ_RAN_NOT_RUN)
     outcome->retry_after_ms
-        = mq_gate_queue_retry_ms (gate, &gate->workers[call->worker]);
+        = mq_gate_queue_retry_after_ms (gate, &gate->workers[call->worker]);
   outcome->body = mq_gate_strdup (call, done->body);
   outcome->tokens_in = done->tokens_in;
   outcome->tokens_out = done->tokens_out;
@@ -649,7 +650,7 @@
 mq_gate_forget_call (struct mq_gate *gate, struct gate_call *call)
 {
   if (!call->idempotent)
-    mq_gate_mark_sealed (call->program, call->ref.call, MQ_GATE_EVERY_ATTEMPT);
+    mq_gate_mark_sealed (call->program, call->ref.call, MQ_GATE_ALL_ATTEMPTS);
   mq_gate_call_drop (gate, call);
 }
 
@@ -662,7 +663,7 @@
   call->run = NULL;
   call->state = GATE_CALL_DONE;
   if (mq_gate_peer_is_up (gate, call->peer))
-    mq_gate_send_kept (gate, call->peer, call, call->asked, false);
+    mq_gate_send_outcome (gate, call->peer, call, call->asked, false);
   if (call->outcome.ran == MQ_RAN_NOT_RUN)
     {
       finish_not_run (gate, call);
--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -19,16 +19,16 @@
 static void
 revive (struct mq_gate *gate, struct gate_program *program)
 {
-  struct gate_node *node = program->holdings.first;
+  struct gate_node *node = program->cached_programs.first;
 
   while (node != NULL)
     {
       mq_gate_cancel_eviction (
-          gate, GATE_ENTRY (node, struct gate_holding, by_program));
+          gate, GATE_ENTRY (node, struct gate_cached_program, by_program));
       node = node->next;
     }
   program->waiter = 0;
-  program->swept = false;
+  program->fully_evicted = false;
 }
 
 /* Failure: an owner that lost its partition calls once more and renews
@@ -46,7 +46,7 @@
    its owner, which uses it elsewhere, renews and ends nothing here, and the
    memory of an ended program stayed for the whole first lease.  */
 void
-mq_gate_cache_claim (struct mq_gate *gate, struct gate_program *program,
+mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                      const struct gate_worker *worker)
 {
   if (!mq_gate_has_cache (worker) || program->lease == GATE_LEASE_HELD)
@@ -60,14 +60,14 @@
    them there for ever.  An engine that was not yet read is asked to evict,
    which costs nothing where it holds none.  */
 static void
-suspect_unread (struct mq_gate *gate, struct gate_program *program)
+add_unreported_caches (struct mq_gate *gate, struct gate_program *program)
 {
   for (size_t i = 0; i < gate->worker_count; i++)
     {
       struct gate_worker *worker = &gate->workers[i];
 
       if (mq_gate_has_cache (worker) && !worker->reported)
-        mq_gate_get_holding (gate, program, worker);
+        mq_gate_get_cached_program (gate, program, worker);
     }
 }
 
@@ -79,18 +79,18 @@
   program->ended_fence = fence;
   program->waiter = peer;
   mq_gate_heap_remove (&gate->leases, program);
-  mq_gate_calls_end_program (gate, program);
-  if (!program->swept)
-    suspect_unread (gate, program);
+  mq_gate_cancel_program_calls (gate, program);
+  if (!program->fully_evicted)
+    add_unreported_caches (gate, program);
   mq_gate_begin_evictions (gate, program);
-  mq_gate_tell_evicted (gate, program);
+  mq_gate_notify_evicted (gate, program);
 }
 
 /* A renewal that was overtaken by the end must not bring the cache back;
    only a newer owner can know better.  */
 void
-mq_gate_take_lease (struct mq_gate *gate, uint32_t peer,
-                    const struct mq_lease_msg *msg)
+mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_lease_msg *msg)
 {
   struct gate_program *program;
 
@@ -129,9 +129,9 @@
           && mq_gate_has_cache (&gate->workers[call->worker]))
         return true;
     }
-  for (const struct gate_node *node = program->holdings.first; node != NULL;
-       node = node->next)
-    if (GATE_ENTRY (node, struct gate_holding, by_program)->runs > 0)
+  for (const struct gate_node *node = program->cached_programs.first;
+       node != NULL; node = node->next)
+    if (GATE_ENTRY (node, struct gate_cached_program, by_program)->runs > 0)
       return true;
   return false;
 }
@@ -148,9 +148,9 @@
       mq_gate_set_lease (gate, program, first_lease_ms (gate));
       return;
     }
-  program->lease = GATE_LEASE_LAPSED;
+  program->lease = GATE_LEASE_EXPIRED;
   mq_gate_heap_remove (&gate->leases, program);
-  if (program->holdings.count == 0)
+  if (program->cached_programs.count == 0)
     return;
   gate->counters.leases_lapsed++;
   mq_gate_begin_evictions (gate, program);
--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -38,8 +38,9 @@
 }
 
 void
-mq_gate_load_measure (struct gate_worker *worker, const struct gate_run *run,
-                      const struct mq_gate_done *done, uint64_t run_us)
+mq_gate_load_record_run (struct gate_worker *worker,
+                         const struct gate_run *run,
+                         const struct mq_gate_done *done, uint64_t run_us)
 {
   if (done->error != MQ_ERR_NONE)
     return;
@@ -49,7 +50,7 @@
 }
 
 uint32_t
-mq_gate_load_used (const struct gate_worker *worker)
+mq_gate_load_cache_used (const struct gate_worker *worker)
 {
   uint64_t used = worker->held_tokens + worker->shared_tokens;
 
@@ -65,14 +66,14 @@
   load->slots = worker->up ? worker->slots : 0;
   load->running = worker->running;
   load->queued = worker->queued;
-  load->cache_used = mq_gate_load_used (worker);
+  load->cache_used = mq_gate_load_cache_used (worker);
   load->cache_total = worker->cache_tokens;
   load->prefill_rate = (uint32_t)worker->prefill_rate;
   load->decode_us = (uint32_t)worker->decode_us;
 }
 
 void
-mq_gate_load_tell (struct mq_gate *gate, uint32_t peer)
+mq_gate_load_send (struct mq_gate *gate, uint32_t peer)
 {
   struct mq_message message = { .type = MQ_MSG_LOAD };
   struct mq_load_msg *load = &message.u.load;
@@ -122,7 +123,7 @@
   gate->load_sent_us = gate->now_us;
   gate->load_dirty = false;
   for (size_t i = 0; i < gate->peer_count; i++)
-    mq_gate_load_tell (gate, gate->peers[i]);
+    mq_gate_load_send (gate, gate->peers[i]);
 }
 
 /* Status.  */
@@ -157,7 +158,7 @@
       (int)worker->slots, "running", (int)load.running, "queued",
       (int)load.queued, "cache_used", (json_int_t)load.cache_used,
       "cache_total", (json_int_t)load.cache_total, "programs_held",
-      (int)worker->holdings.count, "prefill_rate",
+      (int)worker->cached_programs.count, "prefill_rate",
       (json_int_t)load.prefill_rate, "decode_us", (json_int_t)load.decode_us);
 }
 
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -98,8 +98,8 @@
    The highest fence per worker refuses it.  A doubled order gets the kept
    result.  */
 void
-mq_gate_take_order (struct mq_gate *gate, uint32_t peer,
-                    const struct mq_order_msg *msg)
+mq_gate_handle_order (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_order_msg *msg)
 {
   struct gate_worker *worker;
   struct gate_order *order;
@@ -156,15 +156,15 @@
   order->result = error;
   if (error == MQ_ERR_NONE)
     replace_earlier (worker, order);
-  mq_gate_state (gate, MQ_STATE_ORDER, order->order.order,
-                 mq_error_name (error));
+  mq_gate_log_state (gate, MQ_STATE_ORDER, order->order.order,
+                     mq_error_name (error));
   if (mq_gate_peer_is_up (gate, order->peer))
     send_order_done (gate, order->peer, order->order.order, error);
 }
 
 void
-mq_gate_take_ordered (struct mq_gate *gate,
-                      const struct mq_order_done_msg *done)
+mq_gate_handle_order_done (struct mq_gate *gate,
+                           const struct mq_order_done_msg *done)
 {
   for (size_t i = 0; i < gate->worker_count; i++)
     {
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -36,7 +36,7 @@
 }
 
 uint64_t
-mq_gate_fence (const struct mq_gate *gate, uint32_t partition)
+mq_gate_get_fence (const struct mq_gate *gate, uint32_t partition)
 {
   const struct gate_partition *found = find_partition (gate, partition);
 
@@ -108,7 +108,7 @@
 static bool
 is_idle (const struct gate_program *program)
 {
-  return program->calls.count == 0 && program->holdings.count == 0
+  return program->calls.count == 0 && program->cached_programs.count == 0
          && program->runs == 0 && program->lease != GATE_LEASE_HELD;
 }
 
@@ -124,7 +124,7 @@
 void
 mq_gate_program_touch (struct mq_gate *gate, struct gate_program *program)
 {
-  program->touched_us = gate->lived_us;
+  program->touched_us = gate->active_us;
   mq_gate_list_remove (&gate->programs_by_use, &program->by_use);
   mq_gate_list_add (&gate->programs_by_use, &program->by_use);
 }
@@ -140,7 +140,7 @@
   if (node == NULL)
     return false;
   program = GATE_ENTRY (node, struct gate_program, by_use);
-  if (gate->lived_us - program->touched_us < keep_ms * MQ_US_PER_MS)
+  if (gate->active_us - program->touched_us < keep_ms * MQ_US_PER_MS)
     return false;
   if (is_idle (program))
     free_program (gate, program);
@@ -154,7 +154,7 @@
    still open, and such a connection delivers in order: what was sent before
    the call was forgotten arrives before the next beat, and a connection
    without a beat for MQ_SILENT_MS is closed.  So a copy comes within that
-   time of this process's running; lived_us counts only that (a pause counts
+   time of this process's running; active_us counts only that (a pause counts
    as a second at most), and MQ_GATE_PROGRAM_KEEP_MS is far longer.  */
 void
 mq_gate_programs_expire (struct mq_gate *gate)
@@ -193,7 +193,7 @@
 }
 
 static bool
-is_after (uint32_t call, uint32_t attempt, const struct gate_mark *mark)
+is_after (uint32_t call, uint32_t attempt, const struct gate_watermark *mark)
 {
   if (call != mark->call)
     return call > mark->call;
@@ -205,7 +205,7 @@
 mq_gate_mark_settled (struct gate_program *program, uint64_t fence,
                       const struct mq_call_ref *ref, bool ran)
 {
-  struct gate_mark *mark = &program->settled;
+  struct gate_watermark *mark = &program->settled;
 
   if (fence < mark->fence)
     return;
@@ -252,16 +252,16 @@
      a program are made one after the other.
    RAN is set to what is known of the frame that is refused.  */
 bool
-mq_gate_is_late (const struct gate_program *program,
-                 const struct mq_call_msg *msg, enum mq_ran *ran)
+mq_gate_is_stale_call (const struct gate_program *program,
+                       const struct mq_call_msg *msg, enum mq_ran *ran)
 {
   const struct mq_call_ref *ref = &msg->ref;
-  const struct gate_mark *settled = &program->settled;
+  const struct gate_watermark *settled = &program->settled;
 
   if (!msg->idempotent && mq_gate_is_sealed (program, ref))
     {
       bool known = ref->call == program->sealed.call
-                   && program->sealed.attempt != MQ_GATE_EVERY_ATTEMPT;
+                   && program->sealed.attempt != MQ_GATE_ALL_ATTEMPTS;
 
       *ran = known ? MQ_RAN_NOT_RUN : MQ_RAN_UNKNOWN;
       return true;
@@ -275,7 +275,7 @@
       *ran = known ? MQ_RAN_NOT_RUN : MQ_RAN_UNKNOWN;
       return true;
     }
-  if (msg->fence == program->top_fence && ref->call < program->top_call)
+  if (msg->fence == program->latest_fence && ref->call < program->latest_call)
     {
       *ran = msg->idempotent ? MQ_RAN_UNKNOWN : MQ_RAN_NOT_RUN;
       return true;
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -45,7 +45,7 @@
 {
   struct gate_link link;
   uint64_t organisation;
-  uint64_t served; /* tokens, on the scale of served_clock */
+  uint64_t served; /* tokens, on the scale of virtual_time */
   uint32_t queued;
   struct gate_list lanes;
 };
@@ -156,7 +156,7 @@
     return worker->mean_run_us / 2;
   if (worker->prefill_rate == 0)
     return 0;
-  return call->need_tokens * 1000000ULL / worker->prefill_rate;
+  return call->new_cache_tokens * 1000000ULL / worker->prefill_rate;
 }
 
 static uint64_t
@@ -186,7 +186,7 @@
   if (worker->kind == MQ_SERVICE_MODEL)
     call->prompt_tokens = (uint32_t)(call->body_len / BYTES_PER_TOKEN);
   if (call->prompt_tokens > cached)
-    call->need_tokens = call->prompt_tokens - cached;
+    call->new_cache_tokens = call->prompt_tokens - cached;
   call->latest_start_us = read_latest_start (worker, call);
   if (gate->order == MQ_GATE_FIFO)
     return;
@@ -221,7 +221,8 @@
 /* When a refused caller should come back: when half of what waits now has
    been started, by the rate measured.  */
 uint32_t
-mq_gate_queue_retry_ms (struct mq_gate *gate, const struct gate_worker *worker)
+mq_gate_queue_retry_after_ms (struct mq_gate *gate,
+                              const struct gate_worker *worker)
 {
   if (worker->mean_run_us == 0)
     return add_jitter (gate, RETRY_UNKNOWN_MS);
@@ -235,7 +236,7 @@
   uint64_t ahead = 0;
 
   for (uint32_t i = 0; i <= (uint32_t)priority; i++)
-    ahead += worker->queued_class[i];
+    ahead += worker->queued_by_priority[i];
   return ahead;
 }
 
@@ -281,7 +282,7 @@
 {
   struct gate_worker *worker = &gate->workers[call->worker];
 
-  *retry_after_ms = mq_gate_queue_retry_ms (gate, worker);
+  *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!can_meet_deadline (gate, worker, call))
     return MQ_ERR_OVERLOADED;
   while (!has_room (gate, worker, call))
@@ -321,7 +322,7 @@
       struct gate_flow *flow = GATE_ENTRY (link, struct gate_flow, link);
 
       link = link->next;
-      if (flow->queued > 0 || flow->served > worker->served_clock)
+      if (flow->queued > 0 || flow->served > worker->virtual_time)
         continue;
       mq_gate_map_remove (&worker->flows, &flow->link);
       talloc_free (flow);
@@ -366,8 +367,8 @@
   uint64_t key = gate->order == MQ_GATE_FIFO ? 0 : call->organisation;
   struct gate_flow *flow = get_flow (gate, worker, key);
 
-  if (flow->queued == 0 && flow->served < worker->served_clock)
-    flow->served = worker->served_clock;
+  if (flow->queued == 0 && flow->served < worker->virtual_time)
+    flow->served = worker->virtual_time;
   return flow;
 }
 
@@ -450,7 +451,7 @@
 
   call->state = GATE_CALL_QUEUED;
   worker->queued++;
-  worker->queued_class[call->priority]++;
+  worker->queued_by_priority[call->priority]++;
   worker->queued_bytes += call->body_len;
   gate->counters.queue_length++;
   gate->load_dirty = true;
@@ -467,7 +468,7 @@
   struct gate_worker *worker = &gate->workers[call->worker];
 
   worker->queued--;
-  worker->queued_class[call->priority]--;
+  worker->queued_by_priority[call->priority]--;
   worker->queued_bytes -= call->body_len;
   gate->counters.queue_length--;
   gate->load_dirty = true;
@@ -512,7 +513,7 @@
    anything runs: their caches would push out those of programs that are
    under way, which would then be computed again.  */
 static struct gate_call *
-find_first_when_short (struct gate_worker *worker)
+find_first_low_memory (struct gate_worker *worker)
 {
   for (uint32_t i = 0; i < GATE_GROUPS; i++)
     {
@@ -528,12 +529,12 @@
 }
 
 static bool
-is_memory_short (const struct gate_worker *worker,
-                 const struct gate_call *call)
+is_memory_low (const struct gate_worker *worker, const struct gate_call *call)
 {
   if (worker->kind != MQ_SERVICE_MODEL || worker->cache_tokens == 0)
     return false;
-  return worker->held_tokens + worker->need_tokens + call->need_tokens
+  return worker->held_tokens + worker->new_cache_tokens
+             + call->new_cache_tokens
          > worker->cache_tokens;
 }
 
@@ -544,8 +545,7 @@
 
   if (call == NULL || gate->order == MQ_GATE_FIFO)
     return call;
-  return is_memory_short (worker, call) ? find_first_when_short (worker)
-                                        : call;
+  return is_memory_low (worker, call) ? find_first_low_memory (worker) : call;
 }
 
 /* Failure: a call waits past its deadline and then takes a slot for an
@@ -558,7 +558,7 @@
   while (call != NULL && call->latest_start_us < gate->now_us)
     {
       mq_gate_call_refuse (gate, call, MQ_ERR_TIMEOUT,
-                           mq_gate_queue_retry_ms (gate, worker));
+                           mq_gate_queue_retry_after_ms (gate, worker));
       call = mq_gate_heap_first (&worker->expiry);
     }
 }
@@ -569,9 +569,9 @@
 {
   struct gate_flow *flow = call->lane->flow;
 
-  if (flow->served > worker->served_clock)
-    worker->served_clock = flow->served;
-  flow->served += call->need_tokens;
+  if (flow->served > worker->virtual_time)
+    worker->virtual_time = flow->served;
+  flow->served += call->new_cache_tokens;
   mq_gate_queue_remove (gate, call);
   mq_gate_run_start (gate, call);
 }
@@ -609,6 +609,6 @@
         if (lane == NULL)
           break;
         mq_gate_call_refuse (gate, mq_gate_heap_first (&lane->calls), error,
-                             mq_gate_queue_retry_ms (gate, worker));
+                             mq_gate_queue_retry_after_ms (gate, worker));
       }
 }
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -57,7 +57,7 @@
   run->organisation = call->organisation;
   run->shared_prefix = call->shared_prefix;
   run->continuing = call->continuing;
-  run->need_tokens = call->need_tokens;
+  run->new_cache_tokens = call->new_cache_tokens;
   run->started_us = gate->now_us;
   mq_gate_map_add (&gate->runs, &run->link, hash_slot (gate, run->slot));
   return run;
@@ -128,13 +128,13 @@
   call->queue_us = gate->now_us - call->arrived_us;
   call->program->runs++;
   worker->running++;
-  worker->need_tokens += call->need_tokens;
+  worker->new_cache_tokens += call->new_cache_tokens;
   gate->counters.calls_started++;
   gate->counters.running++;
   gate->load_dirty = true;
   mq_gate_cache_started (gate, call->run);
-  mq_gate_span (gate, "queue", call->traceparent, &call->ref, call->arrived_us,
-                MQ_ERR_NONE);
+  mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
+                       call->arrived_us, MQ_ERR_NONE);
   add_start (gate, call);
 }
 
@@ -178,7 +178,7 @@
 /* Indices rise also while nobody is attached, so that who attaches later
    sees what it has missed.  */
 void
-mq_gate_take_token (struct mq_gate *gate, const struct mq_gate_token *token)
+mq_gate_handle_token (struct mq_gate *gate, const struct mq_gate_token *token)
 {
   struct gate_run *run = find_run (gate, token->slot);
   uint32_t index;
@@ -212,18 +212,18 @@
   struct gate_worker *worker = &gate->workers[run->worker];
 
   worker->running--;
-  worker->need_tokens -= run->need_tokens;
+  worker->new_cache_tokens -= run->new_cache_tokens;
   run->program->runs--;
   gate->counters.running--;
   gate->load_dirty = true;
-  mq_gate_load_measure (worker, run, done, gate->now_us - run->started_us);
+  mq_gate_load_record_run (worker, run, done, gate->now_us - run->started_us);
   mq_gate_queue_charge (gate, worker, run->organisation, done->tokens_out);
-  mq_gate_span (gate, "target", run->traceparent, &run->ref, run->started_us,
-                done->error);
+  mq_gate_record_span (gate, "target", run->traceparent, &run->ref,
+                       run->started_us, done->error);
 }
 
 void
-mq_gate_take_done (struct mq_gate *gate, const struct mq_gate_done *done)
+mq_gate_handle_done (struct mq_gate *gate, const struct mq_gate_done *done)
 {
   struct gate_run *run = find_run (gate, done->slot);
   struct gate_worker *worker;
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -20,7 +20,7 @@
 
   if (program == NULL)
     return;
-  if (!mq_gate_is_late (program, &as_call, &ran))
+  if (!mq_gate_is_stale_call (program, &as_call, &ran))
     {
       mq_gate_mark_settled (program, msg->fence, &msg->ref, false);
       mq_gate_count_refusal (gate, MQ_ERR_CANCELLED);
@@ -45,14 +45,14 @@
       mq_gate_run_stop (gate, call->run);
       break;
     case GATE_CALL_DONE:
-      mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+      mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
       break;
     }
 }
 
 void
-mq_gate_take_cancel (struct mq_gate *gate, uint32_t peer,
-                     const struct mq_ref_msg *msg)
+mq_gate_handle_cancel (struct mq_gate *gate, uint32_t peer,
+                       const struct mq_ref_msg *msg)
 {
   struct gate_call *call;
 
@@ -91,7 +91,7 @@
   struct mq_call_msg as_call = { .ref = msg->ref, .fence = msg->fence };
   enum mq_ran ran = MQ_RAN_NOT_RUN;
 
-  if (mq_gate_is_late (program, &as_call, &ran) && ran != MQ_RAN_NOT_RUN)
+  if (mq_gate_is_stale_call (program, &as_call, &ran) && ran != MQ_RAN_NOT_RUN)
     {
       mq_gate_send_refusal (gate, peer, msg, MQ_ERR_SEALED, ran, 0);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_DONE);
@@ -117,22 +117,22 @@
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_RUNNING);
       break;
     case GATE_CALL_DONE:
-      mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+      mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_DONE);
       break;
     }
 }
 
 void
-mq_gate_take_seal (struct mq_gate *gate, uint32_t peer,
-                   const struct mq_ref_msg *msg)
+mq_gate_handle_seal (struct mq_gate *gate, uint32_t peer,
+                     const struct mq_ref_msg *msg)
 {
   struct gate_program *program;
   struct gate_call *call;
 
   if (mq_gate_raise_fence (gate, msg->partition, msg->fence, peer) == NULL)
     {
-      send_sealed (gate, peer, msg, mq_gate_fence (gate, msg->partition),
+      send_sealed (gate, peer, msg, mq_gate_get_fence (gate, msg->partition),
                    MQ_SEAL_STALE);
       return;
     }
@@ -152,8 +152,8 @@
    same owner is heard over a new connection, all that the old one may have
    lost goes over the new one; what is settled is then forgotten again.  */
 void
-mq_gate_calls_follow (struct mq_gate *gate, struct gate_partition *partition,
-                      uint32_t peer)
+mq_gate_calls_reattach (struct mq_gate *gate, struct gate_partition *partition,
+                        uint32_t peer)
 {
   struct gate_node *node = partition->calls.first;
 
@@ -167,7 +167,7 @@
         continue;
       call->peer = peer;
       if (call->state == GATE_CALL_DONE)
-        mq_gate_send_kept (gate, peer, call, call->asked, false);
+        mq_gate_send_outcome (gate, peer, call, call->asked, false);
     }
 }
 
@@ -180,7 +180,7 @@
   struct mq_message message = { .type = MQ_MSG_RECOVERED };
 
   message.u.recovered.partition = partition;
-  message.u.recovered.fence = mq_gate_fence (gate, partition);
+  message.u.recovered.fence = mq_gate_get_fence (gate, partition);
   message.u.recovered.boot = gate->boot;
   message.u.recovered.running = running;
   message.u.recovered.running_count = count;
@@ -201,13 +201,13 @@
   mq_gate_attach (call, peer, fence, call->asked);
   if (call->state != GATE_CALL_DONE)
     return true;
-  mq_gate_send_kept (gate, peer, call, call->asked, true);
+  mq_gate_send_outcome (gate, peer, call, call->asked, true);
   return false;
 }
 
 void
-mq_gate_take_recover (struct mq_gate *gate, uint32_t peer,
-                      const struct mq_recover_msg *msg)
+mq_gate_handle_recover (struct mq_gate *gate, uint32_t peer,
+                        const struct mq_recover_msg *msg)
 {
   struct gate_partition *partition
       = mq_gate_raise_fence (gate, msg->partition, msg->fence, peer);
@@ -285,8 +285,8 @@
 }
 
 void
-mq_gate_take_forget (struct mq_gate *gate, uint32_t peer,
-                     const struct mq_ref_msg *msg)
+mq_gate_handle_forget (struct mq_gate *gate, uint32_t peer,
+                       const struct mq_ref_msg *msg)
 {
   struct gate_program *program;
   struct gate_call *call;
@@ -306,7 +306,8 @@
 
 /* The program has ended: its calls that wait need not run.  */
 void
-mq_gate_calls_end_program (struct mq_gate *gate, struct gate_program *program)
+mq_gate_cancel_program_calls (struct mq_gate *gate,
+                              struct gate_program *program)
 {
   struct gate_node *node = program->calls.first;
 
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -1,7 +1,7 @@
 /* gate_state.h - state of a gate, shared by the gate_*.c files only.
 
    Handles point both ways: a call belongs to a program and a partition, a
-   run (a call at a worker) to a call, a holding (a program's cache at a
+   run (a call at a worker) to a call, a cached_program (a program's cache at a
    worker) to a program and a worker.  Everything hangs below the gate in
    talloc; the containers only link.
    Needs: gate.h, gate_table.h.  */
@@ -14,7 +14,7 @@
 #include "../limits.h"
 
 /* Attempt number of a mark that covers every attempt of its call.  */
-#define MQ_GATE_EVERY_ATTEMPT UINT32_MAX
+#define MQ_GATE_ALL_ATTEMPTS UINT32_MAX
 
 #define MQ_US_PER_MS 1000ULL
 
@@ -29,13 +29,13 @@
 };
 
 /**
- * struct gate_mark - attempts that are refused without a record of each
+ * struct gate_watermark - attempts that are refused without a record of each
  * @fence: fence under which it was set
  * @call: attempts of lower calls are covered
  * @attempt: of this call, attempts up to this one are covered
  * @ran: the attempt at the mark may have taken effect
  */
-struct gate_mark
+struct gate_watermark
 {
   uint64_t fence;
   uint32_t call;
@@ -45,10 +45,10 @@
 
 enum gate_lease
 {
-  GATE_LEASE_NONE,   /* nobody has claimed it */
-  GATE_LEASE_HELD,   /* until lease_until_us */
-  GATE_LEASE_LAPSED, /* not renewed: evicted */
-  GATE_LEASE_ENDED   /* its owner said so: evicted and confirmed */
+  GATE_LEASE_NONE,    /* nobody has claimed it */
+  GATE_LEASE_HELD,    /* until lease_until_us */
+  GATE_LEASE_EXPIRED, /* not renewed: evicted */
+  GATE_LEASE_ENDED    /* its owner said so: evicted and confirmed */
 };
 
 /**
@@ -56,34 +56,34 @@
  * @settled: refused to everyone under @settled.fence (resends of calls that
  *           were forgotten, sealed or refused)
  * @sealed: refused, under any fence, to calls that may not be repeated
- * @top_fence: fence of the latest call
- * @top_call: its number: lower ones are late under the same fence
+ * @latest_fence: fence of the latest call
+ * @latest_call: its number: lower ones are late under the same fence
  * @calls: its records
- * @holdings: its caches
+ * @cached_programs: its caches
  * @runs: calls of it at workers
  * @lease: state of its cache lease
  * @lease_until_us: when it lapses
  * @ended_fence: fence that ended it
- * @swept: it ended and nothing of it is left
+ * @fully_evicted: it ended and nothing of it is left
  * @waiter: peer that is told when all is evicted, 0 when none
- * @touched_us: when it was last used, on the gate's lived_us
+ * @touched_us: when it was last used, on the gate's active_us
  */
 struct gate_program
 {
   struct gate_link link;
   struct mq_id id;
-  struct gate_mark settled;
-  struct gate_mark sealed;
-  uint64_t top_fence;
-  uint32_t top_call;
+  struct gate_watermark settled;
+  struct gate_watermark sealed;
+  uint64_t latest_fence;
+  uint32_t latest_call;
   struct gate_list calls;
-  struct gate_list holdings;
+  struct gate_list cached_programs;
   uint32_t runs;
   enum gate_lease lease;
   uint64_t lease_until_us;
   size_t lease_position;
   uint64_t ended_fence;
-  bool swept;
+  bool fully_evicted;
   uint32_t waiter;
   uint64_t touched_us;
   struct gate_node by_use;
@@ -110,7 +110,7 @@
  * @deadline_us: 0 when none
  * @latest_start_us: a later start can't meet the deadline; UINT64_MAX: none
  * @prompt_tokens: estimate of its prompt
- * @need_tokens: estimate of the engine memory that it adds
+ * @new_cache_tokens: estimate of the engine memory that it adds
  * @rank: place in the queue, lower goes first; see gate_queue.c
  * @urgency_us: among calls of one rank and organisation, lower goes first
  * @cancelled: CANCEL came while it ran
@@ -142,7 +142,7 @@
   uint64_t shared_prefix;
   uint32_t max_tokens;
   uint32_t prompt_tokens;
-  uint32_t need_tokens;
+  uint32_t new_cache_tokens;
   uint64_t arrived_us;
   uint64_t arrival; /* number of arrival: the last tie-break */
   uint64_t deadline_us;
@@ -183,24 +183,24 @@
   uint64_t shared_prefix;
   bool continuing;
   bool stopping;
-  uint32_t need_tokens;
+  uint32_t new_cache_tokens;
   uint64_t started_us;
   uint64_t first_us;
   uint32_t tokens;
 };
 
 /**
- * struct gate_holding - a program's cache at one worker
+ * struct gate_cached_program - a program's cache at one worker
  * @tokens: its size: estimated from outcomes, made true by reports
  * @idle_since_us: last use
- * @idle_token_ms: held since the last use, up to @idle_since_us
+ * @unused_token_ms: held since the last use, up to @idle_since_us
  * @evicting: to be evicted; counts as held for an ended program
  * @asked: an EVICT is under way
  * @retry_us: when to ask (again)
  * @pause_ms: pause after the next failure
  * @failed: a try has failed
  */
-struct gate_holding
+struct gate_cached_program
 {
   struct gate_program *program;
   struct gate_node by_program;
@@ -209,7 +209,7 @@
   uint32_t tokens;
   uint32_t runs;
   uint64_t idle_since_us;
-  uint64_t idle_token_ms;
+  uint64_t unused_token_ms;
   uint64_t touched_us;
   uint64_t asked_us;
   bool evicting;
@@ -223,8 +223,8 @@
 
 enum
 {
-  GATE_GROUPS = 4,   /* (batch or not) x (continuing or new) */
-  GATE_PREFIXES = 16 /* shared prefixes remembered per worker */
+  GATE_GROUPS = 4,       /* (batch or not) x (continuing or new) */
+  GATE_PREFIXES_MAX = 16 /* shared prefixes remembered per worker */
 };
 
 struct gate_prefix
@@ -249,11 +249,11 @@
  * struct gate_worker - one worker
  * @up: its engine answers as far as is known
  * @reported: its cache was reported since it came up
- * @held_tokens: sum of its holdings
- * @need_tokens: what its runs will add, estimated
+ * @held_tokens: sum of its cached_programs
+ * @new_cache_tokens: what its runs will add, estimated
  * @lanes: queued calls: lanes by rank, one heap for each group
  * @flows: queued organisations
- * @served_clock: service of the organisation that was served last
+ * @virtual_time: service of the organisation that was served last
  * @expiry: queued calls with a deadline, by latest start
  * @batch: queued batch calls in order of arrival
  * @mean_run_us: smoothed time at the target, 0: not yet known
@@ -274,12 +274,12 @@
   uint64_t previous_report_us;
   uint32_t running;
   uint32_t queued;
-  uint32_t queued_class[MQ_PRIORITY_COUNT];
+  uint32_t queued_by_priority[MQ_PRIORITY_COUNT];
   uint64_t queued_bytes;
   struct gate_heap lanes[GATE_GROUPS];
   struct gate_map flows;
   size_t flows_purge_at;
-  uint64_t served_clock;
+  uint64_t virtual_time;
   struct gate_heap expiry;
   struct gate_list batch;
   uint64_t mean_run_us;
@@ -287,10 +287,10 @@
   uint64_t prefill_rate;
   uint64_t decode_us;
   uint64_t held_tokens;
-  uint64_t need_tokens;
+  uint64_t new_cache_tokens;
   uint32_t shared_tokens;
-  struct gate_list holdings;
-  struct gate_prefix prefixes[GATE_PREFIXES];
+  struct gate_list cached_programs;
+  struct gate_prefix prefixes[GATE_PREFIXES_MAX];
   struct gate_list orders;
   uint64_t order_fence;
 };
@@ -308,7 +308,7 @@
   size_t worker_count;
   uint64_t lease_ms; /* that owners last gave a cache, 0: none yet */
   uint64_t now_us;
-  uint64_t lived_us; /* time in which inputs were handled; see mq_gate_live */
+  uint64_t active_us; /* time in which inputs were handled; see mq_gate_live */
   bool leaving;
   bool drained;
   uint32_t *peers; /* connected */
@@ -317,14 +317,14 @@
   struct gate_map programs;
   struct gate_list programs_by_use;
   struct gate_map calls;
-  struct gate_list kept_idempotent; /* oldest first */
-  size_t kept_count;
-  size_t kept_bytes;
+  struct gate_list retained_idempotent; /* oldest first */
+  size_t retained_count;
+  size_t retained_bytes;
   uint64_t arrivals;
   struct gate_map runs;
   uint32_t last_slot;
   struct gate_heap leases;  /* programs by lapse */
-  struct gate_heap retries; /* holdings by retry */
+  struct gate_heap retries; /* cached_programs by retry */
   uint64_t held_tokens;
   uint64_t ended_tokens;
   uint64_t held_remainder;
@@ -340,11 +340,12 @@
 bool mq_gate_peer_is_up (const struct mq_gate *gate, uint32_t peer);
 void mq_gate_send (struct mq_gate *gate, uint32_t peer,
                    const struct mq_message *message);
-void mq_gate_state (struct mq_gate *gate, enum mq_state_change change,
-                    uint64_t number, const char *subject);
-void mq_gate_span (struct mq_gate *gate, const char *name,
-                   const char *traceparent, const struct mq_call_ref *ref,
-                   uint64_t start_us, enum mq_error_type error);
+void mq_gate_log_state (struct mq_gate *gate, enum mq_state_change change,
+                        uint64_t number, const char *subject);
+void mq_gate_record_span (struct mq_gate *gate, const char *name,
+                          const char *traceparent,
+                          const struct mq_call_ref *ref, uint64_t start_us,
+                          enum mq_error_type error);
 void *mq_gate_alloc (TALLOC_CTX *ctx, size_t size, const char *name);
 char *mq_gate_strdup (TALLOC_CTX *ctx, const char *text);
 
@@ -352,7 +353,7 @@
 struct gate_partition *mq_gate_raise_fence (struct mq_gate *gate,
                                             uint32_t number, uint64_t fence,
                                             uint32_t peer);
-uint64_t mq_gate_fence (const struct mq_gate *gate, uint32_t partition);
+uint64_t mq_gate_get_fence (const struct mq_gate *gate, uint32_t partition);
 struct gate_program *mq_gate_program_find (struct mq_gate *gate,
                                            struct mq_id id);
 struct gate_program *mq_gate_program_get (struct mq_gate *gate,
@@ -366,14 +367,14 @@
                           uint32_t attempt);
 bool mq_gate_is_sealed (const struct gate_program *program,
                         const struct mq_call_ref *ref);
-bool mq_gate_is_late (const struct gate_program *program,
-                      const struct mq_call_msg *msg, enum mq_ran *ran);
+bool mq_gate_is_stale_call (const struct gate_program *program,
+                            const struct mq_call_msg *msg, enum mq_ran *ran);
 
 /* gate_calls.c */
 struct gate_call *mq_gate_call_find (struct mq_gate *gate,
                                      const struct mq_call_ref *ref);
-void mq_gate_take_call (struct mq_gate *gate, uint32_t peer,
-                        const struct mq_call_msg *msg);
+void mq_gate_handle_call (struct mq_gate *gate, uint32_t peer,
+                          const struct mq_call_msg *msg);
 /* Refuses a queued call: it leaves the queue and the table, and a resend
    of it is refused from now on.  */
 void mq_gate_call_refuse (struct mq_gate *gate, struct gate_call *call,
@@ -386,9 +387,9 @@
                            enum mq_error_type error, enum mq_ran ran,
                            uint32_t retry_after_ms);
 void mq_gate_count_refusal (struct mq_gate *gate, enum mq_error_type error);
-void mq_gate_send_kept (struct mq_gate *gate, uint32_t peer,
-                        const struct gate_call *call, uint32_t attempt,
-                        bool recovered);
+void mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
+                           const struct gate_call *call, uint32_t attempt,
+                           bool recovered);
 void mq_gate_attach (struct gate_call *call, uint32_t peer, uint64_t fence,
                      uint32_t attempt);
 void mq_gate_mark_not_run (struct gate_program *program,
@@ -397,26 +398,27 @@
 void mq_gate_forget_call (struct mq_gate *gate, struct gate_call *call);
 
 /* gate_settle.c */
-void mq_gate_take_cancel (struct mq_gate *gate, uint32_t peer,
-                          const struct mq_ref_msg *msg);
-void mq_gate_take_seal (struct mq_gate *gate, uint32_t peer,
-                        const struct mq_ref_msg *msg);
-void mq_gate_take_recover (struct mq_gate *gate, uint32_t peer,
-                           const struct mq_recover_msg *msg);
-void mq_gate_take_forget (struct mq_gate *gate, uint32_t peer,
+void mq_gate_handle_cancel (struct mq_gate *gate, uint32_t peer,
+                            const struct mq_ref_msg *msg);
+void mq_gate_handle_seal (struct mq_gate *gate, uint32_t peer,
                           const struct mq_ref_msg *msg);
+void mq_gate_handle_recover (struct mq_gate *gate, uint32_t peer,
+                             const struct mq_recover_msg *msg);
+void mq_gate_handle_forget (struct mq_gate *gate, uint32_t peer,
+                            const struct mq_ref_msg *msg);
 /* The owner of PARTITION is heard over another connection, PEER.  */
-void mq_gate_calls_follow (struct mq_gate *gate,
-                           struct gate_partition *partition, uint32_t peer);
-void mq_gate_calls_end_program (struct mq_gate *gate,
-                                struct gate_program *program);
+void mq_gate_calls_reattach (struct mq_gate *gate,
+                             struct gate_partition *partition, uint32_t peer);
+void mq_gate_cancel_program_calls (struct mq_gate *gate,
+                                   struct gate_program *program);
 
 /* gate_runs.c */
 void mq_gate_run_start (struct mq_gate *gate, struct gate_call *call);
 void mq_gate_run_stop (struct mq_gate *gate, struct gate_run *run);
-void mq_gate_take_token (struct mq_gate *gate,
-                         const struct mq_gate_token *token);
-void mq_gate_take_done (struct mq_gate *gate, const struct mq_gate_done *done);
+void mq_gate_handle_token (struct mq_gate *gate,
+                           const struct mq_gate_token *token);
+void mq_gate_handle_done (struct mq_gate *gate,
+                          const struct mq_gate_done *done);
 
 /* gate_queue.c */
 /* NONE when CALL may wait or start, else why not.  May refuse a queued
@@ -433,63 +435,65 @@
                                enum mq_error_type error);
 void mq_gate_queue_charge (struct mq_gate *gate, struct gate_worker *worker,
                            uint64_t organisation, uint64_t tokens);
-uint32_t mq_gate_queue_retry_ms (struct mq_gate *gate,
-                                 const struct gate_worker *worker);
+uint32_t mq_gate_queue_retry_after_ms (struct mq_gate *gate,
+                                       const struct gate_worker *worker);
 void mq_gate_queue_estimate (struct mq_gate *gate, struct gate_call *call,
                              const struct mq_call_msg *msg);
 void mq_gate_queue_create (struct mq_gate *gate, struct gate_worker *worker);
 
 /* gate_cache.c */
 void mq_gate_cache_create (struct mq_gate *gate);
-void mq_gate_cache_clock (struct mq_gate *gate, uint64_t elapsed_us);
+void mq_gate_cache_accumulate (struct mq_gate *gate, uint64_t elapsed_us);
 void mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run);
 void mq_gate_cache_ended (struct mq_gate *gate, struct gate_run *run,
                           const struct mq_gate_done *done);
 uint32_t mq_gate_cache_tokens (struct mq_gate *gate,
                                const struct gate_program *program,
                                uint32_t worker);
-void mq_gate_take_evicted (struct mq_gate *gate,
-                           const struct mq_gate_evicted *evicted);
-void mq_gate_take_cache (struct mq_gate *gate,
-                         const struct mq_gate_cache *cache);
-void mq_gate_take_probe (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_probe_msg *msg);
-void mq_gate_cache_emptied (struct mq_gate *gate, struct gate_worker *worker);
+void mq_gate_handle_evicted (struct mq_gate *gate,
+                             const struct mq_gate_evicted *evicted);
+void mq_gate_handle_cache_report (struct mq_gate *gate,
+                                  const struct mq_gate_cache *cache);
+void mq_gate_handle_probe (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_probe_msg *msg);
+void mq_gate_cache_reset (struct mq_gate *gate, struct gate_worker *worker);
 bool mq_gate_has_cache (const struct gate_worker *worker);
-struct gate_holding *mq_gate_get_holding (struct mq_gate *gate,
-                                          struct gate_program *program,
-                                          struct gate_worker *worker);
+struct gate_cached_program *
+mq_gate_get_cached_program (struct mq_gate *gate, struct gate_program *program,
+                            struct gate_worker *worker);
 void mq_gate_cancel_eviction (struct mq_gate *gate,
-                              struct gate_holding *holding);
+                              struct gate_cached_program *cached_program);
 void mq_gate_begin_evictions (struct mq_gate *gate,
                               struct gate_program *program);
-void mq_gate_tell_evicted (struct mq_gate *gate, struct gate_program *program);
+void mq_gate_notify_evicted (struct mq_gate *gate,
+                             struct gate_program *program);
 void mq_gate_retry_evictions (struct mq_gate *gate);
 
 /* gate_lease.c */
-void mq_gate_take_lease (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_lease_msg *msg);
+void mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_lease_msg *msg);
 void mq_gate_cache_tick (struct mq_gate *gate);
 /* A call was accepted: the program lives.  */
-void mq_gate_cache_claim (struct mq_gate *gate, struct gate_program *program,
+void mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                           const struct gate_worker *worker);
 void mq_gate_set_lease (struct mq_gate *gate, struct gate_program *program,
                         uint64_t ms);
 
 /* gate_orders.c */
-void mq_gate_take_order (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_order_msg *msg);
-void mq_gate_take_ordered (struct mq_gate *gate,
-                           const struct mq_order_done_msg *done);
+void mq_gate_handle_order (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_order_msg *msg);
+void mq_gate_handle_order_done (struct mq_gate *gate,
+                                const struct mq_order_done_msg *done);
 void mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker);
 
 /* gate_load.c */
-void mq_gate_load_measure (struct gate_worker *worker,
-                           const struct gate_run *run,
-                           const struct mq_gate_done *done, uint64_t run_us);
-uint32_t mq_gate_load_used (const struct gate_worker *worker);
+void mq_gate_load_record_run (struct gate_worker *worker,
+                              const struct gate_run *run,
+                              const struct mq_gate_done *done,
+                              uint64_t run_us);
+uint32_t mq_gate_load_cache_used (const struct gate_worker *worker);
 void mq_gate_load_push (struct mq_gate *gate, bool at_once);
-void mq_gate_load_tell (struct mq_gate *gate, uint32_t peer);
+void mq_gate_load_send (struct mq_gate *gate, uint32_t peer);
 uint64_t mq_gate_load_due (const struct mq_gate *gate);
 char *mq_gate_status_text (TALLOC_CTX *ctx, const struct mq_gate *gate);
 
--- a/src/core/gate/gate_table.c
+++ b/src/core/gate/gate_table.c
@@ -39,7 +39,7 @@
 
 struct gate_link *
 mq_gate_map_find (const struct gate_map *map, uint64_t hash,
-                  gate_map_same *same, const void *key)
+                  gate_map_equal *same, const void *key)
 {
   struct gate_link *link = *find_bucket (map, hash);
 
--- a/src/core/gate/gate_table.h
+++ b/src/core/gate/gate_table.h
@@ -28,11 +28,11 @@
   size_t count;
 };
 
-typedef bool gate_map_same (const struct gate_link *link, const void *key);
+typedef bool gate_map_equal (const struct gate_link *link, const void *key);
 
 void mq_gate_map_create (struct gate_map *map, TALLOC_CTX *owner);
 struct gate_link *mq_gate_map_find (const struct gate_map *map, uint64_t hash,
-                                    gate_map_same *same, const void *key);
+                                    gate_map_equal *same, const void *key);
 void mq_gate_map_add (struct gate_map *map, struct gate_link *link,
                       uint64_t hash);
 void mq_gate_map_remove (struct gate_map *map, struct gate_link *link);
