--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -143,7 +143,7 @@
 /* Inputs.  */
 
 static void
-take_peer_up (struct mq_gate *gate, uint32_t peer)
+handle_peer_up (struct mq_gate *gate, uint32_t peer)
 {
   if (mq_gate_peer_is_up (gate, peer))
     return;
@@ -158,7 +158,7 @@
 /* Its calls go on and their outcomes are kept: another connection or owner
    will ask for them.  */
 static void
-take_peer_down (struct mq_gate *gate, uint32_t peer)
+handle_peer_down (struct mq_gate *gate, uint32_t peer)
 {
   for (size_t i = 0; i < gate->peer_count; i++)
     if (gate->peers[i] == peer)
@@ -169,8 +169,8 @@
 }
 
 static void
-take_message (struct mq_gate *gate, uint32_t peer,
-              const struct mq_message *message)
+handle_message (struct mq_gate *gate, uint32_t peer,
+                const struct mq_message *message)
 {
   switch (message->type)
     {
@@ -205,7 +205,7 @@
 }
 
 static void
-take_engine_up (struct mq_gate *gate, uint32_t index, uint64_t boot)
+handle_engine_up (struct mq_gate *gate, uint32_t index, uint64_t boot)
 {
   struct gate_worker *worker;
   bool same;
@@ -226,7 +226,7 @@
 /* What waits for an engine that is gone is placed elsewhere; what was
    started there ends as the worker reports it.  */
 static void
-take_engine_down (struct mq_gate *gate, uint32_t index)
+handle_engine_down (struct mq_gate *gate, uint32_t index)
 {
   if (index >= gate->worker_count)
     return;
@@ -236,7 +236,7 @@
 }
 
 static void
-take_leave (struct mq_gate *gate)
+handle_leave (struct mq_gate *gate)
 {
   if (gate->leaving)
     return;
@@ -263,23 +263,23 @@
 }
 
 static void
-take_input (struct mq_gate *gate, const struct mq_gate_input *input)
+dispatch_input (struct mq_gate *gate, const struct mq_gate_input *input)
 {
   switch (input->type)
     {
     case MQ_GATE_TICK:
       break;
     case MQ_GATE_PEER_UP:
-      take_peer_up (gate, input->peer);
+      handle_peer_up (gate, input->peer);
       break;
     case MQ_GATE_PEER_DOWN:
-      take_peer_down (gate, input->peer);
+      handle_peer_down (gate, input->peer);
       break;
     case MQ_GATE_MESSAGE:
-      gate->moved = NULL;
-      take_message (gate, input->peer, input->u.message);
-      if (gate->moved != NULL)
-        mq_gate_calls_reattach (gate, gate->moved, input->peer);
+      gate->reconnected = NULL;
+      handle_message (gate, input->peer, input->u.message);
+      if (gate->reconnected != NULL)
+        mq_gate_calls_reattach (gate, gate->reconnected, input->peer);
       break;
     case MQ_GATE_TOKEN:
       mq_gate_handle_token (gate, &input->u.token);
@@ -294,16 +294,16 @@
       mq_gate_handle_cache_report (gate, &input->u.cache);
       break;
     case MQ_GATE_ENGINE_UP:
-      take_engine_up (gate, input->u.worker, input->engine_boot);
+      handle_engine_up (gate, input->u.worker, input->engine_boot);
       break;
     case MQ_GATE_ENGINE_DOWN:
-      take_engine_down (gate, input->u.worker);
+      handle_engine_down (gate, input->u.worker);
       break;
     case MQ_GATE_ORDERED:
       mq_gate_handle_order_done (gate, &input->u.ordered);
       break;
     case MQ_GATE_LEAVE:
-      take_leave (gate);
+      handle_leave (gate);
       break;
     }
 }
@@ -340,7 +340,7 @@
 {
   gate->actions = actions;
   advance_clock (gate, input->now_us);
-  take_input (gate, input);
+  dispatch_input (gate, input);
   tick (gate);
   mq_gate_load_push (gate, false);
   report_drained (gate);
@@ -350,7 +350,7 @@
 /* Reading.  */
 
 static uint64_t
-earlier (uint64_t a, uint64_t b)
+min_us (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
@@ -364,18 +364,18 @@
   uint64_t next_us = gate->now_us + ACTIVE_STEP_MAX_MS * MQ_US_PER_MS;
 
   if (gate->peer_count > 0)
-    next_us = earlier (next_us, mq_gate_load_due (gate));
+    next_us = min_us (next_us, mq_gate_load_due (gate));
   if (program != NULL)
-    next_us = earlier (next_us, program->lease_until_us);
+    next_us = min_us (next_us, program->lease_until_us);
   if (cached_program != NULL)
-    next_us = earlier (next_us, cached_program->retry_us);
+    next_us = min_us (next_us, cached_program->retry_us);
   for (size_t i = 0; i < gate->worker_count; i++)
     {
       const struct gate_call *call
           = mq_gate_heap_first (&gate->workers[i].expiry);
 
       if (call != NULL)
-        next_us = earlier (next_us, call->latest_start_us + 1);
+        next_us = min_us (next_us, call->latest_start_us + 1);
     }
   return next_us;
 }
--- a/src/core/gate/gate_cache.c
+++ b/src/core/gate/gate_cache.c
@@ -160,7 +160,7 @@
   cached_program->program = program;
   cached_program->worker = worker->index;
   cached_program->idle_since_us = gate->now_us;
-  cached_program->touched_us = gate->now_us;
+  cached_program->last_used_us = gate->now_us;
   mq_gate_list_add (&program->cached_programs, &cached_program->by_program);
   mq_gate_list_add (&worker->cached_programs, &cached_program->by_worker);
   return cached_program;
@@ -194,14 +194,15 @@
 /* The worker answers each EVICT; should the answer get lost, it is asked
    again after the longest pause.  */
 static void
-ask_eviction (struct mq_gate *gate, struct gate_cached_program *cached_program)
+request_eviction (struct mq_gate *gate,
+                  struct gate_cached_program *cached_program)
 {
   struct mq_action *action = mq_actions_add (gate->actions, MQ_ACT_EVICT);
 
   action->u.evict.worker = cached_program->worker;
   action->u.evict.program = cached_program->program->id;
-  cached_program->asked = true;
-  cached_program->asked_us = gate->now_us;
+  cached_program->evict_pending = true;
+  cached_program->evict_sent_us = gate->now_us;
   set_retry (gate, cached_program,
              gate->now_us + MQ_GATE_EVICT_RETRY_MAX_MS * MQ_US_PER_MS);
 }
@@ -216,11 +217,11 @@
     return;
   count_wasted (gate, cached_program);
   cached_program->evicting = true;
-  cached_program->pause_ms = MQ_GATE_EVICT_RETRY_MS;
+  cached_program->backoff_ms = MQ_GATE_EVICT_RETRY_MS;
   gate->ended_tokens += cached_program->tokens;
   gate->counters.cache_ended_tokens = gate->ended_tokens;
   if (cached_program->runs == 0)
-    ask_eviction (gate, cached_program);
+    request_eviction (gate, cached_program);
 }
 
 void
@@ -232,7 +233,7 @@
   update_idle (gate, cached_program);
   cached_program->unused_token_ms = 0;
   cached_program->evicting = false;
-  cached_program->asked = false;
+  cached_program->evict_pending = false;
   gate->ended_tokens -= cached_program->tokens;
   gate->counters.cache_ended_tokens = gate->ended_tokens;
   set_retry (gate, cached_program, NEVER);
@@ -260,12 +261,12 @@
   if (program->lease != GATE_LEASE_ENDED || program->cached_programs.count > 0)
     return;
   program->fully_evicted = true;
-  if (program->waiter == 0)
+  if (program->evicted_peer == 0)
     return;
   message.u.evicted.program = program->id;
-  if (mq_gate_peer_is_up (gate, program->waiter))
-    mq_gate_send (gate, program->waiter, &message);
-  program->waiter = 0;
+  if (mq_gate_peer_is_up (gate, program->evicted_peer))
+    mq_gate_send (gate, program->evicted_peer, &message);
+  program->evicted_peer = 0;
 }
 
 static void
@@ -295,12 +296,12 @@
                          program);
     }
   cached_program->failed = true;
-  cached_program->asked = false;
+  cached_program->evict_pending = false;
   set_retry (gate, cached_program,
-             gate->now_us + cached_program->pause_ms * MQ_US_PER_MS);
-  cached_program->pause_ms *= 2;
-  if (cached_program->pause_ms > MQ_GATE_EVICT_RETRY_MAX_MS)
-    cached_program->pause_ms = MQ_GATE_EVICT_RETRY_MAX_MS;
+             gate->now_us + cached_program->backoff_ms * MQ_US_PER_MS);
+  cached_program->backoff_ms *= 2;
+  if (cached_program->backoff_ms > MQ_GATE_EVICT_RETRY_MAX_MS)
+    cached_program->backoff_ms = MQ_GATE_EVICT_RETRY_MAX_MS;
 }
 
 void
@@ -313,7 +314,7 @@
   if (program == NULL)
     return;
   cached_program = find_holding (program, evicted->worker);
-  if (cached_program == NULL || !cached_program->asked)
+  if (cached_program == NULL || !cached_program->evict_pending)
     return;
   if (evicted->confirmed)
     confirm_eviction (gate, cached_program);
@@ -330,7 +331,7 @@
   while (cached_program != NULL && cached_program->retry_us <= gate->now_us)
     {
       gate->counters.evictions_retried++;
-      ask_eviction (gate, cached_program);
+      request_eviction (gate, cached_program);
       cached_program = mq_gate_heap_first (&gate->retries);
     }
 }
@@ -351,8 +352,8 @@
 }
 
 static void
-note_prefix (struct gate_worker *worker, uint64_t hash, uint32_t tokens,
-             uint64_t now_us)
+record_prefix (struct gate_worker *worker, uint64_t hash, uint32_t tokens,
+               uint64_t now_us)
 {
   struct gate_prefix *oldest = &worker->prefixes[0];
 
@@ -364,17 +365,17 @@
 
       if (prefix->hash == hash)
         {
-          prefix->used_us = now_us;
+          prefix->last_used_us = now_us;
           if (tokens > 0)
             prefix->tokens = tokens;
           return;
         }
-      if (prefix->used_us < oldest->used_us)
+      if (prefix->last_used_us < oldest->last_used_us)
         oldest = prefix;
     }
   oldest->hash = hash;
   oldest->tokens = tokens;
-  oldest->used_us = now_us;
+  oldest->last_used_us = now_us;
 }
 
 /* Prompt tokens that were cached here before and had to be computed
@@ -419,15 +420,15 @@
   cached_program = mq_gate_get_cached_program (gate, run->program, worker);
   note_use (gate, cached_program, run, done);
   if (done->error == MQ_ERR_NONE)
-    note_prefix (worker, run->shared_prefix,
-                 run->continuing ? 0 : done->cached_tokens, gate->now_us);
+    record_prefix (worker, run->shared_prefix,
+                   run->continuing ? 0 : done->cached_tokens, gate->now_us);
   if (cached_program->runs > 0)
     cached_program->runs--;
   cached_program->idle_since_us = gate->now_us;
-  cached_program->touched_us = gate->now_us;
+  cached_program->last_used_us = gate->now_us;
   if (cached_program->evicting && cached_program->runs == 0
-      && !cached_program->asked)
-    ask_eviction (gate, cached_program);
+      && !cached_program->evict_pending)
+    request_eviction (gate, cached_program);
 }
 
 /* What is really held.  */
@@ -462,19 +463,20 @@
 /* A report may have been read before a call ended that it does not show, so
    only what was quiet since the report before it is believed to be gone.  */
 static bool
-is_gone (const struct gate_worker *worker,
-         const struct gate_cached_program *cached_program)
+is_dropped (const struct gate_worker *worker,
+            const struct gate_cached_program *cached_program)
 {
-  uint64_t last_us = cached_program->asked_us > cached_program->touched_us
-                         ? cached_program->asked_us
-                         : cached_program->touched_us;
+  uint64_t last_us
+      = cached_program->evict_sent_us > cached_program->last_used_us
+            ? cached_program->evict_sent_us
+            : cached_program->last_used_us;
 
   return cached_program->report != worker->report && cached_program->runs == 0
          && last_us < worker->previous_report_us;
 }
 
 static void
-drop_gone (struct mq_gate *gate, struct gate_worker *worker)
+remove_dropped (struct mq_gate *gate, struct gate_worker *worker)
 {
   struct gate_node *node = worker->cached_programs.first;
 
@@ -484,7 +486,7 @@
           = GATE_ENTRY (node, struct gate_cached_program, by_worker);
 
       node = node->next;
-      if (!is_gone (worker, cached_program))
+      if (!is_dropped (worker, cached_program))
         continue;
       if (cached_program->evicting)
         confirm_eviction (gate, cached_program);
@@ -517,7 +519,7 @@
       worker->shared_tokens += cache->entries[i].tokens;
     else
       apply_report_entry (gate, worker, &cache->entries[i]);
-  drop_gone (gate, worker);
+  remove_dropped (gate, worker);
   worker->reported = true;
 }
 
--- a/src/core/gate/gate_calls.c
+++ b/src/core/gate/gate_calls.c
@@ -124,7 +124,7 @@
 /* The record.  */
 
 static void
-unlink_kept (struct mq_gate *gate, struct gate_call *call)
+unlink_retained (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
     mq_gate_list_remove (&gate->retained_idempotent, &call->by_age);
@@ -134,7 +134,7 @@
 }
 
 static void
-link_kept (struct mq_gate *gate, struct gate_call *call)
+link_retained (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
     mq_gate_list_add (&gate->retained_idempotent, &call->by_age);
@@ -166,7 +166,7 @@
       mq_gate_run_stop (gate, call->run);
       break;
     case GATE_CALL_DONE:
-      unlink_kept (gate, call);
+      unlink_retained (gate, call);
       break;
     }
   free_call (gate, call);
@@ -178,8 +178,8 @@
 {
   call->peer = peer;
   call->answer_fence = fence;
-  if (attempt > call->asked)
-    call->asked = attempt;
+  if (attempt > call->requested_attempt)
+    call->requested_attempt = attempt;
 }
 
 /* Nothing may start REF from now on: its owner is told that it did not
@@ -202,7 +202,7 @@
       = { call->ref, call->partition->partition, call->answer_fence };
   uint32_t peer = call->peer;
 
-  about.ref.attempt = call->asked;
+  about.ref.attempt = call->requested_attempt;
   mq_gate_mark_not_run (call->program, &about.ref, call->answer_fence,
                         call->idempotent);
   mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
@@ -217,7 +217,7 @@
 /* CALL.  */
 
 static bool
-drop_oldest_kept (struct mq_gate *gate)
+drop_oldest_retained (struct mq_gate *gate)
 {
   struct gate_node *node = gate->retained_idempotent.first;
 
@@ -232,11 +232,11 @@
    call, so the oldest of them go; the others are the only proof that a call
    took effect, so they stay and new calls are refused.  */
 static bool
-make_room (struct mq_gate *gate)
+ensure_capacity (struct mq_gate *gate)
 {
   while (gate->calls.count >= gate->outcomes_max
          || gate->retained_bytes > MQ_GATE_OUTCOME_BYTES_MAX)
-    if (!drop_oldest_kept (gate))
+    if (!drop_oldest_retained (gate))
       return false;
   return true;
 }
@@ -258,7 +258,7 @@
       = mq_gate_alloc (gate, sizeof *call, "struct gate_call");
 
   call->ref = msg->ref;
-  call->asked = msg->ref.attempt;
+  call->requested_attempt = msg->ref.attempt;
   call->accepted_fence = msg->fence;
   call->answer_fence = msg->fence;
   call->idempotent = msg->idempotent;
@@ -360,27 +360,28 @@
 
 /* Why the gate can't take CALL now, NONE when it can.  */
 static enum mq_error_type
-judge_load (struct mq_gate *gate, const struct gate_call *call,
-            uint32_t *retry_after_ms)
+check_capacity (struct mq_gate *gate, const struct gate_call *call,
+                uint32_t *retry_after_ms)
 {
   const struct gate_worker *worker = &gate->workers[call->worker];
 
   *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!worker->up)
     return MQ_ERR_NO_TARGET;
-  if (!make_room (gate))
+  if (!ensure_capacity (gate))
     return MQ_ERR_OVERLOADED;
   return mq_gate_queue_admit (gate, call, retry_after_ms);
 }
 
 static void
-take_new_call (struct mq_gate *gate, uint32_t peer,
-               const struct mq_call_msg *msg, struct gate_partition *partition)
+handle_new_call (struct mq_gate *gate, uint32_t peer,
+                 const struct mq_call_msg *msg,
+                 struct gate_partition *partition)
 {
   struct gate_program *program = mq_gate_program_find (gate, msg->ref.program);
   enum mq_ran ran = MQ_RAN_NOT_RUN;
   struct gate_call *call;
-  enum mq_error_type why;
+  enum mq_error_type error;
   uint32_t retry_after_ms = 0;
 
   if (program != NULL && mq_gate_is_stale_call (program, msg, &ran))
@@ -401,20 +402,20 @@
   if (program == NULL)
     return;
   call = create_call (gate, msg);
-  why = judge_load (gate, call, &retry_after_ms);
-  if (why == MQ_ERR_NONE)
+  error = check_capacity (gate, call, &retry_after_ms);
+  if (error == MQ_ERR_NONE)
     {
       accept_call (gate, peer, call, msg, program, partition);
       return;
     }
   mq_gate_mark_not_run (program, &msg->ref, msg->fence, msg->idempotent);
-  refuse_message (gate, peer, msg, why, MQ_RAN_NOT_RUN, retry_after_ms);
+  refuse_message (gate, peer, msg, error, MQ_RAN_NOT_RUN, retry_after_ms);
   talloc_free (call);
 }
 
 static void
-answer_repeat (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-               const struct mq_call_msg *msg)
+answer_duplicate (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
+                  const struct mq_call_msg *msg)
 {
   gate->counters.calls_repeated++;
   mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
@@ -434,7 +435,7 @@
   if (msg->ref.attempt < call->ref.attempt)
     refuse_message (gate, peer, msg, MQ_ERR_SEALED, MQ_RAN_NOT_RUN, 0);
   else
-    answer_repeat (gate, peer, call, msg);
+    answer_duplicate (gate, peer, call, msg);
 }
 
 static void
@@ -448,7 +449,7 @@
     }
   gate->counters.cancelled++;
   mq_gate_call_drop (gate, call);
-  take_new_call (gate, peer, msg, partition);
+  handle_new_call (gate, peer, msg, partition);
 }
 
 /* A new owner asks for the same content: what its predecessor started is
@@ -467,13 +468,13 @@
             const struct mq_call_msg *msg)
 {
   call->ref.attempt = msg->ref.attempt;
-  call->asked = msg->ref.attempt;
+  call->requested_attempt = msg->ref.attempt;
   call->accepted_fence = msg->fence;
   if (call->run != NULL)
     call->run->ref = call->ref;
   drop_superseded (gate, call->program, msg);
   update_latest (call->program, msg);
-  answer_repeat (gate, peer, call, msg);
+  answer_duplicate (gate, peer, call, msg);
 }
 
 /* An idempotent call that is known here.  Attempts are ordered by fence,
@@ -492,7 +493,7 @@
       return;
     }
   if (msg->ref.attempt == call->ref.attempt)
-    answer_repeat (gate, peer, call, msg);
+    answer_duplicate (gate, peer, call, msg);
   else if (msg->ref.attempt > call->ref.attempt)
     replace_call (gate, peer, call, msg, partition);
   else
@@ -510,9 +511,9 @@
 }
 
 static void
-take_known_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-                 const struct mq_call_msg *msg,
-                 struct gate_partition *partition)
+handle_known_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
+                   const struct mq_call_msg *msg,
+                   struct gate_partition *partition)
 {
   if (call->idempotent && !msg->idempotent
       && msg->fence == call->accepted_fence)
@@ -598,9 +599,9 @@
     }
   call = mq_gate_call_find (gate, &msg->ref);
   if (call != NULL)
-    take_known_call (gate, peer, call, msg, partition);
+    handle_known_call (gate, peer, call, msg, partition);
   else
-    take_new_call (gate, peer, msg, partition);
+    handle_new_call (gate, peer, msg, partition);
 }
 
 /* The end of a call.  */
@@ -613,7 +614,7 @@
   const struct gate_run *run = call->run;
 
   outcome->ref = call->ref;
-  outcome->ref.attempt = call->asked;
+  outcome->ref.attempt = call->requested_attempt;
   outcome->partition = call->partition->partition;
   outcome->fence = call->answer_fence;
   outcome->boot = gate->boot;
@@ -663,15 +664,16 @@
   call->run = NULL;
   call->state = GATE_CALL_DONE;
   if (mq_gate_peer_is_up (gate, call->peer))
-    mq_gate_send_outcome (gate, call->peer, call, call->asked, false);
+    mq_gate_send_outcome (gate, call->peer, call, call->requested_attempt,
+                          false);
   if (call->outcome.ran == MQ_RAN_NOT_RUN)
     {
       finish_not_run (gate, call);
       return;
     }
-  link_kept (gate, call);
+  link_retained (gate, call);
   if (call->forgotten)
     mq_gate_forget_call (gate, call);
   else
-    make_room (gate);
+    ensure_capacity (gate);
 }
--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -17,7 +17,7 @@
 }
 
 static void
-revive (struct mq_gate *gate, struct gate_program *program)
+cancel_evictions (struct mq_gate *gate, struct gate_program *program)
 {
   struct gate_node *node = program->cached_programs.first;
 
@@ -27,7 +27,7 @@
           gate, GATE_ENTRY (node, struct gate_cached_program, by_program));
       node = node->next;
     }
-  program->waiter = 0;
+  program->evicted_peer = 0;
   program->fully_evicted = false;
 }
 
@@ -36,7 +36,7 @@
    first lease.  Owners give every program the same lease, so one that none
    has given yet is as long as the last.  */
 static uint64_t
-first_lease_ms (const struct mq_gate *gate)
+default_lease_ms (const struct mq_gate *gate)
 {
   return gate->lease_ms == 0 ? MQ_GATE_LEASE_MS : gate->lease_ms;
 }
@@ -51,8 +51,8 @@
 {
   if (!mq_gate_has_cache (worker) || program->lease == GATE_LEASE_HELD)
     return;
-  revive (gate, program);
-  mq_gate_set_lease (gate, program, first_lease_ms (gate));
+  cancel_evictions (gate, program);
+  mq_gate_set_lease (gate, program, default_lease_ms (gate));
 }
 
 /* Failure: this process was restarted and no longer knows which programs ran
@@ -77,7 +77,7 @@
 {
   program->lease = GATE_LEASE_ENDED;
   program->ended_fence = fence;
-  program->waiter = peer;
+  program->evicted_peer = peer;
   mq_gate_heap_remove (&gate->leases, program);
   mq_gate_cancel_program_calls (gate, program);
   if (!program->fully_evicted)
@@ -107,7 +107,7 @@
   if (program->lease == GATE_LEASE_ENDED && msg->fence <= program->ended_fence)
     return;
   if (program->lease != GATE_LEASE_HELD)
-    revive (gate, program);
+    cancel_evictions (gate, program);
   if (msg->lease_ms != 0)
     gate->lease_ms = msg->lease_ms;
   mq_gate_set_lease (gate, program,
@@ -141,11 +141,11 @@
    programs that nobody will go on with.  A lease that is not renewed ends
    in eviction, but not under a call that uses the cache.  */
 static void
-lapse (struct mq_gate *gate, struct gate_program *program)
+expire_lease (struct mq_gate *gate, struct gate_program *program)
 {
   if (is_cache_used (gate, program))
     {
-      mq_gate_set_lease (gate, program, first_lease_ms (gate));
+      mq_gate_set_lease (gate, program, default_lease_ms (gate));
       return;
     }
   program->lease = GATE_LEASE_EXPIRED;
@@ -157,13 +157,13 @@
 }
 
 static void
-lapse_leases (struct mq_gate *gate)
+expire_leases (struct mq_gate *gate)
 {
   struct gate_program *program = mq_gate_heap_first (&gate->leases);
 
   while (program != NULL && program->lease_until_us <= gate->now_us)
     {
-      lapse (gate, program);
+      expire_lease (gate, program);
       program = mq_gate_heap_first (&gate->leases);
     }
 }
@@ -171,6 +171,6 @@
 void
 mq_gate_cache_tick (struct mq_gate *gate)
 {
-  lapse_leases (gate);
+  expire_leases (gate);
   mq_gate_retry_evictions (gate);
 }
--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -7,34 +7,37 @@
 
 enum
 {
-  SMOOTH = 8,            /* a new measure weighs one eighth */
-  PREFILL_LEAST = 64,    /* fewer tokens tell nothing of the rate */
-  DECODE_LEAST = 4,      /* likewise */
-  LOAD_BASE_BYTES = 64,  /* of a LOAD frame */
-  LOAD_WORKER_BYTES = 64 /* for each worker in it */
+  SMOOTHING_FACTOR = 8,    /* a new measure weighs one eighth */
+  PREFILL_TOKENS_MIN = 64, /* fewer tokens tell nothing of the rate */
+  DECODE_TOKENS_MIN = 4,   /* likewise */
+  LOAD_BASE_BYTES = 64,    /* of a LOAD frame */
+  LOAD_WORKER_BYTES = 64   /* for each worker in it */
 };
 
 static void
-smooth (uint64_t *mean, uint64_t measure)
+update_mean (uint64_t *mean, uint64_t sample)
 {
-  if (measure == 0)
+  if (sample == 0)
     return;
-  *mean = *mean == 0 ? measure : (*mean * (SMOOTH - 1) + measure) / SMOOTH;
+  *mean = *mean == 0
+              ? sample
+              : (*mean * (SMOOTHING_FACTOR - 1) + sample) / SMOOTHING_FACTOR;
 }
 
 static void
-measure_model (struct gate_worker *worker, const struct gate_run *run,
-               const struct mq_gate_done *done, uint64_t run_us)
+record_model_rates (struct gate_worker *worker, const struct gate_run *run,
+                    const struct mq_gate_done *done, uint64_t run_us)
 {
   uint64_t first_us = run->first_us - run->started_us;
   uint32_t computed = done->tokens_in > done->cached_tokens
                           ? done->tokens_in - done->cached_tokens
                           : 0;
 
-  if (computed >= PREFILL_LEAST && first_us > 0)
-    smooth (&worker->prefill_rate, computed * 1000000ULL / first_us);
-  if (done->tokens_out >= DECODE_LEAST)
-    smooth (&worker->decode_us, (run_us - first_us) / (done->tokens_out - 1));
+  if (computed >= PREFILL_TOKENS_MIN && first_us > 0)
+    update_mean (&worker->prefill_rate, computed * 1000000ULL / first_us);
+  if (done->tokens_out >= DECODE_TOKENS_MIN)
+    update_mean (&worker->decode_us,
+                 (run_us - first_us) / (done->tokens_out - 1));
 }
 
 void
@@ -44,9 +47,9 @@
 {
   if (done->error != MQ_ERR_NONE)
     return;
-  smooth (&worker->mean_run_us, run_us);
+  update_mean (&worker->mean_run_us, run_us);
   if (run->first_us != 0)
-    measure_model (worker, run, done, run_us);
+    record_model_rates (worker, run, done, run_us);
 }
 
 uint32_t
@@ -93,32 +96,32 @@
 /* Least time between two pushes: more where many are told, so that all of
    them together stay under MQ_GATE_LOAD_BYTES_S.  */
 static uint64_t
-read_gap_us (const struct mq_gate *gate)
+min_interval_us (const struct mq_gate *gate)
 {
   uint64_t bytes = LOAD_BASE_BYTES + gate->worker_count * LOAD_WORKER_BYTES;
-  uint64_t gap_us
+  uint64_t interval_us
       = gate->peer_count * bytes * 1000000ULL / MQ_GATE_LOAD_BYTES_S;
-  uint64_t least_us = MQ_GATE_LOAD_MIN_MS * MQ_US_PER_MS;
+  uint64_t min_us = MQ_GATE_LOAD_MIN_MS * MQ_US_PER_MS;
 
-  return gap_us > least_us ? gap_us : least_us;
+  return interval_us > min_us ? interval_us : min_us;
 }
 
 /* When the next push is due.  */
 uint64_t
 mq_gate_load_due (const struct mq_gate *gate)
 {
-  uint64_t gap_us = read_gap_us (gate);
-  uint64_t beat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
+  uint64_t interval_us = min_interval_us (gate);
+  uint64_t heartbeat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
 
-  if (!gate->load_dirty && beat_us > gap_us)
-    gap_us = beat_us;
-  return gate->load_sent_us + gap_us;
+  if (!gate->load_dirty && heartbeat_us > interval_us)
+    interval_us = heartbeat_us;
+  return gate->load_sent_us + interval_us;
 }
 
 void
-mq_gate_load_push (struct mq_gate *gate, bool at_once)
+mq_gate_load_push (struct mq_gate *gate, bool immediately)
 {
-  if (!at_once && gate->now_us < mq_gate_load_due (gate))
+  if (!immediately && gate->now_us < mq_gate_load_due (gate))
     return;
   gate->load_sent_us = gate->now_us;
   gate->load_dirty = false;
@@ -129,7 +132,7 @@
 /* Status.  */
 
 static const char *
-name_kind (enum mq_service_kind kind)
+kind_name (enum mq_service_kind kind)
 {
   switch (kind)
     {
@@ -154,7 +157,7 @@
   return json_pack (
       "{s:i, s:s, s:s, s:s, s:b, s:i, s:i, s:i, s:I, s:I, s:i, s:I, s:I}",
       "worker", (int)load.worker, "service", load.service, "kind",
-      name_kind (worker->kind), "model", load.model, "up", worker->up, "slots",
+      kind_name (worker->kind), "model", load.model, "up", worker->up, "slots",
       (int)worker->slots, "running", (int)load.running, "queued",
       (int)load.queued, "cache_used", (json_int_t)load.cache_used,
       "cache_total", (json_int_t)load.cache_total, "programs_held",
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -47,7 +47,8 @@
 
 /* An adapter stands beside others; of the rest the last one counts.  */
 static bool
-is_replaced_by (const struct mq_order_msg *old, const struct mq_order_msg *new)
+is_superseded_by (const struct mq_order_msg *old,
+                  const struct mq_order_msg *new)
 {
   if (old->type != new->type)
     return false;
@@ -56,9 +57,10 @@
 }
 
 static bool
-is_in_force (const struct gate_order *order)
+is_effective (const struct gate_order *order)
 {
-  return order->pending || (order->result == MQ_ERR_NONE && !order->replaced);
+  return order->pending
+         || (order->result == MQ_ERR_NONE && !order->superseded);
 }
 
 /* Forgets the oldest order that is not in force, else the oldest.  */
@@ -68,7 +70,7 @@
   struct gate_node *node = worker->orders.first;
 
   while (node != NULL
-         && is_in_force (GATE_ENTRY (node, struct gate_order, by_worker)))
+         && is_effective (GATE_ENTRY (node, struct gate_order, by_worker)))
     node = node->next;
   if (node == NULL)
     node = worker->orders.first;
@@ -131,7 +133,7 @@
 }
 
 static void
-replace_earlier (struct gate_worker *worker, const struct gate_order *by)
+supersede_earlier (struct gate_worker *worker, const struct gate_order *by)
 {
   struct gate_node *node = worker->orders.first;
 
@@ -140,8 +142,8 @@
       struct gate_order *order
           = GATE_ENTRY (node, struct gate_order, by_worker);
 
-      if (is_replaced_by (&order->order, &by->order))
-        order->replaced = true;
+      if (is_superseded_by (&order->order, &by->order))
+        order->superseded = true;
       node = node->next;
     }
 }
@@ -155,7 +157,7 @@
   order->pending = false;
   order->result = error;
   if (error == MQ_ERR_NONE)
-    replace_earlier (worker, order);
+    supersede_earlier (worker, order);
   mq_gate_log_state (gate, MQ_STATE_ORDER, order->order.order,
                      mq_error_name (error));
   if (mq_gate_peer_is_up (gate, order->peer))
@@ -187,7 +189,7 @@
       struct gate_order *order
           = GATE_ENTRY (node, struct gate_order, by_worker);
 
-      if (is_in_force (order))
+      if (is_effective (order))
         add_order_action (gate, order);
       node = node->next;
     }
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -67,17 +67,18 @@
                      uint32_t peer)
 {
   struct gate_partition *partition = find_partition (gate, number);
-  uint32_t before;
+  uint32_t previous_peer;
 
   if (partition == NULL)
     partition = add_partition (gate, number);
   if (fence < partition->fence)
     return NULL;
-  before = fence == partition->fence ? partition->peer : 0;
+  previous_peer = fence == partition->fence ? partition->peer : 0;
   partition->fence = fence;
   partition->peer = peer;
-  if (before != 0 && before != peer && !mq_gate_peer_is_up (gate, before))
-    gate->moved = partition;
+  if (previous_peer != 0 && previous_peer != peer
+      && !mq_gate_peer_is_up (gate, previous_peer))
+    gate->reconnected = partition;
   return partition;
 }
 
@@ -124,7 +125,7 @@
 void
 mq_gate_program_touch (struct mq_gate *gate, struct gate_program *program)
 {
-  program->touched_us = gate->active_us;
+  program->last_used_us = gate->active_us;
   mq_gate_list_remove (&gate->programs_by_use, &program->by_use);
   mq_gate_list_add (&gate->programs_by_use, &program->by_use);
 }
@@ -140,7 +141,7 @@
   if (node == NULL)
     return false;
   program = GATE_ENTRY (node, struct gate_program, by_use);
-  if (gate->active_us - program->touched_us < keep_ms * MQ_US_PER_MS)
+  if (gate->active_us - program->last_used_us < keep_ms * MQ_US_PER_MS)
     return false;
   if (is_idle (program))
     free_program (gate, program);
@@ -164,7 +165,7 @@
 }
 
 static bool
-make_room (struct mq_gate *gate)
+ensure_capacity (struct mq_gate *gate)
 {
   while (gate->programs.count >= MQ_GATE_PROGRAMS_MAX)
     if (!free_oldest (gate, MQ_GATE_PROGRAM_LEAST_MS))
@@ -180,7 +181,7 @@
 
   if (program == NULL)
     {
-      if (!make_room (gate))
+      if (!ensure_capacity (gate))
         return NULL;
       program = mq_gate_alloc (gate, sizeof *program, "struct gate_program");
       program->id = id;
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -30,14 +30,14 @@
 {
   ATTAINED_BUCKETS = 8,
   ATTAINED_UNIT_BITS = 10, /* first bucket: under 1024 tokens */
-  LEVELS_OF_CLASS = 2 * ATTAINED_BUCKETS,
+  LEVELS_PER_PRIORITY = 2 * ATTAINED_BUCKETS,
   GROUP_NEW = 1,   /* bit of a group */
   GROUP_BATCH = 2, /* bit of a group */
-  FLOWS_PURGE = 1024,
+  FLOWS_PURGE_MIN = 1024,
   BYTES_PER_TOKEN = 4,
-  RETRY_LEAST_MS = 50,
-  RETRY_UNKNOWN_MS = 200,
-  RETRY_MOST_MS = 10000
+  RETRY_MIN_MS = 50,
+  RETRY_DEFAULT_MS = 200,
+  RETRY_MAX_MS = 10000
 };
 
 /* An organisation at one worker.  */
@@ -108,11 +108,11 @@
   mq_gate_heap_create (&worker->expiry, gate, expiry_before,
                        offsetof (struct gate_call, expiry_position));
   mq_gate_map_create (&worker->flows, gate);
-  worker->flows_purge_at = FLOWS_PURGE;
+  worker->flows_purge_at = FLOWS_PURGE_MIN;
 }
 
 static uint32_t
-read_bucket (uint64_t attained)
+attained_bucket (uint64_t attained)
 {
   uint32_t bucket = 0;
 
@@ -128,19 +128,19 @@
 /* A person's further turn is not held back by what the conversation has
    cost so far.  */
 static uint32_t
-read_level (const struct mq_call_msg *msg)
+priority_level (const struct mq_call_msg *msg)
 {
-  uint32_t level = msg->priority * LEVELS_OF_CLASS;
+  uint32_t level = msg->priority * LEVELS_PER_PRIORITY;
 
   if (msg->follow_up)
     return level;
   if (!msg->continuing)
     level += ATTAINED_BUCKETS;
-  return level + read_bucket (msg->attained);
+  return level + attained_bucket (msg->attained);
 }
 
 static uint32_t
-read_group (const struct gate_call *call)
+call_group (const struct gate_call *call)
 {
   uint32_t group = call->continuing ? 0 : GROUP_NEW;
 
@@ -150,7 +150,7 @@
 /* Least time at the target: a model's prompt must be computed, other
    targets take what they took lately.  0 when not yet known.  */
 static uint64_t
-read_least_us (const struct gate_worker *worker, const struct gate_call *call)
+min_run_us (const struct gate_worker *worker, const struct gate_call *call)
 {
   if (worker->kind != MQ_SERVICE_MODEL)
     return worker->mean_run_us / 2;
@@ -160,15 +160,15 @@
 }
 
 static uint64_t
-read_latest_start (const struct gate_worker *worker,
-                   const struct gate_call *call)
+compute_latest_start (const struct gate_worker *worker,
+                      const struct gate_call *call)
 {
-  uint64_t least_us;
+  uint64_t min_us;
 
   if (call->deadline_us == 0)
     return UINT64_MAX;
-  least_us = read_least_us (worker, call);
-  return call->deadline_us > least_us ? call->deadline_us - least_us : 0;
+  min_us = min_run_us (worker, call);
+  return call->deadline_us > min_us ? call->deadline_us - min_us : 0;
 }
 
 /* Fills in what the queue wants to know of CALL.  */
@@ -187,12 +187,12 @@
     call->prompt_tokens = (uint32_t)(call->body_len / BYTES_PER_TOKEN);
   if (call->prompt_tokens > cached)
     call->new_cache_tokens = call->prompt_tokens - cached;
-  call->latest_start_us = read_latest_start (worker, call);
+  call->latest_start_us = compute_latest_start (worker, call);
   if (gate->order == MQ_GATE_FIFO)
     return;
   call->urgency_us = call->deadline_us == 0 ? UINT64_MAX : call->deadline_us;
-  call->group = read_group (call);
-  call->rank = read_level (msg)
+  call->group = call_group (call);
+  call->rank = priority_level (msg)
                + call->arrived_us / (MQ_GATE_AGEING_MS * MQ_US_PER_MS);
 }
 
@@ -204,16 +204,16 @@
 {
   uint32_t quarter;
 
-  if (ms < RETRY_LEAST_MS)
-    ms = RETRY_LEAST_MS;
-  if (ms > RETRY_MOST_MS)
-    ms = RETRY_MOST_MS;
+  if (ms < RETRY_MIN_MS)
+    ms = RETRY_MIN_MS;
+  if (ms > RETRY_MAX_MS)
+    ms = RETRY_MAX_MS;
   quarter = (uint32_t)ms / 4;
   return (uint32_t)ms + mq_random_below (&gate->random, quarter + 1);
 }
 
 static uint64_t
-read_wait_us (const struct gate_worker *worker, uint64_t ahead)
+estimate_wait_us (const struct gate_worker *worker, uint64_t ahead)
 {
   return ahead * worker->mean_run_us / worker->slots;
 }
@@ -225,8 +225,8 @@
                               const struct gate_worker *worker)
 {
   if (worker->mean_run_us == 0)
-    return add_jitter (gate, RETRY_UNKNOWN_MS);
-  return add_jitter (gate, read_wait_us (worker, worker->queued / 2 + 1)
+    return add_jitter (gate, RETRY_DEFAULT_MS);
+  return add_jitter (gate, estimate_wait_us (worker, worker->queued / 2 + 1)
                                / MQ_US_PER_MS);
 }
 
@@ -250,13 +250,14 @@
   if (call->deadline_us == 0)
     return true;
   if (worker->running >= worker->slots)
-    wait_us = read_wait_us (worker, count_ahead (worker, call->priority) + 1);
+    wait_us
+        = estimate_wait_us (worker, count_ahead (worker, call->priority) + 1);
   return gate->now_us + wait_us <= call->latest_start_us;
 }
 
 static bool
-has_room (const struct mq_gate *gate, const struct gate_worker *worker,
-          const struct gate_call *call)
+has_capacity (const struct mq_gate *gate, const struct gate_worker *worker,
+              const struct gate_call *call)
 {
   if (worker->queued == 0)
     return true;
@@ -285,7 +286,7 @@
   *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!can_meet_deadline (gate, worker, call))
     return MQ_ERR_OVERLOADED;
-  while (!has_room (gate, worker, call))
+  while (!has_capacity (gate, worker, call))
     {
       struct gate_call *victim = find_victim (worker, call);
 
@@ -339,8 +340,8 @@
   for (size_t i = 0; i < worker->flows.bucket_count; i++)
     purge_bucket (worker, worker->flows.buckets[i]);
   worker->flows_purge_at = 2 * worker->flows.count;
-  if (worker->flows_purge_at < FLOWS_PURGE)
-    worker->flows_purge_at = FLOWS_PURGE;
+  if (worker->flows_purge_at < FLOWS_PURGE_MIN)
+    worker->flows_purge_at = FLOWS_PURGE_MIN;
 }
 
 static struct gate_flow *
@@ -539,7 +540,7 @@
 }
 
 static struct gate_call *
-choose (const struct mq_gate *gate, struct gate_worker *worker)
+select_call (const struct mq_gate *gate, struct gate_worker *worker)
 {
   struct gate_call *call = find_first (worker);
 
@@ -564,8 +565,8 @@
 }
 
 static void
-start_first (struct mq_gate *gate, struct gate_worker *worker,
-             struct gate_call *call)
+start_call (struct mq_gate *gate, struct gate_worker *worker,
+            struct gate_call *call)
 {
   struct gate_flow *flow = call->lane->flow;
 
@@ -583,8 +584,8 @@
 
   refuse_expired (gate, worker);
   while (worker->up && worker->running < worker->slots
-         && (call = choose (gate, worker)) != NULL)
-    start_first (gate, worker, call);
+         && (call = select_call (gate, worker)) != NULL)
+    start_call (gate, worker, call);
 }
 
 /* Tokens that ORGANISATION was served at WORKER.  */
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -74,19 +74,21 @@
 static uint32_t
 remaining_ms (const struct mq_gate *gate, const struct gate_call *call)
 {
-  uint64_t left_us;
+  uint64_t remaining_us;
 
   if (call->deadline_us == 0)
     return 0;
-  left_us = call->deadline_us > gate->now_us ? call->deadline_us - gate->now_us
-                                             : 0;
-  return left_us < MQ_US_PER_MS ? 1 : (uint32_t)(left_us / MQ_US_PER_MS);
+  remaining_us = call->deadline_us > gate->now_us
+                     ? call->deadline_us - gate->now_us
+                     : 0;
+  return remaining_us < MQ_US_PER_MS ? 1
+                                     : (uint32_t)(remaining_us / MQ_US_PER_MS);
 }
 
 /* The same for every attempt of a call, so that a target that honours it
    runs the call once even when we must ask again.  */
 static const char *
-write_key (TALLOC_CTX *ctx, const struct mq_call_ref *ref)
+format_idempotency_key (TALLOC_CTX *ctx, const struct mq_call_ref *ref)
 {
   char program[MQ_ID_TEXT];
   char *key;
@@ -111,7 +113,7 @@
   start->priority = call->priority;
   start->max_tokens = call->max_tokens;
   start->timeout_ms = remaining_ms (gate, call);
-  start->idempotency_key = write_key (actions, &call->ref);
+  start->idempotency_key = format_idempotency_key (actions, &call->ref);
   start->traceparent = mq_gate_strdup (actions, call->traceparent);
   start->body = talloc_steal (actions, call->body);
   call->body = NULL;
@@ -153,7 +155,7 @@
   stop->service
       = mq_gate_strdup (gate->actions, gate->workers[run->worker].service);
   stop->route = "";
-  stop->idempotency_key = write_key (gate->actions, &run->ref);
+  stop->idempotency_key = format_idempotency_key (gate->actions, &run->ref);
   stop->traceparent = mq_gate_strdup (gate->actions, run->traceparent);
   stop->body = "";
 }
@@ -167,7 +169,7 @@
   if (!mq_gate_peer_is_up (gate, call->peer))
     return;
   message.u.token.ref = call->ref;
-  message.u.token.ref.attempt = call->asked;
+  message.u.token.ref.attempt = call->requested_attempt;
   message.u.token.partition = call->partition->partition;
   message.u.token.fence = call->answer_fence;
   message.u.token.index = index;
@@ -206,7 +208,7 @@
 }
 
 static void
-leave_worker (struct mq_gate *gate, struct gate_run *run,
+release_slot (struct mq_gate *gate, struct gate_run *run,
               const struct mq_gate_done *done)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
@@ -232,7 +234,7 @@
     return;
   worker = &gate->workers[run->worker];
   count_tokens (gate, done);
-  leave_worker (gate, run, done);
+  release_slot (gate, run, done);
   mq_gate_cache_ended (gate, run, done);
   mq_gate_program_touch (gate, run->program);
   if (run->call != NULL)
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -109,7 +109,8 @@
   switch (call->state)
     {
     case GATE_CALL_QUEUED:
-      mq_gate_mark_sealed (call->program, call->ref.call, call->asked);
+      mq_gate_mark_sealed (call->program, call->ref.call,
+                           call->requested_attempt);
       mq_gate_call_refuse (gate, call, MQ_ERR_SEALED, 0);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_SEALED);
       break;
@@ -167,7 +168,8 @@
         continue;
       call->peer = peer;
       if (call->state == GATE_CALL_DONE)
-        mq_gate_send_outcome (gate, peer, call, call->asked, false);
+        mq_gate_send_outcome (gate, peer, call, call->requested_attempt,
+                              false);
     }
 }
 
@@ -198,10 +200,10 @@
       mq_gate_call_drop (gate, call);
       return false;
     }
-  mq_gate_attach (call, peer, fence, call->asked);
+  mq_gate_attach (call, peer, fence, call->requested_attempt);
   if (call->state != GATE_CALL_DONE)
     return true;
-  mq_gate_send_outcome (gate, peer, call, call->asked, true);
+  mq_gate_send_outcome (gate, peer, call, call->requested_attempt, true);
   return false;
 }
 
@@ -233,7 +235,7 @@
       if (!recover_call (gate, peer, call, msg->fence))
         continue;
       running[count] = call->ref;
-      running[count++].attempt = call->asked;
+      running[count++].attempt = call->requested_attempt;
     }
   send_recovered (gate, peer, msg->partition, running, count);
   talloc_free (running);
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -84,8 +84,8 @@
   size_t lease_position;
   uint64_t ended_fence;
   bool fully_evicted;
-  uint32_t waiter;
-  uint64_t touched_us;
+  uint32_t evicted_peer;
+  uint64_t last_used_us;
   struct gate_node by_use;
 };
 
@@ -126,7 +126,7 @@
   struct gate_node by_partition;
   struct gate_node by_age; /* kept outcomes; queued batch calls */
   struct mq_call_ref ref;
-  uint32_t asked;
+  uint32_t requested_attempt;
   uint64_t accepted_fence;
   uint64_t answer_fence;
   uint32_t peer;
@@ -210,13 +210,13 @@
   uint32_t runs;
   uint64_t idle_since_us;
   uint64_t unused_token_ms;
-  uint64_t touched_us;
-  uint64_t asked_us;
+  uint64_t last_used_us;
+  uint64_t evict_sent_us;
   bool evicting;
-  bool asked;
+  bool evict_pending;
   bool failed;
   uint64_t retry_us;
-  uint32_t pause_ms;
+  uint32_t backoff_ms;
   size_t retry_position;
   uint64_t report;
 };
@@ -231,7 +231,7 @@
 {
   uint64_t hash;
   uint32_t tokens;
-  uint64_t used_us;
+  uint64_t last_used_us;
 };
 
 /* An order that was passed on; ids are the senders'.  */
@@ -241,7 +241,7 @@
   struct mq_order_msg order;
   uint32_t peer;
   bool pending;
-  bool replaced; /* kept for resends only, not applied again */
+  bool superseded; /* kept for resends only, not applied again */
   enum mq_error_type result;
 };
 
@@ -332,8 +332,9 @@
   bool load_dirty;
   uint64_t load_sent_us;
   struct mq_gate_counters counters;
-  struct mq_actions *actions;   /* of the input at hand */
-  struct gate_partition *moved; /* by it: heard over another connection */
+  struct mq_actions *actions; /* of the input at hand */
+  struct gate_partition
+      *reconnected; /* by it: heard over another connection */
 };
 
 /* gate.c */
@@ -492,7 +493,7 @@
                               const struct mq_gate_done *done,
                               uint64_t run_us);
 uint32_t mq_gate_load_cache_used (const struct gate_worker *worker);
-void mq_gate_load_push (struct mq_gate *gate, bool at_once);
+void mq_gate_load_push (struct mq_gate *gate, bool immediately);
 void mq_gate_load_send (struct mq_gate *gate, uint32_t peer);
 uint64_t mq_gate_load_due (const struct mq_gate *gate);
 char *mq_gate_status_text (TALLOC_CTX *ctx, const struct mq_gate *gate);
--- a/src/core/gate/gate_table.c
+++ b/src/core/gate/gate_table.c
@@ -106,7 +106,7 @@
   heap->owner = owner;
   heap->items = NULL;
   heap->count = 0;
-  heap->room = 0;
+  heap->capacity = 0;
   heap->before = before;
   heap->offset = offset;
 }
@@ -172,11 +172,11 @@
 void
 mq_gate_heap_add (struct gate_heap *heap, void *item)
 {
-  if (heap->count == heap->room)
+  if (heap->count == heap->capacity)
     {
-      heap->room = heap->room == 0 ? FIRST_ITEMS : 2 * heap->room;
+      heap->capacity = heap->capacity == 0 ? FIRST_ITEMS : 2 * heap->capacity;
       heap->items
-          = talloc_realloc (heap->owner, heap->items, void *, heap->room);
+          = talloc_realloc (heap->owner, heap->items, void *, heap->capacity);
       if (heap->items == NULL)
         abort ();
     }
--- a/src/core/gate/gate_table.h
+++ b/src/core/gate/gate_table.h
@@ -49,7 +49,7 @@
   TALLOC_CTX *owner;
   void **items;
   size_t count;
-  size_t room;
+  size_t capacity;
   gate_heap_before *before;
   size_t offset;
 };
