--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -1,10 +1,10 @@
-/* gate.c - the last gate before a target: takes each input to the part that
-   handles it.
+/* gate.c - dispatches the inputs of a gate to its parts.
+
+   gate_calls.c and gate_settle.c hold the table of calls, gate_programs.c
+   fences and watermarks, gate_queue.c admission and queueing, gate_runs.c
+   calls at workers, gate_cache.c eviction, gate_lease.c cache leases,
+   gate_orders.c orders to engines, gate_load.c load reports and status.
 
-   gate_calls.c has the table of calls and gate_programs.c the fences and
-   marks, gate_queue.c admission and order, gate_runs.c the calls at workers,
-   gate_cache.c leases and eviction, gate_orders.c orders to engines,
-   gate_load.c what is told of the workers.
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -12,11 +12,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A pause of this process counts as this long; see
-   mq_gate_programs_expire.  */
+/* Longest step of active_us: a longer suspension of the process counts as this
+   much.  See mq_gate_programs_expire.  */
 #define ACTIVE_STEP_MAX_MS 1000ULL
 
-/* Used by every part.  */
+/* Helpers of all parts.  */
 
 void *
 mq_gate_alloc (TALLOC_CTX *ctx, size_t size, const char *name)
@@ -155,8 +155,8 @@
   mq_gate_load_send (gate, peer);
 }
 
-/* Its calls go on and their outcomes are kept: another connection or owner
-   will ask for them.  */
+/* Calls of the peer continue and their outcomes are retained until another
+   connection or owner requests them.  */
 static void
 handle_peer_down (struct mq_gate *gate, uint32_t peer)
 {
@@ -199,7 +199,8 @@
       mq_gate_handle_probe (gate, peer, &message->u.probe);
       break;
     default:
-      /* Between entry hosts, or about the configuration: not the gate's.  */
+      /* Messages between entry hosts and configuration messages are not
+         handled here.  */
       break;
     }
 }
@@ -223,8 +224,8 @@
   mq_gate_orders_apply (gate, worker);
 }
 
-/* What waits for an engine that is gone is placed elsewhere; what was
-   started there ends as the worker reports it.  */
+/* Refuses the queued calls so that their owners can place them elsewhere.
+   Running calls end when the worker reports them.  */
 static void
 handle_engine_down (struct mq_gate *gate, uint32_t index)
 {
@@ -347,7 +348,7 @@
   gate->actions = NULL;
 }
 
-/* Reading.  */
+/* Queries.  */
 
 static uint64_t
 min_us (uint64_t a, uint64_t b)
--- a/src/core/gate/gate.h
+++ b/src/core/gate/gate.h
@@ -1,9 +1,11 @@
-/* gate.h - the last gate before a target: fences, at-most-once, admission,
-   order and cache leases.
+/* gate.h - admission control in front of the targets of one host: fencing,
+   at-most-once execution, queueing and cache leases.
+
+   Each mimosa-targetd runs one gate for all workers on its host.  Every call
+   to these workers passes through it, so a call that it refuses has not run.
+   The gate is a pure state machine, like owner.h: it does no I/O and reads no
+   clock.
 
-   One runs in each mimosa-targetd, for every worker on its host.  It is the
-   only way to those workers, so what it refuses was not run.  Pure, like
-   owner.h.
    Needs: action.h, message.h.  */
 
 #ifndef MQ_GATE_H
@@ -15,17 +17,17 @@
 
 enum mq_gate_order
 {
-  MQ_GATE_FIFO,    /* order of arrival: a baseline */
-  MQ_GATE_ATTAINED /* class, continuing, least attained service, ageing */
+  MQ_GATE_FIFO,    /* order of arrival */
+  MQ_GATE_ATTAINED /* priority, then continuing programs, then least attained
+                      service, with ageing */
 };
 
 /**
- * struct mq_gate_worker - one worker on the gate's host, from settings
- * @service: service that it serves
- * @kind: kind of that service
- * @model: model that it serves, empty for others
- * @slots: calls let through side by side
- * @cache_tokens: engine memory, 0 when it has none
+ * struct mq_gate_worker - settings of one worker on the gate's host
+ * @service: name of the service that the worker runs
+ * @model: model served; empty if the worker is not a model
+ * @slots: calls that may run concurrently
+ * @cache_tokens: capacity of the engine's cache; 0 if it has none
  */
 struct mq_gate_worker
 {
@@ -37,15 +39,12 @@
 };
 
 /**
- * struct mq_gate_options - fixed for the life of a process
- * @host: name of this host
- * @boot: random id of this run, never 0
- * @seed: seed of the jitter
- * @order: order of the queue
- * @workers: the workers on this host
- * @worker_count: how many
- * @queue_max: calls that wait per worker, 0: MQ_GATE_QUEUE_MAX
- * @outcomes_max: kept outcomes, 0: MQ_GATE_OUTCOMES_MAX
+ * struct mq_gate_options - settings, constant for the life of the process
+ * @boot: random id of this process; never 0
+ * @seed: seed of the random number generator
+ * @order: queueing discipline
+ * @queue_max: queued calls per worker; 0: MQ_GATE_QUEUE_MAX
+ * @outcomes_max: retained outcomes; 0: MQ_GATE_OUTCOMES_MAX
  */
 struct mq_gate_options
 {
@@ -65,26 +64,26 @@
   MQ_GATE_PEER_UP,
   MQ_GATE_PEER_DOWN,
   MQ_GATE_MESSAGE,
-  MQ_GATE_TOKEN,     /* a worker sent text of a running call */
-  MQ_GATE_DONE,      /* a worker ended a call */
-  MQ_GATE_EVICTED,   /* a worker confirmed or failed an eviction */
-  MQ_GATE_CACHE,     /* what a worker really holds, read from it */
-  MQ_GATE_ENGINE_UP, /* a worker (re)started or can be reached again */
+  MQ_GATE_TOKEN,     /* a worker generated text for a running call */
+  MQ_GATE_DONE,      /* a call at a worker has ended */
+  MQ_GATE_EVICTED,   /* result of an eviction */
+  MQ_GATE_CACHE,     /* a worker reported the contents of its cache */
+  MQ_GATE_ENGINE_UP, /* an engine started or is reachable again */
   MQ_GATE_ENGINE_DOWN,
-  MQ_GATE_ORDERED, /* a worker answered an order */
-  MQ_GATE_LEAVE    /* the host is to go: refuse new work, finish the rest */
+  MQ_GATE_ORDERED, /* result of an order */
+  MQ_GATE_LEAVE    /* drain: refuse new calls, complete running ones */
 };
 
 /**
- * struct mq_gate_done - how a worker ended a call
- * @slot: as in the START action
- * @error: MQ_ERR_NONE when it answered
- * @ran: whether it took effect
+ * struct mq_gate_done - result of a call at a worker
+ * @slot: handle from the START action
+ * @error: MQ_ERR_NONE on success
+ * @ran: whether the call took effect
  * @body: JSON answer
  * @tokens_in: prompt tokens
  * @tokens_out: generated tokens
- * @cached_tokens: prompt tokens found in the cache
- * @retry_after_ms: with OVERLOADED, when to come back, 0 when not said
+ * @cached_tokens: prompt tokens found in the engine's cache
+ * @retry_after_ms: for OVERLOADED, delay asked for by the target; 0 if none
  */
 struct mq_gate_done
 {
@@ -113,7 +112,7 @@
 
 struct mq_gate_cache_entry
 {
-  struct mq_id program; /* zero: a service's shared prefix */
+  struct mq_id program; /* zero: prefix shared by the service's calls */
   uint32_t tokens;
 };
 
@@ -127,16 +126,14 @@
 };
 
 /**
- * struct mq_gate_input - one thing that happened
- * @type: which
- * @now_us: monotonic time of this process
- * @peer: PEER_UP, PEER_DOWN, MESSAGE: connection
- * @engine_boot: ENGINE_UP: boot number of the engine, 0 when unknown.  The
- *               number known before means that the engine was only out of
- *               reach and still holds its cache; 0 or another number than
- *               known before, that it is empty
+ * struct mq_gate_input - event passed to mq_gate_handle
+ * @now_us: monotonic clock of this process
+ * @peer: connection, for PEER_UP, PEER_DOWN and MESSAGE
+ * @engine_boot: boot number of the engine, for ENGINE_UP; 0 if unknown.  If it
+ *               equals the last known number, the engine was only unreachable
+ *               and its cache is intact; otherwise the cache is empty
  *
- * Everything pointed to is borrowed for the duration of the call.
+ * Pointers are borrowed for the duration of the call.
  */
 struct mq_gate_input
 {
@@ -161,9 +158,10 @@
 void mq_gate_destroy (struct mq_gate *gate);
 void mq_gate_handle (struct mq_gate *gate, const struct mq_gate_input *input,
                      struct mq_actions *actions);
+/* Returns the time at which the next TICK is due, in microseconds.  */
 uint64_t mq_gate_next_tick (const struct mq_gate *gate);
-/* True when the gate leaves, nothing runs or waits in it and every kept
-   outcome was forgotten by its owner.  */
+/* Returns true when the gate is draining, no call is queued or running, and
+   the owners have released every retained outcome.  */
 bool mq_gate_is_drained (const struct mq_gate *gate);
 char *mq_gate_status (TALLOC_CTX *ctx, const struct mq_gate *gate);
 
--- a/src/core/gate/gate_cache.c
+++ b/src/core/gate/gate_cache.c
@@ -1,17 +1,18 @@
-/* gate_cache.c - programs' caches: eviction, and what is really held.
-
-   A cached_program is a program's cache at one worker.  It is made when a call
-   of the program starts there or a report of the engine names it, and goes
-   when an eviction is confirmed, the engine is known to be empty, or two
-   reports in a row no longer name it.
-
-   Counted:
-   - cache_token_ms: tokens held by programs, integrated over time;
-   - cache_wasted_token_ms: the part of it after the program's last call
-     when the cache was never used again: for a program that ended or whose
-     lease lapsed, from its last call to the confirmed eviction; for one
-     whose cache the engine dropped, from its last call to the drop;
-   - cache_ended_tokens: held now by programs that ended or lapsed.
+/* gate_cache.c - cache accounting and eviction of programs' caches.
+
+   The cache of a program at a worker is recorded when one of its calls starts
+   there or a cache report lists it.  The record is removed when an eviction is
+   confirmed, the engine restarts with an empty cache, or two successive
+   reports do not list it.
+
+   Counters:
+
+   - cache_token_ms: tokens held by programs, integrated over time
+   - cache_wasted_token_ms: the part held after the last use of a cache that
+     was not used again, until it was evicted or dropped by the engine
+   - cache_ended_tokens: tokens currently held for programs that have ended or
+     whose lease has expired
+
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -55,7 +56,7 @@
              : cached_program->tokens;
 }
 
-/* Accounts.  */
+/* Accounting.  */
 
 static uint64_t
 integrate (uint64_t tokens, uint64_t elapsed_us, uint64_t *remainder)
@@ -66,7 +67,7 @@
   return token_us / MQ_US_PER_MS;
 }
 
-/* Time has passed since the last input, with the sums of then.  */
+/* Adds ELAPSED_US of holding the current totals to the counters.  */
 void
 mq_gate_cache_accumulate (struct mq_gate *gate, uint64_t elapsed_us)
 {
@@ -76,7 +77,7 @@
       += integrate (gate->ended_tokens, elapsed_us, &gate->ended_remainder);
 }
 
-/* Brings the idle time of HOLDING up to now.  */
+/* Adds the idle time up to now to the unused time of CACHED_PROGRAM.  */
 static void
 update_idle (struct mq_gate *gate, struct gate_cached_program *cached_program)
 {
@@ -191,8 +192,8 @@
     mq_gate_heap_add (&gate->retries, cached_program);
 }
 
-/* The worker answers each EVICT; should the answer get lost, it is asked
-   again after the longest pause.  */
+/* Sends EVICT.  It is sent again after the maximum backoff if the answer is
+   lost.  */
 static void
 request_eviction (struct mq_gate *gate,
                   struct gate_cached_program *cached_program)
@@ -207,8 +208,8 @@
              gate->now_us + MQ_GATE_EVICT_RETRY_MAX_MS * MQ_US_PER_MS);
 }
 
-/* While a call of the program runs there the engine would fill the cache
-   again; its end asks.  */
+/* Evicting during a run would be useless, as the run refills the cache.  EVICT
+   is sent at the end of the last run.  */
 static void
 begin_eviction (struct mq_gate *gate,
                 struct gate_cached_program *cached_program)
@@ -252,7 +253,7 @@
     }
 }
 
-/* Tells the asker once nothing of an ended program is left.  */
+/* Notifies the peer that ended PROGRAM once its caches are evicted.  */
 void
 mq_gate_notify_evicted (struct mq_gate *gate, struct gate_program *program)
 {
@@ -280,9 +281,9 @@
   mq_gate_notify_evicted (gate, program);
 }
 
-/* Failure: an engine is busy, down or slow and does not confirm; it shows as
-   memory held for programs that have ended.  The cached_program stays and is
-   asked for until it is confirmed or the engine is known to be empty.  */
+/* Schedules another attempt after a failed eviction.  Attempts continue until
+   the eviction is confirmed or the engine is known to be empty; otherwise the
+   memory of ended programs would never be freed.  */
 static void
 fail_eviction (struct mq_gate *gate,
                struct gate_cached_program *cached_program)
@@ -336,7 +337,7 @@
     }
 }
 
-/* Use by calls.  */
+/* Use by runs.  */
 
 void
 mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run)
@@ -378,8 +379,7 @@
   oldest->last_used_us = now_us;
 }
 
-/* Prompt tokens that were cached here before and had to be computed
-   again.  */
+/* Prompt tokens that were cached at this worker and had to be recomputed.  */
 static uint32_t
 count_recomputed (const struct gate_cached_program *cached_program,
                   const struct gate_run *run, const struct mq_gate_done *done)
@@ -431,7 +431,7 @@
     request_eviction (gate, cached_program);
 }
 
-/* What is really held.  */
+/* Cache reports.  */
 
 static void
 apply_report_entry (struct mq_gate *gate, struct gate_worker *worker,
@@ -460,8 +460,8 @@
     }
 }
 
-/* A report may have been read before a call ended that it does not show, so
-   only what was quiet since the report before it is believed to be gone.  */
+/* Whether the engine has dropped the cache.  A report may predate the end of a
+   run, so the cache must have been idle since the previous report.  */
 static bool
 is_dropped (const struct gate_worker *worker,
             const struct gate_cached_program *cached_program)
@@ -495,10 +495,10 @@
     }
 }
 
-/* Failure: cache events are late and have gaps, and this process may have
-   been restarted, so what is believed drifts from what is held.  Each
-   report makes it true again: what has no lease is given a short one to be
-   claimed under, what has ended is evicted.  */
+/* Replaces the estimates by the contents reported by the engine.  This
+   corrects lost cache events and restores the state after a restart of this
+   process.  A program without a lease gets a short one, in which its owner can
+   claim it; the caches of ended programs are evicted.  */
 void
 mq_gate_handle_cache_report (struct mq_gate *gate,
                              const struct mq_gate_cache *cache)
@@ -523,7 +523,7 @@
   worker->reported = true;
 }
 
-/* The engine of WORKER was started anew: its cache is empty.  */
+/* Clears the cache records of WORKER after a restart of its engine.  */
 void
 mq_gate_cache_reset (struct mq_gate *gate, struct gate_worker *worker)
 {
@@ -561,9 +561,8 @@
   return 0;
 }
 
-/* Answers with the worker that holds most of the program, then of the
-   prefix.  A prefix whose length was not measured yet counts as one
-   token.  */
+/* Replies with the worker that holds most of the program's tokens, then most
+   of the shared prefix.  A prefix of unknown length counts as one token.  */
 void
 mq_gate_handle_probe (struct mq_gate *gate, uint32_t peer,
                       const struct mq_probe_msg *msg)
--- a/src/core/gate/gate_calls.c
+++ b/src/core/gate/gate_calls.c
@@ -1,7 +1,8 @@
-/* gate_calls.c - the table of calls: CALL and the outcomes.
+/* gate_calls.c - table of calls: acceptance, duplicates and outcomes.
 
    A call has one record from its acceptance until its outcome is forgotten.
-   What is known of it afterwards is in its program's marks.
+   After that, the watermarks of its program refuse late copies of it.
+
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -35,7 +36,7 @@
   return link == NULL ? NULL : GATE_ENTRY (link, struct gate_call, link);
 }
 
-/* Answers.  */
+/* Replies.  */
 
 static void
 send_outcome (struct mq_gate *gate, uint32_t peer,
@@ -107,7 +108,8 @@
   mq_gate_send_refusal (gate, peer, &about, error, ran, retry_after_ms);
 }
 
-/* Sends the kept outcome of CALL to PEER, under the attempt it asked for.  */
+/* Sends the retained outcome of CALL to PEER, for the attempt that PEER
+   requested.  */
 void
 mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
                       const struct gate_call *call, uint32_t attempt,
@@ -121,7 +123,7 @@
   send_outcome (gate, peer, &outcome);
 }
 
-/* The record.  */
+/* Call records.  */
 
 static void
 unlink_retained (struct mq_gate *gate, struct gate_call *call)
@@ -152,7 +154,7 @@
   talloc_free (call);
 }
 
-/* Takes CALL out of the table without a word to anyone.  */
+/* Removes CALL from the table without notifying its requester.  */
 void
 mq_gate_call_drop (struct mq_gate *gate, struct gate_call *call)
 {
@@ -182,8 +184,8 @@
     call->requested_attempt = attempt;
 }
 
-/* Nothing may start REF from now on: its owner is told that it did not
-   run.  */
+/* Records that REF was reported as not run, so that a late copy of it is
+   refused.  */
 void
 mq_gate_mark_not_run (struct gate_program *program,
                       const struct mq_call_ref *ref, uint64_t fence,
@@ -227,10 +229,10 @@
   return true;
 }
 
-/* Failure: owners that cannot commit leave their outcomes here until memory
-   is out.  Outcomes of idempotent calls can be had again by running the
-   call, so the oldest of them go; the others are the only proof that a call
-   took effect, so they stay and new calls are refused.  */
+/* Bounds the memory for outcomes whose owners cannot commit.  Drops the oldest
+   outcomes of idempotent calls, which can be run again.  Other outcomes are
+   the only proof that a call took effect: they are retained and new calls are
+   refused.  */
 static bool
 ensure_capacity (struct mq_gate *gate)
 {
@@ -278,7 +280,7 @@
   return call;
 }
 
-/* Copies of the texts are made only for calls that were admitted.  */
+/* Copies the strings of MSG.  Called only for admitted calls.  */
 static void
 fill_call (struct mq_gate *gate, struct gate_call *call,
            const struct mq_call_msg *msg)
@@ -301,12 +303,12 @@
   mq_gate_map_add (&gate->calls, &call->link, hash_call (gate, &call->ref));
 }
 
-/* Failure: a new owner that lost uncommitted steps makes them again, and
-   what its predecessor started here is mixed into the program's history; or
-   a call that was given up elsewhere goes on taking a slot.  A call under a
-   higher fence voids the later idempotent ones of lower fences, and any
-   call voids earlier idempotent ones that still wait or run.  Kept outcomes
-   of earlier calls stay until they are forgotten.  */
+/* Whether CALL must be dropped because of the new call MSG: idempotent calls
+   with a higher number that were accepted under a lower fence, since a new
+   owner that lost uncommitted steps will repeat them; and idempotent calls
+   with a lower number that are still queued or running, since their owner has
+   abandoned them.  Completed outcomes of lower calls are retained until they
+   are forgotten.  */
 static bool
 is_superseded (const struct gate_call *call, const struct mq_call_msg *msg)
 {
@@ -358,7 +360,7 @@
   mq_gate_queue_run (gate, &gate->workers[call->worker]);
 }
 
-/* Why the gate can't take CALL now, NONE when it can.  */
+/* Returns the reason why CALL cannot be queued now, or MQ_ERR_NONE.  */
 static enum mq_error_type
 check_capacity (struct mq_gate *gate, const struct gate_call *call,
                 uint32_t *retry_after_ms)
@@ -389,15 +391,14 @@
       refuse_message (gate, peer, msg, MQ_ERR_SEALED, ran, 0);
       return;
     }
-  /* No mark is needed: a gate that leaves never starts anything again.  */
+  /* No watermark is needed: a draining gate accepts no new call.  */
   if (gate->leaving)
     {
       refuse_message (gate, peer, msg, MQ_ERR_LEAVING, MQ_RAN_NOT_RUN, 0);
       return;
     }
-  /* Without a record a refusal could not be kept to: a copy of the frame
-     might run later.  So nothing is said, as if the frame had been lost, and
-     its owner asks again.  */
+  /* Without a program record a late copy of a refused call could still run.
+     Send no reply; the owner retries as after a lost frame.  */
   program = mq_gate_program_get (gate, msg->ref.program);
   if (program == NULL)
     return;
@@ -423,11 +424,9 @@
     mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
 }
 
-/* Failure: a frame is doubled, or an owner that is in doubt sends another
-   attempt while the first one runs; it shows as a notice sent twice.  Such
-   a call has one record and is started when the record is made, never when
-   it is found.  An attempt below the accepted one was settled before that
-   one was sent.  */
+/* Handles a duplicate, or a further attempt, of a non-idempotent call that is
+   in the table: it joins the existing run and is never started again.  A lower
+   attempt was already refused before the accepted one was sent.  */
 static void
 repeat_non_idempotent (struct mq_gate *gate, uint32_t peer,
                        struct gate_call *call, const struct mq_call_msg *msg)
@@ -452,8 +451,8 @@
   handle_new_call (gate, peer, msg, partition);
 }
 
-/* A new owner asks for the same content: what its predecessor started is
-   taken over, unless it failed.  */
+/* Whether a new owner can take over CALL from its predecessor: the content is
+   the same and the call did not fail.  */
 static bool
 is_adoptable (const struct mq_gate *gate, const struct gate_call *call,
               const struct mq_call_msg *msg)
@@ -477,8 +476,9 @@
   answer_duplicate (gate, peer, call, msg);
 }
 
-/* An idempotent call that is known here.  Attempts are ordered by fence,
-   then by number: a new owner may not know its predecessor's numbers.  */
+/* Handles a duplicate of an idempotent call that is in the table.  Attempts
+   are ordered by fence, then by number, since a new owner may not know the
+   attempt numbers of its predecessor.  */
 static void
 repeat_idempotent (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
                    const struct mq_call_msg *msg,
@@ -500,8 +500,8 @@
     refuse_message (gate, peer, msg, MQ_ERR_SEALED, MQ_RAN_UNKNOWN, 0);
 }
 
-/* The operators' text may change whether a route can be repeated between
-   two attempts; the stricter of the two holds.  */
+/* Treats CALL as non-idempotent from now on.  A configuration change may alter
+   this property between two attempts; the stricter value applies.  */
 static void
 clear_idempotent (struct mq_gate *gate, struct gate_call *call)
 {
@@ -524,10 +524,9 @@
     repeat_non_idempotent (gate, peer, call, msg);
 }
 
-/* Failure: a rebooted gate has forgotten its seals and what it ran, and an
-   original that was sent to its former run arrives.  It shows as a call run
-   twice.  Owners name the boot id that they committed with the intent, so
-   such a call is refused by every later run.  */
+/* Whether MSG was sent to this process.  A restarted gate has lost its
+   watermarks, so a late call to an earlier process could run twice; it is
+   refused.  Idempotent calls may omit the boot id.  */
 static bool
 is_for_this_boot (const struct mq_gate *gate, const struct mq_call_msg *msg)
 {
@@ -543,8 +542,8 @@
          && strcmp (gate->workers[msg->worker].service, msg->service) == 0;
 }
 
-/* "Not run" would be wrong of a call that was accepted before the fence
-   rose: a successor may own it now.  */
+/* A call that was accepted before the fence rose may now belong to a new
+   owner, so it is not reported as not run.  */
 static void
 refuse_stale (struct mq_gate *gate, uint32_t peer,
               const struct mq_call_msg *msg)
@@ -604,7 +603,7 @@
     handle_new_call (gate, peer, msg, partition);
 }
 
-/* The end of a call.  */
+/* Completion.  */
 
 static void
 fill_outcome (struct mq_gate *gate, struct gate_call *call,
@@ -637,8 +636,8 @@
   call->outcome_bytes = strlen (outcome->body);
 }
 
-/* A call that the worker refused leaves the table, but can't be started
-   again under the same attempt.  */
+/* Removes a call that the worker refused; the same attempt cannot be started
+   again.  */
 static void
 finish_not_run (struct mq_gate *gate, struct gate_call *call)
 {
@@ -655,7 +654,7 @@
   mq_gate_call_drop (gate, call);
 }
 
-/* The run of CALL has ended as DONE says; the run is freed by the caller.  */
+/* Completes CALL with the result DONE.  The caller frees the run.  */
 void
 mq_gate_call_finish (struct mq_gate *gate, struct gate_call *call,
                      const struct mq_gate_done *done)
--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -1,4 +1,4 @@
-/* gate_lease.c - how long an engine keeps what a program has computed there.
+/* gate_lease.c - leases that bound how long an engine keeps a program's cache.
 
    Needs: gate_state.h.  */
 
@@ -31,20 +31,17 @@
   program->fully_evicted = false;
 }
 
-/* Failure: an owner that lost its partition calls once more and renews
-   nothing; the program ends elsewhere, and its memory stays for the whole
-   first lease.  Owners give every program the same lease, so one that none
-   has given yet is as long as the last.  */
+/* Duration of a lease that no owner has granted: the most recent one, as
+   owners give every program the same.  A longer one would hold the memory of a
+   program that has moved to another owner.  */
 static uint64_t
 default_lease_ms (const struct mq_gate *gate)
 {
   return gate->lease_ms == 0 ? MQ_GATE_LEASE_MS : gate->lease_ms;
 }
 
-/* A call will use the program's cache until its owner renews the lease.
-   Failure: a call of a tool claimed the cache that the program once had here;
-   its owner, which uses it elsewhere, renews and ends nothing here, and the
-   memory of an ended program stayed for the whole first lease.  */
+/* Only calls that use the cache of WORKER grant a lease: after another call no
+   owner would renew or end it.  */
 void
 mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                      const struct gate_worker *worker)
@@ -55,10 +52,9 @@
   mq_gate_set_lease (gate, program, default_lease_ms (gate));
 }
 
-/* Failure: this process was restarted and no longer knows which programs ran
-   here, but the engine still holds their caches; "nothing held" would leave
-   them there for ever.  An engine that was not yet read is asked to evict,
-   which costs nothing where it holds none.  */
+/* Adds cache records at workers that have not reported yet.  After a restart
+   of this process their engines may still hold the program's cache; evicting a
+   cache that is not there is harmless.  */
 static void
 add_unreported_caches (struct mq_gate *gate, struct gate_program *program)
 {
@@ -86,8 +82,8 @@
   mq_gate_notify_evicted (gate, program);
 }
 
-/* A renewal that was overtaken by the end must not bring the cache back;
-   only a newer owner can know better.  */
+/* Handles LEASE.  A renewal that arrives after the end of the program is
+   ignored unless it comes under a higher fence.  */
 void
 mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
                       const struct mq_lease_msg *msg)
@@ -114,8 +110,7 @@
                      msg->lease_ms == 0 ? MQ_GATE_LEASE_MS : msg->lease_ms);
 }
 
-/* A model's call waits or runs; a tool's call needs no cache, nor does a kept
-   outcome.  */
+/* Whether a queued or running call uses a cache of PROGRAM.  */
 static bool
 is_cache_used (const struct mq_gate *gate, const struct gate_program *program)
 {
@@ -136,10 +131,9 @@
   return false;
 }
 
-/* Failure: the owner died and nobody took over, or its successor goes on
-   elsewhere and doesn't know of this cache; it shows as memory held for
-   programs that nobody will go on with.  A lease that is not renewed ends
-   in eviction, but not under a call that uses the cache.  */
+/* Handles a lease that was not renewed, because the owner failed or its
+   successor runs the program elsewhere: evicts the caches, or extends the
+   lease while a call uses them.  */
 static void
 expire_lease (struct mq_gate *gate, struct gate_program *program)
 {
--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -1,4 +1,4 @@
-/* gate_load.c - what owners and operators are told of the workers.
+/* gate_load.c - load reports to owners and the status for operators.
 
    Needs: gate_state.h, jansson.  */
 
@@ -7,11 +7,11 @@
 
 enum
 {
-  SMOOTHING_FACTOR = 8,    /* a new measure weighs one eighth */
-  PREFILL_TOKENS_MIN = 64, /* fewer tokens tell nothing of the rate */
-  DECODE_TOKENS_MIN = 4,   /* likewise */
-  LOAD_BASE_BYTES = 64,    /* of a LOAD frame */
-  LOAD_WORKER_BYTES = 64   /* for each worker in it */
+  SMOOTHING_FACTOR = 8,    /* a new sample has a weight of 1/8 */
+  PREFILL_TOKENS_MIN = 64, /* minimum sample for the prefill rate */
+  DECODE_TOKENS_MIN = 4,   /* minimum sample for the decode time */
+  LOAD_BASE_BYTES = 64,    /* fixed part of a LOAD frame */
+  LOAD_WORKER_BYTES = 64   /* part of a LOAD frame for each worker */
 };
 
 static void
@@ -93,8 +93,8 @@
   talloc_free (load->workers);
 }
 
-/* Least time between two pushes: more where many are told, so that all of
-   them together stay under MQ_GATE_LOAD_BYTES_S.  */
+/* Minimum time between two load reports.  It grows with the number of peers to
+   keep the total below MQ_GATE_LOAD_BYTES_S.  */
 static uint64_t
 min_interval_us (const struct mq_gate *gate)
 {
@@ -106,7 +106,7 @@
   return interval_us > min_us ? interval_us : min_us;
 }
 
-/* When the next push is due.  */
+/* Time of the next load report.  */
 uint64_t
 mq_gate_load_due (const struct mq_gate *gate)
 {
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -1,7 +1,7 @@
-/* gate_orders.c - orders to engines, checked for their fencing number here.
+/* gate_orders.c - forwards orders to engines and checks their fences.
+
+   The fence is checked here because some engines ignore it.
 
-   Some engines ignore the number; nothing else reaches them, so the check
-   here holds for all.
    Needs: gate_state.h.  */
 
 #include "gate_state.h"
@@ -45,7 +45,8 @@
       = mq_gate_strdup (gate->actions, order->order.argument);
 }
 
-/* An adapter stands beside others; of the rest the last one counts.  */
+/* Adapters with different names coexist; any other order replaces the previous
+   one of its type.  */
 static bool
 is_superseded_by (const struct mq_order_msg *old,
                   const struct mq_order_msg *new)
@@ -63,7 +64,8 @@
          || (order->result == MQ_ERR_NONE && !order->superseded);
 }
 
-/* Forgets the oldest order that is not in force, else the oldest.  */
+/* Drops the oldest order that is no longer effective, or the oldest of
+   all.  */
 static void
 drop_oldest (struct gate_worker *worker)
 {
@@ -95,10 +97,9 @@
   return order;
 }
 
-/* Failure: an operator's process that was paused sends an order that a newer
-   one has overruled; it shows as an engine that goes back to an old model.
-   The highest fence per worker refuses it.  A doubled order gets the kept
-   result.  */
+/* Refuses orders with a fence below the highest one seen for the worker, so
+   that a suspended sender cannot revert the engine to an older model.  A
+   duplicate is answered with the retained result.  */
 void
 mq_gate_handle_order (struct mq_gate *gate, uint32_t peer,
                       const struct mq_order_msg *msg)
@@ -177,8 +178,8 @@
     }
 }
 
-/* Failure: an engine restarts with the model that it was built with.  What
-   was accepted last of each kind is ordered again, in its first order.  */
+/* Repeats the effective orders, oldest first, to an engine that has restarted
+   in its initial state.  */
 void
 mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker)
 {
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -1,10 +1,9 @@
-/* gate_programs.c - fences of partitions and what outlives a program's
-   calls.
+/* gate_programs.c - fences of partitions and records of programs.
+
+   A program's record refuses late copies of calls that have left the table.
+   Calls of a program are made one after the other, so two watermarks suffice
+   in place of a tombstone for each call.
 
-   A program's record is the memory that keeps a late, doubled frame of a
-   call from starting it again after its own record is gone.  It holds two
-   marks in place of a tombstone for each call, for the calls of a program
-   are made one after the other.
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -55,13 +54,10 @@
   return partition;
 }
 
-/* Failure: an owner that was paused while its lease was taken over wakes up
-   and goes on sending.  It shows as two owners that run the same program.
-   Every message raises the fence of its partition and none under a lower
-   one has any effect, so from the successor's first message on, whatever it
-   is, the old owner can start nothing here.  NULL: FENCE is old.
-
-   PEER is where the partition's owner is heard now.  */
+/* Raises the fence of a partition to FENCE and records PEER as its owner.
+   Returns NULL if FENCE is below the current one; the message must then have
+   no effect.  This keeps a suspended owner from starting calls after its
+   successor has sent its first message.  */
 struct gate_partition *
 mq_gate_raise_fence (struct mq_gate *gate, uint32_t number, uint64_t fence,
                      uint32_t peer)
@@ -130,8 +126,9 @@
   mq_gate_list_add (&gate->programs_by_use, &program->by_use);
 }
 
-/* Frees the record used longest ago if it was idle for KEEP_MS.  A record
-   in use goes to the end, as if it had just been used.  */
+/* Examines the least recently used record.  Frees it if it is idle; moves it
+   to the end of the list if it is in use.  Returns false if there is none or
+   it was used less than KEEP_MS ago.  */
 static bool
 free_oldest (struct mq_gate *gate, uint64_t keep_ms)
 {
@@ -150,13 +147,11 @@
   return true;
 }
 
-/* Failure: a record is given up, then a late copy of a call's frame starts
-   the call a second time.  A copy can only come over a connection that is
-   still open, and such a connection delivers in order: what was sent before
-   the call was forgotten arrives before the next beat, and a connection
-   without a beat for MQ_SILENT_MS is closed.  So a copy comes within that
-   time of this process's running; active_us counts only that (a pause counts
-   as a second at most), and MQ_GATE_PROGRAM_KEEP_MS is far longer.  */
+/* Frees idle records once no late copy of a call can arrive.  Copies arrive
+   only over open connections, which deliver in order and are closed after
+   MQ_SILENT_MS without a heartbeat.  The clock active_us counts a suspension
+   of this process as one second at most, and MQ_GATE_PROGRAM_KEEP_MS is far
+   longer than MQ_SILENT_MS.  */
 void
 mq_gate_programs_expire (struct mq_gate *gate)
 {
@@ -173,7 +168,8 @@
   return true;
 }
 
-/* NULL when the table is full of records that may not be given up.  */
+/* Returns the record of program ID, creating it if needed.  Returns NULL if
+   the table is full and no record can be freed.  */
 struct gate_program *
 mq_gate_program_get (struct mq_gate *gate, struct mq_id id)
 {
@@ -201,7 +197,7 @@
   return attempt > mark->attempt;
 }
 
-/* Under FENCE, REF and all before it are settled.  */
+/* Marks REF and all earlier attempts as settled under FENCE.  */
 void
 mq_gate_mark_settled (struct gate_program *program, uint64_t fence,
                       const struct mq_call_ref *ref, bool ran)
@@ -241,17 +237,18 @@
   return !is_after (ref->call, ref->attempt, &program->sealed);
 }
 
-/* Failure: a call was refused as not run, or sealed, or its outcome was
-   forgotten, and then its frame arrives (again) by a slow connection.  It
-   shows as a call run after its owner was told that it had not run, or run
-   twice.  The marks refuse it:
-   - sealed, under any fence, for calls that may not be repeated: their
-     attempts are committed before they are sent, so numbers never recur;
-   - settled, under the same fence only: a new owner that lost uncommitted
-     steps may rightly number another call the same;
-   - a lower number than the latest call under the same fence: the calls of
-     a program are made one after the other.
-   RAN is set to what is known of the frame that is refused.  */
+/* Whether the watermarks refuse MSG as a late or duplicate copy of a call that
+   was refused, sealed or forgotten; running it could take effect twice, or
+   after its owner was told that it had not run.  They refuse:
+
+   - sealed attempts of non-idempotent calls, under any fence: their attempts
+     are committed before they are sent, so a number is never reused;
+   - settled attempts, under the same fence only: a new owner that lost
+     uncommitted steps may reuse the number for another call;
+   - calls below the latest one under the same fence: a program makes its calls
+     one after the other.
+
+   If it returns true, *RAN is what is known about the refused attempt.  */
 bool
 mq_gate_is_stale_call (const struct gate_program *program,
                        const struct mq_call_msg *msg, enum mq_ran *ran)
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -1,26 +1,24 @@
-/* gate_queue.c - admission to a worker's queue and the order in it.
+/* gate_queue.c - admission to a worker's queue and dispatch order.
 
-   The rank of a call is
+   Calls are dispatched in order of rank, lowest first.  The rank is
 
-     level + (time of arrival / MQ_GATE_AGEING_MS)
+     level + arrival time / MQ_GATE_AGEING_MS
 
-   and the lowest rank goes first.  The level puts the priority class first,
-   then calls of programs that have run before (follow-ups among them), then
-   the least attained service of the whole program in exponential buckets.
-   One step of waiting thus weighs as much as one level: the rank of a call
-   never changes, yet each period lifts it by a level above those that come
-   later, and nothing starves.  In place of a period there is nothing to do,
-   so a heap suffices: O(log n) for each call.
+   The level depends on the priority, then on whether the program has run
+   before, then on the service that the program has received, in exponential
+   buckets.  A call can be overtaken in rank only by calls that arrive within
+   a bounded time after it, so no stream of calls starves it.  The rank of a
+   call never changes, so a heap suffices: O(log n) per call.
 
-   Calls of the same rank and organisation form a lane, in order of deadline
-   and arrival; lanes of the same rank go by the service that their
-   organisation was given lately.  That figure only rises, so a lane's copy
-   of it is a lower bound and is brought up to date when the lane comes to
-   the top.
+   Calls of the same rank, group and organisation form a lane, ordered by
+   deadline and arrival.  Lanes of the same rank are ordered by the service
+   that their organisation has received (fair queueing).  That value only
+   grows, so the copy in a lane is a lower bound; it is refreshed when the lane
+   reaches the top of its heap.
+
+   Lanes are kept in one heap per group, (batch or not) x (continuing or new),
+   because the group decides first when engine memory is low.
 
-   Lanes stand in four heaps, (batch or not) x (continuing or new), because
-   the choice is made between these groups first when engine memory is
-   short.
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -29,7 +27,7 @@
 enum
 {
   ATTAINED_BUCKETS = 8,
-  ATTAINED_UNIT_BITS = 10, /* first bucket: under 1024 tokens */
+  ATTAINED_UNIT_BITS = 10, /* the first bucket holds less than 1024 tokens */
   LEVELS_PER_PRIORITY = 2 * ATTAINED_BUCKETS,
   GROUP_NEW = 1,   /* bit of a group */
   GROUP_BATCH = 2, /* bit of a group */
@@ -40,12 +38,12 @@
   RETRY_MAX_MS = 10000
 };
 
-/* An organisation at one worker.  */
+/* Service received by one organisation at one worker.  */
 struct gate_flow
 {
   struct gate_link link;
   uint64_t organisation;
-  uint64_t served; /* tokens, on the scale of virtual_time */
+  uint64_t served; /* tokens, comparable with virtual_time */
   uint32_t queued;
   struct gate_list lanes;
 };
@@ -56,12 +54,12 @@
   struct gate_flow *flow;
   uint32_t group;
   uint64_t rank;
-  uint64_t served; /* of the flow when last looked at */
+  uint64_t served; /* copy of flow->served, possibly outdated */
   struct gate_heap calls;
   size_t position;
 };
 
-/* Order.  */
+/* Ordering.  */
 
 static bool
 call_before (const void *left, const void *right)
@@ -125,8 +123,8 @@
   return bucket;
 }
 
-/* A person's further turn is not held back by what the conversation has
-   cost so far.  */
+/* Follow-ups are not penalised for the service that their conversation has
+   received.  */
 static uint32_t
 priority_level (const struct mq_call_msg *msg)
 {
@@ -147,8 +145,8 @@
   return call->priority == MQ_PRIORITY_BATCH ? group | GROUP_BATCH : group;
 }
 
-/* Least time at the target: a model's prompt must be computed, other
-   targets take what they took lately.  0 when not yet known.  */
+/* Minimum time at the target: for a model, the time to compute the prompt; for
+   others, half of the mean run time.  Returns 0 if it is not yet known.  */
 static uint64_t
 min_run_us (const struct gate_worker *worker, const struct gate_call *call)
 {
@@ -171,7 +169,8 @@
   return call->deadline_us > min_us ? call->deadline_us - min_us : 0;
 }
 
-/* Fills in what the queue wants to know of CALL.  */
+/* Fills in the token estimates, the latest start and the queue position of
+   CALL.  */
 void
 mq_gate_queue_estimate (struct mq_gate *gate, struct gate_call *call,
                         const struct mq_call_msg *msg)
@@ -198,7 +197,8 @@
 
 /* Admission.  */
 
-/* Jitter keeps those that were refused together from coming back so.  */
+/* Limits the delay MS and adds jitter, so that calls refused together are not
+   retried together.  */
 static uint32_t
 add_jitter (struct mq_gate *gate, uint64_t ms)
 {
@@ -218,8 +218,8 @@
   return ahead * worker->mean_run_us / worker->slots;
 }
 
-/* When a refused caller should come back: when half of what waits now has
-   been started, by the rate measured.  */
+/* Delay after which a refused call should be retried: the estimated time until
+   half of the queue has been started.  */
 uint32_t
 mq_gate_queue_retry_after_ms (struct mq_gate *gate,
                               const struct gate_worker *worker)
@@ -265,7 +265,7 @@
          && worker->queued_bytes + call->body_len <= MQ_GATE_QUEUE_BYTES_MAX;
 }
 
-/* The batch call that has waited least.  */
+/* Returns the batch call that arrived last, which is refused first.  */
 static struct gate_call *
 find_victim (const struct gate_worker *worker, const struct gate_call *call)
 {
@@ -274,9 +274,10 @@
   return GATE_ENTRY (worker->batch.last, struct gate_call, by_age);
 }
 
-/* Failure: a queue without a bound turns an overload into answers that all
-   come too late.  What can't be served in time is refused at once, while
-   its owner can still place it elsewhere, and batch calls make room.  */
+/* Refuses calls that cannot meet their deadline or do not fit in the queue,
+   while the owner can still place them elsewhere: under overload an unbounded
+   queue delays every answer past its deadline.  Batch calls are refused to
+   make room for calls of a higher priority.  */
 enum mq_error_type
 mq_gate_queue_admit (struct mq_gate *gate, const struct gate_call *call,
                      uint32_t *retry_after_ms)
@@ -330,8 +331,8 @@
     }
 }
 
-/* Forgets organisations that were served no more than anyone else; doubling
-   the bound makes it O(1) for each new one.  */
+/* Removes flows without queued calls or excess service.  Doubling the
+   threshold keeps the cost O(1) per new flow.  */
 static void
 purge_flows (struct gate_worker *worker)
 {
@@ -359,8 +360,8 @@
   return flow;
 }
 
-/* An organisation that comes (back) to the queue starts level with the one
-   served last: idle time earns no credit.  */
+/* Returns the flow for CALL.  A flow that was empty starts at virtual_time, so
+   that idle time earns no credit.  */
 static struct gate_flow *
 join_flow (struct mq_gate *gate, struct gate_worker *worker,
            const struct gate_call *call)
@@ -479,7 +480,7 @@
     mq_gate_list_remove (&worker->batch, &call->by_age);
 }
 
-/* Choice.  */
+/* Dispatch.  */
 
 static struct gate_lane *
 find_first_lane (struct gate_heap *lanes)
@@ -510,9 +511,9 @@
   return best == NULL ? NULL : mq_gate_heap_first (&best->calls);
 }
 
-/* The groups are numbered in this order.  New batch programs wait while
-   anything runs: their caches would push out those of programs that are
-   under way, which would then be computed again.  */
+/* Selects by group number when memory is low.  New batch programs wait while
+   anything runs, since their caches would displace those of active programs,
+   which would then have to be recomputed.  */
 static struct gate_call *
 find_first_low_memory (struct gate_worker *worker)
 {
@@ -549,8 +550,8 @@
   return is_memory_low (worker, call) ? find_first_low_memory (worker) : call;
 }
 
-/* Failure: a call waits past its deadline and then takes a slot for an
-   answer that nobody awaits.  */
+/* Refuses queued calls that can no longer meet their deadline, so that no slot
+   is spent on them.  */
 static void
 refuse_expired (struct mq_gate *gate, struct gate_worker *worker)
 {
@@ -588,7 +589,7 @@
     start_call (gate, worker, call);
 }
 
-/* Tokens that ORGANISATION was served at WORKER.  */
+/* Adds TOKENS to the service received by ORGANISATION at WORKER.  */
 void
 mq_gate_queue_charge (struct mq_gate *gate, struct gate_worker *worker,
                       uint64_t organisation, uint64_t tokens)
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -1,8 +1,9 @@
 /* gate_runs.c - calls at workers: start, tokens, stop and end.
 
-   A run lives from START until the worker reports its end, also when its
-   call was given up meanwhile: the engine's slot is not free before that.
-   Every START is answered by exactly one DONE.
+   A run exists from START until the worker reports its end, even if its call
+   was dropped, as it occupies a slot of the engine until then.  Each START is
+   answered by exactly one DONE.
+
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -30,10 +31,9 @@
   return link == NULL ? NULL : GATE_ENTRY (link, struct gate_run, link);
 }
 
-/* Failure: a worker's late report of an ended call is taken for the answer
-   to the next call in the same slot, and one caller gets another's text.
-   Slots are numbered on, so a number comes again only after four thousand
-   million calls, and never while its run lives.  */
+/* Returns an unused slot number.  Numbers are sequential and wrap after 2^32
+   calls, so a late report of an ended run is not attributed to another
+   call.  */
 static uint32_t
 next_slot (struct mq_gate *gate)
 {
@@ -70,7 +70,7 @@
   talloc_free (run);
 }
 
-/* Time that is left, 0 when there is no deadline.  */
+/* Remaining time until the deadline; 0 if there is no deadline.  */
 static uint32_t
 remaining_ms (const struct mq_gate *gate, const struct gate_call *call)
 {
@@ -85,8 +85,8 @@
                                      : (uint32_t)(remaining_us / MQ_US_PER_MS);
 }
 
-/* The same for every attempt of a call, so that a target that honours it
-   runs the call once even when we must ask again.  */
+/* The key is the same for every attempt of a call, so that a target that
+   honours it runs the call once.  */
 static const char *
 format_idempotency_key (TALLOC_CTX *ctx, const struct mq_call_ref *ref)
 {
@@ -119,7 +119,7 @@
   call->body = NULL;
 }
 
-/* Starts CALL, which has left the queue.  */
+/* Starts CALL, which must have left the queue.  */
 void
 mq_gate_run_start (struct mq_gate *gate, struct gate_call *call)
 {
@@ -177,8 +177,8 @@
   mq_gate_send (gate, call->peer, &message);
 }
 
-/* Indices rise also while nobody is attached, so that who attaches later
-   sees what it has missed.  */
+/* Indices advance while no peer is attached, so that a peer that attaches
+   later can detect missed tokens.  */
 void
 mq_gate_handle_token (struct mq_gate *gate, const struct mq_gate_token *token)
 {
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -1,4 +1,4 @@
-/* gate_settle.c - calls that are cancelled, sealed, recovered and forgotten.
+/* gate_settle.c - handles CANCEL, SEAL, RECOVER and FORGET.
 
    Needs: gate_state.h.  */
 
@@ -6,10 +6,10 @@
 
 /* CANCEL.  */
 
-/* Failure: CANCEL overtakes its CALL on another connection and the call runs
-   for nobody.  The mark refuses the CALL when it comes.  It holds under this
-   fence only, as the call may be one that a successor rightly makes
-   otherwise.  */
+/* Handles a CANCEL that arrives before its CALL on another connection: the
+   watermark refuses the CALL, which otherwise would run with no requester.  It
+   applies under this fence only, as a new owner may use the call number for
+   another call.  */
 static void
 cancel_unknown (struct mq_gate *gate, uint32_t peer,
                 const struct mq_ref_msg *msg)
@@ -81,9 +81,9 @@
   mq_gate_send (gate, peer, &message);
 }
 
-/* Failure: SEAL comes (again) after the outcome was forgotten, and "never
-   seen" would let the call run elsewhere a second time.  What the mark
-   can't vouch for is answered as of unknown effect.  */
+/* Seals a call that is not in the table.  If the call may have completed and
+   been forgotten, its effect is reported as unknown; reporting it as never run
+   would let it run elsewhere a second time.  */
 static void
 seal_unknown (struct mq_gate *gate, uint32_t peer,
               const struct mq_ref_msg *msg, struct gate_program *program)
@@ -138,7 +138,8 @@
       return;
     }
   program = mq_gate_program_get (gate, msg->ref.program);
-  /* As if the frame had been lost: a seal that can't be kept is worse.  */
+  /* Send no reply: without a program record the seal could not be
+     enforced.  */
   if (program == NULL)
     return;
   call = mq_gate_call_find (gate, &msg->ref);
@@ -148,10 +149,10 @@
     seal_unknown (gate, peer, msg, program);
 }
 
-/* Failure: a connection dies with an OUTCOME or a FORGET in it; it shows as
-   an outcome that is kept for ever, and a host that never drains.  When the
-   same owner is heard over a new connection, all that the old one may have
-   lost goes over the new one; what is settled is then forgotten again.  */
+/* Moves calls from closed connections to PEER and resends their outcomes,
+   since an OUTCOME or FORGET may have been lost with the old connection.
+   Otherwise such outcomes would never be released and the host would not
+   drain.  */
 void
 mq_gate_calls_reattach (struct mq_gate *gate, struct gate_partition *partition,
                         uint32_t peer)
@@ -189,7 +190,8 @@
   mq_gate_send (gate, peer, &message);
 }
 
-/* Gives CALL to a new owner.  True: it is still to end.  */
+/* Transfers CALL to a new owner.  Returns true if it is still queued or
+   running.  */
 static bool
 recover_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
               uint64_t fence)
@@ -243,8 +245,9 @@
 
 /* FORGET.  */
 
-/* The outcome is durable: what still waits must not run; what runs ends for
-   nobody, but one that may not be repeated is not stopped half-way.  */
+/* The outcome is durable, so a queued call must not run.  A running call is
+   stopped if it is idempotent; otherwise it completes and its outcome is
+   dropped.  */
 static void
 forget_known (struct mq_gate *gate, struct gate_call *call)
 {
@@ -265,9 +268,9 @@
     }
 }
 
-/* Failure: a FORGET is lost with its connection and its outcome stays for
-   ever.  A program's outcomes become durable in order, so earlier ones are
-   dropped too where dropping is harmless: idempotent ones.  */
+/* Drops the retained outcomes of earlier idempotent calls, whose FORGET may
+   have been lost with its connection.  A program's outcomes become durable in
+   order.  */
 static void
 forget_earlier (struct mq_gate *gate, struct gate_program *program,
                 const struct mq_ref_msg *msg)
@@ -306,7 +309,7 @@
     forget_known (gate, call);
 }
 
-/* The program has ended: its calls that wait need not run.  */
+/* Refuses the queued idempotent calls of a program that has ended.  */
 void
 mq_gate_cancel_program_calls (struct mq_gate *gate,
                               struct gate_program *program)
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -1,9 +1,10 @@
-/* gate_state.h - state of a gate, shared by the gate_*.c files only.
+/* gate_state.h - state of a gate, private to the gate_*.c files.
+
+   Calls belong to a program and a partition; a run is a call at a worker; a
+   cached program is the cache of one program at one worker.  Records link to
+   each other in both directions.  All records are talloc children of the gate;
+   the containers do not own their entries.
 
-   Handles point both ways: a call belongs to a program and a partition, a
-   run (a call at a worker) to a call, a cached_program (a program's cache at a
-   worker) to a program and a worker.  Everything hangs below the gate in
-   talloc; the containers only link.
    Needs: gate.h, gate_table.h.  */
 
 #ifndef MQ_GATE_STATE_H
@@ -13,12 +14,13 @@
 #include "gate_table.h"
 #include "../limits.h"
 
-/* Attempt number of a mark that covers every attempt of its call.  */
+/* Attempt number of a watermark that covers every attempt of its call.  */
 #define MQ_GATE_ALL_ATTEMPTS UINT32_MAX
 
 #define MQ_US_PER_MS 1000ULL
 
-/* One partition: the highest fence seen, who sent it, and its calls.  */
+/* Highest fence seen of one partition, the peer that sent it, and the
+   partition's calls.  */
 struct gate_partition
 {
   struct gate_link link;
@@ -29,11 +31,11 @@
 };
 
 /**
- * struct gate_watermark - attempts that are refused without a record of each
+ * struct gate_watermark - covers a call attempt and all earlier ones
  * @fence: fence under which it was set
  * @call: attempts of lower calls are covered
- * @attempt: of this call, attempts up to this one are covered
- * @ran: the attempt at the mark may have taken effect
+ * @attempt: attempts of @call up to this one are covered
+ * @ran: the attempt @attempt of @call may have taken effect
  */
 struct gate_watermark
 {
@@ -45,28 +47,27 @@
 
 enum gate_lease
 {
-  GATE_LEASE_NONE,    /* nobody has claimed it */
-  GATE_LEASE_HELD,    /* until lease_until_us */
-  GATE_LEASE_EXPIRED, /* not renewed: evicted */
-  GATE_LEASE_ENDED    /* its owner said so: evicted and confirmed */
+  GATE_LEASE_NONE,    /* never granted */
+  GATE_LEASE_HELD,    /* valid until lease_until_us */
+  GATE_LEASE_EXPIRED, /* not renewed: the cache is evicted */
+  GATE_LEASE_ENDED    /* ended by its owner: the cache is evicted */
 };
 
 /**
- * struct gate_program - what outlives the calls of one program
- * @settled: refused to everyone under @settled.fence (resends of calls that
- *           were forgotten, sealed or refused)
- * @sealed: refused, under any fence, to calls that may not be repeated
- * @latest_fence: fence of the latest call
- * @latest_call: its number: lower ones are late under the same fence
- * @calls: its records
- * @cached_programs: its caches
- * @runs: calls of it at workers
+ * struct gate_program - state of a program that outlives its calls
+ * @settled: attempts refused under @settled.fence only: completed and
+ *           forgotten, refused, or cancelled
+ * @sealed: attempts of non-idempotent calls refused under any fence
+ * @latest_fence: fence of the latest accepted call
+ * @latest_call: number of that call; lower numbers are stale under this fence
+ * @cached_programs: its caches, one per worker
+ * @runs: number of its calls at workers
  * @lease: state of its cache lease
- * @lease_until_us: when it lapses
- * @ended_fence: fence that ended it
- * @fully_evicted: it ended and nothing of it is left
- * @waiter: peer that is told when all is evicted, 0 when none
- * @touched_us: when it was last used, on the gate's active_us
+ * @lease_until_us: expiry of the lease
+ * @ended_fence: fence under which the program ended
+ * @fully_evicted: the program ended and none of its cache remains
+ * @evicted_peer: peer to notify once the cache is evicted; 0 if none
+ * @last_used_us: time of last use on the gate's @active_us clock
  */
 struct gate_program
 {
@@ -93,29 +94,30 @@
 {
   GATE_CALL_QUEUED,
   GATE_CALL_RUNNING,
-  GATE_CALL_DONE /* its outcome is kept */
+  GATE_CALL_DONE /* completed; the outcome is retained */
 };
 
 struct gate_lane;
 struct gate_run;
 
 /**
- * struct gate_call - one call that the gate has accepted
- * @ref: the attempt that was accepted
- * @asked: highest attempt that was asked for; the outcome names it
- * @accepted_fence: fence under which @ref came
- * @answer_fence: highest fence under which it was asked for
- * @peer: who asked under that fence, 0 when nobody
- * @body_hash: of its content
- * @deadline_us: 0 when none
- * @latest_start_us: a later start can't meet the deadline; UINT64_MAX: none
- * @prompt_tokens: estimate of its prompt
- * @new_cache_tokens: estimate of the engine memory that it adds
- * @rank: place in the queue, lower goes first; see gate_queue.c
- * @urgency_us: among calls of one rank and organisation, lower goes first
- * @cancelled: CANCEL came while it ran
- * @forgotten: FORGET came while it ran
- * @outcome: when done; its body hangs below the call
+ * struct gate_call - a call accepted by the gate
+ * @ref: accepted attempt
+ * @requested_attempt: highest attempt requested; used in the outcome
+ * @accepted_fence: fence under which @ref was accepted
+ * @answer_fence: highest fence under which the call was requested
+ * @peer: requester under @answer_fence; 0 if none
+ * @body_hash: hash of service, route and body
+ * @deadline_us: 0 if none
+ * @latest_start_us: latest start that can meet the deadline; UINT64_MAX if
+ *                   there is no deadline
+ * @prompt_tokens: estimated prompt length
+ * @new_cache_tokens: estimated cache space that the call adds
+ * @rank: queue order, lowest first; see gate_queue.c
+ * @urgency_us: order within one rank and organisation, lowest first
+ * @cancelled: CANCEL was received while it ran
+ * @forgotten: FORGET was received while it ran
+ * @outcome: valid once done; its body is a talloc child of the call
  */
 struct gate_call
 {
@@ -124,7 +126,7 @@
   struct gate_partition *partition;
   struct gate_node by_program;
   struct gate_node by_partition;
-  struct gate_node by_age; /* kept outcomes; queued batch calls */
+  struct gate_node by_age; /* retained outcomes, or queued batch calls */
   struct mq_call_ref ref;
   uint32_t requested_attempt;
   uint64_t accepted_fence;
@@ -144,7 +146,7 @@
   uint32_t prompt_tokens;
   uint32_t new_cache_tokens;
   uint64_t arrived_us;
-  uint64_t arrival; /* number of arrival: the last tie-break */
+  uint64_t arrival; /* arrival sequence number, final tie-break */
   uint64_t deadline_us;
   uint64_t latest_start_us;
   uint64_t rank;
@@ -156,7 +158,7 @@
   char *service;
   char *route;
   char *traceparent;
-  char *body; /* until it is started */
+  char *body; /* NULL once started */
   size_t body_len;
   struct gate_run *run;
   uint64_t queue_us;
@@ -166,9 +168,10 @@
 
 /**
  * struct gate_run - a call at a worker, until the worker reports its end
- * @slot: handle given to the worker, not used again while late reports of
- *        it may come
- * @call: its record, NULL when that was dropped and the run only has to end
+ * @slot: handle passed to the worker; not reused while late reports that name
+ *        it may arrive
+ * @call: NULL if the call was dropped while running
+ * @stopping: STOP was sent
  */
 struct gate_run
 {
@@ -190,15 +193,17 @@
 };
 
 /**
- * struct gate_cached_program - a program's cache at one worker
- * @tokens: its size: estimated from outcomes, made true by reports
- * @idle_since_us: last use
- * @unused_token_ms: held since the last use, up to @idle_since_us
- * @evicting: to be evicted; counts as held for an ended program
- * @asked: an EVICT is under way
- * @retry_us: when to ask (again)
- * @pause_ms: pause after the next failure
- * @failed: a try has failed
+ * struct gate_cached_program - cache of one program at one worker
+ * @tokens: size, estimated from outcomes and corrected by cache reports
+ * @idle_since_us: end of the last use
+ * @unused_token_ms: token-milliseconds held since the last use, up to
+ *                   @idle_since_us
+ * @evicting: eviction required; counted as held for an ended program
+ * @evict_pending: EVICT was sent and not yet answered
+ * @retry_us: time of the next EVICT
+ * @backoff_ms: delay after the next failure
+ * @failed: at least one eviction attempt has failed
+ * @report: number of the last cache report that listed it
  */
 struct gate_cached_program
 {
@@ -223,8 +228,8 @@
 
 enum
 {
-  GATE_GROUPS = 4,       /* (batch or not) x (continuing or new) */
-  GATE_PREFIXES_MAX = 16 /* shared prefixes remembered per worker */
+  GATE_GROUPS = 4,
+  GATE_PREFIXES_MAX = 16 /* shared prefixes tracked per worker */
 };
 
 struct gate_prefix
@@ -234,29 +239,32 @@
   uint64_t last_used_us;
 };
 
-/* An order that was passed on; ids are the senders'.  */
+/* An order forwarded to a worker; its id was chosen by the sender.  */
 struct gate_order
 {
   struct gate_node by_worker;
   struct mq_order_msg order;
   uint32_t peer;
   bool pending;
-  bool superseded; /* kept for resends only, not applied again */
+  bool superseded; /* retained only to answer duplicates */
   enum mq_error_type result;
 };
 
 /**
  * struct gate_worker - one worker
- * @up: its engine answers as far as is known
- * @reported: its cache was reported since it came up
- * @held_tokens: sum of its cached_programs
- * @new_cache_tokens: what its runs will add, estimated
- * @lanes: queued calls: lanes by rank, one heap for each group
- * @flows: queued organisations
- * @virtual_time: service of the organisation that was served last
+ * @up: whether its engine is available
+ * @reported: a cache report has arrived, or the cache is known to be empty
+ * @report: number of cache reports received
+ * @held_tokens: sum of the sizes of its cached programs
+ * @new_cache_tokens: estimated cache space that its runs will add
+ * @lanes: queued calls, one heap of lanes for each group
+ * @flows: organisations with queued calls or recent service
+ * @virtual_time: service received by the organisation dispatched last
  * @expiry: queued calls with a deadline, by latest start
- * @batch: queued batch calls in order of arrival
- * @mean_run_us: smoothed time at the target, 0: not yet known
+ * @batch: queued batch calls in arrival order
+ * @mean_run_us: moving average of the run time; 0 if not yet known
+ * @prefill_rate: prompt tokens per second; 0 if not yet known
+ * @decode_us: time per generated token; 0 if not yet known
  */
 struct gate_worker
 {
@@ -306,12 +314,13 @@
   uint32_t outcomes_max;
   struct gate_worker *workers;
   size_t worker_count;
-  uint64_t lease_ms; /* that owners last gave a cache, 0: none yet */
+  uint64_t lease_ms; /* most recent lease duration; 0 if none yet */
   uint64_t now_us;
-  uint64_t active_us; /* time in which inputs were handled; see mq_gate_live */
+  uint64_t
+      active_us; /* time in operation; a suspension counts as 1 s at most */
   bool leaving;
   bool drained;
-  uint32_t *peers; /* connected */
+  uint32_t *peers;
   size_t peer_count;
   struct gate_map partitions;
   struct gate_map programs;
@@ -323,8 +332,8 @@
   uint64_t arrivals;
   struct gate_map runs;
   uint32_t last_slot;
-  struct gate_heap leases;  /* programs by lapse */
-  struct gate_heap retries; /* cached_programs by retry */
+  struct gate_heap leases;  /* programs by lease expiry */
+  struct gate_heap retries; /* cached programs by retry time */
   uint64_t held_tokens;
   uint64_t ended_tokens;
   uint64_t held_remainder;
@@ -332,9 +341,8 @@
   bool load_dirty;
   uint64_t load_sent_us;
   struct mq_gate_counters counters;
-  struct mq_actions *actions; /* of the input at hand */
-  struct gate_partition
-      *reconnected; /* by it: heard over another connection */
+  struct mq_actions *actions;         /* of the input being handled */
+  struct gate_partition *reconnected; /* its owner reconnected in this input */
 };
 
 /* gate.c */
@@ -376,8 +384,8 @@
                                      const struct mq_call_ref *ref);
 void mq_gate_handle_call (struct mq_gate *gate, uint32_t peer,
                           const struct mq_call_msg *msg);
-/* Refuses a queued call: it leaves the queue and the table, and a resend
-   of it is refused from now on.  */
+/* Refuses a queued call and removes it from the queue and the table.  Later
+   copies of it are refused too.  */
 void mq_gate_call_refuse (struct mq_gate *gate, struct gate_call *call,
                           enum mq_error_type error, uint32_t retry_after_ms);
 void mq_gate_call_drop (struct mq_gate *gate, struct gate_call *call);
@@ -407,7 +415,7 @@
                              const struct mq_recover_msg *msg);
 void mq_gate_handle_forget (struct mq_gate *gate, uint32_t peer,
                             const struct mq_ref_msg *msg);
-/* The owner of PARTITION is heard over another connection, PEER.  */
+/* The owner of PARTITION has reconnected as PEER.  */
 void mq_gate_calls_reattach (struct mq_gate *gate,
                              struct gate_partition *partition, uint32_t peer);
 void mq_gate_cancel_program_calls (struct mq_gate *gate,
@@ -422,14 +430,14 @@
                           const struct mq_gate_done *done);
 
 /* gate_queue.c */
-/* NONE when CALL may wait or start, else why not.  May refuse a queued
-   batch call in its place.  */
+/* Returns MQ_ERR_NONE if CALL may be queued or started, else the reason for
+   refusing it.  May refuse a queued batch call to make room.  */
 enum mq_error_type mq_gate_queue_admit (struct mq_gate *gate,
                                         const struct gate_call *call,
                                         uint32_t *retry_after_ms);
 void mq_gate_queue_add (struct mq_gate *gate, struct gate_call *call);
 void mq_gate_queue_remove (struct mq_gate *gate, struct gate_call *call);
-/* Starts what may start and refuses what is too late.  */
+/* Starts queued calls while slots are free and refuses expired ones.  */
 void mq_gate_queue_run (struct mq_gate *gate, struct gate_worker *worker);
 void mq_gate_queue_refuse_all (struct mq_gate *gate,
                                struct gate_worker *worker,
@@ -474,7 +482,8 @@
 void mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
                            const struct mq_lease_msg *msg);
 void mq_gate_cache_tick (struct mq_gate *gate);
-/* A call was accepted: the program lives.  */
+/* Grants PROGRAM a default cache lease if it has none and an accepted call
+   will use the cache of WORKER.  */
 void mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                           const struct gate_worker *worker);
 void mq_gate_set_lease (struct mq_gate *gate, struct gate_program *program,
--- a/src/core/gate/gate_table.c
+++ b/src/core/gate/gate_table.c
@@ -1,4 +1,4 @@
-/* gate_table.c - intrusive containers of the gate: hash maps, heaps, lists.
+/* gate_table.c - intrusive hash maps, heaps and lists.
 
    Needs: gate_table.h.  */
 
--- a/src/core/gate/gate_table.h
+++ b/src/core/gate/gate_table.h
@@ -1,7 +1,8 @@
-/* gate_table.h - intrusive containers of the gate: hash maps, heaps, lists.
+/* gate_table.h - intrusive hash maps, heaps and lists.
+
+   Entries embed a link, a node or a position, so that inserting, finding and
+   removing an entry allocates no memory per entry.
 
-   Entries embed a link, a node or a position, so that adding, finding and
-   removing one never allocates for each entry.
    Needs: types.h.  */
 
 #ifndef MQ_GATE_TABLE_H
@@ -9,7 +10,7 @@
 
 #include "../types.h"
 
-/* The structure of type TYPE whose MEMBER is at POINTER.  */
+/* Pointer to the structure of type TYPE that embeds POINTER as MEMBER.  */
 #define GATE_ENTRY(pointer, type, member)                                     \
   ((type *)(void *)((char *)(pointer)-offsetof (type, member)))
 
@@ -19,7 +20,7 @@
   uint64_t hash;
 };
 
-/* Chained hash map; grows by doubling, never shrinks.  */
+/* Chained hash map.  It doubles when full and never shrinks.  */
 struct gate_map
 {
   TALLOC_CTX *owner;
@@ -40,9 +41,10 @@
 typedef bool gate_heap_before (const void *a, const void *b);
 
 /**
- * struct gate_heap - binary heap of pointers
- * @before: order
- * @offset: of the size_t in each item that holds its place, 0: not in it
+ * struct gate_heap - binary min-heap of pointers
+ * @before: ordering function
+ * @offset: offset in each item of a size_t with the item's position in the
+ *          heap, counted from 1; 0 if the item is not in the heap
  */
 struct gate_heap
 {
@@ -56,11 +58,11 @@
 
 void mq_gate_heap_create (struct gate_heap *heap, TALLOC_CTX *owner,
                           gate_heap_before *before, size_t offset);
-void *mq_gate_heap_first (const struct gate_heap *heap); /* NULL when empty */
+void *mq_gate_heap_first (const struct gate_heap *heap); /* NULL if empty */
 void mq_gate_heap_add (struct gate_heap *heap, void *item);
-/* Nothing happens when ITEM is not in HEAP.  */
+/* Does nothing if ITEM is not in HEAP.  */
 void mq_gate_heap_remove (struct gate_heap *heap, void *item);
-/* ITEM's key has changed.  */
+/* Restores the heap order after a change of ITEM's key.  */
 void mq_gate_heap_update (struct gate_heap *heap, void *item);
 
 struct gate_node
