--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -40,8 +40,8 @@
   return gate->lease_ms == 0 ? MQ_GATE_LEASE_MS : gate->lease_ms;
 }
 
-/* Only calls that use the cache of WORKER grant a lease: after another call no
-   owner would renew or end it.  */
+/* Calls that use no cache grant no lease, since their owner would neither
+   renew nor end it here.  */
 void
 mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                      const struct gate_worker *worker)
--- a/tests/gate_driver.c
+++ b/tests/gate_driver.c
@@ -1,4 +1,4 @@
-/* gate_driver.c - drives a gate by steps of a table.
+/* gate_driver.c - runs table-driven steps against a gate.
 
    Needs: gate_driver.h.  */
 
@@ -26,7 +26,7 @@
 }
 
 static void
-drop_actions (struct gate_driver *driver)
+clear_actions (struct gate_driver *driver)
 {
   mq_actions_clear (driver->actions);
 }
@@ -41,7 +41,7 @@
       input.now_us = driver->now_us;
       mq_gate_handle (driver->gate, &input, driver->actions);
     }
-  drop_actions (driver);
+  clear_actions (driver);
 }
 
 struct gate_driver *
@@ -84,30 +84,30 @@
 }
 
 static uint32_t
-or_one (uint32_t value)
+one_if_zero (uint32_t value)
 {
   return value == 0 ? 1 : value;
 }
 
 static struct mq_call_ref
-read_ref (const struct gate_step *step)
+step_ref (const struct gate_step *step)
 {
   struct mq_call_ref ref;
 
-  ref.program = gate_driver_program (or_one (step->program));
-  ref.call = or_one (step->call);
-  ref.attempt = or_one (step->attempt);
+  ref.program = gate_driver_program (one_if_zero (step->program));
+  ref.call = one_if_zero (step->call);
+  ref.attempt = one_if_zero (step->attempt);
   return ref;
 }
 
 static uint64_t
-read_fence (const struct gate_step *step)
+step_fence (const struct gate_step *step)
 {
   return step->fence == 0 ? 1 : step->fence;
 }
 
 static const char *
-read_service (const struct gate_driver *driver, const struct gate_step *step)
+step_service (const struct gate_driver *driver, const struct gate_step *step)
 {
   if (step->service != NULL)
     return step->service;
@@ -120,12 +120,12 @@
 fill_call (const struct gate_driver *driver, const struct gate_step *step,
            struct mq_call_msg *call)
 {
-  call->ref = read_ref (step);
-  call->fence = read_fence (step);
+  call->ref = step_ref (step);
+  call->fence = step_fence (step);
   if (!step->no_boot)
     call->boot = step->old_boot ? driver->first_boot : driver->options.boot;
   call->worker = step->worker;
-  call->service = read_service (driver, step);
+  call->service = step_service (driver, step);
   call->route = "";
   call->organisation
       = step->organisation == NULL ? "diagne" : step->organisation;
@@ -144,7 +144,7 @@
 fill_message (const struct gate_driver *driver, const struct gate_step *step,
               struct mq_message *message)
 {
-  struct mq_ref_msg about = { read_ref (step), 0, read_fence (step) };
+  struct mq_ref_msg about = { step_ref (step), 0, step_fence (step) };
 
   switch (step->type)
     {
@@ -199,7 +199,7 @@
 static uint32_t
 find_slot (const struct gate_driver *driver, const struct gate_step *step)
 {
-  struct mq_call_ref ref = read_ref (step);
+  struct mq_call_ref ref = step_ref (step);
 
   for (size_t i = driver->start_count; i > 0; i--)
     {
@@ -253,7 +253,7 @@
     case STEP_EVICTED:
       input->type = MQ_GATE_EVICTED;
       input->u.evicted.worker = step->worker;
-      input->u.evicted.program = read_ref (step).program;
+      input->u.evicted.program = step_ref (step).program;
       input->u.evicted.confirmed = !step->failed;
       break;
     case STEP_CACHE:
@@ -294,13 +294,13 @@
     }
 }
 
-/* Text of the actions.  */
+/* Formatting of actions.  */
 
-static void add (char **text, const char *format, ...)
+static void append (char **text, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
 static void
-add (char **text, const char *format, ...)
+append (char **text, const char *format, ...)
 {
   va_list arguments;
 
@@ -318,9 +318,9 @@
 static void
 write_outcome (char **text, uint32_t peer, const struct mq_outcome_msg *msg)
 {
-  add (text, "outcome@%u " REF_FORMAT " f%u %s %s", peer,
-       REF_VALUES (msg->ref), (unsigned int)msg->fence,
-       mq_error_name (msg->error), mq_ran_name (msg->ran));
+  append (text, "outcome@%u " REF_FORMAT " f%u %s %s", peer,
+          REF_VALUES (msg->ref), (unsigned int)msg->fence,
+          mq_error_name (msg->error), mq_ran_name (msg->ran));
   if (msg->recovered)
     *text = talloc_strdup_append_buffer (*text, " recovered");
   if (msg->retry_after_ms > 0)
@@ -333,7 +333,7 @@
 write_recovered (char **text, uint32_t peer,
                  const struct mq_recovered_msg *msg)
 {
-  add (text, "recovered@%u f%u", peer, (unsigned int)msg->fence);
+  append (text, "recovered@%u f%u", peer, (unsigned int)msg->fence);
   for (size_t i = 0; i < msg->running_count; i++)
     *text = talloc_asprintf_append_buffer (*text, " " REF_FORMAT,
                                            REF_VALUES (msg->running[i]));
@@ -342,7 +342,7 @@
 static void
 write_load (char **text, uint32_t peer, const struct mq_load_msg *msg)
 {
-  add (text, "load@%u%s", peer, msg->leaving ? " leaving" : "");
+  append (text, "load@%u%s", peer, msg->leaving ? " leaving" : "");
   for (size_t i = 0; i < msg->worker_count; i++)
     *text = talloc_asprintf_append_buffer (
         *text, " %u+%u/%u", msg->workers[i].running, msg->workers[i].queued,
@@ -364,45 +364,46 @@
       write_outcome (text, peer, &message->u.outcome);
       break;
     case MQ_MSG_TOKEN:
-      add (text, "token@%u " REF_FORMAT " f%u [%u] %s", peer,
-           REF_VALUES (message->u.token.ref),
-           (unsigned int)message->u.token.fence, message->u.token.index,
-           message->u.token.text);
+      append (text, "token@%u " REF_FORMAT " f%u [%u] %s", peer,
+              REF_VALUES (message->u.token.ref),
+              (unsigned int)message->u.token.fence, message->u.token.index,
+              message->u.token.text);
       break;
     case MQ_MSG_SEALED:
-      add (text, "sealed@%u " REF_FORMAT " f%u %s", peer,
-           REF_VALUES (message->u.sealed.ref),
-           (unsigned int)message->u.sealed.fence,
-           answers[message->u.sealed.answer]);
+      append (text, "sealed@%u " REF_FORMAT " f%u %s", peer,
+              REF_VALUES (message->u.sealed.ref),
+              (unsigned int)message->u.sealed.fence,
+              answers[message->u.sealed.answer]);
       break;
     case MQ_MSG_RECOVERED:
       write_recovered (text, peer, &message->u.recovered);
       break;
     case MQ_MSG_EVICTED:
-      add (text, "evicted@%u %u", peer,
-           (unsigned int)message->u.evicted.program.hi);
+      append (text, "evicted@%u %u", peer,
+              (unsigned int)message->u.evicted.program.hi);
       break;
     case MQ_MSG_ORDER_DONE:
-      add (text, "ordered@%u %u %s", peer,
-           (unsigned int)message->u.order_done.order,
-           mq_error_name (message->u.order_done.error));
+      append (text, "ordered@%u %u %s", peer,
+              (unsigned int)message->u.order_done.order,
+              mq_error_name (message->u.order_done.error));
       break;
     case MQ_MSG_PROBED:
-      add (text, "probed@%u w%u %u %u", peer, message->u.probed.worker,
-           message->u.probed.program_tokens, message->u.probed.shared_tokens);
+      append (text, "probed@%u w%u %u %u", peer, message->u.probed.worker,
+              message->u.probed.program_tokens,
+              message->u.probed.shared_tokens);
       break;
     case MQ_MSG_LOAD:
       if (loads)
         write_load (text, peer, &message->u.load);
       break;
     default:
-      add (text, "%s@%u", mq_message_name (message->type), peer);
+      append (text, "%s@%u", mq_message_name (message->type), peer);
       break;
     }
 }
 
 static const char *
-name_state (enum mq_state_change change)
+state_name (enum mq_state_change change)
 {
   switch (change)
     {
@@ -420,7 +421,7 @@
 }
 
 static void
-note_start (struct gate_driver *driver, const struct mq_start *start)
+record_start (struct gate_driver *driver, const struct mq_start *start)
 {
   if (driver->start_count == sizeof driver->starts / sizeof driver->starts[0])
     abort ();
@@ -439,23 +440,23 @@
       write_message (text, action->peer, &action->u.message, loads);
       break;
     case MQ_ACT_START:
-      note_start (driver, &action->u.start);
-      add (text, "start " REF_FORMAT " w%u", REF_VALUES (action->u.start.ref),
-           action->u.start.worker);
+      record_start (driver, &action->u.start);
+      append (text, "start " REF_FORMAT " w%u",
+              REF_VALUES (action->u.start.ref), action->u.start.worker);
       break;
     case MQ_ACT_STOP:
-      add (text, "stop " REF_FORMAT, REF_VALUES (action->u.stop.ref));
+      append (text, "stop " REF_FORMAT, REF_VALUES (action->u.stop.ref));
       break;
     case MQ_ACT_EVICT:
-      add (text, "evict w%u %u", action->u.evict.worker,
-           (unsigned int)action->u.evict.program.hi);
+      append (text, "evict w%u %u", action->u.evict.worker,
+              (unsigned int)action->u.evict.program.hi);
       break;
     case MQ_ACT_ORDER:
-      add (text, "order w%u %u %s", action->u.order.worker,
-           (unsigned int)action->u.order.order, action->u.order.argument);
+      append (text, "order w%u %u %s", action->u.order.worker,
+              (unsigned int)action->u.order.order, action->u.order.argument);
       break;
     case MQ_ACT_STATE:
-      add (text, "state %s", name_state (action->u.state.change));
+      append (text, "state %s", state_name (action->u.state.change));
       break;
     case MQ_ACT_SPAN:
     case MQ_ACT_STORE:
@@ -470,7 +471,7 @@
   struct mq_message message = { .type = MQ_MSG_NONE };
   struct mq_gate_input input = { .type = MQ_GATE_TICK };
 
-  drop_actions (driver);
+  clear_actions (driver);
   talloc_free (driver->text);
   driver->text = talloc_strdup (driver, "");
   if (step->type == STEP_WAIT || step->type == STEP_PAUSE)
@@ -483,7 +484,7 @@
       return driver->text;
     }
   fill_input (driver, step, &input);
-  input.peer = or_one (step->peer);
+  input.peer = one_if_zero (step->peer);
   input.now_us = driver->now_us;
   if (input.type == MQ_GATE_MESSAGE)
     {
--- a/tests/gate_driver.h
+++ b/tests/gate_driver.h
@@ -1,8 +1,9 @@
-/* gate_driver.h - drives a gate by steps of a table and writes its actions
-   as one line of text each step.
+/* gate_driver.h - runs table-driven steps against a gate and formats the
+   actions of each step as one line of text.
 
-   A step left at zero means: program 1, call 1, attempt 1, fence 1, peer 1,
-   worker 0, this gate's boot id.  Text of the actions, joined by "; ":
+   Fields of a step that are zero default to program 1, call 1, attempt 1,
+   fence 1, peer 1, worker 0 and the current boot id.  Actions are formatted as
+   follows and joined by "; ":
 
      start P/C.A wW           stop P/C.A           evict wW P
      order wW ID ARGUMENT     state CHANGE
@@ -14,7 +15,7 @@
      probed@PEER wW PROGRAM SHARED
      load@PEER [leaving] RUNNING+QUEUED/SLOTS ...
 
-   LOAD messages only show in steps that set LOADS; spans never do.
+   LOAD messages are included only in steps that set LOADS; spans never are.
    Needs: gate.h.  */
 
 #ifndef GATE_DRIVER_H
@@ -33,9 +34,9 @@
   STEP_LEASE,
   STEP_ORDER,
   STEP_PROBE,
-  STEP_FOREIGN, /* a message that is not the gate's */
-  STEP_TOKEN,   /* of the run of call/attempt */
-  STEP_DONE,    /* likewise */
+  STEP_FOREIGN, /* a message that the gate does not handle */
+  STEP_TOKEN,   /* for the run of call/attempt */
+  STEP_DONE,    /* for the run of call/attempt */
   STEP_EVICTED,
   STEP_CACHE,
   STEP_UP,
@@ -44,9 +45,9 @@
   STEP_LEAVE,
   STEP_PEER_UP,
   STEP_PEER_DOWN,
-  STEP_WAIT,  /* .ms, then a tick */
-  STEP_PAUSE, /* .ms without a tick */
-  STEP_REBOOT /* a new gate with another boot id */
+  STEP_WAIT,  /* advance by .ms, then tick */
+  STEP_PAUSE, /* advance by .ms without a tick */
+  STEP_REBOOT /* restart with another boot id */
 };
 
 struct gate_step
@@ -61,14 +62,14 @@
   bool idempotent;
   bool no_boot;  /* CALL carries boot 0 */
   bool old_boot; /* CALL carries the first gate's boot id */
-  uint64_t boot; /* UP: of the engine */
+  uint64_t boot; /* UP: boot number of the engine */
   enum mq_priority priority;
   uint32_t deadline_ms;
   uint64_t attained;
   bool continuing;
   bool follow_up;
   const char *organisation;
-  const char *service; /* CALL: NULL: the worker's */
+  const char *service; /* CALL: NULL selects the worker's service */
   const char *body;
   enum mq_error_type error;
   enum mq_ran ran;
@@ -93,16 +94,16 @@
   struct mq_gate_options options;
   uint64_t first_boot;
   uint64_t now_us;
-  struct mq_start starts[512]; /* by slot; refs only */
+  struct mq_start starts[512]; /* since the last reboot; strings are freed */
   size_t start_count;
-  char *text; /* of the last step's actions */
+  char *text; /* actions of the last step, formatted */
 };
 
-/* Peers 1 to 3 are connected.  OPTIONS may be NULL: one model worker "m"
-   with one slot and a plain one "p" with one slot.  */
+/* Creates a gate with peers 1 to 3 connected.  If OPTIONS is NULL, it has a
+   model worker "m" and a plain worker "p" with one slot each.  */
 struct gate_driver *gate_driver_create (const struct mq_gate_options *options);
 void gate_driver_destroy (struct gate_driver *driver);
-/* Text of the actions, valid until the next step.  */
+/* Runs STEP.  Returns its actions as text, valid until the next step.  */
 const char *gate_driver_step (struct gate_driver *driver,
                               const struct gate_step *step);
 struct mq_id gate_driver_program (uint32_t number);
--- a/tests/test_gate.c
+++ b/tests/test_gate.c
@@ -1,5 +1,5 @@
-/* test_gate.c - the gate's rules for fences, at-most-once, outcomes, leases
-   and orders, as tables of steps and the actions expected of each.
+/* test_gate.c - table-driven tests of the gate: fencing, at-most-once
+   execution, outcomes, leases and orders.
 
    Needs: gate_driver.h, Criterion.  */
 
@@ -46,7 +46,7 @@
   run_cases ((items), sizeof (items) / sizeof (items)[0])
 
 static const struct gate_case path_cases[] = {
-  { "a call from start to forgotten",
+  { "a call from start to FORGET",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_TOKEN, .body = "he", .want = "token@1 1/1.1 f1 [0] he" },
@@ -56,7 +56,7 @@
         { STEP_FORGET, .want = "" },
         { STEP_CALL, .want = "outcome@1 1/1.1 f1 sealed unknown" },
     } },
-  { "an ended program's cache is evicted and the asker told",
+  { "an ended program's cache is evicted and its owner notified",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_DONE, .tokens_in = 100, .tokens_out = 10,
@@ -70,10 +70,8 @@
 
 Test (gate, path) { RUN_CASES (path_cases); }
 
-/* Story: an owner is paused while its lease lapses; a successor takes the
-   partition over and speaks to the gate; the old owner wakes and goes on
-   sending.  Users would see a step done twice.  Cause: two processes that
-   both believe to own the partition.  */
+/* A suspended owner must have no effect after its successor has reached the
+   gate; otherwise a step would run twice.  */
 static const struct gate_case fence_cases[] = {
   { "a lower fence is refused",
     {
@@ -124,11 +122,10 @@
 
 Test (gate, fences) { RUN_CASES (fence_cases); }
 
-/* Story: the process beside a target is restarted between a seal and the
-   late original.  Users would see a notice sent twice.  Cause: the seal was
-   forgotten with the old run.  */
+/* A restarted gate has lost its seals, so it must refuse calls that were sent
+   to the earlier process.  */
 static const struct gate_case boot_cases[] = {
-  { "a call meant for an earlier run",
+  { "a call for an earlier process",
     {
         { STEP_SEAL, .want = "sealed@1 1/1.1 f1 sealed" },
         { .type = STEP_REBOOT },
@@ -136,7 +133,7 @@
           .want = "outcome@1 1/1.1 f1 wrong_boot not_run" },
         { STEP_CALL, .want = "start 1/1.1 w0" },
     } },
-  { "a call that may not be repeated must name the run",
+  { "a non-idempotent call must carry the boot id",
     {
         { STEP_CALL, .no_boot = true,
           .want = "outcome@1 1/1.1 f1 wrong_boot not_run" },
@@ -147,12 +144,10 @@
 
 Test (gate, boots) { RUN_CASES (boot_cases); }
 
-/* Story: a connection goes silent after a call that records a payment was
-   sent; the owner asks again over a new one, and then the old one delivers
-   too.  Users would see two payments.  Cause: frames that are doubled, late
-   or out of order.  */
+/* Duplicate, late or reordered frames must not run a non-idempotent call
+   twice.  */
 static const struct gate_case once_cases[] = {
-  { "a doubled frame of a running call goes to who asked last",
+  { "a duplicate CALL redirects the outcome to the latest requester",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_CALL, .peer = 2, .want = "" },
@@ -160,7 +155,7 @@
         { STEP_DONE, .body = "a", .want = "outcome@2 1/1.1 f1 ok ran =a" },
         { STEP_CALL, .peer = 3, .want = "outcome@3 1/1.1 f1 ok ran =a" },
     } },
-  { "another attempt joins the one that runs and gets its outcome",
+  { "another attempt joins the running one and gets its outcome",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_CALL, .attempt = 2, .fence = 2, .peer = 2, .want = "" },
@@ -171,20 +166,20 @@
         { STEP_CALL, .attempt = 4, .fence = 2, .peer = 2,
           .want = "outcome@2 1/1.4 f2 sealed unknown" },
     } },
-  { "a lower attempt than the accepted one is late",
+  { "a lower attempt than the accepted one is stale",
     {
         { STEP_CALL, .attempt = 2, .want = "start 1/1.2 w0" },
         { STEP_CALL, .attempt = 1,
           .want = "outcome@1 1/1.1 f1 sealed not_run" },
     } },
-  { "a lower call than one seen is late",
+  { "a lower call than the latest one is stale",
     {
         { STEP_CALL, .call = 5, .want = "start 1/5.1 w0" },
         { STEP_CALL, .call = 4, .want = "outcome@1 1/4.1 f1 sealed not_run" },
         { STEP_CALL, .call = 4, .program = 2, .worker = 1,
           .want = "start 2/4.1 w1" },
     } },
-  { "what was refused as not run is never run",
+  { "a call refused as not run is never run",
     {
         { STEP_CALL, .deadline_ms = 10, .want = "start 1/1.1 w0" },
         { STEP_CALL, .program = 2, .deadline_ms = 10, .want = "" },
@@ -195,7 +190,7 @@
           .want = "outcome@1 2/1.1 f1 sealed not_run" },
         { STEP_CALL, .program = 2, .attempt = 2, .want = "start 2/1.2 w0" },
     } },
-  { "what the worker refused may be tried again under a new attempt only",
+  { "a call refused by the worker is run again only under a new attempt",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .error = MQ_ERR_TARGET_FAILED, .ran = MQ_RAN_NOT_RUN,
@@ -203,7 +198,7 @@
         { STEP_CALL, .want = "outcome@1 1/1.1 f1 sealed not_run" },
         { STEP_CALL, .attempt = 2, .want = "start 1/1.2 w0" },
     } },
-  { "an outcome of unknown effect is kept and never run again",
+  { "a call of unknown effect is retained and never run again",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .error = MQ_ERR_TIMEOUT, .ran = MQ_RAN_UNKNOWN,
@@ -216,7 +211,7 @@
         { STEP_FORGET, .want = "" },
         { STEP_CALL, .want = "outcome@1 1/1.1 f1 sealed unknown" },
     } },
-  { "FORGET while it runs: the run ends, nothing is kept or run again",
+  { "FORGET while it runs: the run ends, nothing is retained or run again",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_FORGET, .want = "" },
@@ -232,7 +227,7 @@
         { STEP_FORGET, .attempt = 1, .want = "" },
         { STEP_CALL, .attempt = 2, .want = "outcome@1 1/1.2 f1 ok ran =a" },
     } },
-  { "a report of an ended run is not taken for the next call's",
+  { "a late report of an ended run is not attributed to the next call",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .body = "a", .want = "outcome@1 1/1.1 f1 ok ran =a" },
@@ -242,7 +237,7 @@
         { STEP_DONE, .program = 2, .body = "c",
           .want = "outcome@1 2/1.1 f1 ok ran =c" },
     } },
-  { "a program's records outlive a pause of this process",
+  { "a program's record survives a suspension of this process",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -257,9 +252,9 @@
 
 Test (gate, at_most_once) { RUN_CASES (once_cases); }
 
-/* Idempotent calls may be run again, but one attempt at a time.  */
+/* Idempotent calls may be repeated, but only one attempt runs at a time.  */
 static const struct gate_case idempotent_cases[] = {
-  { "a higher attempt replaces the one that runs; its slot is still taken",
+  { "a higher attempt replaces the running one; its slot stays occupied",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_CALL, .idempotent = true, .attempt = 2, .want = "stop 1/1.1" },
@@ -269,7 +264,7 @@
         { STEP_DONE, .attempt = 2, .body = "new",
           .want = "outcome@1 1/1.2 f1 ok ran =new" },
     } },
-  { "a new owner that asks for the same content takes over what runs",
+  { "a new owner with the same content takes over the running call",
     {
         { STEP_CALL, .idempotent = true, .attempt = 3,
           .want = "start 1/1.3 w0" },
@@ -299,7 +294,7 @@
         { STEP_CALL, .idempotent = true, .fence = 2,
           .want = "start 1/1.1 w0" },
     } },
-  { "a new owner that lost steps voids the later ones",
+  { "a new owner that lost steps drops the later calls",
     {
         { STEP_CALL, .call = 5, .idempotent = true, .want = "start 1/5.1 w0" },
         { STEP_DONE, .call = 5, .body = "old",
@@ -310,7 +305,7 @@
         { STEP_CALL, .call = 5, .idempotent = true, .fence = 2,
           .want = "start 1/5.1 w0" },
     } },
-  { "the next call stops an earlier attempt that was given up",
+  { "the next call stops an abandoned earlier call",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_CALL, .call = 2, .idempotent = true, .want = "stop 1/1.1" },
@@ -325,7 +320,7 @@
         { STEP_FORGET, .call = 2, .want = "" },
         { STEP_RECOVER, .fence = 2, .want = "recovered@1 f2" },
     } },
-  { "a route that became one that may not be repeated",
+  { "a route that became non-idempotent",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_CALL, .attempt = 2, .want = "" },
@@ -336,11 +331,11 @@
 
 Test (gate, idempotent) { RUN_CASES (idempotent_cases); }
 
-/* Story: an owner is in doubt about a call (its successor found an intent in
-   the log) and must know before the call may go elsewhere.  Users would see
-   it done twice, or never.  */
+/* SEAL must give an owner a reliable answer about a call of unknown state
+   before the call is placed elsewhere; otherwise it could run twice or
+   never.  */
 static const struct gate_case seal_cases[] = {
-  { "never seen: the late original is refused",
+  { "unknown: the late CALL is refused",
     {
         { STEP_SEAL, .fence = 2, .want = "sealed@1 1/1.1 f2 sealed" },
         { STEP_SEAL, .fence = 2, .want = "sealed@1 1/1.1 f2 sealed" },
@@ -350,14 +345,14 @@
         { STEP_SEAL, .fence = 3, .want = "sealed@1 1/1.1 f3 sealed" },
         { STEP_DONE, .attempt = 2, .want = "outcome@1 1/1.2 f3 ok ran" },
     } },
-  { "running: its outcome follows to who sealed",
+  { "running: the outcome is sent to the sealing peer",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_SEAL, .fence = 2, .peer = 2,
           .want = "sealed@2 1/1.1 f2 running" },
         { STEP_DONE, .body = "a", .want = "outcome@2 1/1.1 f2 ok ran =a" },
     } },
-  { "done: the outcome precedes",
+  { "done: the outcome is sent before SEALED",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .body = "a", .want = "outcome@1 1/1.1 f1 ok ran =a" },
@@ -374,7 +369,7 @@
         { STEP_DONE, .program = 9, .want = "outcome@1 9/1.1 f1 ok ran" },
         { STEP_CALL, .fence = 2, .want = "outcome@1 1/1.1 f2 sealed not_run" },
     } },
-  { "forgotten: never answered as never seen",
+  { "forgotten: not reported as never run",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -387,11 +382,10 @@
 
 Test (gate, seals) { RUN_CASES (seal_cases); }
 
-/* Story: an entry host dies; its successor asks every target's process what
-   became of the partition's calls.  Users would see an answer lost that was
-   already paid for.  */
+/* RECOVER must give a new owner the outcomes and running calls of its
+   predecessor, so that no completed work is lost.  */
 static const struct gate_case recover_cases[] = {
-  { "outcomes, runs and queue go to the successor",
+  { "outcomes, running and queued calls go to the successor",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_DONE, .body = "a", .want = "outcome@1 1/1.1 f1 ok ran =a" },
@@ -409,7 +403,7 @@
           .want = "outcome@2 2/1.1 f2 ok ran =xy; start 3/1.1 w0" },
         { STEP_DONE, .program = 3, .want = "outcome@2 3/1.1 f2 ok ran" },
     } },
-  { "asked twice, answered twice",
+  { "a repeated RECOVER is answered again",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_RECOVER, .fence = 2, .want = "recovered@1 f2 1/1.1" },
@@ -425,11 +419,10 @@
 
 Test (gate, recover) { RUN_CASES (recover_cases); }
 
-/* Story: a connection goes silent for good while its calls run.  Users would
-   see a request that never ends.  Cause: something between the two ends has
-   lost track of the connection.  */
+/* Calls must complete after the loss of their connection and their outcomes
+   must reach the owner on a new one.  */
 static const struct gate_case peer_cases[] = {
-  { "calls go on, outcomes are kept until someone asks",
+  { "calls continue, outcomes are retained until requested",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_PEER_DOWN, .want = "" },
@@ -437,7 +430,7 @@
         { STEP_DONE, .body = "xy", .want = "" },
         { STEP_CALL, .peer = 2, .want = "outcome@2 1/1.1 f1 ok ran =xy" },
     } },
-  { "the same owner is heard over a new connection: nothing is left behind",
+  { "all outcomes are resent when the owner reconnects",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .body = "a", .want = "outcome@1 1/1.1 f1 ok ran =a" },
@@ -449,7 +442,7 @@
         { STEP_DONE, .program = 2, .body = "b",
           .want = "outcome@2 2/1.1 f1 ok ran =b" },
     } },
-  { "messages that are not the gate's do nothing",
+  { "messages that the gate does not handle are ignored",
     { { STEP_FOREIGN, .want = "" } } },
 };
 
@@ -472,7 +465,7 @@
           .tokens_out = 7, .want = "outcome@1 1/1.1 f1 cancelled unknown" },
         { STEP_CANCEL, .want = "outcome@1 1/1.1 f1 cancelled unknown" },
     } },
-  { "too late: the answer stands",
+  { "too late: the outcome stands",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_CANCEL, .want = "stop 1/1.1" },
@@ -483,7 +476,7 @@
         { STEP_CANCEL, .want = "outcome@1 1/1.1 f1 cancelled not_run" },
         { STEP_CALL, .want = "outcome@1 1/1.1 f1 sealed not_run" },
     } },
-  { "before its call, which a successor makes otherwise",
+  { "before its call: a new fence voids it",
     {
         { STEP_CANCEL, .call = 5,
           .want = "outcome@1 1/5.1 f1 cancelled not_run" },
@@ -498,10 +491,9 @@
 
 Test (gate, cancel) { RUN_CASES (cancel_cases); }
 
-/* Story: a host is replaced.  Users would see a request cut off, or work
-   given to a host that is about to go.  */
+/* A draining host must refuse new calls and complete the running ones.  */
 static const struct gate_case leave_cases[] = {
-  { "refuse at once, finish what runs, wait until it is durable",
+  { "refuse new calls, complete running ones, wait until durable",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_CALL, .program = 2, .want = "" },
@@ -517,7 +509,7 @@
         { STEP_FORGET, .want = "state drained" },
         { STEP_LEAVE, .want = "" },
     } },
-  { "a new attempt does not stop the one that runs",
+  { "a new attempt does not stop the running one",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { .type = STEP_LEAVE },
@@ -525,16 +517,16 @@
           .want = "outcome@1 1/1.2 f1 leaving not_run" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
     } },
-  { "nothing here: drained at once",
+  { "idle: drained immediately",
     { { STEP_LEAVE, .want = "state leaving; state drained" } } },
 };
 
 Test (gate, leave) { RUN_CASES (leave_cases); }
 
-/* Story: programs end, owners die, engines are slow to evict or restart.
-   Operators would see engine memory that belongs to nobody.  */
+/* The cache memory of ended programs and expired leases must be freed although
+   owners fail and engines restart or are slow.  */
 static const struct gate_case lease_cases[] = {
-  { "an eviction that fails is asked for until it is confirmed",
+  { "a failed eviction is retried until it is confirmed",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -547,7 +539,7 @@
         { STEP_WAIT, .ms = 1, .want = "evict w0 1" },
         { STEP_EVICTED, .want = "evicted@1 1" },
     } },
-  { "an answer that never comes",
+  { "an unanswered eviction is retried",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -556,7 +548,7 @@
         { STEP_EVICTED, .want = "evicted@1 1" },
         { STEP_EVICTED, .want = "" },
     } },
-  { "an engine that restarts has evicted all",
+  { "an engine restart confirms all evictions",
     {
         { STEP_UP, .boot = 5, .want = "" },
         { STEP_CALL, .want = "start 1/1.1 w0" },
@@ -566,7 +558,7 @@
         { STEP_EVICTED, .failed = true, .want = "state evict_retry" },
         { STEP_UP, .boot = 6, .want = "evicted@1 1" },
     } },
-  { "an engine that was only out of reach has not",
+  { "an engine that was only unreachable keeps its cache",
     {
         { STEP_UP, .boot = 5, .want = "" },
         { STEP_CALL, .want = "start 1/1.1 w0" },
@@ -578,21 +570,21 @@
         { STEP_WAIT, .ms = 200, .want = "evict w0 1" },
         { STEP_EVICTED, .want = "evicted@1 1" },
     } },
-  { "evicted only after the run that fills it",
+  { "evicted only after the run that uses it",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_LEASE, .lease = MQ_LEASE_ENDED, .want = "" },
         { STEP_DONE, .want = "evict w0 1; outcome@1 1/1.1 f1 ok ran" },
         { STEP_EVICTED, .want = "evicted@1 1" },
     } },
-  { "calls of an ended program that wait need not run",
+  { "queued calls of an ended program are refused",
     {
         { STEP_CALL, .program = 9, .want = "start 9/1.1 w0" },
         { STEP_CALL, .idempotent = true, .want = "" },
         { STEP_LEASE, .lease = MQ_LEASE_ENDED,
           .want = "outcome@1 1/1.1 f1 cancelled not_run; evict w0 1" },
     } },
-  { "a lapsed lease",
+  { "an expired lease",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -604,7 +596,7 @@
         { STEP_WAIT, .ms = 100, .want = "evict w0 1" },
         { STEP_EVICTED, .want = "" },
     } },
-  { "a lapsed lease, though an outcome is kept",
+  { "an expired lease with a retained outcome",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_LEASE, .lease = MQ_LEASE_PAUSED, .ms = 1000, .want = "" },
@@ -612,7 +604,7 @@
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
         { STEP_WAIT, .ms = 10000, .want = "evict w0 1" },
     } },
-  { "a lapsed lease under a call that uses no cache",
+  { "an expired lease during a call that uses no cache",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_LEASE, .lease = MQ_LEASE_PAUSED, .ms = 1000, .want = "" },
@@ -621,21 +613,21 @@
           .want = "start 1/2.1 w1" },
         { STEP_WAIT, .ms = 1000, .want = "evict w0 1" },
     } },
-  { "a lapsed lease under a call that uses the cache",
+  { "an expired lease during a call that uses the cache",
     {
         { STEP_CALL, .want = "start 1/1.1 w0" },
         { STEP_LEASE, .lease = MQ_LEASE_PAUSED, .ms = 1000, .want = "" },
         { STEP_WAIT, .ms = 1000, .want = "" },
         { STEP_WAIT, .ms = 30000, .want = "" },
     } },
-  { "a late renewal does not bring an ended program back",
+  { "a late renewal does not restore an ended program",
     {
         { STEP_LEASE, .lease = MQ_LEASE_ENDED, .want = "evict w0 1" },
         { STEP_EVICTED, .want = "evicted@1 1" },
         { STEP_LEASE, .lease = MQ_LEASE_ACTIVE, .ms = 60000, .want = "" },
         { STEP_CACHE, .entries = { { { 1, 0 }, 50 } }, .want = "evict w0 1" },
     } },
-  { "unknown program, engine read: nothing held",
+  { "unknown program, cache reported: nothing to evict",
     {
         { STEP_CACHE, .entries = { { { 7, 0 }, 50 } }, .want = "" },
         { STEP_LEASE, .lease = MQ_LEASE_ENDED, .want = "evicted@1 1" },
@@ -643,7 +635,7 @@
           .want = "evict w0 7" },
         { STEP_EVICTED, .program = 7, .want = "evicted@1 7" },
     } },
-  { "cache found without a lease is kept a while to be claimed",
+  { "an unleased cache is kept for the grace period",
     {
         { STEP_CACHE,
           .entries = { { { 7, 0 }, 50 }, { { 8, 0 }, 50 }, { { 0, 0 }, 9 } },
@@ -651,7 +643,7 @@
         { STEP_LEASE, .program = 8, .ms = 60000, .want = "" },
         { STEP_WAIT, .ms = 10000, .want = "evict w0 7" },
     } },
-  { "a call brings a lapsed program back",
+  { "a call restores a program whose lease expired",
     {
         { STEP_LEASE, .ms = 100, .want = "" },
         { STEP_CACHE, .entries = { { { 1, 0 }, 50 } }, .want = "" },
@@ -679,7 +671,7 @@
         { STEP_ORDER, .id = 2, .fence = 4, .body = "m0", .worker = 1,
           .want = "order w1 2 m0" },
     } },
-  { "an engine that restarts is ordered again what holds",
+  { "effective orders are repeated after an engine restart",
     {
         { STEP_ORDER, .id = 1, .body = "m1", .want = "order w0 1 m1" },
         { STEP_ORDERED, .id = 1 },
@@ -699,7 +691,7 @@
 Test (gate, orders) { RUN_CASES (order_cases); }
 
 static const struct gate_case probe_cases[] = {
-  { "what is cached where",
+  { "cached tokens of a program and a shared prefix",
     {
         { STEP_PROBE, .id = 5, .prefix = 77, .want = "probed@1 w0 0 0" },
         { STEP_CALL, .prefix = 77, .want = "start 1/1.1 w0" },
@@ -715,11 +707,10 @@
 
 Test (gate, probes) { RUN_CASES (probe_cases); }
 
-/* Story: owners can't commit for a long while and outcomes pile up.
-   Operators would see the process run out of memory; or users a call done
-   twice, had the record of one that may not be repeated been given up.  */
+/* The memory for retained outcomes must be bounded without losing the outcome
+   of a non-idempotent call.  */
 static const struct gate_case bound_cases[] = {
-  { "idempotent outcomes give way, the oldest first",
+  { "idempotent outcomes are dropped, oldest first",
     {
         { STEP_CALL, .idempotent = true, .want = "start 1/1.1 w0" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran" },
@@ -745,12 +736,12 @@
   run_case (&bound_cases[0], &options);
 }
 
-/* Every order of doubled messages.  */
+/* Exhaustive orderings of messages.  */
 
 enum
 {
-  EVENT_CALL_1,   /* attempt 1, fence 1, names the first run of the gate */
-  EVENT_CALL_2,   /* attempt 2, fence 2, likewise */
+  EVENT_CALL_1,   /* attempt 1, fence 1, boot id of the first process */
+  EVENT_CALL_2,   /* attempt 2, fence 2, boot id of the first process */
   EVENT_SEAL_1,   /* attempt 1, fence 2 */
   EVENT_SEAL_2,   /* attempt 2, fence 2 */
   EVENT_FORGET_1, /* attempt 1, fence 1 */
@@ -758,7 +749,7 @@
   EVENT_CANCEL_1, /* attempt 1, fence 1 */
   EVENT_RECOVER,  /* fence 2 */
   EVENT_REBOOT,
-  EVENT_DONE, /* whatever runs ends */
+  EVENT_DONE, /* the run started last ends */
   EVENT_COUNT,
   DEPTH = 5
 };
@@ -776,53 +767,53 @@
   [EVENT_DONE] = { .type = STEP_DONE },
 };
 
-struct tally
+struct totals
 {
-  unsigned long orders;
+  unsigned long sequences;
   unsigned long starts;
 };
 
 static const struct gate_step *
 read_event (const struct gate_driver *driver, int event,
-            struct gate_step *scratch)
+            struct gate_step *step)
 {
   if (event != EVENT_DONE || driver->start_count == 0)
     return &events[event];
-  *scratch = events[event];
-  scratch->attempt = driver->starts[driver->start_count - 1].ref.attempt;
-  return scratch;
+  *step = events[event];
+  step->attempt = driver->starts[driver->start_count - 1].ref.attempt;
+  return step;
 }
 
-/* One order from the start, checked after each event: started once at most,
-   and nothing that was said not to have run, or sealed as never seen, was
-   started before or is started later.  The gate's later runs hold no memory,
-   so what they say about earlier ones is for owners to judge by the boot id
-   and is not checked.  */
+/* Runs one sequence and checks after each event that the call was started at
+   most once, and that no attempt reported as not run or as sealed was started
+   before or is started later.  Reports after a restart are not checked: the
+   new process has no state, and owners recognise them by the boot id.  */
 static void
-run_order (const int *order, int length, struct tally *tally)
+run_sequence (const int *sequence, int length, struct totals *totals)
 {
   struct gate_driver *driver = gate_driver_create (NULL);
   uint32_t started = 0;
-  uint32_t denied = 0; /* bit of each attempt */
+  uint32_t reported_not_run = 0; /* one bit per attempt */
   bool rebooted = false;
 
   for (int i = 0; i < length; i++)
     {
-      struct gate_step scratch;
+      struct gate_step step;
       size_t before = driver->start_count;
 
-      if (order[i] == EVENT_REBOOT)
+      if (sequence[i] == EVENT_REBOOT)
         before = 0;
-      gate_driver_step (driver, read_event (driver, order[i], &scratch));
-      rebooted = rebooted || order[i] == EVENT_REBOOT;
+      gate_driver_step (driver, read_event (driver, sequence[i], &step));
+      rebooted = rebooted || sequence[i] == EVENT_REBOOT;
       for (size_t j = before; j < driver->start_count; j++)
         {
           uint32_t attempt = driver->starts[j].ref.attempt;
 
           cr_assert_eq (started, 0, "started twice");
-          cr_assert_not (denied & 1U << attempt, "started after a denial");
+          cr_assert_not (reported_not_run & 1U << attempt,
+                         "started after it was reported as not run");
           started |= 1U << attempt;
-          tally->starts++;
+          totals->starts++;
         }
       for (size_t j = 0; j < driver->actions->count && !rebooted; j++)
         {
@@ -833,41 +824,42 @@
             continue;
           if (message->type == MQ_MSG_OUTCOME
               && message->u.outcome.ran == MQ_RAN_NOT_RUN)
-            denied |= 1U << message->u.outcome.ref.attempt;
+            reported_not_run |= 1U << message->u.outcome.ref.attempt;
           if (message->type == MQ_MSG_SEALED
               && message->u.sealed.answer == MQ_SEAL_SEALED)
-            denied |= 1U << message->u.sealed.ref.attempt;
-          cr_assert_not (started & denied, "denied what was started");
+            reported_not_run |= 1U << message->u.sealed.ref.attempt;
+          cr_assert_not (started & reported_not_run,
+                         "reported as not run although it was started");
         }
     }
-  tally->orders++;
+  totals->sequences++;
   gate_driver_destroy (driver);
 }
 
 static void
-run_orders (int *order, int length, struct tally *tally)
+run_sequences (int *sequence, int length, struct totals *totals)
 {
   if (length == DEPTH)
     {
-      run_order (order, length, tally);
+      run_sequence (sequence, length, totals);
       return;
     }
   for (int event = 0; event < EVENT_COUNT; event++)
     {
-      order[length] = event;
-      run_orders (order, length + 1, tally);
+      sequence[length] = event;
+      run_sequences (sequence, length + 1, totals);
     }
 }
 
-/* Story: the frames about one call that records a payment arrive in any
-   order, each up to five times, across restarts of the target's process.
-   Users would see it recorded twice, or told "not run" when it ran.  */
+/* A non-idempotent call must be started at most once, and never after a report
+   that it did not run, for every sequence of DEPTH events including
+   restarts.  */
 Test (gate, any_order_starts_once, .timeout = 600)
 {
-  int order[DEPTH];
-  struct tally tally = { 0 };
+  int sequence[DEPTH];
+  struct totals totals = { 0 };
 
-  run_orders (order, 0, &tally);
-  cr_expect_eq (tally.orders, 100000UL);
-  cr_expect_gt (tally.starts, tally.orders / 5);
+  run_sequences (sequence, 0, &totals);
+  cr_expect_eq (totals.sequences, 100000UL);
+  cr_expect_gt (totals.starts, totals.sequences / 5);
 }
--- a/tests/test_gate_queue.c
+++ b/tests/test_gate_queue.c
@@ -1,5 +1,5 @@
-/* test_gate_queue.c - the order of a worker's queue, admission, load and
-   cache accounts, as tables.
+/* test_gate_queue.c - table-driven tests of dispatch order, admission, load
+   reports and cache accounting.
 
    Needs: gate_driver.h, Criterion.  */
 
@@ -13,19 +13,19 @@
 {
   WAITING_MAX = 8,
   STEPS_MAX = 12,
-  HOLDER = 90 /* program that holds the slot while others queue */
+  HOLDER = 90 /* program that occupies the slot while others queue */
 };
 
 #define COUNT(array) (sizeof (array) / sizeof (array)[0])
 
-/* Calls that queue while a slot is held, each .ms after the one before, and
-   the order in which they are then started.  */
+/* Calls that arrive while the slot is occupied, each .ms after the previous
+   one, and the expected dispatch order.  */
 struct order_case
 {
   const char *name;
   enum mq_gate_order order;
   struct gate_step waiting[WAITING_MAX];
-  const char *want; /* programs in order of start */
+  const char *want; /* programs in dispatch order */
 };
 
 #define URGENT .priority = MQ_PRIORITY_URGENT
@@ -34,7 +34,7 @@
 #define CALL_OF(number) .type = STEP_CALL, .program = number
 
 static const struct order_case order_cases[] = {
-  { "class goes first",
+  { "priority goes first",
     MQ_GATE_ATTAINED,
     {
         { CALL_OF (1), BATCH },
@@ -42,7 +42,7 @@
         { CALL_OF (3), URGENT },
     },
     "3 2 1" },
-  { "a baseline in order of arrival",
+  { "FIFO in order of arrival",
     MQ_GATE_FIFO,
     {
         { CALL_OF (1), BATCH, .deadline_ms = 90000 },
@@ -67,7 +67,7 @@
         { CALL_OF (4), .continuing = true, .attained = 100 },
     },
     "4 2 3 1" },
-  { "a period of waiting weighs a level",
+  { "one ageing period raises a call by one level",
     MQ_GATE_ATTAINED,
     {
         { CALL_OF (1), .continuing = true, .attained = 1500 },
@@ -77,7 +77,7 @@
           .ms = MQ_GATE_AGEING_MS },
     },
     "1 2 3" },
-  { "no flood of urgent calls starves a batch call",
+  { "urgent calls do not starve a batch call",
     MQ_GATE_ATTAINED,
     {
         { CALL_OF (1), BATCH },
@@ -93,7 +93,7 @@
         { CALL_OF (3), .deadline_ms = 50000 },
     },
     "3 2 1" },
-  { "an organisation that sends more does not get more",
+  { "organisations share capacity fairly",
     MQ_GATE_ATTAINED,
     {
         { CALL_OF (1), .organisation = "zarqa" },
@@ -104,7 +104,7 @@
         { CALL_OF (6), .organisation = "diagne" },
     },
     "1 5 2 6 3 4" },
-  { "but an urgent call goes before all of another's batch",
+  { "an urgent call goes before another organisation's batch",
     MQ_GATE_ATTAINED,
     {
         { CALL_OF (1), BATCH, .organisation = "diagne" },
@@ -179,10 +179,10 @@
     "p", MQ_SERVICE_PLAIN, "", 1, 0                                           \
   }
 
-/* Story: more comes than can be served.  Users would see answers that come
-   too late, all of them; refused at once, they are placed elsewhere.  */
+/* Under overload, calls that cannot be served in time must be refused at once,
+   so that they can be placed elsewhere.  */
 static const struct queue_case admission_cases[] = {
-  { "a full queue refuses the newcomer",
+  { "a full queue refuses a new call",
     PLAIN,
     1,
     {
@@ -195,7 +195,7 @@
         { CALL_OF (3), INTERACTIVE,
           .want = "outcome@1 3/1.1 f1 sealed not_run" },
     } },
-  { "or the batch call that waited least, for a better class",
+  { "a full queue refuses its newest batch call for a higher priority",
     PLAIN,
     2,
     {
@@ -208,7 +208,7 @@
           .want = "outcome@1 3/1.1 f1 overloaded not_run retry" },
         { STEP_DONE, .want = "outcome@1 1/1.1 f1 ok ran; start 5/1.1 w0" },
     } },
-  { "a deadline that has passed in the queue",
+  { "a deadline that expires in the queue",
     PLAIN,
     0,
     {
@@ -218,7 +218,7 @@
         { STEP_WAIT, .ms = 1,
           .want = "outcome@1 2/1.1 f1 timeout not_run retry" },
     } },
-  { "a deadline that can't be met by the rate that was measured",
+  { "a deadline that cannot be met at the measured rate",
     PLAIN,
     0,
     {
@@ -233,7 +233,7 @@
           .want = "outcome@1 5/1.1 f1 overloaded not_run retry" },
         { CALL_OF (6), URGENT, .deadline_ms = 2600, .want = "" },
     } },
-  { "an engine that is down",
+  { "an unavailable engine",
     { "m", MQ_SERVICE_MODEL, "guide", 1, 1000 },
     0,
     {
@@ -246,7 +246,7 @@
           .want = "outcome@1 1/1.1 f1 target_failed unknown" },
         { CALL_OF (3), .attempt = 2, .want = "start 3/1.2 w0" },
     } },
-  { "a worker or service that is not here",
+  { "an unknown worker or service",
     PLAIN,
     0,
     {
@@ -257,11 +257,10 @@
     } },
 };
 
-/* Story: paused programs' caches fill an engine, then a nightly batch
-   starts.  Users would see follow-ups that compute their whole history
-   again, and then so would the batch.  */
+/* When engine memory is low, continuing programs must run before new batch
+   programs; otherwise their caches are displaced and recomputed.  */
 static const struct queue_case memory_cases[] = {
-  { "memory short: continuing before new, aged or not",
+  { "low memory: continuing before new, regardless of age",
     { "m", MQ_SERVICE_MODEL, "guide", 1, 100 },
     0,
     {
@@ -274,7 +273,7 @@
         { STEP_DONE, .program = 3,
           .want = "outcome@1 3/1.1 f1 ok ran; start 2/1.1 w0" },
     } },
-  { "memory there: the aged call goes first",
+  { "enough memory: the older call goes first",
     { "m", MQ_SERVICE_MODEL, "guide", 1, 200 },
     0,
     {
@@ -285,7 +284,7 @@
         { STEP_DONE, .tokens_in = 101,
           .want = "outcome@1 1/1.1 f1 ok ran; start 2/1.1 w0" },
     } },
-  { "memory short: new batch programs wait while anything runs",
+  { "low memory: new batch programs wait while anything runs",
     { "m", MQ_SERVICE_MODEL, "guide", 2, 100 },
     0,
     {
@@ -334,10 +333,10 @@
     run_queue_case (&memory_cases[i]);
 }
 
-/* Load is pushed on a change, not faster than MQ_GATE_LOAD_MIN_MS (and the
-   bytes that all peers together may take) allow, and on a slow beat.  */
+/* Load is reported on change, limited by MQ_GATE_LOAD_MIN_MS and the total
+   bytes to all peers, and periodically.  */
 static const struct queue_case load_cases[] = {
-  { "on change and on the beat",
+  { "on change and periodically",
     PLAIN,
     0,
     {
@@ -399,7 +398,8 @@
   gate_driver_destroy (driver);
 }
 
-/* Accounts of the cache: what was held, and of it what was of no use.  */
+/* Cache accounting: tokens held over time, and the part that was not used
+   again.  */
 struct account_case
 {
   const char *name;
@@ -413,7 +413,7 @@
   { CALL_OF (1) }, { STEP_DONE, .tokens_in = 90, .tokens_out = 10 }
 
 static const struct account_case account_cases[] = {
-  { "held and used again: nothing wasted",
+  { "used again: nothing wasted",
     {
         RUN_100,
         { STEP_WAIT, .ms = 1000 },
@@ -425,7 +425,7 @@
     100ULL * 1000 + 200ULL * 10,
     0,
     0 },
-  { "held and dropped by the engine",
+  { "dropped by the engine",
     {
         RUN_100,
         { STEP_WAIT, .ms = 1000 },
@@ -447,7 +447,7 @@
     100ULL * 350,
     100ULL * 350,
     0 },
-  { "ended and not yet confirmed",
+  { "ended, eviction not yet confirmed",
     {
         RUN_100,
         { STEP_LEASE, .lease = MQ_LEASE_ENDED },
@@ -456,7 +456,7 @@
     100ULL * 50,
     100ULL * 50,
     100 },
-  { "gone from two reports in a row",
+  { "missing from two successive reports",
     {
         RUN_100,
         { STEP_WAIT, .ms = 100 },
@@ -493,8 +493,8 @@
     }
 }
 
-/* A full queue in every order of removal: the heaps stay whole, everything
-   is started or refused once, and all counts return to nothing.  */
+/* A full queue with random cancellations: every call is started or refused
+   exactly once and all counters of queued calls return to zero.  */
 Test (gate_queue, stress)
 {
   enum
