--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -221,7 +221,7 @@
   gate->load_dirty = true;
   if (!same)
     mq_gate_cache_reset (gate, worker);
-  mq_gate_orders_apply (gate, worker);
+  mq_gate_orders_resend (gate, worker);
 }
 
 /* Refuses the queued calls so that their owners can place them elsewhere.
@@ -259,7 +259,7 @@
 tick (struct mq_gate *gate)
 {
   run_queues (gate);
-  mq_gate_cache_tick (gate);
+  mq_gate_lease_tick (gate);
   mq_gate_programs_expire (gate);
 }
 
--- a/src/core/gate/gate_cache.c
+++ b/src/core/gate/gate_cache.c
@@ -44,8 +44,9 @@
 }
 
 uint32_t
-mq_gate_cache_tokens (struct mq_gate *gate, const struct gate_program *program,
-                      uint32_t worker)
+mq_gate_count_cached_tokens (struct mq_gate *gate,
+                             const struct gate_program *program,
+                             uint32_t worker)
 {
   const struct gate_cached_program *cached_program
       = find_holding (program, worker);
@@ -340,7 +341,7 @@
 /* Use by runs.  */
 
 void
-mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run)
+mq_gate_cache_run_started (struct mq_gate *gate, struct gate_run *run)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
   struct gate_cached_program *cached_program;
@@ -409,8 +410,8 @@
 }
 
 void
-mq_gate_cache_ended (struct mq_gate *gate, struct gate_run *run,
-                     const struct mq_gate_done *done)
+mq_gate_cache_run_ended (struct mq_gate *gate, struct gate_run *run,
+                         const struct mq_gate_done *done)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
   struct gate_cached_program *cached_program;
@@ -575,8 +576,9 @@
   best->probe = msg->probe;
   for (uint32_t i = 0; i < gate->worker_count; i++)
     {
-      uint32_t tokens
-          = program == NULL ? 0 : mq_gate_cache_tokens (gate, program, i);
+      uint32_t tokens = program == NULL
+                            ? 0
+                            : mq_gate_count_cached_tokens (gate, program, i);
       uint32_t shared = find_prefix (&gate->workers[i], msg->shared_prefix);
 
       if (tokens < best->program_tokens
--- a/src/core/gate/gate_calls.c
+++ b/src/core/gate/gate_calls.c
@@ -175,8 +175,8 @@
 }
 
 void
-mq_gate_attach (struct gate_call *call, uint32_t peer, uint64_t fence,
-                uint32_t attempt)
+mq_gate_set_requester (struct gate_call *call, uint32_t peer, uint64_t fence,
+                       uint32_t attempt)
 {
   call->peer = peer;
   call->answer_fence = fence;
@@ -419,7 +419,7 @@
                   const struct mq_call_msg *msg)
 {
   gate->counters.calls_repeated++;
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   if (call->state == GATE_CALL_DONE)
     mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
 }
--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -163,7 +163,7 @@
 }
 
 void
-mq_gate_cache_tick (struct mq_gate *gate)
+mq_gate_lease_tick (struct mq_gate *gate)
 {
   expire_leases (gate);
   mq_gate_retry_evictions (gate);
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -181,7 +181,7 @@
 /* Repeats the effective orders, oldest first, to an engine that has restarted
    in its initial state.  */
 void
-mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker)
+mq_gate_orders_resend (struct mq_gate *gate, struct gate_worker *worker)
 {
   struct gate_node *node = worker->orders.first;
 
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -181,7 +181,7 @@
   uint32_t cached = 0;
 
   if (program != NULL)
-    cached = mq_gate_cache_tokens (gate, program, call->worker);
+    cached = mq_gate_count_cached_tokens (gate, program, call->worker);
   if (worker->kind == MQ_SERVICE_MODEL)
     call->prompt_tokens = (uint32_t)(call->body_len / BYTES_PER_TOKEN);
   if (call->prompt_tokens > cached)
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -134,7 +134,7 @@
   gate->counters.calls_started++;
   gate->counters.running++;
   gate->load_dirty = true;
-  mq_gate_cache_started (gate, call->run);
+  mq_gate_cache_run_started (gate, call->run);
   mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
                        call->arrived_us, MQ_ERR_NONE);
   add_start (gate, call);
@@ -235,7 +235,7 @@
   worker = &gate->workers[run->worker];
   count_tokens (gate, done);
   release_slot (gate, run, done);
-  mq_gate_cache_ended (gate, run, done);
+  mq_gate_cache_run_ended (gate, run, done);
   mq_gate_program_touch (gate, run->program);
   if (run->call != NULL)
     mq_gate_call_finish (gate, run->call, done);
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -32,7 +32,7 @@
 cancel_known (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
               const struct mq_ref_msg *msg)
 {
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   switch (call->state)
     {
     case GATE_CALL_QUEUED:
@@ -105,7 +105,7 @@
 seal_known (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
             const struct mq_ref_msg *msg)
 {
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   switch (call->state)
     {
     case GATE_CALL_QUEUED:
@@ -202,7 +202,7 @@
       mq_gate_call_drop (gate, call);
       return false;
     }
-  mq_gate_attach (call, peer, fence, call->requested_attempt);
+  mq_gate_set_requester (call, peer, fence, call->requested_attempt);
   if (call->state != GATE_CALL_DONE)
     return true;
   mq_gate_send_outcome (gate, peer, call, call->requested_attempt, true);
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -399,8 +399,8 @@
 void mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
                            const struct gate_call *call, uint32_t attempt,
                            bool recovered);
-void mq_gate_attach (struct gate_call *call, uint32_t peer, uint64_t fence,
-                     uint32_t attempt);
+void mq_gate_set_requester (struct gate_call *call, uint32_t peer,
+                            uint64_t fence, uint32_t attempt);
 void mq_gate_mark_not_run (struct gate_program *program,
                            const struct mq_call_ref *ref, uint64_t fence,
                            bool idempotent);
@@ -453,12 +453,12 @@
 /* gate_cache.c */
 void mq_gate_cache_create (struct mq_gate *gate);
 void mq_gate_cache_accumulate (struct mq_gate *gate, uint64_t elapsed_us);
-void mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run);
-void mq_gate_cache_ended (struct mq_gate *gate, struct gate_run *run,
-                          const struct mq_gate_done *done);
-uint32_t mq_gate_cache_tokens (struct mq_gate *gate,
-                               const struct gate_program *program,
-                               uint32_t worker);
+void mq_gate_cache_run_started (struct mq_gate *gate, struct gate_run *run);
+void mq_gate_cache_run_ended (struct mq_gate *gate, struct gate_run *run,
+                              const struct mq_gate_done *done);
+uint32_t mq_gate_count_cached_tokens (struct mq_gate *gate,
+                                      const struct gate_program *program,
+                                      uint32_t worker);
 void mq_gate_handle_evicted (struct mq_gate *gate,
                              const struct mq_gate_evicted *evicted);
 void mq_gate_handle_cache_report (struct mq_gate *gate,
@@ -481,7 +481,7 @@
 /* gate_lease.c */
 void mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
                            const struct mq_lease_msg *msg);
-void mq_gate_cache_tick (struct mq_gate *gate);
+void mq_gate_lease_tick (struct mq_gate *gate);
 /* Grants PROGRAM a default cache lease if it has none and an accepted call
    will use the cache of WORKER.  */
 void mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
@@ -494,7 +494,7 @@
                            const struct mq_order_msg *msg);
 void mq_gate_handle_order_done (struct mq_gate *gate,
                                 const struct mq_order_done_msg *done);
-void mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker);
+void mq_gate_orders_resend (struct mq_gate *gate, struct gate_worker *worker);
 
 /* gate_load.c */
 void mq_gate_load_record_run (struct gate_worker *worker,
--- a/tests/gate_driver.h
+++ b/tests/gate_driver.h
@@ -34,9 +34,9 @@
   STEP_LEASE,
   STEP_ORDER,
   STEP_PROBE,
-  STEP_FOREIGN, /* a message that the gate does not handle */
-  STEP_TOKEN,   /* for the run of call/attempt */
-  STEP_DONE,    /* for the run of call/attempt */
+  STEP_UNHANDLED, /* a message that the gate does not handle */
+  STEP_TOKEN,     /* for the run of call/attempt */
+  STEP_DONE,      /* for the run of call/attempt */
   STEP_EVICTED,
   STEP_CACHE,
   STEP_UP,
--- a/tests/test_gate.c
+++ b/tests/test_gate.c
@@ -443,7 +443,7 @@
           .want = "outcome@2 2/1.1 f1 ok ran =b" },
     } },
   { "messages that the gate does not handle are ignored",
-    { { STEP_FOREIGN, .want = "" } } },
+    { { STEP_UNHANDLED, .want = "" } } },
 };
 
 Test (gate, peers) { RUN_CASES (peer_cases); }
