--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -12,11 +12,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Longest step of active_us: a longer suspension of the process counts as this
-   much.  See mq_gate_programs_expire.  */
+/* Maximum advance of active_us per input, so that a suspension of the process
+   is hardly counted.  See mq_gate_programs_expire.  */
 #define ACTIVE_STEP_MAX_MS 1000ULL
 
-/* Helpers of all parts.  */
+/* Helpers shared by all parts.  */
 
 void *
 mq_gate_alloc (TALLOC_CTX *ctx, size_t size, const char *name)
--- a/src/core/gate/gate.h
+++ b/src/core/gate/gate.h
@@ -156,6 +156,7 @@
 struct mq_gate *mq_gate_create (TALLOC_CTX *ctx,
                                 const struct mq_gate_options *options);
 void mq_gate_destroy (struct mq_gate *gate);
+/* Handles INPUT and appends the resulting actions to ACTIONS.  */
 void mq_gate_handle (struct mq_gate *gate, const struct mq_gate_input *input,
                      struct mq_actions *actions);
 /* Returns the time at which the next TICK is due, in microseconds.  */
@@ -163,6 +164,7 @@
 /* Returns true when the gate is draining, no call is queued or running, and
    the owners have released every retained outcome.  */
 bool mq_gate_is_drained (const struct mq_gate *gate);
+/* Returns the status as JSON, allocated below CTX.  */
 char *mq_gate_status (TALLOC_CTX *ctx, const struct mq_gate *gate);
 
 #define MQ_GATE_COUNTER_LIST(X)                                               \
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -179,7 +179,7 @@
 }
 
 /* Repeats the effective orders, oldest first, to an engine that has restarted
-   in its initial state.  */
+   with its initial model.  */
 void
 mq_gate_orders_resend (struct mq_gate *gate, struct gate_worker *worker)
 {
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -16,8 +16,8 @@
    grows, so the copy in a lane is a lower bound; it is refreshed when the lane
    reaches the top of its heap.
 
-   Lanes are kept in one heap per group, (batch or not) x (continuing or new),
-   because the group decides first when engine memory is low.
+   Lanes are kept in one heap per group: batch or not, continuing or new.  When
+   engine memory is low, the group takes precedence over the rank.
 
    Needs: gate_state.h, id.h.  */
 
@@ -29,8 +29,8 @@
   ATTAINED_BUCKETS = 8,
   ATTAINED_UNIT_BITS = 10, /* the first bucket holds less than 1024 tokens */
   LEVELS_PER_PRIORITY = 2 * ATTAINED_BUCKETS,
-  GROUP_NEW = 1,   /* bit of a group */
-  GROUP_BATCH = 2, /* bit of a group */
+  GROUP_NEW = 1,   /* flag in a group number */
+  GROUP_BATCH = 2, /* flag in a group number */
   FLOWS_PURGE_MIN = 1024,
   BYTES_PER_TOKEN = 4,
   RETRY_MIN_MS = 50,
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -115,6 +115,7 @@
  * @new_cache_tokens: estimated cache space that the call adds
  * @rank: queue order, lowest first; see gate_queue.c
  * @urgency_us: order within one rank and organisation, lowest first
+ * @queue_us: time spent in the queue
  * @cancelled: CANCEL was received while it ran
  * @forgotten: FORGET was received while it ran
  * @outcome: valid once done; its body is a talloc child of the call
@@ -172,6 +173,8 @@
  *        it may arrive
  * @call: NULL if the call was dropped while running
  * @stopping: STOP was sent
+ * @first_us: time of the first token; 0 before it
+ * @tokens: tokens received so far
  */
 struct gate_run
 {
@@ -228,14 +231,14 @@
 
 enum
 {
-  GATE_GROUPS = 4,
+  GATE_GROUPS = 4,       /* batch or not, continuing or new */
   GATE_PREFIXES_MAX = 16 /* shared prefixes tracked per worker */
 };
 
 struct gate_prefix
 {
   uint64_t hash;
-  uint32_t tokens;
+  uint32_t tokens; /* 0 if not yet known */
   uint64_t last_used_us;
 };
 
@@ -316,8 +319,7 @@
   size_t worker_count;
   uint64_t lease_ms; /* most recent lease duration; 0 if none yet */
   uint64_t now_us;
-  uint64_t
-      active_us; /* time in operation; a suspension counts as 1 s at most */
+  uint64_t active_us; /* run time; a suspension counts as 1 s at most */
   bool leaving;
   bool drained;
   uint32_t *peers;
