--- a/src/core/gate/gate_cache.c
+++ b/src/core/gate/gate_cache.c
@@ -157,8 +157,8 @@
 
   if (cached_program != NULL)
     return cached_program;
-  cached_program
-      = mq_gate_alloc (gate, sizeof *cached_program, "struct gate_holding");
+  cached_program = mq_gate_alloc (gate, sizeof *cached_program,
+                                  "struct gate_cached_program");
   cached_program->program = program;
   cached_program->worker = worker->index;
   cached_program->idle_since_us = gate->now_us;
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -190,11 +190,12 @@
 }
 
 static bool
-is_after (uint32_t call, uint32_t attempt, const struct gate_watermark *mark)
+is_after (uint32_t call, uint32_t attempt,
+          const struct gate_watermark *watermark)
 {
-  if (call != mark->call)
-    return call > mark->call;
-  return attempt > mark->attempt;
+  if (call != watermark->call)
+    return call > watermark->call;
+  return attempt > watermark->attempt;
 }
 
 /* Marks REF and all earlier attempts as settled under FENCE.  */
@@ -202,22 +203,23 @@
 mq_gate_mark_settled (struct gate_program *program, uint64_t fence,
                       const struct mq_call_ref *ref, bool ran)
 {
-  struct gate_watermark *mark = &program->settled;
+  struct gate_watermark *watermark = &program->settled;
 
-  if (fence < mark->fence)
+  if (fence < watermark->fence)
     return;
-  if (fence == mark->fence && ref->call == mark->call
-      && ref->attempt == mark->attempt)
+  if (fence == watermark->fence && ref->call == watermark->call
+      && ref->attempt == watermark->attempt)
     {
-      mark->ran = mark->ran || ran;
+      watermark->ran = watermark->ran || ran;
       return;
     }
-  if (fence == mark->fence && !is_after (ref->call, ref->attempt, mark))
+  if (fence == watermark->fence
+      && !is_after (ref->call, ref->attempt, watermark))
     return;
-  mark->fence = fence;
-  mark->call = ref->call;
-  mark->attempt = ref->attempt;
-  mark->ran = ran;
+  watermark->fence = fence;
+  watermark->call = ref->call;
+  watermark->attempt = ref->attempt;
+  watermark->ran = ran;
 }
 
 void
