--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -1,10 +1,10 @@
-/* gate.c - the last gate before a target: takes each input to the part that
-   handles it.
+/* gate.c - dispatches the inputs of a gate to its parts.
+
+   gate_calls.c and gate_settle.c hold the table of calls, gate_programs.c
+   fences and watermarks, gate_queue.c admission and queueing, gate_runs.c
+   calls at workers, gate_cache.c eviction, gate_lease.c cache leases,
+   gate_orders.c orders to engines, gate_load.c load reports and status.
 
-   gate_calls.c has the table of calls and gate_programs.c the fences and
-   marks, gate_queue.c admission and order, gate_runs.c the calls at workers,
-   gate_cache.c leases and eviction, gate_orders.c orders to engines,
-   gate_load.c what is told of the workers.
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -12,11 +12,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A pause of this process counts as this long; see
-   mq_gate_programs_expire.  */
-#define LIVED_STEP_MS 1000ULL
+/* Maximum advance of active_us per input, so that a suspension of the process
+   is hardly counted.  See mq_gate_programs_expire.  */
+#define ACTIVE_STEP_MAX_MS 1000ULL
 
-/* Used by every part.  */
+/* Helpers shared by all parts.  */
 
 void *
 mq_gate_alloc (TALLOC_CTX *ctx, size_t size, const char *name)
@@ -56,8 +56,8 @@
 }
 
 void
-mq_gate_state (struct mq_gate *gate, enum mq_state_change change,
-               uint64_t number, const char *subject)
+mq_gate_log_state (struct mq_gate *gate, enum mq_state_change change,
+                   uint64_t number, const char *subject)
 {
   struct mq_action *action = mq_actions_add (gate->actions, MQ_ACT_STATE);
 
@@ -67,9 +67,9 @@
 }
 
 void
-mq_gate_span (struct mq_gate *gate, const char *name, const char *traceparent,
-              const struct mq_call_ref *ref, uint64_t start_us,
-              enum mq_error_type error)
+mq_gate_record_span (struct mq_gate *gate, const char *name,
+                     const char *traceparent, const struct mq_call_ref *ref,
+                     uint64_t start_us, enum mq_error_type error)
 {
   struct mq_span *span = &mq_actions_add (gate->actions, MQ_ACT_SPAN)->u.span;
 
@@ -143,7 +143,7 @@
 /* Inputs.  */
 
 static void
-take_peer_up (struct mq_gate *gate, uint32_t peer)
+handle_peer_up (struct mq_gate *gate, uint32_t peer)
 {
   if (mq_gate_peer_is_up (gate, peer))
     return;
@@ -152,13 +152,13 @@
   if (gate->peers == NULL)
     abort ();
   gate->peers[gate->peer_count++] = peer;
-  mq_gate_load_tell (gate, peer);
+  mq_gate_load_send (gate, peer);
 }
 
-/* Its calls go on and their outcomes are kept: another connection or owner
-   will ask for them.  */
+/* Calls of the peer continue and their outcomes are retained until another
+   connection or owner requests them.  */
 static void
-take_peer_down (struct mq_gate *gate, uint32_t peer)
+handle_peer_down (struct mq_gate *gate, uint32_t peer)
 {
   for (size_t i = 0; i < gate->peer_count; i++)
     if (gate->peers[i] == peer)
@@ -169,43 +169,44 @@
 }
 
 static void
-take_message (struct mq_gate *gate, uint32_t peer,
-              const struct mq_message *message)
+handle_message (struct mq_gate *gate, uint32_t peer,
+                const struct mq_message *message)
 {
   switch (message->type)
     {
     case MQ_MSG_CALL:
-      mq_gate_take_call (gate, peer, &message->u.call);
+      mq_gate_handle_call (gate, peer, &message->u.call);
       break;
     case MQ_MSG_CANCEL:
-      mq_gate_take_cancel (gate, peer, &message->u.ref);
+      mq_gate_handle_cancel (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_SEAL:
-      mq_gate_take_seal (gate, peer, &message->u.ref);
+      mq_gate_handle_seal (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_RECOVER:
-      mq_gate_take_recover (gate, peer, &message->u.recover);
+      mq_gate_handle_recover (gate, peer, &message->u.recover);
       break;
     case MQ_MSG_FORGET:
-      mq_gate_take_forget (gate, peer, &message->u.ref);
+      mq_gate_handle_forget (gate, peer, &message->u.ref);
       break;
     case MQ_MSG_LEASE:
-      mq_gate_take_lease (gate, peer, &message->u.lease);
+      mq_gate_handle_lease (gate, peer, &message->u.lease);
       break;
     case MQ_MSG_ORDER:
-      mq_gate_take_order (gate, peer, &message->u.order);
+      mq_gate_handle_order (gate, peer, &message->u.order);
       break;
     case MQ_MSG_PROBE:
-      mq_gate_take_probe (gate, peer, &message->u.probe);
+      mq_gate_handle_probe (gate, peer, &message->u.probe);
       break;
     default:
-      /* Between entry hosts, or about the configuration: not the gate's.  */
+      /* Messages between entry hosts and configuration messages are not
+         handled here.  */
       break;
     }
 }
 
 static void
-take_engine_up (struct mq_gate *gate, uint32_t index, uint64_t boot)
+handle_engine_up (struct mq_gate *gate, uint32_t index, uint64_t boot)
 {
   struct gate_worker *worker;
   bool same;
@@ -219,14 +220,14 @@
   worker->up = true;
   gate->load_dirty = true;
   if (!same)
-    mq_gate_cache_emptied (gate, worker);
-  mq_gate_orders_apply (gate, worker);
+    mq_gate_cache_reset (gate, worker);
+  mq_gate_orders_resend (gate, worker);
 }
 
-/* What waits for an engine that is gone is placed elsewhere; what was
-   started there ends as the worker reports it.  */
+/* Refuses the queued calls so that their owners can place them elsewhere.
+   Running calls end when the worker reports them.  */
 static void
-take_engine_down (struct mq_gate *gate, uint32_t index)
+handle_engine_down (struct mq_gate *gate, uint32_t index)
 {
   if (index >= gate->worker_count)
     return;
@@ -236,12 +237,12 @@
 }
 
 static void
-take_leave (struct mq_gate *gate)
+handle_leave (struct mq_gate *gate)
 {
   if (gate->leaving)
     return;
   gate->leaving = true;
-  mq_gate_state (gate, MQ_STATE_LEAVING, 0, gate->host);
+  mq_gate_log_state (gate, MQ_STATE_LEAVING, 0, gate->host);
   for (size_t i = 0; i < gate->worker_count; i++)
     mq_gate_queue_refuse_all (gate, &gate->workers[i], MQ_ERR_LEAVING);
   mq_gate_load_push (gate, true);
@@ -258,52 +259,52 @@
 tick (struct mq_gate *gate)
 {
   run_queues (gate);
-  mq_gate_cache_tick (gate);
+  mq_gate_lease_tick (gate);
   mq_gate_programs_expire (gate);
 }
 
 static void
-take_input (struct mq_gate *gate, const struct mq_gate_input *input)
+dispatch_input (struct mq_gate *gate, const struct mq_gate_input *input)
 {
   switch (input->type)
     {
     case MQ_GATE_TICK:
       break;
     case MQ_GATE_PEER_UP:
-      take_peer_up (gate, input->peer);
+      handle_peer_up (gate, input->peer);
       break;
     case MQ_GATE_PEER_DOWN:
-      take_peer_down (gate, input->peer);
+      handle_peer_down (gate, input->peer);
       break;
     case MQ_GATE_MESSAGE:
-      gate->moved = NULL;
-      take_message (gate, input->peer, input->u.message);
-      if (gate->moved != NULL)
-        mq_gate_calls_follow (gate, gate->moved, input->peer);
+      gate->reconnected = NULL;
+      handle_message (gate, input->peer, input->u.message);
+      if (gate->reconnected != NULL)
+        mq_gate_calls_reattach (gate, gate->reconnected, input->peer);
       break;
     case MQ_GATE_TOKEN:
-      mq_gate_take_token (gate, &input->u.token);
+      mq_gate_handle_token (gate, &input->u.token);
       break;
     case MQ_GATE_DONE:
-      mq_gate_take_done (gate, &input->u.done);
+      mq_gate_handle_done (gate, &input->u.done);
       break;
     case MQ_GATE_EVICTED:
-      mq_gate_take_evicted (gate, &input->u.evicted);
+      mq_gate_handle_evicted (gate, &input->u.evicted);
       break;
     case MQ_GATE_CACHE:
-      mq_gate_take_cache (gate, &input->u.cache);
+      mq_gate_handle_cache_report (gate, &input->u.cache);
       break;
     case MQ_GATE_ENGINE_UP:
-      take_engine_up (gate, input->u.worker, input->engine_boot);
+      handle_engine_up (gate, input->u.worker, input->engine_boot);
       break;
     case MQ_GATE_ENGINE_DOWN:
-      take_engine_down (gate, input->u.worker);
+      handle_engine_down (gate, input->u.worker);
       break;
     case MQ_GATE_ORDERED:
-      mq_gate_take_ordered (gate, &input->u.ordered);
+      mq_gate_handle_order_done (gate, &input->u.ordered);
       break;
     case MQ_GATE_LEAVE:
-      take_leave (gate);
+      handle_leave (gate);
       break;
     }
 }
@@ -319,19 +320,19 @@
     return;
   elapsed_us = now_us - gate->now_us;
   gate->now_us = now_us;
-  mq_gate_cache_clock (gate, elapsed_us);
-  gate->lived_us += elapsed_us < LIVED_STEP_MS * MQ_US_PER_MS
-                        ? elapsed_us
-                        : LIVED_STEP_MS * MQ_US_PER_MS;
+  mq_gate_cache_accumulate (gate, elapsed_us);
+  gate->active_us += elapsed_us < ACTIVE_STEP_MAX_MS * MQ_US_PER_MS
+                         ? elapsed_us
+                         : ACTIVE_STEP_MAX_MS * MQ_US_PER_MS;
 }
 
 static void
-note_drained (struct mq_gate *gate)
+report_drained (struct mq_gate *gate)
 {
   if (gate->drained || !mq_gate_is_drained (gate))
     return;
   gate->drained = true;
-  mq_gate_state (gate, MQ_STATE_DRAINED, 0, gate->host);
+  mq_gate_log_state (gate, MQ_STATE_DRAINED, 0, gate->host);
 }
 
 void
@@ -340,17 +341,17 @@
 {
   gate->actions = actions;
   advance_clock (gate, input->now_us);
-  take_input (gate, input);
+  dispatch_input (gate, input);
   tick (gate);
   mq_gate_load_push (gate, false);
-  note_drained (gate);
+  report_drained (gate);
   gate->actions = NULL;
 }
 
-/* Reading.  */
+/* Queries.  */
 
 static uint64_t
-earlier (uint64_t a, uint64_t b)
+min_us (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
@@ -359,22 +360,23 @@
 mq_gate_next_tick (const struct mq_gate *gate)
 {
   const struct gate_program *program = mq_gate_heap_first (&gate->leases);
-  const struct gate_holding *holding = mq_gate_heap_first (&gate->retries);
-  uint64_t next_us = gate->now_us + LIVED_STEP_MS * MQ_US_PER_MS;
+  const struct gate_cached_program *cached_program
+      = mq_gate_heap_first (&gate->retries);
+  uint64_t next_us = gate->now_us + ACTIVE_STEP_MAX_MS * MQ_US_PER_MS;
 
   if (gate->peer_count > 0)
-    next_us = earlier (next_us, mq_gate_load_due (gate));
+    next_us = min_us (next_us, mq_gate_load_due (gate));
   if (program != NULL)
-    next_us = earlier (next_us, program->lease_until_us);
-  if (holding != NULL)
-    next_us = earlier (next_us, holding->retry_us);
+    next_us = min_us (next_us, program->lease_until_us);
+  if (cached_program != NULL)
+    next_us = min_us (next_us, cached_program->retry_us);
   for (size_t i = 0; i < gate->worker_count; i++)
     {
       const struct gate_call *call
           = mq_gate_heap_first (&gate->workers[i].expiry);
 
       if (call != NULL)
-        next_us = earlier (next_us, call->latest_start_us + 1);
+        next_us = min_us (next_us, call->latest_start_us + 1);
     }
   return next_us;
 }
--- a/src/core/gate/gate_calls.c
+++ b/src/core/gate/gate_calls.c
@@ -1,7 +1,8 @@
-/* gate_calls.c - the table of calls: CALL and the outcomes.
+/* gate_calls.c - table of calls: acceptance, duplicates and outcomes.
 
    A call has one record from its acceptance until its outcome is forgotten.
-   What is known of it afterwards is in its program's marks.
+   After that, the watermarks of its program refuse late copies of it.
+
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -35,7 +36,7 @@
   return link == NULL ? NULL : GATE_ENTRY (link, struct gate_call, link);
 }
 
-/* Answers.  */
+/* Replies.  */
 
 static void
 send_outcome (struct mq_gate *gate, uint32_t peer,
@@ -107,11 +108,12 @@
   mq_gate_send_refusal (gate, peer, &about, error, ran, retry_after_ms);
 }
 
-/* Sends the kept outcome of CALL to PEER, under the attempt it asked for.  */
+/* Sends the retained outcome of CALL to PEER, for the attempt that PEER
+   requested.  */
 void
-mq_gate_send_kept (struct mq_gate *gate, uint32_t peer,
-                   const struct gate_call *call, uint32_t attempt,
-                   bool recovered)
+mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
+                      const struct gate_call *call, uint32_t attempt,
+                      bool recovered)
 {
   struct mq_outcome_msg outcome = call->outcome;
 
@@ -121,26 +123,26 @@
   send_outcome (gate, peer, &outcome);
 }
 
-/* The record.  */
+/* Call records.  */
 
 static void
-unlink_kept (struct mq_gate *gate, struct gate_call *call)
+unlink_retained (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
-    mq_gate_list_remove (&gate->kept_idempotent, &call->by_age);
-  gate->kept_count--;
-  gate->kept_bytes -= call->outcome_bytes;
-  gate->counters.outcomes_kept = gate->kept_count;
+    mq_gate_list_remove (&gate->retained_idempotent, &call->by_age);
+  gate->retained_count--;
+  gate->retained_bytes -= call->outcome_bytes;
+  gate->counters.outcomes_kept = gate->retained_count;
 }
 
 static void
-link_kept (struct mq_gate *gate, struct gate_call *call)
+link_retained (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->idempotent)
-    mq_gate_list_add (&gate->kept_idempotent, &call->by_age);
-  gate->kept_count++;
-  gate->kept_bytes += call->outcome_bytes;
-  gate->counters.outcomes_kept = gate->kept_count;
+    mq_gate_list_add (&gate->retained_idempotent, &call->by_age);
+  gate->retained_count++;
+  gate->retained_bytes += call->outcome_bytes;
+  gate->counters.outcomes_kept = gate->retained_count;
 }
 
 static void
@@ -152,7 +154,7 @@
   talloc_free (call);
 }
 
-/* Takes CALL out of the table without a word to anyone.  */
+/* Removes CALL from the table without notifying its requester.  */
 void
 mq_gate_call_drop (struct mq_gate *gate, struct gate_call *call)
 {
@@ -166,24 +168,24 @@
       mq_gate_run_stop (gate, call->run);
       break;
     case GATE_CALL_DONE:
-      unlink_kept (gate, call);
+      unlink_retained (gate, call);
       break;
     }
   free_call (gate, call);
 }
 
 void
-mq_gate_attach (struct gate_call *call, uint32_t peer, uint64_t fence,
-                uint32_t attempt)
+mq_gate_set_requester (struct gate_call *call, uint32_t peer, uint64_t fence,
+                       uint32_t attempt)
 {
   call->peer = peer;
   call->answer_fence = fence;
-  if (attempt > call->asked)
-    call->asked = attempt;
+  if (attempt > call->requested_attempt)
+    call->requested_attempt = attempt;
 }
 
-/* Nothing may start REF from now on: its owner is told that it did not
-   run.  */
+/* Records that REF was reported as not run, so that a late copy of it is
+   refused.  */
 void
 mq_gate_mark_not_run (struct gate_program *program,
                       const struct mq_call_ref *ref, uint64_t fence,
@@ -202,11 +204,11 @@
       = { call->ref, call->partition->partition, call->answer_fence };
   uint32_t peer = call->peer;
 
-  about.ref.attempt = call->asked;
+  about.ref.attempt = call->requested_attempt;
   mq_gate_mark_not_run (call->program, &about.ref, call->answer_fence,
                         call->idempotent);
-  mq_gate_span (gate, "queue", call->traceparent, &call->ref, call->arrived_us,
-                error);
+  mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
+                       call->arrived_us, error);
   mq_gate_call_drop (gate, call);
   mq_gate_count_refusal (gate, error);
   if (mq_gate_peer_is_up (gate, peer))
@@ -217,9 +219,9 @@
 /* CALL.  */
 
 static bool
-drop_oldest_kept (struct mq_gate *gate)
+drop_oldest_retained (struct mq_gate *gate)
 {
-  struct gate_node *node = gate->kept_idempotent.first;
+  struct gate_node *node = gate->retained_idempotent.first;
 
   if (node == NULL)
     return false;
@@ -227,16 +229,16 @@
   return true;
 }
 
-/* Failure: owners that cannot commit leave their outcomes here until memory
-   is out.  Outcomes of idempotent calls can be had again by running the
-   call, so the oldest of them go; the others are the only proof that a call
-   took effect, so they stay and new calls are refused.  */
+/* Bounds the memory for outcomes whose owners cannot commit.  Drops the oldest
+   outcomes of idempotent calls, which can be run again.  Other outcomes are
+   the only proof that a call took effect: they are retained and new calls are
+   refused.  */
 static bool
-make_room (struct mq_gate *gate)
+ensure_capacity (struct mq_gate *gate)
 {
   while (gate->calls.count >= gate->outcomes_max
-         || gate->kept_bytes > MQ_GATE_OUTCOME_BYTES_MAX)
-    if (!drop_oldest_kept (gate))
+         || gate->retained_bytes > MQ_GATE_OUTCOME_BYTES_MAX)
+    if (!drop_oldest_retained (gate))
       return false;
   return true;
 }
@@ -258,7 +260,7 @@
       = mq_gate_alloc (gate, sizeof *call, "struct gate_call");
 
   call->ref = msg->ref;
-  call->asked = msg->ref.attempt;
+  call->requested_attempt = msg->ref.attempt;
   call->accepted_fence = msg->fence;
   call->answer_fence = msg->fence;
   call->idempotent = msg->idempotent;
@@ -278,7 +280,7 @@
   return call;
 }
 
-/* Copies of the texts are made only for calls that were admitted.  */
+/* Copies the strings of MSG.  Called only for admitted calls.  */
 static void
 fill_call (struct mq_gate *gate, struct gate_call *call,
            const struct mq_call_msg *msg)
@@ -301,12 +303,12 @@
   mq_gate_map_add (&gate->calls, &call->link, hash_call (gate, &call->ref));
 }
 
-/* Failure: a new owner that lost uncommitted steps makes them again, and
-   what its predecessor started here is mixed into the program's history; or
-   a call that was given up elsewhere goes on taking a slot.  A call under a
-   higher fence voids the later idempotent ones of lower fences, and any
-   call voids earlier idempotent ones that still wait or run.  Kept outcomes
-   of earlier calls stay until they are forgotten.  */
+/* Whether CALL must be dropped because of the new call MSG: idempotent calls
+   with a higher number that were accepted under a lower fence, since a new
+   owner that lost uncommitted steps will repeat them; and idempotent calls
+   with a lower number that are still queued or running, since their owner has
+   abandoned them.  Completed outcomes of lower calls are retained until they
+   are forgotten.  */
 static bool
 is_superseded (const struct gate_call *call, const struct mq_call_msg *msg)
 {
@@ -334,12 +336,13 @@
 }
 
 static void
-note_top (struct gate_program *program, const struct mq_call_msg *msg)
+update_latest (struct gate_program *program, const struct mq_call_msg *msg)
 {
-  if (msg->fence == program->top_fence && msg->ref.call <= program->top_call)
+  if (msg->fence == program->latest_fence
+      && msg->ref.call <= program->latest_call)
     return;
-  program->top_fence = msg->fence;
-  program->top_call = msg->ref.call;
+  program->latest_fence = msg->fence;
+  program->latest_call = msg->ref.call;
 }
 
 static void
@@ -348,92 +351,90 @@
              struct gate_partition *partition)
 {
   drop_superseded (gate, program, msg);
-  note_top (program, msg);
+  update_latest (program, msg);
   fill_call (gate, call, msg);
   call->peer = peer;
   link_call (gate, call, program, partition);
-  mq_gate_cache_claim (gate, program, &gate->workers[call->worker]);
+  mq_gate_grant_lease (gate, program, &gate->workers[call->worker]);
   mq_gate_queue_add (gate, call);
   mq_gate_queue_run (gate, &gate->workers[call->worker]);
 }
 
-/* Why the gate can't take CALL now, NONE when it can.  */
+/* Returns the reason why CALL cannot be queued now, or MQ_ERR_NONE.  */
 static enum mq_error_type
-judge_load (struct mq_gate *gate, const struct gate_call *call,
-            uint32_t *retry_after_ms)
+check_capacity (struct mq_gate *gate, const struct gate_call *call,
+                uint32_t *retry_after_ms)
 {
   const struct gate_worker *worker = &gate->workers[call->worker];
 
-  *retry_after_ms = mq_gate_queue_retry_ms (gate, worker);
+  *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!worker->up)
     return MQ_ERR_NO_TARGET;
-  if (!make_room (gate))
+  if (!ensure_capacity (gate))
     return MQ_ERR_OVERLOADED;
   return mq_gate_queue_admit (gate, call, retry_after_ms);
 }
 
 static void
-take_new_call (struct mq_gate *gate, uint32_t peer,
-               const struct mq_call_msg *msg, struct gate_partition *partition)
+handle_new_call (struct mq_gate *gate, uint32_t peer,
+                 const struct mq_call_msg *msg,
+                 struct gate_partition *partition)
 {
   struct gate_program *program = mq_gate_program_find (gate, msg->ref.program);
   enum mq_ran ran = MQ_RAN_NOT_RUN;
   struct gate_call *call;
-  enum mq_error_type why;
+  enum mq_error_type error;
   uint32_t retry_after_ms = 0;
 
-  if (program != NULL && mq_gate_is_late (program, msg, &ran))
+  if (program != NULL && mq_gate_is_stale_call (program, msg, &ran))
     {
       refuse_message (gate, peer, msg, MQ_ERR_SEALED, ran, 0);
       return;
     }
-  /* No mark is needed: a gate that leaves never starts anything again.  */
+  /* No watermark is needed: a draining gate accepts no new call.  */
   if (gate->leaving)
     {
       refuse_message (gate, peer, msg, MQ_ERR_LEAVING, MQ_RAN_NOT_RUN, 0);
       return;
     }
-  /* Without a record a refusal could not be kept to: a copy of the frame
-     might run later.  So nothing is said, as if the frame had been lost, and
-     its owner asks again.  */
+  /* Without a program record a late copy of a refused call could still run.
+     Send no reply; the owner retries as after a lost frame.  */
   program = mq_gate_program_get (gate, msg->ref.program);
   if (program == NULL)
     return;
   call = create_call (gate, msg);
-  why = judge_load (gate, call, &retry_after_ms);
-  if (why == MQ_ERR_NONE)
+  error = check_capacity (gate, call, &retry_after_ms);
+  if (error == MQ_ERR_NONE)
     {
       accept_call (gate, peer, call, msg, program, partition);
       return;
     }
   mq_gate_mark_not_run (program, &msg->ref, msg->fence, msg->idempotent);
-  refuse_message (gate, peer, msg, why, MQ_RAN_NOT_RUN, retry_after_ms);
+  refuse_message (gate, peer, msg, error, MQ_RAN_NOT_RUN, retry_after_ms);
   talloc_free (call);
 }
 
 static void
-answer_repeat (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-               const struct mq_call_msg *msg)
+answer_duplicate (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
+                  const struct mq_call_msg *msg)
 {
   gate->counters.calls_repeated++;
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   if (call->state == GATE_CALL_DONE)
-    mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+    mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
 }
 
-/* Failure: a frame is doubled, or an owner that is in doubt sends another
-   attempt while the first one runs; it shows as a notice sent twice.  Such
-   a call has one record and is started when the record is made, never when
-   it is found.  An attempt below the accepted one was settled before that
-   one was sent.  */
+/* Handles a duplicate, or a further attempt, of a non-idempotent call that is
+   in the table: it joins the existing run and is never started again.  A lower
+   attempt was already refused before the accepted one was sent.  */
 static void
-repeat_once (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-             const struct mq_call_msg *msg)
+repeat_non_idempotent (struct mq_gate *gate, uint32_t peer,
+                       struct gate_call *call, const struct mq_call_msg *msg)
 {
   if (msg->ref.attempt < call->ref.attempt)
     refuse_message (gate, peer, msg, MQ_ERR_SEALED, MQ_RAN_NOT_RUN, 0);
   else
-    answer_repeat (gate, peer, call, msg);
+    answer_duplicate (gate, peer, call, msg);
 }
 
 static void
@@ -447,11 +448,11 @@
     }
   gate->counters.cancelled++;
   mq_gate_call_drop (gate, call);
-  take_new_call (gate, peer, msg, partition);
+  handle_new_call (gate, peer, msg, partition);
 }
 
-/* A new owner asks for the same content: what its predecessor started is
-   taken over, unless it failed.  */
+/* Whether a new owner can take over CALL from its predecessor: the content is
+   the same and the call did not fail.  */
 static bool
 is_adoptable (const struct mq_gate *gate, const struct gate_call *call,
               const struct mq_call_msg *msg)
@@ -466,17 +467,18 @@
             const struct mq_call_msg *msg)
 {
   call->ref.attempt = msg->ref.attempt;
-  call->asked = msg->ref.attempt;
+  call->requested_attempt = msg->ref.attempt;
   call->accepted_fence = msg->fence;
   if (call->run != NULL)
     call->run->ref = call->ref;
   drop_superseded (gate, call->program, msg);
-  note_top (call->program, msg);
-  answer_repeat (gate, peer, call, msg);
+  update_latest (call->program, msg);
+  answer_duplicate (gate, peer, call, msg);
 }
 
-/* An idempotent call that is known here.  Attempts are ordered by fence,
-   then by number: a new owner may not know its predecessor's numbers.  */
+/* Handles a duplicate of an idempotent call that is in the table.  Attempts
+   are ordered by fence, then by number, since a new owner may not know the
+   attempt numbers of its predecessor.  */
 static void
 repeat_idempotent (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
                    const struct mq_call_msg *msg,
@@ -491,41 +493,40 @@
       return;
     }
   if (msg->ref.attempt == call->ref.attempt)
-    answer_repeat (gate, peer, call, msg);
+    answer_duplicate (gate, peer, call, msg);
   else if (msg->ref.attempt > call->ref.attempt)
     replace_call (gate, peer, call, msg, partition);
   else
     refuse_message (gate, peer, msg, MQ_ERR_SEALED, MQ_RAN_UNKNOWN, 0);
 }
 
-/* The operators' text may change whether a route can be repeated between
-   two attempts; the stricter of the two holds.  */
+/* Treats CALL as non-idempotent from now on.  A configuration change may alter
+   this property between two attempts; the stricter value applies.  */
 static void
-forbid_repeat (struct mq_gate *gate, struct gate_call *call)
+clear_idempotent (struct mq_gate *gate, struct gate_call *call)
 {
   if (call->state == GATE_CALL_DONE)
-    mq_gate_list_remove (&gate->kept_idempotent, &call->by_age);
+    mq_gate_list_remove (&gate->retained_idempotent, &call->by_age);
   call->idempotent = false;
 }
 
 static void
-take_known_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
-                 const struct mq_call_msg *msg,
-                 struct gate_partition *partition)
+handle_known_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
+                   const struct mq_call_msg *msg,
+                   struct gate_partition *partition)
 {
   if (call->idempotent && !msg->idempotent
       && msg->fence == call->accepted_fence)
-    forbid_repeat (gate, call);
+    clear_idempotent (gate, call);
   if (call->idempotent)
     repeat_idempotent (gate, peer, call, msg, partition);
   else
-    repeat_once (gate, peer, call, msg);
+    repeat_non_idempotent (gate, peer, call, msg);
 }
 
-/* Failure: a rebooted gate has forgotten its seals and what it ran, and an
-   original that was sent to its former run arrives.  It shows as a call run
-   twice.  Owners name the boot id that they committed with the intent, so
-   such a call is refused by every later run.  */
+/* Whether MSG was sent to this process.  A restarted gate has lost its
+   watermarks, so a late call to an earlier process could run twice; it is
+   refused.  Idempotent calls may omit the boot id.  */
 static bool
 is_for_this_boot (const struct mq_gate *gate, const struct mq_call_msg *msg)
 {
@@ -541,8 +542,8 @@
          && strcmp (gate->workers[msg->worker].service, msg->service) == 0;
 }
 
-/* "Not run" would be wrong of a call that was accepted before the fence
-   rose: a successor may own it now.  */
+/* A call that was accepted before the fence rose may now belong to a new
+   owner, so it is not reported as not run.  */
 static void
 refuse_stale (struct mq_gate *gate, uint32_t peer,
               const struct mq_call_msg *msg)
@@ -554,7 +555,7 @@
   if (mq_gate_call_find (gate, &msg->ref) != NULL)
     ran = MQ_RAN_UNKNOWN;
   else if (program != NULL)
-    mq_gate_is_late (program, msg, &ran);
+    mq_gate_is_stale_call (program, msg, &ran);
   refuse_message (gate, peer, msg, MQ_ERR_STALE_FENCE, ran, 0);
 }
 
@@ -565,8 +566,8 @@
 }
 
 void
-mq_gate_take_call (struct mq_gate *gate, uint32_t peer,
-                   const struct mq_call_msg *from)
+mq_gate_handle_call (struct mq_gate *gate, uint32_t peer,
+                     const struct mq_call_msg *from)
 {
   struct gate_partition *partition
       = mq_gate_raise_fence (gate, from->partition, from->fence, peer);
@@ -597,12 +598,12 @@
     }
   call = mq_gate_call_find (gate, &msg->ref);
   if (call != NULL)
-    take_known_call (gate, peer, call, msg, partition);
+    handle_known_call (gate, peer, call, msg, partition);
   else
-    take_new_call (gate, peer, msg, partition);
+    handle_new_call (gate, peer, msg, partition);
 }
 
-/* The end of a call.  */
+/* Completion.  */
 
 static void
 fill_outcome (struct mq_gate *gate, struct gate_call *call,
@@ -612,7 +613,7 @@
   const struct gate_run *run = call->run;
 
   outcome->ref = call->ref;
-  outcome->ref.attempt = call->asked;
+  outcome->ref.attempt = call->requested_attempt;
   outcome->partition = call->partition->partition;
   outcome->fence = call->answer_fence;
   outcome->boot = gate->boot;
@@ -624,7 +625,7 @@
     outcome->ran = MQ_RAN_RAN;
   if (outcome->ran == MQ_RAN_NOT_RUN)
     outcome->retry_after_ms
-        = mq_gate_queue_retry_ms (gate, &gate->workers[call->worker]);
+        = mq_gate_queue_retry_after_ms (gate, &gate->workers[call->worker]);
   outcome->body = mq_gate_strdup (call, done->body);
   outcome->tokens_in = done->tokens_in;
   outcome->tokens_out = done->tokens_out;
@@ -635,8 +636,8 @@
   call->outcome_bytes = strlen (outcome->body);
 }
 
-/* A call that the worker refused leaves the table, but can't be started
-   again under the same attempt.  */
+/* Removes a call that the worker refused; the same attempt cannot be started
+   again.  */
 static void
 finish_not_run (struct mq_gate *gate, struct gate_call *call)
 {
@@ -649,11 +650,11 @@
 mq_gate_forget_call (struct mq_gate *gate, struct gate_call *call)
 {
   if (!call->idempotent)
-    mq_gate_mark_sealed (call->program, call->ref.call, MQ_GATE_EVERY_ATTEMPT);
+    mq_gate_mark_sealed (call->program, call->ref.call, MQ_GATE_ALL_ATTEMPTS);
   mq_gate_call_drop (gate, call);
 }
 
-/* The run of CALL has ended as DONE says; the run is freed by the caller.  */
+/* Completes CALL with the result DONE.  The caller frees the run.  */
 void
 mq_gate_call_finish (struct mq_gate *gate, struct gate_call *call,
                      const struct mq_gate_done *done)
@@ -662,15 +663,16 @@
   call->run = NULL;
   call->state = GATE_CALL_DONE;
   if (mq_gate_peer_is_up (gate, call->peer))
-    mq_gate_send_kept (gate, call->peer, call, call->asked, false);
+    mq_gate_send_outcome (gate, call->peer, call, call->requested_attempt,
+                          false);
   if (call->outcome.ran == MQ_RAN_NOT_RUN)
     {
       finish_not_run (gate, call);
       return;
     }
-  link_kept (gate, call);
+  link_retained (gate, call);
   if (call->forgotten)
     mq_gate_forget_call (gate, call);
   else
-    make_room (gate);
+    ensure_capacity (gate);
 }
--- a/src/core/gate/gate_lease.c
+++ b/src/core/gate/gate_lease.c
@@ -1,4 +1,4 @@
-/* gate_lease.c - how long an engine keeps what a program has computed there.
+/* gate_lease.c - leases that bound how long an engine keeps a program's cache.
 
    Needs: gate_state.h.  */
 
@@ -17,57 +17,53 @@
 }
 
 static void
-revive (struct mq_gate *gate, struct gate_program *program)
+cancel_evictions (struct mq_gate *gate, struct gate_program *program)
 {
-  struct gate_node *node = program->holdings.first;
+  struct gate_node *node = program->cached_programs.first;
 
   while (node != NULL)
     {
       mq_gate_cancel_eviction (
-          gate, GATE_ENTRY (node, struct gate_holding, by_program));
+          gate, GATE_ENTRY (node, struct gate_cached_program, by_program));
       node = node->next;
     }
-  program->waiter = 0;
-  program->swept = false;
+  program->evicted_peer = 0;
+  program->fully_evicted = false;
 }
 
-/* Failure: an owner that lost its partition calls once more and renews
-   nothing; the program ends elsewhere, and its memory stays for the whole
-   first lease.  Owners give every program the same lease, so one that none
-   has given yet is as long as the last.  */
+/* Duration of a lease that no owner has granted: the most recent one, as
+   owners give every program the same.  A longer one would hold the memory of a
+   program that has moved to another owner.  */
 static uint64_t
-first_lease_ms (const struct mq_gate *gate)
+default_lease_ms (const struct mq_gate *gate)
 {
   return gate->lease_ms == 0 ? MQ_GATE_LEASE_MS : gate->lease_ms;
 }
 
-/* A call will use the program's cache until its owner renews the lease.
-   Failure: a call of a tool claimed the cache that the program once had here;
-   its owner, which uses it elsewhere, renews and ends nothing here, and the
-   memory of an ended program stayed for the whole first lease.  */
+/* Calls that use no cache grant no lease, since their owner would neither
+   renew nor end it here.  */
 void
-mq_gate_cache_claim (struct mq_gate *gate, struct gate_program *program,
+mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                      const struct gate_worker *worker)
 {
   if (!mq_gate_has_cache (worker) || program->lease == GATE_LEASE_HELD)
     return;
-  revive (gate, program);
-  mq_gate_set_lease (gate, program, first_lease_ms (gate));
+  cancel_evictions (gate, program);
+  mq_gate_set_lease (gate, program, default_lease_ms (gate));
 }
 
-/* Failure: this process was restarted and no longer knows which programs ran
-   here, but the engine still holds their caches; "nothing held" would leave
-   them there for ever.  An engine that was not yet read is asked to evict,
-   which costs nothing where it holds none.  */
+/* Adds cache records at workers that have not reported yet.  After a restart
+   of this process their engines may still hold the program's cache; evicting a
+   cache that is not there is harmless.  */
 static void
-suspect_unread (struct mq_gate *gate, struct gate_program *program)
+add_unreported_caches (struct mq_gate *gate, struct gate_program *program)
 {
   for (size_t i = 0; i < gate->worker_count; i++)
     {
       struct gate_worker *worker = &gate->workers[i];
 
       if (mq_gate_has_cache (worker) && !worker->reported)
-        mq_gate_get_holding (gate, program, worker);
+        mq_gate_get_cached_program (gate, program, worker);
     }
 }
 
@@ -77,20 +73,20 @@
 {
   program->lease = GATE_LEASE_ENDED;
   program->ended_fence = fence;
-  program->waiter = peer;
+  program->evicted_peer = peer;
   mq_gate_heap_remove (&gate->leases, program);
-  mq_gate_calls_end_program (gate, program);
-  if (!program->swept)
-    suspect_unread (gate, program);
+  mq_gate_cancel_program_calls (gate, program);
+  if (!program->fully_evicted)
+    add_unreported_caches (gate, program);
   mq_gate_begin_evictions (gate, program);
-  mq_gate_tell_evicted (gate, program);
+  mq_gate_notify_evicted (gate, program);
 }
 
-/* A renewal that was overtaken by the end must not bring the cache back;
-   only a newer owner can know better.  */
+/* Handles LEASE.  A renewal that arrives after the end of the program is
+   ignored unless it comes under a higher fence.  */
 void
-mq_gate_take_lease (struct mq_gate *gate, uint32_t peer,
-                    const struct mq_lease_msg *msg)
+mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_lease_msg *msg)
 {
   struct gate_program *program;
 
@@ -107,15 +103,14 @@
   if (program->lease == GATE_LEASE_ENDED && msg->fence <= program->ended_fence)
     return;
   if (program->lease != GATE_LEASE_HELD)
-    revive (gate, program);
+    cancel_evictions (gate, program);
   if (msg->lease_ms != 0)
     gate->lease_ms = msg->lease_ms;
   mq_gate_set_lease (gate, program,
                      msg->lease_ms == 0 ? MQ_GATE_LEASE_MS : msg->lease_ms);
 }
 
-/* A model's call waits or runs; a tool's call needs no cache, nor does a kept
-   outcome.  */
+/* Whether a queued or running call uses a cache of PROGRAM.  */
 static bool
 is_cache_used (const struct mq_gate *gate, const struct gate_program *program)
 {
@@ -129,48 +124,47 @@
           && mq_gate_has_cache (&gate->workers[call->worker]))
         return true;
     }
-  for (const struct gate_node *node = program->holdings.first; node != NULL;
-       node = node->next)
-    if (GATE_ENTRY (node, struct gate_holding, by_program)->runs > 0)
+  for (const struct gate_node *node = program->cached_programs.first;
+       node != NULL; node = node->next)
+    if (GATE_ENTRY (node, struct gate_cached_program, by_program)->runs > 0)
       return true;
   return false;
 }
 
-/* Failure: the owner died and nobody took over, or its successor goes on
-   elsewhere and doesn't know of this cache; it shows as memory held for
-   programs that nobody will go on with.  A lease that is not renewed ends
-   in eviction, but not under a call that uses the cache.  */
+/* Handles a lease that was not renewed, because the owner failed or its
+   successor runs the program elsewhere: evicts the caches, or extends the
+   lease while a call uses them.  */
 static void
-lapse (struct mq_gate *gate, struct gate_program *program)
+expire_lease (struct mq_gate *gate, struct gate_program *program)
 {
   if (is_cache_used (gate, program))
     {
-      mq_gate_set_lease (gate, program, first_lease_ms (gate));
+      mq_gate_set_lease (gate, program, default_lease_ms (gate));
       return;
     }
-  program->lease = GATE_LEASE_LAPSED;
+  program->lease = GATE_LEASE_EXPIRED;
   mq_gate_heap_remove (&gate->leases, program);
-  if (program->holdings.count == 0)
+  if (program->cached_programs.count == 0)
     return;
   gate->counters.leases_lapsed++;
   mq_gate_begin_evictions (gate, program);
 }
 
 static void
-lapse_leases (struct mq_gate *gate)
+expire_leases (struct mq_gate *gate)
 {
   struct gate_program *program = mq_gate_heap_first (&gate->leases);
 
   while (program != NULL && program->lease_until_us <= gate->now_us)
     {
-      lapse (gate, program);
+      expire_lease (gate, program);
       program = mq_gate_heap_first (&gate->leases);
     }
 }
 
 void
-mq_gate_cache_tick (struct mq_gate *gate)
+mq_gate_lease_tick (struct mq_gate *gate)
 {
-  lapse_leases (gate);
+  expire_leases (gate);
   mq_gate_retry_evictions (gate);
 }
--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -1,4 +1,4 @@
-/* gate_load.c - what owners and operators are told of the workers.
+/* gate_load.c - load reports to owners and the status for operators.
 
    Needs: gate_state.h, jansson.  */
 
@@ -7,49 +7,53 @@
 
 enum
 {
-  SMOOTH = 8,            /* a new measure weighs one eighth */
-  PREFILL_LEAST = 64,    /* fewer tokens tell nothing of the rate */
-  DECODE_LEAST = 4,      /* likewise */
-  LOAD_BASE_BYTES = 64,  /* of a LOAD frame */
-  LOAD_WORKER_BYTES = 64 /* for each worker in it */
+  SMOOTHING_FACTOR = 8,    /* a new sample has a weight of 1/8 */
+  PREFILL_TOKENS_MIN = 64, /* minimum sample for the prefill rate */
+  DECODE_TOKENS_MIN = 4,   /* minimum sample for the decode time */
+  LOAD_BASE_BYTES = 64,    /* fixed part of a LOAD frame */
+  LOAD_WORKER_BYTES = 64   /* part of a LOAD frame for each worker */
 };
 
 static void
-smooth (uint64_t *mean, uint64_t measure)
+update_mean (uint64_t *mean, uint64_t sample)
 {
-  if (measure == 0)
+  if (sample == 0)
     return;
-  *mean = *mean == 0 ? measure : (*mean * (SMOOTH - 1) + measure) / SMOOTH;
+  *mean = *mean == 0
+              ? sample
+              : (*mean * (SMOOTHING_FACTOR - 1) + sample) / SMOOTHING_FACTOR;
 }
 
 static void
-measure_model (struct gate_worker *worker, const struct gate_run *run,
-               const struct mq_gate_done *done, uint64_t run_us)
+record_model_rates (struct gate_worker *worker, const struct gate_run *run,
+                    const struct mq_gate_done *done, uint64_t run_us)
 {
   uint64_t first_us = run->first_us - run->started_us;
   uint32_t computed = done->tokens_in > done->cached_tokens
                           ? done->tokens_in - done->cached_tokens
                           : 0;
 
-  if (computed >= PREFILL_LEAST && first_us > 0)
-    smooth (&worker->prefill_rate, computed * 1000000ULL / first_us);
-  if (done->tokens_out >= DECODE_LEAST)
-    smooth (&worker->decode_us, (run_us - first_us) / (done->tokens_out - 1));
+  if (computed >= PREFILL_TOKENS_MIN && first_us > 0)
+    update_mean (&worker->prefill_rate, computed * 1000000ULL / first_us);
+  if (done->tokens_out >= DECODE_TOKENS_MIN)
+    update_mean (&worker->decode_us,
+                 (run_us - first_us) / (done->tokens_out - 1));
 }
 
 void
-mq_gate_load_measure (struct gate_worker *worker, const struct gate_run *run,
-                      const struct mq_gate_done *done, uint64_t run_us)
+mq_gate_load_record_run (struct gate_worker *worker,
+                         const struct gate_run *run,
+                         const struct mq_gate_done *done, uint64_t run_us)
 {
   if (done->error != MQ_ERR_NONE)
     return;
-  smooth (&worker->mean_run_us, run_us);
+  update_mean (&worker->mean_run_us, run_us);
   if (run->first_us != 0)
-    measure_model (worker, run, done, run_us);
+    record_model_rates (worker, run, done, run_us);
 }
 
 uint32_t
-mq_gate_load_used (const struct gate_worker *worker)
+mq_gate_load_cache_used (const struct gate_worker *worker)
 {
   uint64_t used = worker->held_tokens + worker->shared_tokens;
 
@@ -65,14 +69,14 @@
   load->slots = worker->up ? worker->slots : 0;
   load->running = worker->running;
   load->queued = worker->queued;
-  load->cache_used = mq_gate_load_used (worker);
+  load->cache_used = mq_gate_load_cache_used (worker);
   load->cache_total = worker->cache_tokens;
   load->prefill_rate = (uint32_t)worker->prefill_rate;
   load->decode_us = (uint32_t)worker->decode_us;
 }
 
 void
-mq_gate_load_tell (struct mq_gate *gate, uint32_t peer)
+mq_gate_load_send (struct mq_gate *gate, uint32_t peer)
 {
   struct mq_message message = { .type = MQ_MSG_LOAD };
   struct mq_load_msg *load = &message.u.load;
@@ -89,46 +93,46 @@
   talloc_free (load->workers);
 }
 
-/* Least time between two pushes: more where many are told, so that all of
-   them together stay under MQ_GATE_LOAD_BYTES_S.  */
+/* Minimum time between two load reports.  It grows with the number of peers to
+   keep the total below MQ_GATE_LOAD_BYTES_S.  */
 static uint64_t
-read_gap_us (const struct mq_gate *gate)
+min_interval_us (const struct mq_gate *gate)
 {
   uint64_t bytes = LOAD_BASE_BYTES + gate->worker_count * LOAD_WORKER_BYTES;
-  uint64_t gap_us
+  uint64_t interval_us
       = gate->peer_count * bytes * 1000000ULL / MQ_GATE_LOAD_BYTES_S;
-  uint64_t least_us = MQ_GATE_LOAD_MIN_MS * MQ_US_PER_MS;
+  uint64_t min_us = MQ_GATE_LOAD_MIN_MS * MQ_US_PER_MS;
 
-  return gap_us > least_us ? gap_us : least_us;
+  return interval_us > min_us ? interval_us : min_us;
 }
 
-/* When the next push is due.  */
+/* Time of the next load report.  */
 uint64_t
 mq_gate_load_due (const struct mq_gate *gate)
 {
-  uint64_t gap_us = read_gap_us (gate);
-  uint64_t beat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
+  uint64_t interval_us = min_interval_us (gate);
+  uint64_t heartbeat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
 
-  if (!gate->load_dirty && beat_us > gap_us)
-    gap_us = beat_us;
-  return gate->load_sent_us + gap_us;
+  if (!gate->load_dirty && heartbeat_us > interval_us)
+    interval_us = heartbeat_us;
+  return gate->load_sent_us + interval_us;
 }
 
 void
-mq_gate_load_push (struct mq_gate *gate, bool at_once)
+mq_gate_load_push (struct mq_gate *gate, bool immediately)
 {
-  if (!at_once && gate->now_us < mq_gate_load_due (gate))
+  if (!immediately && gate->now_us < mq_gate_load_due (gate))
     return;
   gate->load_sent_us = gate->now_us;
   gate->load_dirty = false;
   for (size_t i = 0; i < gate->peer_count; i++)
-    mq_gate_load_tell (gate, gate->peers[i]);
+    mq_gate_load_send (gate, gate->peers[i]);
 }
 
 /* Status.  */
 
 static const char *
-name_kind (enum mq_service_kind kind)
+kind_name (enum mq_service_kind kind)
 {
   switch (kind)
     {
@@ -153,11 +157,11 @@
   return json_pack (
       "{s:i, s:s, s:s, s:s, s:b, s:i, s:i, s:i, s:I, s:I, s:i, s:I, s:I}",
       "worker", (int)load.worker, "service", load.service, "kind",
-      name_kind (worker->kind), "model", load.model, "up", worker->up, "slots",
+      kind_name (worker->kind), "model", load.model, "up", worker->up, "slots",
       (int)worker->slots, "running", (int)load.running, "queued",
       (int)load.queued, "cache_used", (json_int_t)load.cache_used,
       "cache_total", (json_int_t)load.cache_total, "programs_held",
-      (int)worker->holdings.count, "prefill_rate",
+      (int)worker->cached_programs.count, "prefill_rate",
       (json_int_t)load.prefill_rate, "decode_us", (json_int_t)load.decode_us);
 }
 
--- a/src/core/gate/gate_orders.c
+++ b/src/core/gate/gate_orders.c
@@ -1,7 +1,7 @@
-/* gate_orders.c - orders to engines, checked for their fencing number here.
+/* gate_orders.c - forwards orders to engines and checks their fences.
+
+   The fence is checked here because some engines ignore it.
 
-   Some engines ignore the number; nothing else reaches them, so the check
-   here holds for all.
    Needs: gate_state.h.  */
 
 #include "gate_state.h"
@@ -45,9 +45,11 @@
       = mq_gate_strdup (gate->actions, order->order.argument);
 }
 
-/* An adapter stands beside others; of the rest the last one counts.  */
+/* Adapters with different names coexist; any other order replaces the previous
+   one of its type.  */
 static bool
-is_replaced_by (const struct mq_order_msg *old, const struct mq_order_msg *new)
+is_superseded_by (const struct mq_order_msg *old,
+                  const struct mq_order_msg *new)
 {
   if (old->type != new->type)
     return false;
@@ -56,19 +58,21 @@
 }
 
 static bool
-is_in_force (const struct gate_order *order)
+is_effective (const struct gate_order *order)
 {
-  return order->pending || (order->result == MQ_ERR_NONE && !order->replaced);
+  return order->pending
+         || (order->result == MQ_ERR_NONE && !order->superseded);
 }
 
-/* Forgets the oldest order that is not in force, else the oldest.  */
+/* Drops the oldest order that is no longer effective, or the oldest of
+   all.  */
 static void
 drop_oldest (struct gate_worker *worker)
 {
   struct gate_node *node = worker->orders.first;
 
   while (node != NULL
-         && is_in_force (GATE_ENTRY (node, struct gate_order, by_worker)))
+         && is_effective (GATE_ENTRY (node, struct gate_order, by_worker)))
     node = node->next;
   if (node == NULL)
     node = worker->orders.first;
@@ -93,13 +97,12 @@
   return order;
 }
 
-/* Failure: an operator's process that was paused sends an order that a newer
-   one has overruled; it shows as an engine that goes back to an old model.
-   The highest fence per worker refuses it.  A doubled order gets the kept
-   result.  */
+/* Refuses orders with a fence below the highest one seen for the worker, so
+   that a suspended sender cannot revert the engine to an older model.  A
+   duplicate is answered with the retained result.  */
 void
-mq_gate_take_order (struct mq_gate *gate, uint32_t peer,
-                    const struct mq_order_msg *msg)
+mq_gate_handle_order (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_order_msg *msg)
 {
   struct gate_worker *worker;
   struct gate_order *order;
@@ -131,7 +134,7 @@
 }
 
 static void
-replace_earlier (struct gate_worker *worker, const struct gate_order *by)
+supersede_earlier (struct gate_worker *worker, const struct gate_order *by)
 {
   struct gate_node *node = worker->orders.first;
 
@@ -140,8 +143,8 @@
       struct gate_order *order
           = GATE_ENTRY (node, struct gate_order, by_worker);
 
-      if (is_replaced_by (&order->order, &by->order))
-        order->replaced = true;
+      if (is_superseded_by (&order->order, &by->order))
+        order->superseded = true;
       node = node->next;
     }
 }
@@ -155,16 +158,16 @@
   order->pending = false;
   order->result = error;
   if (error == MQ_ERR_NONE)
-    replace_earlier (worker, order);
-  mq_gate_state (gate, MQ_STATE_ORDER, order->order.order,
-                 mq_error_name (error));
+    supersede_earlier (worker, order);
+  mq_gate_log_state (gate, MQ_STATE_ORDER, order->order.order,
+                     mq_error_name (error));
   if (mq_gate_peer_is_up (gate, order->peer))
     send_order_done (gate, order->peer, order->order.order, error);
 }
 
 void
-mq_gate_take_ordered (struct mq_gate *gate,
-                      const struct mq_order_done_msg *done)
+mq_gate_handle_order_done (struct mq_gate *gate,
+                           const struct mq_order_done_msg *done)
 {
   for (size_t i = 0; i < gate->worker_count; i++)
     {
@@ -175,10 +178,10 @@
     }
 }
 
-/* Failure: an engine restarts with the model that it was built with.  What
-   was accepted last of each kind is ordered again, in its first order.  */
+/* Repeats the effective orders, oldest first, to an engine that has restarted
+   with its initial model.  */
 void
-mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker)
+mq_gate_orders_resend (struct mq_gate *gate, struct gate_worker *worker)
 {
   struct gate_node *node = worker->orders.first;
 
@@ -187,7 +190,7 @@
       struct gate_order *order
           = GATE_ENTRY (node, struct gate_order, by_worker);
 
-      if (is_in_force (order))
+      if (is_effective (order))
         add_order_action (gate, order);
       node = node->next;
     }
--- a/src/core/gate/gate_queue.c
+++ b/src/core/gate/gate_queue.c
@@ -1,26 +1,24 @@
-/* gate_queue.c - admission to a worker's queue and the order in it.
+/* gate_queue.c - admission to a worker's queue and dispatch order.
 
-   The rank of a call is
+   Calls are dispatched in order of rank, lowest first.  The rank is
 
-     level + (time of arrival / MQ_GATE_AGEING_MS)
+     level + arrival time / MQ_GATE_AGEING_MS
 
-   and the lowest rank goes first.  The level puts the priority class first,
-   then calls of programs that have run before (follow-ups among them), then
-   the least attained service of the whole program in exponential buckets.
-   One step of waiting thus weighs as much as one level: the rank of a call
-   never changes, yet each period lifts it by a level above those that come
-   later, and nothing starves.  In place of a period there is nothing to do,
-   so a heap suffices: O(log n) for each call.
+   The level depends on the priority, then on whether the program has run
+   before, then on the service that the program has received, in exponential
+   buckets.  A call can be overtaken in rank only by calls that arrive within
+   a bounded time after it, so no stream of calls starves it.  The rank of a
+   call never changes, so a heap suffices: O(log n) per call.
 
-   Calls of the same rank and organisation form a lane, in order of deadline
-   and arrival; lanes of the same rank go by the service that their
-   organisation was given lately.  That figure only rises, so a lane's copy
-   of it is a lower bound and is brought up to date when the lane comes to
-   the top.
+   Calls of the same rank, group and organisation form a lane, ordered by
+   deadline and arrival.  Lanes of the same rank are ordered by the service
+   that their organisation has received (fair queueing).  That value only
+   grows, so the copy in a lane is a lower bound; it is refreshed when the lane
+   reaches the top of its heap.
+
+   Lanes are kept in one heap per group: batch or not, continuing or new.  When
+   engine memory is low, the group takes precedence over the rank.
 
-   Lanes stand in four heaps, (batch or not) x (continuing or new), because
-   the choice is made between these groups first when engine memory is
-   short.
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -29,23 +27,23 @@
 enum
 {
   ATTAINED_BUCKETS = 8,
-  ATTAINED_UNIT_BITS = 10, /* first bucket: under 1024 tokens */
-  LEVELS_OF_CLASS = 2 * ATTAINED_BUCKETS,
-  GROUP_NEW = 1,   /* bit of a group */
-  GROUP_BATCH = 2, /* bit of a group */
-  FLOWS_PURGE = 1024,
+  ATTAINED_UNIT_BITS = 10, /* the first bucket holds less than 1024 tokens */
+  LEVELS_PER_PRIORITY = 2 * ATTAINED_BUCKETS,
+  GROUP_NEW = 1,   /* flag in a group number */
+  GROUP_BATCH = 2, /* flag in a group number */
+  FLOWS_PURGE_MIN = 1024,
   BYTES_PER_TOKEN = 4,
-  RETRY_LEAST_MS = 50,
-  RETRY_UNKNOWN_MS = 200,
-  RETRY_MOST_MS = 10000
+  RETRY_MIN_MS = 50,
+  RETRY_DEFAULT_MS = 200,
+  RETRY_MAX_MS = 10000
 };
 
-/* An organisation at one worker.  */
+/* Service received by one organisation at one worker.  */
 struct gate_flow
 {
   struct gate_link link;
   uint64_t organisation;
-  uint64_t served; /* tokens, on the scale of served_clock */
+  uint64_t served; /* tokens, comparable with virtual_time */
   uint32_t queued;
   struct gate_list lanes;
 };
@@ -56,12 +54,12 @@
   struct gate_flow *flow;
   uint32_t group;
   uint64_t rank;
-  uint64_t served; /* of the flow when last looked at */
+  uint64_t served; /* copy of flow->served, possibly outdated */
   struct gate_heap calls;
   size_t position;
 };
 
-/* Order.  */
+/* Ordering.  */
 
 static bool
 call_before (const void *left, const void *right)
@@ -108,11 +106,11 @@
   mq_gate_heap_create (&worker->expiry, gate, expiry_before,
                        offsetof (struct gate_call, expiry_position));
   mq_gate_map_create (&worker->flows, gate);
-  worker->flows_purge_at = FLOWS_PURGE;
+  worker->flows_purge_at = FLOWS_PURGE_MIN;
 }
 
 static uint32_t
-read_bucket (uint64_t attained)
+attained_bucket (uint64_t attained)
 {
   uint32_t bucket = 0;
 
@@ -125,53 +123,54 @@
   return bucket;
 }
 
-/* A person's further turn is not held back by what the conversation has
-   cost so far.  */
+/* Follow-ups are not penalised for the service that their conversation has
+   received.  */
 static uint32_t
-read_level (const struct mq_call_msg *msg)
+priority_level (const struct mq_call_msg *msg)
 {
-  uint32_t level = msg->priority * LEVELS_OF_CLASS;
+  uint32_t level = msg->priority * LEVELS_PER_PRIORITY;
 
   if (msg->follow_up)
     return level;
   if (!msg->continuing)
     level += ATTAINED_BUCKETS;
-  return level + read_bucket (msg->attained);
+  return level + attained_bucket (msg->attained);
 }
 
 static uint32_t
-read_group (const struct gate_call *call)
+call_group (const struct gate_call *call)
 {
   uint32_t group = call->continuing ? 0 : GROUP_NEW;
 
   return call->priority == MQ_PRIORITY_BATCH ? group | GROUP_BATCH : group;
 }
 
-/* Least time at the target: a model's prompt must be computed, other
-   targets take what they took lately.  0 when not yet known.  */
+/* Minimum time at the target: for a model, the time to compute the prompt; for
+   others, half of the mean run time.  Returns 0 if it is not yet known.  */
 static uint64_t
-read_least_us (const struct gate_worker *worker, const struct gate_call *call)
+min_run_us (const struct gate_worker *worker, const struct gate_call *call)
 {
   if (worker->kind != MQ_SERVICE_MODEL)
     return worker->mean_run_us / 2;
   if (worker->prefill_rate == 0)
     return 0;
-  return call->need_tokens * 1000000ULL / worker->prefill_rate;
+  return call->new_cache_tokens * 1000000ULL / worker->prefill_rate;
 }
 
 static uint64_t
-read_latest_start (const struct gate_worker *worker,
-                   const struct gate_call *call)
+compute_latest_start (const struct gate_worker *worker,
+                      const struct gate_call *call)
 {
-  uint64_t least_us;
+  uint64_t min_us;
 
   if (call->deadline_us == 0)
     return UINT64_MAX;
-  least_us = read_least_us (worker, call);
-  return call->deadline_us > least_us ? call->deadline_us - least_us : 0;
+  min_us = min_run_us (worker, call);
+  return call->deadline_us > min_us ? call->deadline_us - min_us : 0;
 }
 
-/* Fills in what the queue wants to know of CALL.  */
+/* Fills in the token estimates, the latest start and the queue position of
+   CALL.  */
 void
 mq_gate_queue_estimate (struct mq_gate *gate, struct gate_call *call,
                         const struct mq_call_msg *msg)
@@ -182,50 +181,52 @@
   uint32_t cached = 0;
 
   if (program != NULL)
-    cached = mq_gate_cache_tokens (gate, program, call->worker);
+    cached = mq_gate_count_cached_tokens (gate, program, call->worker);
   if (worker->kind == MQ_SERVICE_MODEL)
     call->prompt_tokens = (uint32_t)(call->body_len / BYTES_PER_TOKEN);
   if (call->prompt_tokens > cached)
-    call->need_tokens = call->prompt_tokens - cached;
-  call->latest_start_us = read_latest_start (worker, call);
+    call->new_cache_tokens = call->prompt_tokens - cached;
+  call->latest_start_us = compute_latest_start (worker, call);
   if (gate->order == MQ_GATE_FIFO)
     return;
   call->urgency_us = call->deadline_us == 0 ? UINT64_MAX : call->deadline_us;
-  call->group = read_group (call);
-  call->rank = read_level (msg)
+  call->group = call_group (call);
+  call->rank = priority_level (msg)
                + call->arrived_us / (MQ_GATE_AGEING_MS * MQ_US_PER_MS);
 }
 
 /* Admission.  */
 
-/* Jitter keeps those that were refused together from coming back so.  */
+/* Limits the delay MS and adds jitter, so that calls refused together are not
+   retried together.  */
 static uint32_t
 add_jitter (struct mq_gate *gate, uint64_t ms)
 {
   uint32_t quarter;
 
-  if (ms < RETRY_LEAST_MS)
-    ms = RETRY_LEAST_MS;
-  if (ms > RETRY_MOST_MS)
-    ms = RETRY_MOST_MS;
+  if (ms < RETRY_MIN_MS)
+    ms = RETRY_MIN_MS;
+  if (ms > RETRY_MAX_MS)
+    ms = RETRY_MAX_MS;
   quarter = (uint32_t)ms / 4;
   return (uint32_t)ms + mq_random_below (&gate->random, quarter + 1);
 }
 
 static uint64_t
-read_wait_us (const struct gate_worker *worker, uint64_t ahead)
+estimate_wait_us (const struct gate_worker *worker, uint64_t ahead)
 {
   return ahead * worker->mean_run_us / worker->slots;
 }
 
-/* When a refused caller should come back: when half of what waits now has
-   been started, by the rate measured.  */
+/* Delay after which a refused call should be retried: the estimated time until
+   half of the queue has been started.  */
 uint32_t
-mq_gate_queue_retry_ms (struct mq_gate *gate, const struct gate_worker *worker)
+mq_gate_queue_retry_after_ms (struct mq_gate *gate,
+                              const struct gate_worker *worker)
 {
   if (worker->mean_run_us == 0)
-    return add_jitter (gate, RETRY_UNKNOWN_MS);
-  return add_jitter (gate, read_wait_us (worker, worker->queued / 2 + 1)
+    return add_jitter (gate, RETRY_DEFAULT_MS);
+  return add_jitter (gate, estimate_wait_us (worker, worker->queued / 2 + 1)
                                / MQ_US_PER_MS);
 }
 
@@ -235,7 +236,7 @@
   uint64_t ahead = 0;
 
   for (uint32_t i = 0; i <= (uint32_t)priority; i++)
-    ahead += worker->queued_class[i];
+    ahead += worker->queued_by_priority[i];
   return ahead;
 }
 
@@ -249,13 +250,14 @@
   if (call->deadline_us == 0)
     return true;
   if (worker->running >= worker->slots)
-    wait_us = read_wait_us (worker, count_ahead (worker, call->priority) + 1);
+    wait_us
+        = estimate_wait_us (worker, count_ahead (worker, call->priority) + 1);
   return gate->now_us + wait_us <= call->latest_start_us;
 }
 
 static bool
-has_room (const struct mq_gate *gate, const struct gate_worker *worker,
-          const struct gate_call *call)
+has_capacity (const struct mq_gate *gate, const struct gate_worker *worker,
+              const struct gate_call *call)
 {
   if (worker->queued == 0)
     return true;
@@ -263,7 +265,7 @@
          && worker->queued_bytes + call->body_len <= MQ_GATE_QUEUE_BYTES_MAX;
 }
 
-/* The batch call that has waited least.  */
+/* Returns the batch call that arrived last, which is refused first.  */
 static struct gate_call *
 find_victim (const struct gate_worker *worker, const struct gate_call *call)
 {
@@ -272,19 +274,20 @@
   return GATE_ENTRY (worker->batch.last, struct gate_call, by_age);
 }
 
-/* Failure: a queue without a bound turns an overload into answers that all
-   come too late.  What can't be served in time is refused at once, while
-   its owner can still place it elsewhere, and batch calls make room.  */
+/* Refuses calls that cannot meet their deadline or do not fit in the queue,
+   while the owner can still place them elsewhere: under overload an unbounded
+   queue delays every answer past its deadline.  Batch calls are refused to
+   make room for calls of a higher priority.  */
 enum mq_error_type
 mq_gate_queue_admit (struct mq_gate *gate, const struct gate_call *call,
                      uint32_t *retry_after_ms)
 {
   struct gate_worker *worker = &gate->workers[call->worker];
 
-  *retry_after_ms = mq_gate_queue_retry_ms (gate, worker);
+  *retry_after_ms = mq_gate_queue_retry_after_ms (gate, worker);
   if (!can_meet_deadline (gate, worker, call))
     return MQ_ERR_OVERLOADED;
-  while (!has_room (gate, worker, call))
+  while (!has_capacity (gate, worker, call))
     {
       struct gate_call *victim = find_victim (worker, call);
 
@@ -321,15 +324,15 @@
       struct gate_flow *flow = GATE_ENTRY (link, struct gate_flow, link);
 
       link = link->next;
-      if (flow->queued > 0 || flow->served > worker->served_clock)
+      if (flow->queued > 0 || flow->served > worker->virtual_time)
         continue;
       mq_gate_map_remove (&worker->flows, &flow->link);
       talloc_free (flow);
     }
 }
 
-/* Forgets organisations that were served no more than anyone else; doubling
-   the bound makes it O(1) for each new one.  */
+/* Removes flows without queued calls or excess service.  Doubling the
+   threshold keeps the cost O(1) per new flow.  */
 static void
 purge_flows (struct gate_worker *worker)
 {
@@ -338,8 +341,8 @@
   for (size_t i = 0; i < worker->flows.bucket_count; i++)
     purge_bucket (worker, worker->flows.buckets[i]);
   worker->flows_purge_at = 2 * worker->flows.count;
-  if (worker->flows_purge_at < FLOWS_PURGE)
-    worker->flows_purge_at = FLOWS_PURGE;
+  if (worker->flows_purge_at < FLOWS_PURGE_MIN)
+    worker->flows_purge_at = FLOWS_PURGE_MIN;
 }
 
 static struct gate_flow *
@@ -357,8 +360,8 @@
   return flow;
 }
 
-/* An organisation that comes (back) to the queue starts level with the one
-   served last: idle time earns no credit.  */
+/* Returns the flow for CALL.  A flow that was empty starts at virtual_time, so
+   that idle time earns no credit.  */
 static struct gate_flow *
 join_flow (struct mq_gate *gate, struct gate_worker *worker,
            const struct gate_call *call)
@@ -366,8 +369,8 @@
   uint64_t key = gate->order == MQ_GATE_FIFO ? 0 : call->organisation;
   struct gate_flow *flow = get_flow (gate, worker, key);
 
-  if (flow->queued == 0 && flow->served < worker->served_clock)
-    flow->served = worker->served_clock;
+  if (flow->queued == 0 && flow->served < worker->virtual_time)
+    flow->served = worker->virtual_time;
   return flow;
 }
 
@@ -450,7 +453,7 @@
 
   call->state = GATE_CALL_QUEUED;
   worker->queued++;
-  worker->queued_class[call->priority]++;
+  worker->queued_by_priority[call->priority]++;
   worker->queued_bytes += call->body_len;
   gate->counters.queue_length++;
   gate->load_dirty = true;
@@ -467,7 +470,7 @@
   struct gate_worker *worker = &gate->workers[call->worker];
 
   worker->queued--;
-  worker->queued_class[call->priority]--;
+  worker->queued_by_priority[call->priority]--;
   worker->queued_bytes -= call->body_len;
   gate->counters.queue_length--;
   gate->load_dirty = true;
@@ -477,7 +480,7 @@
     mq_gate_list_remove (&worker->batch, &call->by_age);
 }
 
-/* Choice.  */
+/* Dispatch.  */
 
 static struct gate_lane *
 find_first_lane (struct gate_heap *lanes)
@@ -508,11 +511,11 @@
   return best == NULL ? NULL : mq_gate_heap_first (&best->calls);
 }
 
-/* The groups are numbered in this order.  New batch programs wait while
-   anything runs: their caches would push out those of programs that are
-   under way, which would then be computed again.  */
+/* Selects by group number when memory is low.  New batch programs wait while
+   anything runs, since their caches would displace those of active programs,
+   which would then have to be recomputed.  */
 static struct gate_call *
-find_first_when_short (struct gate_worker *worker)
+find_first_low_memory (struct gate_worker *worker)
 {
   for (uint32_t i = 0; i < GATE_GROUPS; i++)
     {
@@ -528,28 +531,27 @@
 }
 
 static bool
-is_memory_short (const struct gate_worker *worker,
-                 const struct gate_call *call)
+is_memory_low (const struct gate_worker *worker, const struct gate_call *call)
 {
   if (worker->kind != MQ_SERVICE_MODEL || worker->cache_tokens == 0)
     return false;
-  return worker->held_tokens + worker->need_tokens + call->need_tokens
+  return worker->held_tokens + worker->new_cache_tokens
+             + call->new_cache_tokens
          > worker->cache_tokens;
 }
 
 static struct gate_call *
-choose (const struct mq_gate *gate, struct gate_worker *worker)
+select_call (const struct mq_gate *gate, struct gate_worker *worker)
 {
   struct gate_call *call = find_first (worker);
 
   if (call == NULL || gate->order == MQ_GATE_FIFO)
     return call;
-  return is_memory_short (worker, call) ? find_first_when_short (worker)
-                                        : call;
+  return is_memory_low (worker, call) ? find_first_low_memory (worker) : call;
 }
 
-/* Failure: a call waits past its deadline and then takes a slot for an
-   answer that nobody awaits.  */
+/* Refuses queued calls that can no longer meet their deadline, so that no slot
+   is spent on them.  */
 static void
 refuse_expired (struct mq_gate *gate, struct gate_worker *worker)
 {
@@ -558,20 +560,20 @@
   while (call != NULL && call->latest_start_us < gate->now_us)
     {
       mq_gate_call_refuse (gate, call, MQ_ERR_TIMEOUT,
-                           mq_gate_queue_retry_ms (gate, worker));
+                           mq_gate_queue_retry_after_ms (gate, worker));
       call = mq_gate_heap_first (&worker->expiry);
     }
 }
 
 static void
-start_first (struct mq_gate *gate, struct gate_worker *worker,
-             struct gate_call *call)
+start_call (struct mq_gate *gate, struct gate_worker *worker,
+            struct gate_call *call)
 {
   struct gate_flow *flow = call->lane->flow;
 
-  if (flow->served > worker->served_clock)
-    worker->served_clock = flow->served;
-  flow->served += call->need_tokens;
+  if (flow->served > worker->virtual_time)
+    worker->virtual_time = flow->served;
+  flow->served += call->new_cache_tokens;
   mq_gate_queue_remove (gate, call);
   mq_gate_run_start (gate, call);
 }
@@ -583,11 +585,11 @@
 
   refuse_expired (gate, worker);
   while (worker->up && worker->running < worker->slots
-         && (call = choose (gate, worker)) != NULL)
-    start_first (gate, worker, call);
+         && (call = select_call (gate, worker)) != NULL)
+    start_call (gate, worker, call);
 }
 
-/* Tokens that ORGANISATION was served at WORKER.  */
+/* Adds TOKENS to the service received by ORGANISATION at WORKER.  */
 void
 mq_gate_queue_charge (struct mq_gate *gate, struct gate_worker *worker,
                       uint64_t organisation, uint64_t tokens)
@@ -609,6 +611,6 @@
         if (lane == NULL)
           break;
         mq_gate_call_refuse (gate, mq_gate_heap_first (&lane->calls), error,
-                             mq_gate_queue_retry_ms (gate, worker));
+                             mq_gate_queue_retry_after_ms (gate, worker));
       }
 }
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -1,8 +1,9 @@
 /* gate_runs.c - calls at workers: start, tokens, stop and end.
 
-   A run lives from START until the worker reports its end, also when its
-   call was given up meanwhile: the engine's slot is not free before that.
-   Every START is answered by exactly one DONE.
+   A run exists from START until the worker reports its end, even if its call
+   was dropped, as it occupies a slot of the engine until then.  Each START is
+   answered by exactly one DONE.
+
    Needs: gate_state.h, id.h.  */
 
 #include "gate_state.h"
@@ -30,10 +31,9 @@
   return link == NULL ? NULL : GATE_ENTRY (link, struct gate_run, link);
 }
 
-/* Failure: a worker's late report of an ended call is taken for the answer
-   to the next call in the same slot, and one caller gets another's text.
-   Slots are numbered on, so a number comes again only after four thousand
-   million calls, and never while its run lives.  */
+/* Returns an unused slot number.  Numbers are sequential and wrap after 2^32
+   calls, so a late report of an ended run is not attributed to another
+   call.  */
 static uint32_t
 next_slot (struct mq_gate *gate)
 {
@@ -57,7 +57,7 @@
   run->organisation = call->organisation;
   run->shared_prefix = call->shared_prefix;
   run->continuing = call->continuing;
-  run->need_tokens = call->need_tokens;
+  run->new_cache_tokens = call->new_cache_tokens;
   run->started_us = gate->now_us;
   mq_gate_map_add (&gate->runs, &run->link, hash_slot (gate, run->slot));
   return run;
@@ -70,23 +70,25 @@
   talloc_free (run);
 }
 
-/* Time that is left, 0 when there is no deadline.  */
+/* Remaining time until the deadline; 0 if there is no deadline.  */
 static uint32_t
 remaining_ms (const struct mq_gate *gate, const struct gate_call *call)
 {
-  uint64_t left_us;
+  uint64_t remaining_us;
 
   if (call->deadline_us == 0)
     return 0;
-  left_us = call->deadline_us > gate->now_us ? call->deadline_us - gate->now_us
-                                             : 0;
-  return left_us < MQ_US_PER_MS ? 1 : (uint32_t)(left_us / MQ_US_PER_MS);
+  remaining_us = call->deadline_us > gate->now_us
+                     ? call->deadline_us - gate->now_us
+                     : 0;
+  return remaining_us < MQ_US_PER_MS ? 1
+                                     : (uint32_t)(remaining_us / MQ_US_PER_MS);
 }
 
-/* The same for every attempt of a call, so that a target that honours it
-   runs the call once even when we must ask again.  */
+/* The key is the same for every attempt of a call, so that a target that
+   honours it runs the call once.  */
 static const char *
-write_key (TALLOC_CTX *ctx, const struct mq_call_ref *ref)
+format_idempotency_key (TALLOC_CTX *ctx, const struct mq_call_ref *ref)
 {
   char program[MQ_ID_TEXT];
   char *key;
@@ -111,13 +113,13 @@
   start->priority = call->priority;
   start->max_tokens = call->max_tokens;
   start->timeout_ms = remaining_ms (gate, call);
-  start->idempotency_key = write_key (actions, &call->ref);
+  start->idempotency_key = format_idempotency_key (actions, &call->ref);
   start->traceparent = mq_gate_strdup (actions, call->traceparent);
   start->body = talloc_steal (actions, call->body);
   call->body = NULL;
 }
 
-/* Starts CALL, which has left the queue.  */
+/* Starts CALL, which must have left the queue.  */
 void
 mq_gate_run_start (struct mq_gate *gate, struct gate_call *call)
 {
@@ -128,13 +130,13 @@
   call->queue_us = gate->now_us - call->arrived_us;
   call->program->runs++;
   worker->running++;
-  worker->need_tokens += call->need_tokens;
+  worker->new_cache_tokens += call->new_cache_tokens;
   gate->counters.calls_started++;
   gate->counters.running++;
   gate->load_dirty = true;
-  mq_gate_cache_started (gate, call->run);
-  mq_gate_span (gate, "queue", call->traceparent, &call->ref, call->arrived_us,
-                MQ_ERR_NONE);
+  mq_gate_cache_run_started (gate, call->run);
+  mq_gate_record_span (gate, "queue", call->traceparent, &call->ref,
+                       call->arrived_us, MQ_ERR_NONE);
   add_start (gate, call);
 }
 
@@ -153,7 +155,7 @@
   stop->service
       = mq_gate_strdup (gate->actions, gate->workers[run->worker].service);
   stop->route = "";
-  stop->idempotency_key = write_key (gate->actions, &run->ref);
+  stop->idempotency_key = format_idempotency_key (gate->actions, &run->ref);
   stop->traceparent = mq_gate_strdup (gate->actions, run->traceparent);
   stop->body = "";
 }
@@ -167,7 +169,7 @@
   if (!mq_gate_peer_is_up (gate, call->peer))
     return;
   message.u.token.ref = call->ref;
-  message.u.token.ref.attempt = call->asked;
+  message.u.token.ref.attempt = call->requested_attempt;
   message.u.token.partition = call->partition->partition;
   message.u.token.fence = call->answer_fence;
   message.u.token.index = index;
@@ -175,10 +177,10 @@
   mq_gate_send (gate, call->peer, &message);
 }
 
-/* Indices rise also while nobody is attached, so that who attaches later
-   sees what it has missed.  */
+/* Indices advance while no peer is attached, so that a peer that attaches
+   later can detect missed tokens.  */
 void
-mq_gate_take_token (struct mq_gate *gate, const struct mq_gate_token *token)
+mq_gate_handle_token (struct mq_gate *gate, const struct mq_gate_token *token)
 {
   struct gate_run *run = find_run (gate, token->slot);
   uint32_t index;
@@ -206,24 +208,24 @@
 }
 
 static void
-leave_worker (struct mq_gate *gate, struct gate_run *run,
+release_slot (struct mq_gate *gate, struct gate_run *run,
               const struct mq_gate_done *done)
 {
   struct gate_worker *worker = &gate->workers[run->worker];
 
   worker->running--;
-  worker->need_tokens -= run->need_tokens;
+  worker->new_cache_tokens -= run->new_cache_tokens;
   run->program->runs--;
   gate->counters.running--;
   gate->load_dirty = true;
-  mq_gate_load_measure (worker, run, done, gate->now_us - run->started_us);
+  mq_gate_load_record_run (worker, run, done, gate->now_us - run->started_us);
   mq_gate_queue_charge (gate, worker, run->organisation, done->tokens_out);
-  mq_gate_span (gate, "target", run->traceparent, &run->ref, run->started_us,
-                done->error);
+  mq_gate_record_span (gate, "target", run->traceparent, &run->ref,
+                       run->started_us, done->error);
 }
 
 void
-mq_gate_take_done (struct mq_gate *gate, const struct mq_gate_done *done)
+mq_gate_handle_done (struct mq_gate *gate, const struct mq_gate_done *done)
 {
   struct gate_run *run = find_run (gate, done->slot);
   struct gate_worker *worker;
@@ -232,8 +234,8 @@
     return;
   worker = &gate->workers[run->worker];
   count_tokens (gate, done);
-  leave_worker (gate, run, done);
-  mq_gate_cache_ended (gate, run, done);
+  release_slot (gate, run, done);
+  mq_gate_cache_run_ended (gate, run, done);
   mq_gate_program_touch (gate, run->program);
   if (run->call != NULL)
     mq_gate_call_finish (gate, run->call, done);
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -1,4 +1,4 @@
-/* gate_settle.c - calls that are cancelled, sealed, recovered and forgotten.
+/* gate_settle.c - handles CANCEL, SEAL, RECOVER and FORGET.
 
    Needs: gate_state.h.  */
 
@@ -6,10 +6,10 @@
 
 /* CANCEL.  */
 
-/* Failure: CANCEL overtakes its CALL on another connection and the call runs
-   for nobody.  The mark refuses the CALL when it comes.  It holds under this
-   fence only, as the call may be one that a successor rightly makes
-   otherwise.  */
+/* Handles a CANCEL that arrives before its CALL on another connection: the
+   watermark refuses the CALL, which otherwise would run with no requester.  It
+   applies under this fence only, as a new owner may use the call number for
+   another call.  */
 static void
 cancel_unknown (struct mq_gate *gate, uint32_t peer,
                 const struct mq_ref_msg *msg)
@@ -20,7 +20,7 @@
 
   if (program == NULL)
     return;
-  if (!mq_gate_is_late (program, &as_call, &ran))
+  if (!mq_gate_is_stale_call (program, &as_call, &ran))
     {
       mq_gate_mark_settled (program, msg->fence, &msg->ref, false);
       mq_gate_count_refusal (gate, MQ_ERR_CANCELLED);
@@ -32,7 +32,7 @@
 cancel_known (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
               const struct mq_ref_msg *msg)
 {
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   switch (call->state)
     {
     case GATE_CALL_QUEUED:
@@ -45,14 +45,14 @@
       mq_gate_run_stop (gate, call->run);
       break;
     case GATE_CALL_DONE:
-      mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+      mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
       break;
     }
 }
 
 void
-mq_gate_take_cancel (struct mq_gate *gate, uint32_t peer,
-                     const struct mq_ref_msg *msg)
+mq_gate_handle_cancel (struct mq_gate *gate, uint32_t peer,
+                       const struct mq_ref_msg *msg)
 {
   struct gate_call *call;
 
@@ -81,9 +81,9 @@
   mq_gate_send (gate, peer, &message);
 }
 
-/* Failure: SEAL comes (again) after the outcome was forgotten, and "never
-   seen" would let the call run elsewhere a second time.  What the mark
-   can't vouch for is answered as of unknown effect.  */
+/* Seals a call that is not in the table.  If the call may have completed and
+   been forgotten, its effect is reported as unknown; reporting it as never run
+   would let it run elsewhere a second time.  */
 static void
 seal_unknown (struct mq_gate *gate, uint32_t peer,
               const struct mq_ref_msg *msg, struct gate_program *program)
@@ -91,7 +91,7 @@
   struct mq_call_msg as_call = { .ref = msg->ref, .fence = msg->fence };
   enum mq_ran ran = MQ_RAN_NOT_RUN;
 
-  if (mq_gate_is_late (program, &as_call, &ran) && ran != MQ_RAN_NOT_RUN)
+  if (mq_gate_is_stale_call (program, &as_call, &ran) && ran != MQ_RAN_NOT_RUN)
     {
       mq_gate_send_refusal (gate, peer, msg, MQ_ERR_SEALED, ran, 0);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_DONE);
@@ -105,11 +105,12 @@
 seal_known (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
             const struct mq_ref_msg *msg)
 {
-  mq_gate_attach (call, peer, msg->fence, msg->ref.attempt);
+  mq_gate_set_requester (call, peer, msg->fence, msg->ref.attempt);
   switch (call->state)
     {
     case GATE_CALL_QUEUED:
-      mq_gate_mark_sealed (call->program, call->ref.call, call->asked);
+      mq_gate_mark_sealed (call->program, call->ref.call,
+                           call->requested_attempt);
       mq_gate_call_refuse (gate, call, MQ_ERR_SEALED, 0);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_SEALED);
       break;
@@ -117,27 +118,28 @@
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_RUNNING);
       break;
     case GATE_CALL_DONE:
-      mq_gate_send_kept (gate, peer, call, msg->ref.attempt, false);
+      mq_gate_send_outcome (gate, peer, call, msg->ref.attempt, false);
       send_sealed (gate, peer, msg, msg->fence, MQ_SEAL_DONE);
       break;
     }
 }
 
 void
-mq_gate_take_seal (struct mq_gate *gate, uint32_t peer,
-                   const struct mq_ref_msg *msg)
+mq_gate_handle_seal (struct mq_gate *gate, uint32_t peer,
+                     const struct mq_ref_msg *msg)
 {
   struct gate_program *program;
   struct gate_call *call;
 
   if (mq_gate_raise_fence (gate, msg->partition, msg->fence, peer) == NULL)
     {
-      send_sealed (gate, peer, msg, mq_gate_fence (gate, msg->partition),
+      send_sealed (gate, peer, msg, mq_gate_get_fence (gate, msg->partition),
                    MQ_SEAL_STALE);
       return;
     }
   program = mq_gate_program_get (gate, msg->ref.program);
-  /* As if the frame had been lost: a seal that can't be kept is worse.  */
+  /* Send no reply: without a program record the seal could not be
+     enforced.  */
   if (program == NULL)
     return;
   call = mq_gate_call_find (gate, &msg->ref);
@@ -147,13 +149,13 @@
     seal_unknown (gate, peer, msg, program);
 }
 
-/* Failure: a connection dies with an OUTCOME or a FORGET in it; it shows as
-   an outcome that is kept for ever, and a host that never drains.  When the
-   same owner is heard over a new connection, all that the old one may have
-   lost goes over the new one; what is settled is then forgotten again.  */
+/* Moves calls from closed connections to PEER and resends their outcomes,
+   since an OUTCOME or FORGET may have been lost with the old connection.
+   Otherwise such outcomes would never be released and the host would not
+   drain.  */
 void
-mq_gate_calls_follow (struct mq_gate *gate, struct gate_partition *partition,
-                      uint32_t peer)
+mq_gate_calls_reattach (struct mq_gate *gate, struct gate_partition *partition,
+                        uint32_t peer)
 {
   struct gate_node *node = partition->calls.first;
 
@@ -167,7 +169,8 @@
         continue;
       call->peer = peer;
       if (call->state == GATE_CALL_DONE)
-        mq_gate_send_kept (gate, peer, call, call->asked, false);
+        mq_gate_send_outcome (gate, peer, call, call->requested_attempt,
+                              false);
     }
 }
 
@@ -180,14 +183,15 @@
   struct mq_message message = { .type = MQ_MSG_RECOVERED };
 
   message.u.recovered.partition = partition;
-  message.u.recovered.fence = mq_gate_fence (gate, partition);
+  message.u.recovered.fence = mq_gate_get_fence (gate, partition);
   message.u.recovered.boot = gate->boot;
   message.u.recovered.running = running;
   message.u.recovered.running_count = count;
   mq_gate_send (gate, peer, &message);
 }
 
-/* Gives CALL to a new owner.  True: it is still to end.  */
+/* Transfers CALL to a new owner.  Returns true if it is still queued or
+   running.  */
 static bool
 recover_call (struct mq_gate *gate, uint32_t peer, struct gate_call *call,
               uint64_t fence)
@@ -198,16 +202,16 @@
       mq_gate_call_drop (gate, call);
       return false;
     }
-  mq_gate_attach (call, peer, fence, call->asked);
+  mq_gate_set_requester (call, peer, fence, call->requested_attempt);
   if (call->state != GATE_CALL_DONE)
     return true;
-  mq_gate_send_kept (gate, peer, call, call->asked, true);
+  mq_gate_send_outcome (gate, peer, call, call->requested_attempt, true);
   return false;
 }
 
 void
-mq_gate_take_recover (struct mq_gate *gate, uint32_t peer,
-                      const struct mq_recover_msg *msg)
+mq_gate_handle_recover (struct mq_gate *gate, uint32_t peer,
+                        const struct mq_recover_msg *msg)
 {
   struct gate_partition *partition
       = mq_gate_raise_fence (gate, msg->partition, msg->fence, peer);
@@ -233,7 +237,7 @@
       if (!recover_call (gate, peer, call, msg->fence))
         continue;
       running[count] = call->ref;
-      running[count++].attempt = call->asked;
+      running[count++].attempt = call->requested_attempt;
     }
   send_recovered (gate, peer, msg->partition, running, count);
   talloc_free (running);
@@ -241,8 +245,9 @@
 
 /* FORGET.  */
 
-/* The outcome is durable: what still waits must not run; what runs ends for
-   nobody, but one that may not be repeated is not stopped half-way.  */
+/* The outcome is durable, so a queued call must not run.  A running call is
+   stopped if it is idempotent; otherwise it completes and its outcome is
+   dropped.  */
 static void
 forget_known (struct mq_gate *gate, struct gate_call *call)
 {
@@ -263,9 +268,9 @@
     }
 }
 
-/* Failure: a FORGET is lost with its connection and its outcome stays for
-   ever.  A program's outcomes become durable in order, so earlier ones are
-   dropped too where dropping is harmless: idempotent ones.  */
+/* Drops the retained outcomes of earlier idempotent calls, whose FORGET may
+   have been lost with its connection.  A program's outcomes become durable in
+   order.  */
 static void
 forget_earlier (struct mq_gate *gate, struct gate_program *program,
                 const struct mq_ref_msg *msg)
@@ -285,8 +290,8 @@
 }
 
 void
-mq_gate_take_forget (struct mq_gate *gate, uint32_t peer,
-                     const struct mq_ref_msg *msg)
+mq_gate_handle_forget (struct mq_gate *gate, uint32_t peer,
+                       const struct mq_ref_msg *msg)
 {
   struct gate_program *program;
   struct gate_call *call;
@@ -304,9 +309,10 @@
     forget_known (gate, call);
 }
 
-/* The program has ended: its calls that wait need not run.  */
+/* Refuses the queued idempotent calls of a program that has ended.  */
 void
-mq_gate_calls_end_program (struct mq_gate *gate, struct gate_program *program)
+mq_gate_cancel_program_calls (struct mq_gate *gate,
+                              struct gate_program *program)
 {
   struct gate_node *node = program->calls.first;
 
--- a/src/core/gate/gate_state.h
+++ b/src/core/gate/gate_state.h
@@ -1,9 +1,10 @@
-/* gate_state.h - state of a gate, shared by the gate_*.c files only.
+/* gate_state.h - state of a gate, private to the gate_*.c files.
+
+   Calls belong to a program and a partition; a run is a call at a worker; a
+   cached program is the cache of one program at one worker.  Records link to
+   each other in both directions.  All records are talloc children of the gate;
+   the containers do not own their entries.
 
-   Handles point both ways: a call belongs to a program and a partition, a
-   run (a call at a worker) to a call, a holding (a program's cache at a
-   worker) to a program and a worker.  Everything hangs below the gate in
-   talloc; the containers only link.
    Needs: gate.h, gate_table.h.  */
 
 #ifndef MQ_GATE_STATE_H
@@ -13,12 +14,13 @@
 #include "gate_table.h"
 #include "../limits.h"
 
-/* Attempt number of a mark that covers every attempt of its call.  */
-#define MQ_GATE_EVERY_ATTEMPT UINT32_MAX
+/* Attempt number of a watermark that covers every attempt of its call.  */
+#define MQ_GATE_ALL_ATTEMPTS UINT32_MAX
 
 #define MQ_US_PER_MS 1000ULL
 
-/* One partition: the highest fence seen, who sent it, and its calls.  */
+/* Highest fence seen of one partition, the peer that sent it, and the
+   partition's calls.  */
 struct gate_partition
 {
   struct gate_link link;
@@ -29,13 +31,13 @@
 };
 
 /**
- * struct gate_mark - attempts that are refused without a record of each
+ * struct gate_watermark - covers a call attempt and all earlier ones
  * @fence: fence under which it was set
  * @call: attempts of lower calls are covered
- * @attempt: of this call, attempts up to this one are covered
- * @ran: the attempt at the mark may have taken effect
+ * @attempt: attempts of @call up to this one are covered
+ * @ran: the attempt @attempt of @call may have taken effect
  */
-struct gate_mark
+struct gate_watermark
 {
   uint64_t fence;
   uint32_t call;
@@ -45,47 +47,46 @@
 
 enum gate_lease
 {
-  GATE_LEASE_NONE,   /* nobody has claimed it */
-  GATE_LEASE_HELD,   /* until lease_until_us */
-  GATE_LEASE_LAPSED, /* not renewed: evicted */
-  GATE_LEASE_ENDED   /* its owner said so: evicted and confirmed */
+  GATE_LEASE_NONE,    /* never granted */
+  GATE_LEASE_HELD,    /* valid until lease_until_us */
+  GATE_LEASE_EXPIRED, /* not renewed: the cache is evicted */
+  GATE_LEASE_ENDED    /* ended by its owner: the cache is evicted */
 };
 
 /**
- * struct gate_program - what outlives the calls of one program
- * @settled: refused to everyone under @settled.fence (resends of calls that
- *           were forgotten, sealed or refused)
- * @sealed: refused, under any fence, to calls that may not be repeated
- * @top_fence: fence of the latest call
- * @top_call: its number: lower ones are late under the same fence
- * @calls: its records
- * @holdings: its caches
- * @runs: calls of it at workers
+ * struct gate_program - state of a program that outlives its calls
+ * @settled: attempts refused under @settled.fence only: completed and
+ *           forgotten, refused, or cancelled
+ * @sealed: attempts of non-idempotent calls refused under any fence
+ * @latest_fence: fence of the latest accepted call
+ * @latest_call: number of that call; lower numbers are stale under this fence
+ * @cached_programs: its caches, one per worker
+ * @runs: number of its calls at workers
  * @lease: state of its cache lease
- * @lease_until_us: when it lapses
- * @ended_fence: fence that ended it
- * @swept: it ended and nothing of it is left
- * @waiter: peer that is told when all is evicted, 0 when none
- * @touched_us: when it was last used, on the gate's lived_us
+ * @lease_until_us: expiry of the lease
+ * @ended_fence: fence under which the program ended
+ * @fully_evicted: the program ended and none of its cache remains
+ * @evicted_peer: peer to notify once the cache is evicted; 0 if none
+ * @last_used_us: time of last use on the gate's @active_us clock
  */
 struct gate_program
 {
   struct gate_link link;
   struct mq_id id;
-  struct gate_mark settled;
-  struct gate_mark sealed;
-  uint64_t top_fence;
-  uint32_t top_call;
+  struct gate_watermark settled;
+  struct gate_watermark sealed;
+  uint64_t latest_fence;
+  uint32_t latest_call;
   struct gate_list calls;
-  struct gate_list holdings;
+  struct gate_list cached_programs;
   uint32_t runs;
   enum gate_lease lease;
   uint64_t lease_until_us;
   size_t lease_position;
   uint64_t ended_fence;
-  bool swept;
-  uint32_t waiter;
-  uint64_t touched_us;
+  bool fully_evicted;
+  uint32_t evicted_peer;
+  uint64_t last_used_us;
   struct gate_node by_use;
 };
 
@@ -93,29 +94,31 @@
 {
   GATE_CALL_QUEUED,
   GATE_CALL_RUNNING,
-  GATE_CALL_DONE /* its outcome is kept */
+  GATE_CALL_DONE /* completed; the outcome is retained */
 };
 
 struct gate_lane;
 struct gate_run;
 
 /**
- * struct gate_call - one call that the gate has accepted
- * @ref: the attempt that was accepted
- * @asked: highest attempt that was asked for; the outcome names it
- * @accepted_fence: fence under which @ref came
- * @answer_fence: highest fence under which it was asked for
- * @peer: who asked under that fence, 0 when nobody
- * @body_hash: of its content
- * @deadline_us: 0 when none
- * @latest_start_us: a later start can't meet the deadline; UINT64_MAX: none
- * @prompt_tokens: estimate of its prompt
- * @need_tokens: estimate of the engine memory that it adds
- * @rank: place in the queue, lower goes first; see gate_queue.c
- * @urgency_us: among calls of one rank and organisation, lower goes first
- * @cancelled: CANCEL came while it ran
- * @forgotten: FORGET came while it ran
- * @outcome: when done; its body hangs below the call
+ * struct gate_call - a call accepted by the gate
+ * @ref: accepted attempt
+ * @requested_attempt: highest attempt requested; used in the outcome
+ * @accepted_fence: fence under which @ref was accepted
+ * @answer_fence: highest fence under which the call was requested
+ * @peer: requester under @answer_fence; 0 if none
+ * @body_hash: hash of service, route and body
+ * @deadline_us: 0 if none
+ * @latest_start_us: latest start that can meet the deadline; UINT64_MAX if
+ *                   there is no deadline
+ * @prompt_tokens: estimated prompt length
+ * @new_cache_tokens: estimated cache space that the call adds
+ * @rank: queue order, lowest first; see gate_queue.c
+ * @urgency_us: order within one rank and organisation, lowest first
+ * @queue_us: time spent in the queue
+ * @cancelled: CANCEL was received while it ran
+ * @forgotten: FORGET was received while it ran
+ * @outcome: valid once done; its body is a talloc child of the call
  */
 struct gate_call
 {
@@ -124,9 +127,9 @@
   struct gate_partition *partition;
   struct gate_node by_program;
   struct gate_node by_partition;
-  struct gate_node by_age; /* kept outcomes; queued batch calls */
+  struct gate_node by_age; /* retained outcomes, or queued batch calls */
   struct mq_call_ref ref;
-  uint32_t asked;
+  uint32_t requested_attempt;
   uint64_t accepted_fence;
   uint64_t answer_fence;
   uint32_t peer;
@@ -142,9 +145,9 @@
   uint64_t shared_prefix;
   uint32_t max_tokens;
   uint32_t prompt_tokens;
-  uint32_t need_tokens;
+  uint32_t new_cache_tokens;
   uint64_t arrived_us;
-  uint64_t arrival; /* number of arrival: the last tie-break */
+  uint64_t arrival; /* arrival sequence number, final tie-break */
   uint64_t deadline_us;
   uint64_t latest_start_us;
   uint64_t rank;
@@ -156,7 +159,7 @@
   char *service;
   char *route;
   char *traceparent;
-  char *body; /* until it is started */
+  char *body; /* NULL once started */
   size_t body_len;
   struct gate_run *run;
   uint64_t queue_us;
@@ -166,9 +169,12 @@
 
 /**
  * struct gate_run - a call at a worker, until the worker reports its end
- * @slot: handle given to the worker, not used again while late reports of
- *        it may come
- * @call: its record, NULL when that was dropped and the run only has to end
+ * @slot: handle passed to the worker; not reused while late reports that name
+ *        it may arrive
+ * @call: NULL if the call was dropped while running
+ * @stopping: STOP was sent
+ * @first_us: time of the first token; 0 before it
+ * @tokens: tokens received so far
  */
 struct gate_run
 {
@@ -183,24 +189,26 @@
   uint64_t shared_prefix;
   bool continuing;
   bool stopping;
-  uint32_t need_tokens;
+  uint32_t new_cache_tokens;
   uint64_t started_us;
   uint64_t first_us;
   uint32_t tokens;
 };
 
 /**
- * struct gate_holding - a program's cache at one worker
- * @tokens: its size: estimated from outcomes, made true by reports
- * @idle_since_us: last use
- * @idle_token_ms: held since the last use, up to @idle_since_us
- * @evicting: to be evicted; counts as held for an ended program
- * @asked: an EVICT is under way
- * @retry_us: when to ask (again)
- * @pause_ms: pause after the next failure
- * @failed: a try has failed
+ * struct gate_cached_program - cache of one program at one worker
+ * @tokens: size, estimated from outcomes and corrected by cache reports
+ * @idle_since_us: end of the last use
+ * @unused_token_ms: token-milliseconds held since the last use, up to
+ *                   @idle_since_us
+ * @evicting: eviction required; counted as held for an ended program
+ * @evict_pending: EVICT was sent and not yet answered
+ * @retry_us: time of the next EVICT
+ * @backoff_ms: delay after the next failure
+ * @failed: at least one eviction attempt has failed
+ * @report: number of the last cache report that listed it
  */
-struct gate_holding
+struct gate_cached_program
 {
   struct gate_program *program;
   struct gate_node by_program;
@@ -209,54 +217,57 @@
   uint32_t tokens;
   uint32_t runs;
   uint64_t idle_since_us;
-  uint64_t idle_token_ms;
-  uint64_t touched_us;
-  uint64_t asked_us;
+  uint64_t unused_token_ms;
+  uint64_t last_used_us;
+  uint64_t evict_sent_us;
   bool evicting;
-  bool asked;
+  bool evict_pending;
   bool failed;
   uint64_t retry_us;
-  uint32_t pause_ms;
+  uint32_t backoff_ms;
   size_t retry_position;
   uint64_t report;
 };
 
 enum
 {
-  GATE_GROUPS = 4,   /* (batch or not) x (continuing or new) */
-  GATE_PREFIXES = 16 /* shared prefixes remembered per worker */
+  GATE_GROUPS = 4,       /* batch or not, continuing or new */
+  GATE_PREFIXES_MAX = 16 /* shared prefixes tracked per worker */
 };
 
 struct gate_prefix
 {
   uint64_t hash;
-  uint32_t tokens;
-  uint64_t used_us;
+  uint32_t tokens; /* 0 if not yet known */
+  uint64_t last_used_us;
 };
 
-/* An order that was passed on; ids are the senders'.  */
+/* An order forwarded to a worker; its id was chosen by the sender.  */
 struct gate_order
 {
   struct gate_node by_worker;
   struct mq_order_msg order;
   uint32_t peer;
   bool pending;
-  bool replaced; /* kept for resends only, not applied again */
+  bool superseded; /* retained only to answer duplicates */
   enum mq_error_type result;
 };
 
 /**
  * struct gate_worker - one worker
- * @up: its engine answers as far as is known
- * @reported: its cache was reported since it came up
- * @held_tokens: sum of its holdings
- * @need_tokens: what its runs will add, estimated
- * @lanes: queued calls: lanes by rank, one heap for each group
- * @flows: queued organisations
- * @served_clock: service of the organisation that was served last
+ * @up: whether its engine is available
+ * @reported: a cache report has arrived, or the cache is known to be empty
+ * @report: number of cache reports received
+ * @held_tokens: sum of the sizes of its cached programs
+ * @new_cache_tokens: estimated cache space that its runs will add
+ * @lanes: queued calls, one heap of lanes for each group
+ * @flows: organisations with queued calls or recent service
+ * @virtual_time: service received by the organisation dispatched last
  * @expiry: queued calls with a deadline, by latest start
- * @batch: queued batch calls in order of arrival
- * @mean_run_us: smoothed time at the target, 0: not yet known
+ * @batch: queued batch calls in arrival order
+ * @mean_run_us: moving average of the run time; 0 if not yet known
+ * @prefill_rate: prompt tokens per second; 0 if not yet known
+ * @decode_us: time per generated token; 0 if not yet known
  */
 struct gate_worker
 {
@@ -274,12 +285,12 @@
   uint64_t previous_report_us;
   uint32_t running;
   uint32_t queued;
-  uint32_t queued_class[MQ_PRIORITY_COUNT];
+  uint32_t queued_by_priority[MQ_PRIORITY_COUNT];
   uint64_t queued_bytes;
   struct gate_heap lanes[GATE_GROUPS];
   struct gate_map flows;
   size_t flows_purge_at;
-  uint64_t served_clock;
+  uint64_t virtual_time;
   struct gate_heap expiry;
   struct gate_list batch;
   uint64_t mean_run_us;
@@ -287,10 +298,10 @@
   uint64_t prefill_rate;
   uint64_t decode_us;
   uint64_t held_tokens;
-  uint64_t need_tokens;
+  uint64_t new_cache_tokens;
   uint32_t shared_tokens;
-  struct gate_list holdings;
-  struct gate_prefix prefixes[GATE_PREFIXES];
+  struct gate_list cached_programs;
+  struct gate_prefix prefixes[GATE_PREFIXES_MAX];
   struct gate_list orders;
   uint64_t order_fence;
 };
@@ -306,25 +317,25 @@
   uint32_t outcomes_max;
   struct gate_worker *workers;
   size_t worker_count;
-  uint64_t lease_ms; /* that owners last gave a cache, 0: none yet */
+  uint64_t lease_ms; /* most recent lease duration; 0 if none yet */
   uint64_t now_us;
-  uint64_t lived_us; /* time in which inputs were handled; see mq_gate_live */
+  uint64_t active_us; /* run time; a suspension counts as 1 s at most */
   bool leaving;
   bool drained;
-  uint32_t *peers; /* connected */
+  uint32_t *peers;
   size_t peer_count;
   struct gate_map partitions;
   struct gate_map programs;
   struct gate_list programs_by_use;
   struct gate_map calls;
-  struct gate_list kept_idempotent; /* oldest first */
-  size_t kept_count;
-  size_t kept_bytes;
+  struct gate_list retained_idempotent; /* oldest first */
+  size_t retained_count;
+  size_t retained_bytes;
   uint64_t arrivals;
   struct gate_map runs;
   uint32_t last_slot;
-  struct gate_heap leases;  /* programs by lapse */
-  struct gate_heap retries; /* holdings by retry */
+  struct gate_heap leases;  /* programs by lease expiry */
+  struct gate_heap retries; /* cached programs by retry time */
   uint64_t held_tokens;
   uint64_t ended_tokens;
   uint64_t held_remainder;
@@ -332,19 +343,20 @@
   bool load_dirty;
   uint64_t load_sent_us;
   struct mq_gate_counters counters;
-  struct mq_actions *actions;   /* of the input at hand */
-  struct gate_partition *moved; /* by it: heard over another connection */
+  struct mq_actions *actions;         /* of the input being handled */
+  struct gate_partition *reconnected; /* its owner reconnected in this input */
 };
 
 /* gate.c */
 bool mq_gate_peer_is_up (const struct mq_gate *gate, uint32_t peer);
 void mq_gate_send (struct mq_gate *gate, uint32_t peer,
                    const struct mq_message *message);
-void mq_gate_state (struct mq_gate *gate, enum mq_state_change change,
-                    uint64_t number, const char *subject);
-void mq_gate_span (struct mq_gate *gate, const char *name,
-                   const char *traceparent, const struct mq_call_ref *ref,
-                   uint64_t start_us, enum mq_error_type error);
+void mq_gate_log_state (struct mq_gate *gate, enum mq_state_change change,
+                        uint64_t number, const char *subject);
+void mq_gate_record_span (struct mq_gate *gate, const char *name,
+                          const char *traceparent,
+                          const struct mq_call_ref *ref, uint64_t start_us,
+                          enum mq_error_type error);
 void *mq_gate_alloc (TALLOC_CTX *ctx, size_t size, const char *name);
 char *mq_gate_strdup (TALLOC_CTX *ctx, const char *text);
 
@@ -352,7 +364,7 @@
 struct gate_partition *mq_gate_raise_fence (struct mq_gate *gate,
                                             uint32_t number, uint64_t fence,
                                             uint32_t peer);
-uint64_t mq_gate_fence (const struct mq_gate *gate, uint32_t partition);
+uint64_t mq_gate_get_fence (const struct mq_gate *gate, uint32_t partition);
 struct gate_program *mq_gate_program_find (struct mq_gate *gate,
                                            struct mq_id id);
 struct gate_program *mq_gate_program_get (struct mq_gate *gate,
@@ -366,16 +378,16 @@
                           uint32_t attempt);
 bool mq_gate_is_sealed (const struct gate_program *program,
                         const struct mq_call_ref *ref);
-bool mq_gate_is_late (const struct gate_program *program,
-                      const struct mq_call_msg *msg, enum mq_ran *ran);
+bool mq_gate_is_stale_call (const struct gate_program *program,
+                            const struct mq_call_msg *msg, enum mq_ran *ran);
 
 /* gate_calls.c */
 struct gate_call *mq_gate_call_find (struct mq_gate *gate,
                                      const struct mq_call_ref *ref);
-void mq_gate_take_call (struct mq_gate *gate, uint32_t peer,
-                        const struct mq_call_msg *msg);
-/* Refuses a queued call: it leaves the queue and the table, and a resend
-   of it is refused from now on.  */
+void mq_gate_handle_call (struct mq_gate *gate, uint32_t peer,
+                          const struct mq_call_msg *msg);
+/* Refuses a queued call and removes it from the queue and the table.  Later
+   copies of it are refused too.  */
 void mq_gate_call_refuse (struct mq_gate *gate, struct gate_call *call,
                           enum mq_error_type error, uint32_t retry_after_ms);
 void mq_gate_call_drop (struct mq_gate *gate, struct gate_call *call);
@@ -386,110 +398,114 @@
                            enum mq_error_type error, enum mq_ran ran,
                            uint32_t retry_after_ms);
 void mq_gate_count_refusal (struct mq_gate *gate, enum mq_error_type error);
-void mq_gate_send_kept (struct mq_gate *gate, uint32_t peer,
-                        const struct gate_call *call, uint32_t attempt,
-                        bool recovered);
-void mq_gate_attach (struct gate_call *call, uint32_t peer, uint64_t fence,
-                     uint32_t attempt);
+void mq_gate_send_outcome (struct mq_gate *gate, uint32_t peer,
+                           const struct gate_call *call, uint32_t attempt,
+                           bool recovered);
+void mq_gate_set_requester (struct gate_call *call, uint32_t peer,
+                            uint64_t fence, uint32_t attempt);
 void mq_gate_mark_not_run (struct gate_program *program,
                            const struct mq_call_ref *ref, uint64_t fence,
                            bool idempotent);
 void mq_gate_forget_call (struct mq_gate *gate, struct gate_call *call);
 
 /* gate_settle.c */
-void mq_gate_take_cancel (struct mq_gate *gate, uint32_t peer,
-                          const struct mq_ref_msg *msg);
-void mq_gate_take_seal (struct mq_gate *gate, uint32_t peer,
-                        const struct mq_ref_msg *msg);
-void mq_gate_take_recover (struct mq_gate *gate, uint32_t peer,
-                           const struct mq_recover_msg *msg);
-void mq_gate_take_forget (struct mq_gate *gate, uint32_t peer,
+void mq_gate_handle_cancel (struct mq_gate *gate, uint32_t peer,
+                            const struct mq_ref_msg *msg);
+void mq_gate_handle_seal (struct mq_gate *gate, uint32_t peer,
                           const struct mq_ref_msg *msg);
-/* The owner of PARTITION is heard over another connection, PEER.  */
-void mq_gate_calls_follow (struct mq_gate *gate,
-                           struct gate_partition *partition, uint32_t peer);
-void mq_gate_calls_end_program (struct mq_gate *gate,
-                                struct gate_program *program);
+void mq_gate_handle_recover (struct mq_gate *gate, uint32_t peer,
+                             const struct mq_recover_msg *msg);
+void mq_gate_handle_forget (struct mq_gate *gate, uint32_t peer,
+                            const struct mq_ref_msg *msg);
+/* The owner of PARTITION has reconnected as PEER.  */
+void mq_gate_calls_reattach (struct mq_gate *gate,
+                             struct gate_partition *partition, uint32_t peer);
+void mq_gate_cancel_program_calls (struct mq_gate *gate,
+                                   struct gate_program *program);
 
 /* gate_runs.c */
 void mq_gate_run_start (struct mq_gate *gate, struct gate_call *call);
 void mq_gate_run_stop (struct mq_gate *gate, struct gate_run *run);
-void mq_gate_take_token (struct mq_gate *gate,
-                         const struct mq_gate_token *token);
-void mq_gate_take_done (struct mq_gate *gate, const struct mq_gate_done *done);
+void mq_gate_handle_token (struct mq_gate *gate,
+                           const struct mq_gate_token *token);
+void mq_gate_handle_done (struct mq_gate *gate,
+                          const struct mq_gate_done *done);
 
 /* gate_queue.c */
-/* NONE when CALL may wait or start, else why not.  May refuse a queued
-   batch call in its place.  */
+/* Returns MQ_ERR_NONE if CALL may be queued or started, else the reason for
+   refusing it.  May refuse a queued batch call to make room.  */
 enum mq_error_type mq_gate_queue_admit (struct mq_gate *gate,
                                         const struct gate_call *call,
                                         uint32_t *retry_after_ms);
 void mq_gate_queue_add (struct mq_gate *gate, struct gate_call *call);
 void mq_gate_queue_remove (struct mq_gate *gate, struct gate_call *call);
-/* Starts what may start and refuses what is too late.  */
+/* Starts queued calls while slots are free and refuses expired ones.  */
 void mq_gate_queue_run (struct mq_gate *gate, struct gate_worker *worker);
 void mq_gate_queue_refuse_all (struct mq_gate *gate,
                                struct gate_worker *worker,
                                enum mq_error_type error);
 void mq_gate_queue_charge (struct mq_gate *gate, struct gate_worker *worker,
                            uint64_t organisation, uint64_t tokens);
-uint32_t mq_gate_queue_retry_ms (struct mq_gate *gate,
-                                 const struct gate_worker *worker);
+uint32_t mq_gate_queue_retry_after_ms (struct mq_gate *gate,
+                                       const struct gate_worker *worker);
 void mq_gate_queue_estimate (struct mq_gate *gate, struct gate_call *call,
                              const struct mq_call_msg *msg);
 void mq_gate_queue_create (struct mq_gate *gate, struct gate_worker *worker);
 
 /* gate_cache.c */
 void mq_gate_cache_create (struct mq_gate *gate);
-void mq_gate_cache_clock (struct mq_gate *gate, uint64_t elapsed_us);
-void mq_gate_cache_started (struct mq_gate *gate, struct gate_run *run);
-void mq_gate_cache_ended (struct mq_gate *gate, struct gate_run *run,
-                          const struct mq_gate_done *done);
-uint32_t mq_gate_cache_tokens (struct mq_gate *gate,
-                               const struct gate_program *program,
-                               uint32_t worker);
-void mq_gate_take_evicted (struct mq_gate *gate,
-                           const struct mq_gate_evicted *evicted);
-void mq_gate_take_cache (struct mq_gate *gate,
-                         const struct mq_gate_cache *cache);
-void mq_gate_take_probe (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_probe_msg *msg);
-void mq_gate_cache_emptied (struct mq_gate *gate, struct gate_worker *worker);
+void mq_gate_cache_accumulate (struct mq_gate *gate, uint64_t elapsed_us);
+void mq_gate_cache_run_started (struct mq_gate *gate, struct gate_run *run);
+void mq_gate_cache_run_ended (struct mq_gate *gate, struct gate_run *run,
+                              const struct mq_gate_done *done);
+uint32_t mq_gate_count_cached_tokens (struct mq_gate *gate,
+                                      const struct gate_program *program,
+                                      uint32_t worker);
+void mq_gate_handle_evicted (struct mq_gate *gate,
+                             const struct mq_gate_evicted *evicted);
+void mq_gate_handle_cache_report (struct mq_gate *gate,
+                                  const struct mq_gate_cache *cache);
+void mq_gate_handle_probe (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_probe_msg *msg);
+void mq_gate_cache_reset (struct mq_gate *gate, struct gate_worker *worker);
 bool mq_gate_has_cache (const struct gate_worker *worker);
-struct gate_holding *mq_gate_get_holding (struct mq_gate *gate,
-                                          struct gate_program *program,
-                                          struct gate_worker *worker);
+struct gate_cached_program *
+mq_gate_get_cached_program (struct mq_gate *gate, struct gate_program *program,
+                            struct gate_worker *worker);
 void mq_gate_cancel_eviction (struct mq_gate *gate,
-                              struct gate_holding *holding);
+                              struct gate_cached_program *cached_program);
 void mq_gate_begin_evictions (struct mq_gate *gate,
                               struct gate_program *program);
-void mq_gate_tell_evicted (struct mq_gate *gate, struct gate_program *program);
+void mq_gate_notify_evicted (struct mq_gate *gate,
+                             struct gate_program *program);
 void mq_gate_retry_evictions (struct mq_gate *gate);
 
 /* gate_lease.c */
-void mq_gate_take_lease (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_lease_msg *msg);
-void mq_gate_cache_tick (struct mq_gate *gate);
-/* A call was accepted: the program lives.  */
-void mq_gate_cache_claim (struct mq_gate *gate, struct gate_program *program,
+void mq_gate_handle_lease (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_lease_msg *msg);
+void mq_gate_lease_tick (struct mq_gate *gate);
+/* Grants PROGRAM a default cache lease if it has none and an accepted call
+   will use the cache of WORKER.  */
+void mq_gate_grant_lease (struct mq_gate *gate, struct gate_program *program,
                           const struct gate_worker *worker);
 void mq_gate_set_lease (struct mq_gate *gate, struct gate_program *program,
                         uint64_t ms);
 
 /* gate_orders.c */
-void mq_gate_take_order (struct mq_gate *gate, uint32_t peer,
-                         const struct mq_order_msg *msg);
-void mq_gate_take_ordered (struct mq_gate *gate,
-                           const struct mq_order_done_msg *done);
-void mq_gate_orders_apply (struct mq_gate *gate, struct gate_worker *worker);
+void mq_gate_handle_order (struct mq_gate *gate, uint32_t peer,
+                           const struct mq_order_msg *msg);
+void mq_gate_handle_order_done (struct mq_gate *gate,
+                                const struct mq_order_done_msg *done);
+void mq_gate_orders_resend (struct mq_gate *gate, struct gate_worker *worker);
 
 /* gate_load.c */
-void mq_gate_load_measure (struct gate_worker *worker,
-                           const struct gate_run *run,
-                           const struct mq_gate_done *done, uint64_t run_us);
-uint32_t mq_gate_load_used (const struct gate_worker *worker);
-void mq_gate_load_push (struct mq_gate *gate, bool at_once);
-void mq_gate_load_tell (struct mq_gate *gate, uint32_t peer);
+void mq_gate_load_record_run (struct gate_worker *worker,
+                              const struct gate_run *run,
+                              const struct mq_gate_done *done,
+                              uint64_t run_us);
+uint32_t mq_gate_load_cache_used (const struct gate_worker *worker);
+void mq_gate_load_push (struct mq_gate *gate, bool immediately);
+void mq_gate_load_send (struct mq_gate *gate, uint32_t peer);
 uint64_t mq_gate_load_due (const struct mq_gate *gate);
 char *mq_gate_status_text (TALLOC_CTX *ctx, const struct mq_gate *gate);
 
