--- a/bench/capacity_fleet.c
+++ b/bench/capacity_fleet.c
@@ -35,8 +35,8 @@
       mq_fleet_put (fleet, &member, NULL);
     }
   for (int i = 0; i < ANSWERS; i++)
-    mq_fleet_told (fleet, mq_random_below (&random, (uint32_t)count),
-                   mq_random_below (&random, 8), 0, NOW_MS);
+    mq_fleet_record_load (fleet, mq_random_below (&random, (uint32_t)count),
+                          mq_random_below (&random, 8), 0, NOW_MS);
   return fleet;
 }
 
@@ -57,14 +57,15 @@
                                   .now_ms = NOW_MS + 1 };
   uint64_t start;
 
-  query.home = choice == CHOICE_HOME_KNOWN ? mq_fleet_home (fleet, &query) : 0;
+  query.home
+      = choice == CHOICE_HOME_KNOWN ? mq_fleet_choose_home (fleet, &query) : 0;
   start = capacity_cpu_ns ();
   for (uint64_t i = 0; i < DECISIONS; i++)
     {
       query.key = i * 0x9e3779b97f4a7c15ULL;
       query.random = i;
       if (choice == CHOICE_HOME)
-        (void)mq_fleet_home (fleet, &query);
+        (void)mq_fleet_choose_home (fleet, &query);
       else
         (void)mq_fleet_choose (fleet, &query);
     }
--- a/src/core/organisation/key_set.c
+++ b/src/core/organisation/key_set.c
@@ -13,7 +13,7 @@
 
 /**
  * struct entry - one key
- * @owner: MQ_KEY_NOBODY: the place is free
+ * @owner: MQ_KEY_NO_OWNER: the place is free
  */
 struct entry
 {
@@ -39,7 +39,7 @@
   struct entry *entries = talloc_array (ctx, struct entry, room);
 
   for (size_t i = 0; entries != NULL && i < room; i++)
-    entries[i].owner = MQ_KEY_NOBODY;
+    entries[i].owner = MQ_KEY_NO_OWNER;
   return entries;
 }
 
@@ -84,7 +84,7 @@
     {
       struct entry *entry = &set->entries[at & (set->room - 1)];
 
-      if (entry->owner == MQ_KEY_NOBODY
+      if (entry->owner == MQ_KEY_NO_OWNER
           || memeql_sec (entry->digest, digest, MQ_KEY_BYTES))
         return entry;
     }
@@ -99,7 +99,7 @@
   if (grown.entries == NULL)
     return false;
   for (size_t i = 0; i < set->room; i++)
-    if (set->entries[i].owner != MQ_KEY_NOBODY)
+    if (set->entries[i].owner != MQ_KEY_NO_OWNER)
       *find_place (&grown, set->entries[i].digest) = set->entries[i];
   talloc_free (set->entries);
   set->entries = grown.entries;
@@ -116,7 +116,7 @@
   if (set->count >= set->room / 2 && !grow (set))
     return MQ_KEY_NO_MEMORY;
   entry = find_place (set, digest);
-  if (entry->owner != MQ_KEY_NOBODY)
+  if (entry->owner != MQ_KEY_NO_OWNER)
     return MQ_KEY_TAKEN;
   memcpy (entry->digest, digest, MQ_KEY_BYTES);
   entry->owner = owner;
--- a/src/core/organisation/key_set.h
+++ b/src/core/organisation/key_set.h
@@ -13,7 +13,7 @@
 struct mq_key_set;
 
 /* What mq_key_set_find returns for a key that nobody has.  */
-#define MQ_KEY_NOBODY UINT32_MAX
+#define MQ_KEY_NO_OWNER UINT32_MAX
 
 /* SEED: by chance, unknown to callers.  NULL when memory is out.  */
 struct mq_key_set *mq_key_set_create (TALLOC_CTX *ctx, uint64_t seed);
@@ -28,7 +28,7 @@
   MQ_KEY_NO_MEMORY
 };
 
-/* OWNER is anything below MQ_KEY_NOBODY.  */
+/* OWNER is anything below MQ_KEY_NO_OWNER.  */
 enum mq_key_added mq_key_set_add (struct mq_key_set *set,
                                   const uint8_t digest[MQ_KEY_BYTES],
                                   uint32_t owner);
--- a/src/core/organisation/orgs.c
+++ b/src/core/organisation/orgs.c
@@ -67,19 +67,19 @@
     {
       mq_error_set (error, MQ_ERR_TEXT_BAD_VALUE, "organisation",
                     "a name of 1 to 127 bytes");
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   if (mq_orgs_find_name (orgs, org->name) != NULL)
     {
       mq_error_set (error, MQ_ERR_TEXT_DUPLICATE, org->name, NULL);
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   *to = *org;
   to->name = talloc_strdup (orgs, org->name);
   if (orgs->count == orgs->room || to->name == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "organisations", NULL);
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   set_scope (to);
   mq_idmap_put (orgs->names, mq_id_text_hash (to->name), 0, to);
@@ -125,7 +125,7 @@
     return NULL;
   mq_key_digest (key, digest);
   index = mq_key_set_find (orgs->keys, digest);
-  return index == MQ_KEY_NOBODY ? NULL : &orgs->list[index];
+  return index == MQ_KEY_NO_OWNER ? NULL : &orgs->list[index];
 }
 
 const struct mq_org *
@@ -141,7 +141,7 @@
 }
 
 char *
-mq_org_scope (TALLOC_CTX *ctx, const struct mq_org *org, const char *id)
+mq_org_scoped_id (TALLOC_CTX *ctx, const struct mq_org *org, const char *id)
 {
   return talloc_asprintf (ctx, "%s.%s", org == NULL ? NO_SCOPE : org->scope,
                           id);
--- a/src/core/organisation/orgs.h
+++ b/src/core/organisation/orgs.h
@@ -13,7 +13,7 @@
 /* Longest name and key, terminator included.  */
 #define MQ_ORG_NAME_MAX 128U
 #define MQ_ORG_KEY_MAX 257U
-/* Bytes that mq_org_scope puts before an id.  */
+/* Bytes that mq_org_scoped_id puts before an id.  */
 #define MQ_ORG_SCOPE_BYTES 17U
 
 /**
@@ -49,8 +49,8 @@
    memory is out.  */
 struct mq_orgs *mq_orgs_create (TALLOC_CTX *ctx, size_t count, uint64_t seed);
 void mq_orgs_destroy (struct mq_orgs *orgs);
-/* Adds ORG, whose name is copied; its index, or MQ_KEY_NOBODY with ERROR set:
-   the name is empty, too long or taken, or there is no room.  */
+/* Adds ORG, whose name is copied; its index, or MQ_KEY_NO_OWNER with ERROR
+   set: the name is empty, too long or taken, or there is no room.  */
 uint32_t mq_orgs_add (struct mq_orgs *orgs, const struct mq_org *org,
                       struct mq_error *error);
 /* KEY is one of the organisation INDEX; false with ERROR set when it is empty,
@@ -67,6 +67,7 @@
 
 /* ID as it is kept, below CTX: two organisations with the same ids share
    nothing.  ORG NULL: a caller without an organisation.  */
-char *mq_org_scope (TALLOC_CTX *ctx, const struct mq_org *org, const char *id);
+char *mq_org_scoped_id (TALLOC_CTX *ctx, const struct mq_org *org,
+                        const char *id);
 
 #endif
--- a/src/core/organisation/quota.h
+++ b/src/core/organisation/quota.h
@@ -29,27 +29,27 @@
 #include "orgs.h"
 
 /* An answer that took longer is not used; its permits are lost.  */
-#define MQ_QUOTA_ANSWER_MS 300U
+#define MQ_QUOTA_REPLY_TIMEOUT_MS 300U
 /* Permits that were asked for ahead are kept for so long.  */
-#define MQ_QUOTA_KEEP_MS 250U
+#define MQ_QUOTA_PREFETCH_TTL_MS 250U
 /* The issuer takes a host that acknowledged nothing newer for silent.  */
-#define MQ_QUOTA_SILENT_MS 800U
+#define MQ_QUOTA_ACK_TIMEOUT_MS 800U
 /* A host lives on its standing rates when the last question that was answered
-   is so old: MQ_QUOTA_ANSWER_MS and MQ_QUOTA_SILENT_MS, and what clocks may
-   differ in that time.  */
-#define MQ_QUOTA_ALONE_MS 1200U
+   is so old: MQ_QUOTA_REPLY_TIMEOUT_MS and MQ_QUOTA_ACK_TIMEOUT_MS, and what
+   clocks may differ in that time.  */
+#define MQ_QUOTA_ISSUER_TIMEOUT_MS 1200U
 /* A host that needs permits of an issuer asks at least this often.  */
-#define MQ_QUOTA_PING_MS 200U
+#define MQ_QUOTA_POLL_INTERVAL_MS 200U
 /* Standing rates are told anew so often.  */
-#define MQ_QUOTA_REFRESH_MS 1000U
+#define MQ_QUOTA_STANDING_REFRESH_MS 1000U
 
 /* Levels of buckets count millionths of a permit: thousandths a second times
    milliseconds.  */
-#define MQ_QUOTA_LEVEL_UNIT 1000000U
+#define MQ_QUOTA_UNITS_PER_PERMIT 1000000U
 
 /* What a host that lives on the standing RATE may have saved up, in those: one
    permit, and a moment's use.  The issuer keeps as much back.  */
-uint64_t mq_quota_saved (uint64_t rate);
+uint64_t mq_quota_standing_burst (uint64_t rate);
 
 /* The issuer's side */
 
@@ -88,7 +88,7 @@
 };
 
 /**
- * struct mq_quota_want - what a host wants for one organisation
+ * struct mq_quota_request - what a host wants for one organisation
  * @organisation: its name
  * @need: permits for requests that wait
  * @begins: permits for first requests of programs that wait
@@ -99,7 +99,7 @@
  * @holds: standing rate that the host has, as of @heard_ms
  * @heard_ms: what the host acknowledges with it
  */
-struct mq_quota_want
+struct mq_quota_request
 {
   const char *organisation;
   uint32_t need;
@@ -112,7 +112,7 @@
 };
 
 /**
- * struct mq_quota_gift - the answer
+ * struct mq_quota_grant - the answer
  * @organisation: its name
  * @unknown: this host does not issue permits of the organisation
  * @need: of those that were wanted
@@ -123,7 +123,7 @@
  * @standing: rate that the host may use alone, as in struct mq_quota_limit
  * @standing_ms: for so long from the question on
  */
-struct mq_quota_gift
+struct mq_quota_grant
 {
   const char *organisation;
   bool unknown;
@@ -139,19 +139,19 @@
 struct mq_quota_issuer *mq_quota_issuer_create (TALLOC_CTX *ctx);
 /* The host that names itself HOST asks, and acknowledges what it was told at
    HEARD_MS by this host's clock, 0: nothing yet.  Before mq_quota_issue.  */
-void mq_quota_heard (struct mq_quota_issuer *issuer, uint64_t host,
-                     uint64_t heard_ms, uint64_t now_ms);
+void mq_quota_record_ack (struct mq_quota_issuer *issuer, uint64_t host,
+                          uint64_t heard_ms, uint64_t now_ms);
 /* Answers WANT of HOST.  */
-struct mq_quota_gift mq_quota_issue (struct mq_quota_issuer *issuer,
-                                     uint64_t host,
-                                     const struct mq_quota_want *want,
-                                     const struct mq_quota_bounds *bounds,
-                                     const struct mq_quota_lease *lease,
-                                     uint64_t now_ms);
+struct mq_quota_grant mq_quota_issue (struct mq_quota_issuer *issuer,
+                                      uint64_t host,
+                                      const struct mq_quota_request *want,
+                                      const struct mq_quota_bounds *bounds,
+                                      const struct mq_quota_lease *lease,
+                                      uint64_t now_ms);
 /* Some host may still have a standing rate of an organisation of the lease
    SLOT.  */
-bool mq_quota_issuer_lent (const struct mq_quota_issuer *issuer, uint32_t slot,
-                           uint64_t now_ms);
+bool mq_quota_issuer_has_lent (const struct mq_quota_issuer *issuer,
+                               uint32_t slot, uint64_t now_ms);
 /* Forgets organisations and hosts that were not heard of for long.  */
 void mq_quota_issuer_sweep (struct mq_quota_issuer *issuer, uint64_t now_ms);
 
@@ -170,12 +170,12 @@
   uint64_t answered_ms;
 };
 
-#define MQ_QUOTA_STOCKS 2
+#define MQ_QUOTA_BATCHES 2
 
 /**
- * struct mq_quota_stock - permits that were asked for ahead
+ * struct mq_quota_batch - permits that were asked for ahead
  */
-struct mq_quota_stock
+struct mq_quota_batch
 {
   uint32_t permits;
   uint64_t until_ms;
@@ -192,12 +192,12 @@
  * @surrendered: to be told to the issuer
  * @alone: it lives on the standing rate
  * @level: millionths of a permit then, as of @level_ms
- * @none_until_ms: no permit will be there before
- * @no_begin_until_ms: none for a program's first request
+ * @exhausted_until_ms: no permit will be there before
+ * @begin_refused_until_ms: none for a program's first request
  */
 struct mq_quota_share
 {
-  struct mq_quota_stock stocks[MQ_QUOTA_STOCKS];
+  struct mq_quota_batch stocks[MQ_QUOTA_BATCHES];
   uint32_t unused;
   uint64_t unused_ms;
   uint32_t used[2];
@@ -209,49 +209,50 @@
   bool alone;
   uint64_t level;
   uint64_t level_ms;
-  uint64_t none_until_ms;
-  uint64_t no_begin_until_ms;
+  uint64_t exhausted_until_ms;
+  uint64_t begin_refused_until_ms;
 };
 
-enum mq_quota_answer
+enum mq_quota_decision
 {
-  MQ_QUOTA_PERMIT, /* the request may be sent */
-  MQ_QUOTA_ASK,    /* the issuer is to be asked */
-  MQ_QUOTA_OVER,   /* the limit is reached */
-  MQ_QUOTA_ALONE   /* the issuer can't be asked, and nothing is left */
+  MQ_QUOTA_GRANTED,    /* the request may be sent */
+  MQ_QUOTA_ASK_ISSUER, /* the issuer is to be asked */
+  MQ_QUOTA_EXCEEDED,   /* the limit is reached */
+  MQ_QUOTA_NO_ISSUER   /* the issuer can't be asked, and nothing is left */
 };
 
 /* A request, the first one of a program: BEGINS, wants a permit.  */
-enum mq_quota_answer mq_quota_take (struct mq_quota_share *share,
-                                    const struct mq_quota_contact *contact,
-                                    bool begins, uint64_t now_ms);
+enum mq_quota_decision
+mq_quota_try_acquire (struct mq_quota_share *share,
+                      const struct mq_quota_contact *contact, bool begins,
+                      uint64_t now_ms);
 /* What to ask for, beside NEED and BEGINS of the requests that wait.  What is
    given back or surrendered has left the share then.  */
-struct mq_quota_want mq_quota_want (struct mq_quota_share *share,
-                                    const struct mq_quota_contact *contact,
-                                    const char *organisation, uint32_t need,
-                                    uint32_t begins, uint64_t now_ms);
+struct mq_quota_request mq_quota_request (
+    struct mq_quota_share *share, const struct mq_quota_contact *contact,
+    const char *organisation, uint32_t need, uint32_t begins, uint64_t now_ms);
 /* SERVER has answered what was asked at ASKED_MS, in time if true is returned;
-   TOLD_MS is its clock.  Before mq_quota_told of each gift.  */
-bool mq_quota_answered (struct mq_quota_contact *contact, uint64_t server,
-                        uint64_t asked_ms, uint64_t told_ms, uint64_t now_ms);
+   TOLD_MS is its clock.  Before mq_quota_apply_grant of each gift.  */
+bool mq_quota_record_reply (struct mq_quota_contact *contact, uint64_t server,
+                            uint64_t asked_ms, uint64_t told_ms,
+                            uint64_t now_ms);
 /* The rate that SHARE was lent by another run than SERVER of its issuer is not
    used any more; the next want says so.  */
 void mq_quota_surrender (struct mq_quota_share *share, uint64_t server,
                          uint64_t now_ms);
 /* A gift that came in time.  The permits for those that wait are the
    caller's.  */
-void mq_quota_told (struct mq_quota_share *share,
-                    const struct mq_quota_gift *gift, uint64_t server,
-                    uint64_t asked_ms, uint64_t now_ms);
+void mq_quota_apply_grant (struct mq_quota_share *share,
+                           const struct mq_quota_grant *gift, uint64_t server,
+                           uint64_t asked_ms, uint64_t now_ms);
 /* The issuer has not answered for so long that the host is alone.  */
-bool mq_quota_is_alone (const struct mq_quota_contact *contact,
-                        uint64_t now_ms);
+bool mq_quota_issuer_unavailable (const struct mq_quota_contact *contact,
+                                  uint64_t now_ms);
 /* The limit was reached a moment ago: nobody need be asked.  */
-bool mq_quota_is_over (const struct mq_quota_share *share, bool begins,
-                       uint64_t now_ms);
+bool mq_quota_is_exhausted (const struct mq_quota_share *share, bool begins,
+                            uint64_t now_ms);
 /* Until then a permit is not to be had, milliseconds from now.  */
-uint32_t mq_quota_wait_ms (const struct mq_quota_share *share, bool begins,
-                           uint64_t now_ms);
+uint32_t mq_quota_retry_after_ms (const struct mq_quota_share *share,
+                                  bool begins, uint64_t now_ms);
 
 #endif
--- a/src/core/organisation/quota_issuer.c
+++ b/src/core/organisation/quota_issuer.c
@@ -9,7 +9,7 @@
 #include "quota.h"
 #include <string.h>
 
-#define PERMIT MQ_QUOTA_LEVEL_UNIT
+#define PERMIT MQ_QUOTA_UNITS_PER_PERMIT
 #define PER_THOUSANDTH 1000U
 /* A standing rate is what a host used in so many seconds, and half more.  */
 #define USE_SECONDS 4U
@@ -85,7 +85,7 @@
   uint64_t surrendered;
   uint32_t ahead[2];
   uint64_t ahead_at;
-  struct standing *standings;
+  struct standing *host_rates;
 };
 
 struct mq_quota_issuer
@@ -114,7 +114,7 @@
 static bool
 is_silent (const struct issuer_host *host, uint64_t now)
 {
-  return now > host->heard_ms + MQ_QUOTA_SILENT_MS;
+  return now > host->heard_ms + MQ_QUOTA_ACK_TIMEOUT_MS;
 }
 
 /* Rate that this issuer has to give out, itself or by lending.  */
@@ -153,12 +153,12 @@
   uint64_t lent = 0;
   uint64_t saved = 0;
 
-  for (const struct standing *at = bucket->standings; at != NULL;
+  for (const struct standing *at = bucket->host_rates; at != NULL;
        at = at->next)
     if (at->high > 0 && at->until_ms > since && is_silent (at->host, now))
       {
         lent += at->high;
-        saved += mq_quota_saved (at->high);
+        saved += mq_quota_standing_burst (at->high);
       }
   *rate = less (whole_rate (bucket, since), lent);
   *depth = less (burst_of (bucket), saved);
@@ -203,7 +203,7 @@
   struct bucket *bucket;
 
   while ((bucket = mq_idmap_next (issuer->buckets, &position)) != NULL)
-    for (const struct standing *at = bucket->standings; at != NULL;
+    for (const struct standing *at = bucket->host_rates; at != NULL;
          at = at->next)
       if (at->host == host)
         {
@@ -213,8 +213,8 @@
 }
 
 void
-mq_quota_heard (struct mq_quota_issuer *issuer, uint64_t id, uint64_t heard_ms,
-                uint64_t now_ms)
+mq_quota_record_ack (struct mq_quota_issuer *issuer, uint64_t id,
+                     uint64_t heard_ms, uint64_t now_ms)
 {
   struct issuer_host *host = get_host (issuer, id, now_ms);
 
@@ -230,11 +230,11 @@
 begin_bucket (struct bucket *bucket, const struct mq_quota_bounds *bounds,
               const struct mq_quota_lease *lease)
 {
-  while (bucket->standings != NULL)
+  while (bucket->host_rates != NULL)
     {
-      struct standing *first = bucket->standings;
+      struct standing *first = bucket->host_rates;
 
-      bucket->standings = first->next;
+      bucket->host_rates = first->next;
       talloc_free (first);
     }
   bucket->limit = bounds->limit;
@@ -273,7 +273,7 @@
 static struct standing *
 get_standing (struct bucket *bucket, struct issuer_host *host)
 {
-  struct standing *at = bucket->standings;
+  struct standing *at = bucket->host_rates;
 
   while (at != NULL && at->host != host)
     at = at->next;
@@ -281,8 +281,8 @@
     return at;
   at = mq_must (talloc_zero (bucket, struct standing));
   at->host = host;
-  at->next = bucket->standings;
-  bucket->standings = at;
+  at->next = bucket->host_rates;
+  bucket->host_rates = at;
   return at;
 }
 
@@ -386,8 +386,8 @@
 }
 
 static void
-issue_permits (struct bucket *bucket, const struct mq_quota_want *want,
-               uint64_t ahead_most, uint64_t now, struct mq_quota_gift *gift)
+issue_permits (struct bucket *bucket, const struct mq_quota_request *want,
+               uint64_t ahead_most, uint64_t now, struct mq_quota_grant *gift)
 {
   uint64_t keep = burst_of (bucket) * BEGIN_KEEP_PERCENT / 100U;
   uint32_t room = ahead_room (bucket, ahead_most);
@@ -419,12 +419,12 @@
   uint64_t saved = 0;
   uint64_t room;
 
-  for (const struct standing *other = bucket->standings; other != NULL;
+  for (const struct standing *other = bucket->host_rates; other != NULL;
        other = other->next)
     if (other != at && other->high > 0 && other->until_ms > now)
       {
         lent += other->high;
-        saved += mq_quota_saved (other->high);
+        saved += mq_quota_standing_burst (other->high);
       }
   if (rate > bucket->limit.rate / STANDING_PART)
     rate = bucket->limit.rate / STANDING_PART;
@@ -432,7 +432,7 @@
   if (rate > room)
     rate = room;
   if (!bounds->lends || rate < STANDING_LEAST
-      || saved + mq_quota_saved (rate)
+      || saved + mq_quota_standing_burst (rate)
              > burst_of (bucket) + bounds->ahead * PERMIT / 2)
     return 0;
   return rate;
@@ -443,8 +443,9 @@
    on with the higher rate.  So it says what it holds.  */
 static void
 lend (struct bucket *bucket, struct standing *at,
-      const struct mq_quota_want *want, const struct mq_quota_bounds *bounds,
-      uint64_t now, struct mq_quota_gift *gift)
+      const struct mq_quota_request *want,
+      const struct mq_quota_bounds *bounds, uint64_t now,
+      struct mq_quota_grant *gift)
 {
   const struct mq_quota_lease *lease = &bucket->lease;
 
@@ -471,13 +472,13 @@
   bucket->surrendered += rate;
 }
 
-struct mq_quota_gift
+struct mq_quota_grant
 mq_quota_issue (struct mq_quota_issuer *issuer, uint64_t host,
-                const struct mq_quota_want *want,
+                const struct mq_quota_request *want,
                 const struct mq_quota_bounds *bounds,
                 const struct mq_quota_lease *lease, uint64_t now_ms)
 {
-  struct mq_quota_gift gift = { .organisation = want->organisation };
+  struct mq_quota_grant gift = { .organisation = want->organisation };
   struct bucket *bucket
       = get_bucket (issuer, want->organisation, bounds, lease, now_ms);
   struct standing *at = get_standing (bucket, get_host (issuer, host, now_ms));
@@ -496,7 +497,7 @@
 {
   if (now < bucket->lease.inherited_ms)
     return true;
-  for (const struct standing *at = bucket->standings; at != NULL;
+  for (const struct standing *at = bucket->host_rates; at != NULL;
        at = at->next)
     if (at->until_ms > now && at->high > 0
         && (at->rate > 0 || at->host->heard_ms < at->told_ms))
@@ -505,8 +506,8 @@
 }
 
 bool
-mq_quota_issuer_lent (const struct mq_quota_issuer *issuer, uint32_t slot,
-                      uint64_t now_ms)
+mq_quota_issuer_has_lent (const struct mq_quota_issuer *issuer, uint32_t slot,
+                          uint64_t now_ms)
 {
   size_t position = 0;
   const struct bucket *bucket;
@@ -521,7 +522,7 @@
 static void
 forget_standings (struct bucket *bucket, uint64_t now)
 {
-  struct standing **from = &bucket->standings;
+  struct standing **from = &bucket->host_rates;
 
   while (*from != NULL)
     {
@@ -567,7 +568,7 @@
   while ((bucket = mq_idmap_next (issuer->buckets, &position)) != NULL)
     {
       forget_standings (bucket, now_ms);
-      if (count < FORGET_MAX && bucket->standings == NULL
+      if (count < FORGET_MAX && bucket->host_rates == NULL
           && now_ms > bucket->settled_ms + FORGET_MS)
         {
           settle (bucket, now_ms);
--- a/src/core/organisation/quota_share.c
+++ b/src/core/organisation/quota_share.c
@@ -5,10 +5,11 @@
 
 #include "quota.h"
 
-#define PERMIT MQ_QUOTA_LEVEL_UNIT
+#define PERMIT MQ_QUOTA_UNITS_PER_PERMIT
 #define ALONE_SAVE_MS 200U
 /* An organisation that used so many permits in a second has as many asked for
-   ahead as it uses in MQ_QUOTA_KEEP_MS; fewer are asked for one by one.  */
+   ahead as it uses in MQ_QUOTA_PREFETCH_TTL_MS; fewer are asked for one by
+   one.  */
 #define AHEAD_LEAST_USE 8U
 /* What was refused is not asked for again before, milliseconds.  */
 #define NONE_MOST_MS 100U
@@ -31,7 +32,7 @@
 static void
 drop_old (struct mq_quota_share *share, uint64_t now)
 {
-  for (size_t i = 0; i < MQ_QUOTA_STOCKS; i++)
+  for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
     if (share->stocks[i].permits > 0 && now >= share->stocks[i].until_ms)
       {
         note_unused (share, share->stocks[i].permits, now);
@@ -40,12 +41,12 @@
 }
 
 /* The permits at hand that end first.  */
-static struct mq_quota_stock *
+static struct mq_quota_batch *
 oldest_stock (struct mq_quota_share *share)
 {
-  struct mq_quota_stock *found = NULL;
+  struct mq_quota_batch *found = NULL;
 
-  for (size_t i = 0; i < MQ_QUOTA_STOCKS; i++)
+  for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
     if (share->stocks[i].permits > 0
         && (found == NULL || share->stocks[i].until_ms < found->until_ms))
       found = &share->stocks[i];
@@ -72,13 +73,14 @@
 }
 
 bool
-mq_quota_is_alone (const struct mq_quota_contact *contact, uint64_t now_ms)
+mq_quota_issuer_unavailable (const struct mq_quota_contact *contact,
+                             uint64_t now_ms)
 {
-  return now_ms > contact->answered_ms + MQ_QUOTA_ALONE_MS;
+  return now_ms > contact->answered_ms + MQ_QUOTA_ISSUER_TIMEOUT_MS;
 }
 
 uint64_t
-mq_quota_saved (uint64_t rate)
+mq_quota_standing_burst (uint64_t rate)
 {
   return PERMIT + rate * ALONE_SAVE_MS;
 }
@@ -87,7 +89,7 @@
 static bool
 take_alone (struct mq_quota_share *share, uint64_t now)
 {
-  uint64_t most = mq_quota_saved (share->standing);
+  uint64_t most = mq_quota_standing_burst (share->standing);
 
   if (share->standing == 0 || now >= share->standing_until_ms)
     return false;
@@ -108,51 +110,52 @@
 }
 
 bool
-mq_quota_is_over (const struct mq_quota_share *share, bool begins,
-                  uint64_t now_ms)
+mq_quota_is_exhausted (const struct mq_quota_share *share, bool begins,
+                       uint64_t now_ms)
 {
-  return now_ms < (begins ? share->no_begin_until_ms : share->none_until_ms);
+  return now_ms < (begins ? share->begin_refused_until_ms
+                          : share->exhausted_until_ms);
 }
 
-enum mq_quota_answer
-mq_quota_take (struct mq_quota_share *share,
-               const struct mq_quota_contact *contact, bool begins,
-               uint64_t now_ms)
+enum mq_quota_decision
+mq_quota_try_acquire (struct mq_quota_share *share,
+                      const struct mq_quota_contact *contact, bool begins,
+                      uint64_t now_ms)
 {
-  struct mq_quota_stock *stock;
+  struct mq_quota_batch *stock;
 
   drop_old (share, now_ms);
-  if (mq_quota_is_over (share, begins, now_ms))
-    return MQ_QUOTA_OVER;
+  if (mq_quota_is_exhausted (share, begins, now_ms))
+    return MQ_QUOTA_EXCEEDED;
   stock = oldest_stock (share);
   if (stock != NULL)
     {
       stock->permits--;
       note_use (share, now_ms);
-      return MQ_QUOTA_PERMIT;
+      return MQ_QUOTA_GRANTED;
     }
-  if (!mq_quota_is_alone (contact, now_ms))
-    return MQ_QUOTA_ASK;
+  if (!mq_quota_issuer_unavailable (contact, now_ms))
+    return MQ_QUOTA_ASK_ISSUER;
   if (!take_alone (share, now_ms))
-    return MQ_QUOTA_ALONE;
+    return MQ_QUOTA_NO_ISSUER;
   note_use (share, now_ms);
-  return MQ_QUOTA_PERMIT;
+  return MQ_QUOTA_GRANTED;
 }
 
 static void
 add_stock (struct mq_quota_share *share, uint32_t permits, uint64_t until,
            uint64_t now)
 {
-  struct mq_quota_stock *to = &share->stocks[0];
+  struct mq_quota_batch *to = &share->stocks[0];
 
   if (permits == 0)
     return;
-  for (size_t i = 1; i < MQ_QUOTA_STOCKS; i++)
+  for (size_t i = 1; i < MQ_QUOTA_BATCHES; i++)
     if (share->stocks[i].until_ms < to->until_ms)
       to = &share->stocks[i];
   /* Nothing may be kept longer than it was meant to.  */
   note_unused (share, to->permits, now);
-  *to = (struct mq_quota_stock){ permits, until };
+  *to = (struct mq_quota_batch){ permits, until };
 }
 
 static uint32_t
@@ -166,24 +169,24 @@
   use = share->used[1] > share->used[0] ? share->used[1] : share->used[0];
   if (use < AHEAD_LEAST_USE)
     return 0;
-  wanted = use * MQ_QUOTA_KEEP_MS / MS_PER_S;
-  for (size_t i = 0; i < MQ_QUOTA_STOCKS; i++)
+  wanted = use * MQ_QUOTA_PREFETCH_TTL_MS / MS_PER_S;
+  for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
     at_hand += share->stocks[i].permits;
   return wanted > at_hand ? wanted - at_hand : 0;
 }
 
-struct mq_quota_want
-mq_quota_want (struct mq_quota_share *share,
-               const struct mq_quota_contact *contact,
-               const char *organisation, uint32_t need, uint32_t begins,
-               uint64_t now_ms)
+struct mq_quota_request
+mq_quota_request (struct mq_quota_share *share,
+                  const struct mq_quota_contact *contact,
+                  const char *organisation, uint32_t need, uint32_t begins,
+                  uint64_t now_ms)
 {
-  struct mq_quota_want want = { .organisation = organisation,
-                                .need = need,
-                                .begins = begins,
-                                .surrendered = share->surrendered,
-                                .holds = share->standing,
-                                .heard_ms = contact->told_ms };
+  struct mq_quota_request want = { .organisation = organisation,
+                                   .need = need,
+                                   .begins = begins,
+                                   .surrendered = share->surrendered,
+                                   .holds = share->standing,
+                                   .heard_ms = contact->told_ms };
 
   drop_old (share, now_ms);
   want.ahead = ahead_of (share, now_ms);
@@ -195,10 +198,10 @@
 }
 
 bool
-mq_quota_answered (struct mq_quota_contact *contact, uint64_t server,
-                   uint64_t asked_ms, uint64_t told_ms, uint64_t now_ms)
+mq_quota_record_reply (struct mq_quota_contact *contact, uint64_t server,
+                       uint64_t asked_ms, uint64_t told_ms, uint64_t now_ms)
 {
-  if (now_ms > asked_ms + MQ_QUOTA_ANSWER_MS)
+  if (now_ms > asked_ms + MQ_QUOTA_REPLY_TIMEOUT_MS)
     return false;
   if (server != contact->server)
     *contact = (struct mq_quota_contact){ .server = server };
@@ -229,14 +232,15 @@
 {
   uint32_t wait = retry_ms < NONE_MOST_MS ? retry_ms : NONE_MOST_MS;
 
-  share->no_begin_until_ms = now + wait;
+  share->begin_refused_until_ms = now + wait;
   if (!begins_alone)
-    share->none_until_ms = now + wait;
+    share->exhausted_until_ms = now + wait;
 }
 
 void
-mq_quota_told (struct mq_quota_share *share, const struct mq_quota_gift *gift,
-               uint64_t server, uint64_t asked_ms, uint64_t now_ms)
+mq_quota_apply_grant (struct mq_quota_share *share,
+                      const struct mq_quota_grant *gift, uint64_t server,
+                      uint64_t asked_ms, uint64_t now_ms)
 {
   if (gift->unknown)
     return;
@@ -244,7 +248,7 @@
   share->alone = false;
   share->standing = gift->standing;
   share->standing_until_ms = asked_ms + gift->standing_ms;
-  add_stock (share, gift->ahead, asked_ms + MQ_QUOTA_KEEP_MS, now_ms);
+  add_stock (share, gift->ahead, asked_ms + MQ_QUOTA_PREFETCH_TTL_MS, now_ms);
   for (uint32_t i = 0; i < gift->need + gift->begins; i++)
     note_use (share, now_ms);
   if (gift->retry_ms > 0)
@@ -252,10 +256,11 @@
 }
 
 uint32_t
-mq_quota_wait_ms (const struct mq_quota_share *share, bool begins,
-                  uint64_t now_ms)
+mq_quota_retry_after_ms (const struct mq_quota_share *share, bool begins,
+                         uint64_t now_ms)
 {
-  uint64_t until = begins ? share->no_begin_until_ms : share->none_until_ms;
+  uint64_t until
+      = begins ? share->begin_refused_until_ms : share->exhausted_until_ms;
 
   if (until < now_ms + RETRY_LEAST_MS)
     return RETRY_LEAST_MS;
--- a/src/core/router/admission.c
+++ b/src/core/router/admission.c
@@ -118,7 +118,7 @@
    */
 static uint32_t
 raise_level (struct mq_admission *admission,
-             const struct mq_admission_ask *ask)
+             const struct mq_admission_request *ask)
 {
   uint32_t load = ask->load < LOAD_LAST ? ask->load : LOAD_LAST;
   struct level *level
@@ -134,7 +134,7 @@
 
 /* Load at which this program is refused.  */
 static uint32_t
-bound_of (const struct mq_admission_ask *ask)
+bound_of (const struct mq_admission_request *ask)
 {
   uint32_t steps = ask->priority < LOAD_STEPS ? ask->priority : LOAD_STEPS;
   uint32_t part = (uint32_t)(ask->program % HASH_PARTS);
@@ -146,7 +146,7 @@
 /* Time that the program has for each token of its budget, which tells how long
    it is, 0: not told.  */
 static uint64_t
-time_of (const struct mq_admission_ask *ask)
+time_of (const struct mq_admission_request *ask)
 {
   if (!ask->has_left || ask->budget == 0)
     return 0;
@@ -173,8 +173,8 @@
    it was refused before.  What programs usually have shows while none is
    refused.  */
 static bool
-is_late (struct mq_admission *admission, const struct mq_admission_ask *ask,
-         uint32_t level)
+is_late (struct mq_admission *admission,
+         const struct mq_admission_request *ask, uint32_t level)
 {
   struct usual *usual
       = find_row (admission, ask->route, ROUTES, sizeof *usual);
@@ -198,9 +198,10 @@
   return wait > RETRY_MOST_MS ? RETRY_MOST_MS : (uint32_t)wait;
 }
 
-enum mq_admission_answer
+enum mq_admission_decision
 mq_admission_decide (struct mq_admission *admission,
-                     const struct mq_admission_ask *ask, uint32_t *retry_ms)
+                     const struct mq_admission_request *ask,
+                     uint32_t *retry_ms)
 {
   uint32_t held = raise_level (admission, ask);
   uint32_t level = ask->record_load > held ? ask->record_load : held;
@@ -209,7 +210,7 @@
 
   *retry_ms = 0;
   if (level < bound)
-    return MQ_ADMISSION_YES;
+    return MQ_ADMISSION_ACCEPTED;
   *retry_ms = time_to_fall (level, bound);
-  return late ? MQ_ADMISSION_LATE : MQ_ADMISSION_LOADED;
+  return late ? MQ_ADMISSION_TOO_LATE : MQ_ADMISSION_OVERLOADED;
 }
--- a/src/core/router/admission.h
+++ b/src/core/router/admission.h
@@ -25,7 +25,7 @@
 #define MQ_ADMISSION_LOAD_FULL 1000U
 
 /**
- * struct mq_admission_ask - a program that begins
+ * struct mq_admission_request - a program that begins
  * @service: workers that it needs
  * @route: by which it came; programs of a route are compared with each other
  * @priority: of the route, 0 is the most urgent
@@ -40,7 +40,7 @@
  * @budget: tokens that its turns may generate, 0: not told
  * @now_ms: steady clock
  */
-struct mq_admission_ask
+struct mq_admission_request
 {
   const char *service;
   const char *route;
@@ -54,11 +54,11 @@
   uint64_t now_ms;
 };
 
-enum mq_admission_answer
+enum mq_admission_decision
 {
-  MQ_ADMISSION_YES,
-  MQ_ADMISSION_LOADED, /* the workers have too much */
-  MQ_ADMISSION_LATE    /* and it has lost too much of its time */
+  MQ_ADMISSION_ACCEPTED,
+  MQ_ADMISSION_OVERLOADED, /* the workers have too much */
+  MQ_ADMISSION_TOO_LATE    /* and it has lost too much of its time */
 };
 
 /* NULL when memory is out.  */
@@ -66,8 +66,9 @@
 void mq_admission_destroy (struct mq_admission *admission);
 /* Whether the program may begin.  If not, *RETRY_MS is when it may be worth
    to come back, milliseconds.  */
-enum mq_admission_answer
+enum mq_admission_decision
 mq_admission_decide (struct mq_admission *admission,
-                     const struct mq_admission_ask *ask, uint32_t *retry_ms);
+                     const struct mq_admission_request *ask,
+                     uint32_t *retry_ms);
 
 #endif
--- a/src/core/router/attempt.c
+++ b/src/core/router/attempt.c
@@ -13,7 +13,7 @@
 }
 
 enum mq_attempt_end
-mq_attempt_judge (const struct mq_attempt_answer *answer)
+mq_attempt_classify (const struct mq_attempt_response *answer)
 {
   if (answer->cut)
     return MQ_ATTEMPT_BROKEN;
@@ -31,7 +31,7 @@
 static bool
 may_try_again (const struct mq_attempt *attempt)
 {
-  if (attempt->left_ms < MQ_ATTEMPT_LEAST_MS)
+  if (attempt->left_ms < MQ_ATTEMPT_MIN_REMAINING_MS)
     return false;
   if (attempt->unreachable >= MQ_ATTEMPT_UNREACHABLE_MAX)
     return false;
@@ -60,7 +60,7 @@
   if (may_try_again (attempt))
     return MQ_NEXT_RETRY;
   if (attempt->begun)
-    return MQ_NEXT_BREAK;
+    return MQ_NEXT_ABORT;
   switch (attempt->end)
     {
     case MQ_ATTEMPT_UNREACHABLE:
@@ -74,7 +74,7 @@
     case MQ_ATTEMPT_ANSWERED:
       break;
     }
-  return MQ_NEXT_PASS_ON;
+  return MQ_NEXT_FORWARD;
 }
 
 const char *
@@ -97,8 +97,8 @@
 {
   static const char *const names[] = {
     [MQ_NEXT_RETRY] = "retry", [MQ_NEXT_REFUSE] = "refuse",
-    [MQ_NEXT_FAIL] = "fail",   [MQ_NEXT_PASS_ON] = "pass_on",
-    [MQ_NEXT_BREAK] = "break",
+    [MQ_NEXT_FAIL] = "fail",   [MQ_NEXT_FORWARD] = "pass_on",
+    [MQ_NEXT_ABORT] = "break",
   };
 
   return names[next];
--- a/src/core/router/attempt.h
+++ b/src/core/router/attempt.h
@@ -9,7 +9,7 @@
 #include "route.h"
 
 /**
- * struct mq_attempt_answer - a worker's answer that has come to its end
+ * struct mq_attempt_response - a worker's answer that has come to its end
  * @status: of HTTP
  * @not_run: it states that the request was not run
  * @cut: it ends within an event
@@ -17,7 +17,7 @@
  * @begun: some of an answer was passed on to the caller
  * @repeatable: the request may run more than once
  */
-struct mq_attempt_answer
+struct mq_attempt_response
 {
   int status;
   bool not_run;
@@ -38,13 +38,14 @@
   MQ_ATTEMPT_ERROR        /* a whole answer that reports a failure */
 };
 
-enum mq_attempt_end mq_attempt_judge (const struct mq_attempt_answer *answer);
+enum mq_attempt_end
+mq_attempt_classify (const struct mq_attempt_response *answer);
 
 /* Tries that did not reach a worker; each takes up to a connection's time.  */
 #define MQ_ATTEMPT_UNREACHABLE_MAX 4U
 /* Time that must be left for another worker to be worth a try: the median of
    a plain service's work.  */
-#define MQ_ATTEMPT_LEAST_MS 30U
+#define MQ_ATTEMPT_MIN_REMAINING_MS 30U
 
 /**
  * struct mq_attempt - a request after a try
@@ -74,8 +75,8 @@
   MQ_NEXT_RETRY,   /* another worker */
   MQ_NEXT_REFUSE,  /* final: not run, come back later */
   MQ_NEXT_FAIL,    /* final: it may have run */
-  MQ_NEXT_PASS_ON, /* final: the worker's own answer */
-  MQ_NEXT_BREAK    /* final: the answer that has begun breaks off */
+  MQ_NEXT_FORWARD, /* final: the worker's own answer */
+  MQ_NEXT_ABORT    /* final: the answer that has begun breaks off */
 };
 
 /* After a try that ended with neither STREAMED nor ANSWERED.  */
--- a/src/core/router/budget.c
+++ b/src/core/router/budget.c
@@ -61,7 +61,7 @@
 static uint64_t
 at_hand (const struct mq_budget *budget)
 {
-  return budget->held + budget->loose - budget->reserved;
+  return budget->held + budget->ungranted - budget->reserved;
 }
 
 /* Tokens that the record could still grant.  */
@@ -80,11 +80,11 @@
   uint64_t free = at_hand (budget);
   uint64_t cancelled = budget->issued;
 
-  if (cancelled > budget->loose)
-    cancelled = budget->loose;
+  if (cancelled > budget->ungranted)
+    cancelled = budget->ungranted;
   if (cancelled > free)
     cancelled = free;
-  budget->loose -= cancelled;
+  budget->ungranted -= cancelled;
   budget->issued -= cancelled;
 }
 
@@ -127,16 +127,16 @@
 static uint64_t
 grant_size (uint64_t most, uint64_t space)
 {
-  uint64_t size = space / MQ_BUDGET_GRANT_SHARE;
+  uint64_t size = space / MQ_BUDGET_GRANT_DIVISOR;
 
   if (size > most * MQ_BUDGET_GRANT_TURNS)
     size = most * MQ_BUDGET_GRANT_TURNS;
   return size > most ? size : most;
 }
 
-enum mq_budget_answer
-mq_budget_ask (struct mq_budget *budget, uint64_t holder, uint64_t limit,
-               uint64_t most, struct mq_budget_record *next)
+enum mq_budget_decision
+mq_budget_reserve (struct mq_budget *budget, uint64_t holder, uint64_t limit,
+                   uint64_t most, struct mq_budget_record *next)
 {
   uint64_t unused = at_hand (budget);
   uint64_t space = room (budget, limit);
@@ -145,14 +145,14 @@
   if (unused >= most)
     {
       reserve (budget, most);
-      return MQ_BUDGET_READY;
+      return MQ_BUDGET_RESERVED;
     }
   if (unused + space < most)
     {
       if (!budget->known)
         return MQ_BUDGET_READ;
-      return is_proven (budget, holder, limit, most) ? MQ_BUDGET_SPENT
-                                                     : MQ_BUDGET_DOUBT;
+      return is_proven (budget, holder, limit, most) ? MQ_BUDGET_EXHAUSTED
+                                                     : MQ_BUDGET_UNCERTAIN;
     }
   extra = grant_size (most, space) - unused;
   if (extra > space)
@@ -163,18 +163,19 @@
 }
 
 uint64_t
-mq_budget_take (struct mq_budget *budget, uint64_t most)
+mq_budget_reserve_local (struct mq_budget *budget, uint64_t most)
 {
   uint64_t unused = at_hand (budget);
 
-  if (unused == 0 || unused * MQ_BUDGET_LEAST_PART < most)
+  if (unused == 0 || unused * MQ_BUDGET_MIN_GRANT_DIVISOR < most)
     return 0;
   return reserve (budget, unused < most ? unused : most);
 }
 
 void
-mq_budget_written (struct mq_budget *budget, uint64_t holder,
-                   const struct mq_budget_record *record, uint64_t version)
+mq_budget_record_written (struct mq_budget *budget, uint64_t holder,
+                          const struct mq_budget_record *record,
+                          uint64_t version)
 {
   uint64_t before = grant_of (&budget->record, holder);
   uint64_t used = before - budget->held;
@@ -191,13 +192,13 @@
 static void
 bound_reserved (struct mq_budget *budget)
 {
-  if (budget->reserved > budget->held + budget->loose)
-    budget->reserved = budget->held + budget->loose;
+  if (budget->reserved > budget->held + budget->ungranted)
+    budget->reserved = budget->held + budget->ungranted;
 }
 
 void
-mq_budget_read (struct mq_budget *budget, uint64_t holder,
-                const struct mq_budget_record *record, uint64_t version)
+mq_budget_record_read (struct mq_budget *budget, uint64_t holder,
+                       const struct mq_budget_record *record, uint64_t version)
 {
   uint64_t ours = grant_of (&budget->record, holder);
   uint64_t theirs = version == 0 ? 0 : grant_of (record, holder);
@@ -222,11 +223,11 @@
 void
 mq_budget_settle (struct mq_budget *budget, uint64_t granted, uint64_t used)
 {
-  uint64_t loose = used < budget->loose ? used : budget->loose;
-  uint64_t rest = used - loose;
+  uint64_t ungranted = used < budget->ungranted ? used : budget->ungranted;
+  uint64_t rest = used - ungranted;
 
   budget->reserved -= granted < budget->reserved ? granted : budget->reserved;
-  budget->loose -= loose;
+  budget->ungranted -= ungranted;
   budget->held -= rest < budget->held ? rest : budget->held;
   bound_reserved (budget);
 }
@@ -236,53 +237,53 @@
 {
   uint64_t free = at_hand (budget);
   uint64_t given = want < free ? want : free;
-  uint64_t loose = given < budget->loose ? given : budget->loose;
+  uint64_t ungranted = given < budget->ungranted ? given : budget->ungranted;
 
-  budget->loose -= loose;
-  budget->held -= given - loose;
+  budget->ungranted -= ungranted;
+  budget->held -= given - ungranted;
   budget->lent += given;
   return given;
 }
 
 void
-mq_budget_borrow (struct mq_budget *budget, uint64_t tokens)
+mq_budget_receive_loan (struct mq_budget *budget, uint64_t tokens)
 {
-  budget->loose += tokens;
+  budget->ungranted += tokens;
 }
 
 uint64_t
-mq_budget_give_back (struct mq_budget *budget)
+mq_budget_return_loan (struct mq_budget *budget)
 {
   uint64_t free = at_hand (budget);
-  uint64_t given = free < budget->loose ? free : budget->loose;
+  uint64_t given = free < budget->ungranted ? free : budget->ungranted;
 
-  budget->loose -= given;
+  budget->ungranted -= given;
   return given;
 }
 
 void
-mq_budget_take_back (struct mq_budget *budget, uint64_t tokens)
+mq_budget_reclaim_loan (struct mq_budget *budget, uint64_t tokens)
 {
   uint64_t back = tokens < budget->lent ? tokens : budget->lent;
 
   budget->lent -= back;
-  budget->loose += back;
+  budget->ungranted += back;
 }
 
 bool
-mq_budget_over (const struct mq_budget *budget, uint64_t limit)
+mq_budget_is_overdrawn (const struct mq_budget *budget, uint64_t limit)
 {
   return budget->known && counted (&budget->record) > limit;
 }
 
 bool
-mq_budget_has (const struct mq_budget *budget, uint64_t most)
+mq_budget_can_reserve (const struct mq_budget *budget, uint64_t most)
 {
   return at_hand (budget) >= most;
 }
 
 bool
-mq_budget_has_others (const struct mq_budget *budget, uint64_t holder)
+mq_budget_has_other_grants (const struct mq_budget *budget, uint64_t holder)
 {
   const struct mq_budget_record *record = &budget->record;
 
@@ -293,11 +294,12 @@
 }
 
 void
-mq_budget_issue (struct mq_budget *budget, uint64_t limit, uint64_t most)
+mq_budget_issue_unrecorded (struct mq_budget *budget, uint64_t limit,
+                            uint64_t most)
 {
-  if (budget->issued >= most || mq_budget_over (budget, limit))
+  if (budget->issued >= most || mq_budget_is_overdrawn (budget, limit))
     return;
-  budget->loose += most - budget->issued;
+  budget->ungranted += most - budget->issued;
   budget->issued = most;
 }
 
@@ -318,8 +320,8 @@
 }
 
 bool
-mq_budget_unrecorded (struct mq_budget *budget, uint64_t holder,
-                      uint64_t limit, struct mq_budget_record *next)
+mq_budget_record_issued (struct mq_budget *budget, uint64_t holder,
+                         uint64_t limit, struct mq_budget_record *next)
 {
   cancel_issued (budget);
   if (budget->issued == 0)
--- a/src/core/router/budget.h
+++ b/src/core/router/budget.h
@@ -29,12 +29,12 @@
 /* But no more than this part of what is left, or one turn.  Failure: two hosts
    take two turns each of a program whose limit holds four, both are lost, and
    its next turn is told that the budget is spent.  */
-#define MQ_BUDGET_GRANT_SHARE 3U
+#define MQ_BUDGET_GRANT_DIVISOR 3U
 /* Without the table a turn begins with this part of its most, where there is
    no more, and breaks off when it needs more than that.  Most turns
    need less than that; with a larger part a caller's third try in an outage
    finds too little left.  */
-#define MQ_BUDGET_LEAST_PART 4U
+#define MQ_BUDGET_MIN_GRANT_DIVISOR 4U
 
 struct mq_budget_grant
 {
@@ -67,8 +67,8 @@
  * @version: of the record in the table, 0: no record as far as is known
  * @known: the record was read or written by this host
  * @held: tokens of our grant that are not yet used up
- * @loose: tokens at hand beside the grant: borrowed, issued or come back
- * @reserved: of @held and @loose, kept for turns that run
+ * @ungranted: tokens at hand beside the grant: borrowed, issued or come back
+ * @reserved: of @held and @ungranted, kept for turns that run
  * @lent: tokens at other hosts that may come back
  * @issued: tokens that no record counts yet
  * @settling: tokens of our grant that the record made last has as spent
@@ -80,7 +80,7 @@
   uint64_t version;
   bool known;
   uint64_t held;
-  uint64_t loose;
+  uint64_t ungranted;
   uint64_t reserved;
   uint64_t lent;
   uint64_t issued;
@@ -88,13 +88,15 @@
   uint64_t recording;
 };
 
-enum mq_budget_answer
+enum mq_budget_decision
 {
-  MQ_BUDGET_READY, /* the turn's tokens are reserved */
-  MQ_BUDGET_WRITE, /* write the record that was made, then ask again */
-  MQ_BUDGET_READ,  /* read the record, then ask again */
-  MQ_BUDGET_DOUBT, /* no room as far as we know: others may give some back */
-  MQ_BUDGET_SPENT  /* tokens that were handed out fill the budget for good */
+  MQ_BUDGET_RESERVED,  /* the turn's tokens are reserved */
+  MQ_BUDGET_WRITE,     /* write the record that was made, then ask again */
+  MQ_BUDGET_READ,      /* read the record, then ask again */
+  MQ_BUDGET_UNCERTAIN, /* no room as far as we know: others may give some back
+                        */
+  MQ_BUDGET_EXHAUSTED  /* tokens that were handed out fill the budget for good
+                        */
 };
 
 /* A host's grant is named by a number of its own for each time that it begins
@@ -103,19 +105,21 @@
    Asks for a turn of MOST tokens of a program with LIMIT.  With READY,
    *GRANTED are reserved, which may be less than MOST; with WRITE, *NEXT is the
    record to be written under the condition of BUDGET's version.  */
-enum mq_budget_answer mq_budget_ask (struct mq_budget *budget, uint64_t holder,
-                                     uint64_t limit, uint64_t most,
-                                     struct mq_budget_record *next);
+enum mq_budget_decision mq_budget_reserve (struct mq_budget *budget,
+                                           uint64_t holder, uint64_t limit,
+                                           uint64_t most,
+                                           struct mq_budget_record *next);
 /* The same without the table: what is at hand, MOST at the most, is reserved
    and returned; 0 when it is too little.  */
-uint64_t mq_budget_take (struct mq_budget *budget, uint64_t most);
+uint64_t mq_budget_reserve_local (struct mq_budget *budget, uint64_t most);
 /* The record was written as version VERSION.  */
-void mq_budget_written (struct mq_budget *budget, uint64_t holder,
-                        const struct mq_budget_record *record,
-                        uint64_t version);
+void mq_budget_record_written (struct mq_budget *budget, uint64_t holder,
+                               const struct mq_budget_record *record,
+                               uint64_t version);
 /* The record was read; VERSION 0: there is none.  */
-void mq_budget_read (struct mq_budget *budget, uint64_t holder,
-                     const struct mq_budget_record *record, uint64_t version);
+void mq_budget_record_read (struct mq_budget *budget, uint64_t holder,
+                            const struct mq_budget_record *record,
+                            uint64_t version);
 /* A turn with GRANTED tokens has ended and handed out USED.  */
 void mq_budget_settle (struct mq_budget *budget, uint64_t granted,
                        uint64_t used);
@@ -123,21 +127,23 @@
 /* Loans.  Another host asks for WANT tokens: what it gets, 0 for none.  */
 uint64_t mq_budget_lend (struct mq_budget *budget, uint64_t want);
 /* A loan has arrived.  */
-void mq_budget_borrow (struct mq_budget *budget, uint64_t tokens);
+void mq_budget_receive_loan (struct mq_budget *budget, uint64_t tokens);
 /* What goes back to the lender, 0: nothing.  */
-uint64_t mq_budget_give_back (struct mq_budget *budget);
+uint64_t mq_budget_return_loan (struct mq_budget *budget);
 /* It has come back.  */
-void mq_budget_take_back (struct mq_budget *budget, uint64_t tokens);
+void mq_budget_reclaim_loan (struct mq_budget *budget, uint64_t tokens);
 /* Issued tokens have been recorded beyond the limit: no more may be issued. */
-bool mq_budget_over (const struct mq_budget *budget, uint64_t limit);
+bool mq_budget_is_overdrawn (const struct mq_budget *budget, uint64_t limit);
 /* A turn of MOST could begin with what is at hand.  */
-bool mq_budget_has (const struct mq_budget *budget, uint64_t most);
+bool mq_budget_can_reserve (const struct mq_budget *budget, uint64_t most);
 /* Other hosts have grants, which they may not need any more.  */
-bool mq_budget_has_others (const struct mq_budget *budget, uint64_t holder);
+bool mq_budget_has_other_grants (const struct mq_budget *budget,
+                                 uint64_t holder);
 /* Issues tokens that no record counts, up to MOST with those that were issued
    before; only the host that holds the lease on the program may.  Nothing
    happens where the record is known to count more than the limit.  */
-void mq_budget_issue (struct mq_budget *budget, uint64_t limit, uint64_t most);
+void mq_budget_issue_unrecorded (struct mq_budget *budget, uint64_t limit,
+                                 uint64_t most);
 /* The record has no room for a turn of MOST but for our grant, which no turn
    uses: *NEXT is the record without it, to be written at once.  Should that
    fail, the tokens are lost.  */
@@ -145,8 +151,8 @@
                         uint64_t limit, uint64_t most,
                         struct mq_budget_record *next);
 /* Tokens were issued that the record must count: *NEXT is that record.  */
-bool mq_budget_unrecorded (struct mq_budget *budget, uint64_t holder,
-                           uint64_t limit, struct mq_budget_record *next);
+bool mq_budget_record_issued (struct mq_budget *budget, uint64_t holder,
+                              uint64_t limit, struct mq_budget_record *next);
 /* Bytes of a record, below CTX; data is NULL when memory is out.  */
 struct mq_bytes mq_budget_pack (TALLOC_CTX *ctx,
                                 const struct mq_budget_record *record);
--- a/src/core/router/chain.c
+++ b/src/core/router/chain.c
@@ -77,8 +77,8 @@
 }
 
 struct mq_bytes
-mq_chain_join (TALLOC_CTX *ctx, const struct mq_chain *before,
-               struct mq_bytes input)
+mq_chain_append_input (TALLOC_CTX *ctx, const struct mq_chain *before,
+                       struct mq_bytes input)
 {
   size_t len = before->text.len + input.len;
   uint8_t *joined = talloc_size (ctx, len + 1);
@@ -130,7 +130,7 @@
 }
 
 struct mq_bytes
-mq_chain_pack_whole (TALLOC_CTX *ctx, const struct mq_chain *chain)
+mq_chain_pack_full (TALLOC_CTX *ctx, const struct mq_chain *chain)
 {
   return pack_from (ctx, chain, "", 0);
 }
@@ -158,7 +158,7 @@
 }
 
 uint64_t
-mq_chain_row_until (struct mq_bytes bytes)
+mq_chain_row_expiry_s (struct mq_bytes bytes)
 {
   Mqturn__TurnRow *row
       = mqturn__turn_row__unpack (NULL, bytes.len, bytes.data);
--- a/src/core/router/chain.h
+++ b/src/core/router/chain.h
@@ -43,14 +43,15 @@
                                   struct mq_bytes output);
 /* All that was said up to BEFORE and then INPUT, below CTX; data is NULL when
    memory is out.  */
-struct mq_bytes mq_chain_join (TALLOC_CTX *ctx, const struct mq_chain *before,
-                               struct mq_bytes input);
+struct mq_bytes mq_chain_append_input (TALLOC_CTX *ctx,
+                                       const struct mq_chain *before,
+                                       struct mq_bytes input);
 struct mq_chain *mq_chain_copy (TALLOC_CTX *ctx, const struct mq_chain *chain);
 /* Row of the turn, below CTX; data is NULL when memory is out.  */
 struct mq_bytes mq_chain_pack (TALLOC_CTX *ctx, const struct mq_chain *chain);
 /* The same with the whole text, whatever rows it lies in.  */
-struct mq_bytes mq_chain_pack_whole (TALLOC_CTX *ctx,
-                                     const struct mq_chain *chain);
+struct mq_bytes mq_chain_pack_full (TALLOC_CTX *ctx,
+                                    const struct mq_chain *chain);
 /* Chain of turn ID from its row, below CTX; NULL when the bytes are no row.
    When base is not empty, the text before it is missing and is added by
    mq_chain_prepend.  */
@@ -60,7 +61,7 @@
 bool mq_chain_prepend (struct mq_chain *chain, const struct mq_chain *before);
 
 /* Time until which the row of a turn is kept, 0: not told.  */
-uint64_t mq_chain_row_until (struct mq_bytes row);
+uint64_t mq_chain_row_expiry_s (struct mq_bytes row);
 
 struct mq_chain_cache;
 
--- a/src/core/router/event_stream.c
+++ b/src/core/router/event_stream.c
@@ -215,7 +215,7 @@
 }
 
 void
-mq_event_stream_restart (struct mq_event_stream *stream)
+mq_event_stream_reset (struct mq_event_stream *stream)
 {
   stream->at = 0;
   stream->end = 0;
@@ -223,7 +223,7 @@
 }
 
 bool
-mq_event_stream_partial (const struct mq_event_stream *stream)
+mq_event_stream_has_partial (const struct mq_event_stream *stream)
 {
   return stream->end > stream->at;
 }
--- a/src/core/router/event_stream.h
+++ b/src/core/router/event_stream.h
@@ -46,8 +46,8 @@
 bool mq_event_stream_next (struct mq_event_stream *stream,
                            struct mq_event *event);
 /* Forgets the part of an event that has come in: another worker goes on.  */
-void mq_event_stream_restart (struct mq_event_stream *stream);
+void mq_event_stream_reset (struct mq_event_stream *stream);
 /* Bytes of an event that is not whole are waiting.  */
-bool mq_event_stream_partial (const struct mq_event_stream *stream);
+bool mq_event_stream_has_partial (const struct mq_event_stream *stream);
 
 #endif
--- a/src/core/router/fleet.c
+++ b/src/core/router/fleet.c
@@ -143,7 +143,7 @@
 }
 
 void
-fleet_forget_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry)
+fleet_free_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry)
 {
   size_t place = (size_t)(entry - fleet->entries);
 
@@ -185,7 +185,7 @@
   entry->member.slots = member->slots;
   entry->listed = true;
   entry->seen = true;
-  entry->lapses_ms = 0;
+  entry->removal_ms = 0;
 }
 
 /* Requests under way keep the handle of the former start until they end.  */
@@ -195,7 +195,7 @@
 {
   entry->listed = false;
   entry->replaced = true;
-  fleet_forget_if_idle (fleet, entry);
+  fleet_free_if_idle (fleet, entry);
   return add_entry (fleet, member);
 }
 
@@ -232,7 +232,7 @@
 }
 
 uint64_t
-mq_fleet_born_ms (const struct mq_fleet *fleet, const char *id)
+mq_fleet_start_time_ms (const struct mq_fleet *fleet, const char *id)
 {
   const struct fleet_entry *entry = find_entry (fleet, id);
 
@@ -245,10 +245,10 @@
   if (until_ms == 0)
     {
       entry->listed = false;
-      fleet_forget_if_idle (fleet, entry);
+      fleet_free_if_idle (fleet, entry);
     }
-  else if (entry->lapses_ms == 0)
-    entry->lapses_ms = until_ms;
+  else if (entry->removal_ms == 0)
+    entry->removal_ms = until_ms;
 }
 
 bool
@@ -269,7 +269,7 @@
     {
       struct fleet_entry *entry = &fleet->entries[i];
 
-      if (entry->used && entry->lapses_ms != 0 && entry->lapses_ms <= now_ms)
+      if (entry->used && entry->removal_ms != 0 && entry->removal_ms <= now_ms)
         lapse (fleet, entry, 0);
     }
 }
@@ -326,7 +326,7 @@
 }
 
 bool
-fleet_is_usable (const struct fleet_entry *entry)
+fleet_is_available (const struct fleet_entry *entry)
 {
   return entry->used && entry->listed && !entry->member.leaving
          && !entry->refused;
@@ -335,7 +335,7 @@
 bool
 fleet_is_candidate (const struct fleet_entry *entry, const char *service)
 {
-  return fleet_is_usable (entry)
+  return fleet_is_available (entry)
          && strcmp (entry->member.service, service) == 0;
 }
 
@@ -346,13 +346,13 @@
 }
 
 uint64_t
-mq_fleet_stamp (const struct mq_fleet *fleet, uint32_t worker)
+mq_fleet_instance_digest (const struct mq_fleet *fleet, uint32_t worker)
 {
   return fleet->entries[worker].stamp;
 }
 
 bool
-mq_fleet_usable (const struct mq_fleet *fleet, uint32_t worker)
+mq_fleet_is_available (const struct mq_fleet *fleet, uint32_t worker)
 {
-  return fleet_is_usable (&fleet->entries[worker]);
+  return fleet_is_available (&fleet->entries[worker]);
 }
--- a/src/core/router/fleet.h
+++ b/src/core/router/fleet.h
@@ -17,31 +17,31 @@
 
 /* A worker whose figures are older than this counts as idle but for our own
    requests.  */
-#define MQ_FLEET_LOAD_AGE_MS 1000U
+#define MQ_FLEET_LOAD_TTL_MS 1000U
 /* Failures in a row after which a worker gets no requests for a while.  One
    alone is common (a lost answer); two by chance are rare.  */
-#define MQ_FLEET_FAILURES_MAX 2U
+#define MQ_FLEET_CONSECUTIVE_FAILURES_MAX 2U
 /* Share of failures, in thousandths, at which a worker gets no requests for a
    while though it serves others: each request counts an eighth, so that three
    failures of eight reach it and one in twenty does not.  */
-#define MQ_FLEET_FAIL_RATE 300U
-#define MQ_FLEET_RATE_WEIGHT 8U
+#define MQ_FLEET_EJECT_FAILURE_RATE 300U
+#define MQ_FLEET_FAILURE_RATE_WEIGHT 8U
 /* What a worker that comes back starts with: one more failure leaves it out
    again, for longer.  */
-#define MQ_FLEET_BACK_RATE 230U
+#define MQ_FLEET_RETURN_FAILURE_RATE 230U
 /* A worker below this counts as sound, and its next pause is the first one. */
-#define MQ_FLEET_SOUND_RATE 100U
+#define MQ_FLEET_HEALTHY_FAILURE_RATE 100U
 /* First pause of a worker that fails, doubled each time up to the most.  The
    first is about the time a crashed worker takes to be back.  */
-#define MQ_FLEET_OUT_MS 1000U
-#define MQ_FLEET_OUT_MAX_MS 8000U
+#define MQ_FLEET_EJECT_MS 1000U
+#define MQ_FLEET_EJECT_MAX_MS 8000U
 /* Share of a service's workers, in percent, that may be out for failures at
    the same time: more than that is no longer the workers' fault.  */
-#define MQ_FLEET_OUT_PERCENT 50U
+#define MQ_FLEET_EJECT_MAX_PERCENT 50U
 /* Requests above the mean of its service that a worker may have before a
    program is sent away from the worker that has its cache, so that its history
    is not read again.  */
-#define MQ_FLEET_AHEAD 30U
+#define MQ_FLEET_AFFINITY_EXCESS_MAX 30U
 /* Requests that a worker may have above the mean of its service, in percent of
    its slots, before it counts as full for a request with a key, once the mean
    alone fills the slots.
@@ -52,7 +52,7 @@
    reading slows all of them down, and the slots stay full long after the
    burst.  Moving gains nothing while all wait alike.  With more than this a
    worker that is loaded beyond the others is kept too long.  */
-#define MQ_FLEET_WAIT_PERCENT 50U
+#define MQ_FLEET_AFFINITY_QUEUE_PERCENT 50U
 
 /**
  * struct mq_fleet_member - what the registry says of one worker
@@ -78,19 +78,19 @@
 /* How a request to a worker ended, for the choice of the next ones.  */
 enum mq_fleet_outcome
 {
-  MQ_OUTCOME_SERVED,      /* a whole answer */
+  MQ_OUTCOME_SUCCEEDED,   /* a whole answer */
   MQ_OUTCOME_FULL,        /* refused for want of room */
   MQ_OUTCOME_FAILED,      /* broke off, was damaged or answered an error */
   MQ_OUTCOME_UNREACHABLE, /* no connection, or closed before any byte */
   MQ_OUTCOME_LEAVING,     /* refused since it is leaving or is another one */
-  MQ_OUTCOME_STOPPED      /* ended by us or the caller: says nothing */
+  MQ_OUTCOME_CANCELLED    /* ended by us or the caller: says nothing */
 };
 
 /* Load of a worker whose slots are all taken, with nothing waiting.  */
 #define MQ_FLEET_LOAD_FULL 1000U
 /* Part of the objective, in percent, after which answers of such workers
    begin: what is left is for the spread around the mean.  */
-#define MQ_FLEET_WAIT_FULL_PERCENT 60U
+#define MQ_FLEET_DELAY_FULL_PERCENT 60U
 
 /**
  * struct mq_fleet_query - what a request needs
@@ -98,8 +98,8 @@
  * @data_centre: of this host, preferred among equals
  * @key: requests with the same key go to the same worker where there is room
  * @has_key: false: the least loaded worker
- * @home: worker that has the cache of the request's program, as mq_fleet_home
- *        named it; goes before @key; 0: none
+ * @home: worker that has the cache of the request's program, as
+ * mq_fleet_choose_home named it; goes before @key; 0: none
  * @tried: workers that this request has been sent to
  * @tried_count: how many
  * @now_ms: steady clock
@@ -144,7 +144,7 @@
 void mq_fleet_expire (struct mq_fleet *fleet, uint64_t now_ms);
 
 /* Start of the worker that is listed under ID, 0: not told or not known.  */
-uint64_t mq_fleet_born_ms (const struct mq_fleet *fleet, const char *id);
+uint64_t mq_fleet_start_time_ms (const struct mq_fleet *fleet, const char *id);
 /* All that are listed, below CTX; their strings live as long as they are
    listed.  NULL when memory is out.  */
 struct mq_fleet_member *mq_fleet_list (const struct mq_fleet *fleet,
@@ -156,7 +156,7 @@
 uint32_t mq_fleet_choose (struct mq_fleet *fleet,
                           const struct mq_fleet_query *query);
 /**
- * mq_fleet_home - where a program that begins is to stay
+ * mq_fleet_choose_home - where a program that begins is to stay
  * @fleet: the fleet
  * @query: what it needs; its key is not looked at
  *
@@ -168,43 +168,48 @@
  * Return: a name for the worker that is the same at all hosts, 0: there is
  * none.
  */
-uint64_t mq_fleet_home (const struct mq_fleet *fleet,
-                        const struct mq_fleet_query *query);
+uint64_t mq_fleet_choose_home (const struct mq_fleet *fleet,
+                               const struct mq_fleet_query *query);
 /* Load of SERVICE's workers as answers told lately, what waits included, in
    thousandths of their slots; 0: not known.  */
 uint32_t mq_fleet_service_load (const struct mq_fleet *fleet,
                                 const char *service, uint64_t now_ms);
 /* The same, but no more than how late answers begin: a load that makes nobody
    wait too long is not too much.  MQ_FLEET_LOAD_FULL where they begin after
-   MQ_FLEET_WAIT_FULL_PERCENT of their objective.  */
+   MQ_FLEET_DELAY_FULL_PERCENT of their objective.  */
 uint32_t mq_fleet_service_pressure (const struct mq_fleet *fleet,
                                     const char *service, uint64_t now_ms);
 /* An answer of WORKER began after WAIT_MS, where its route's objective is
    OBJECTIVE_MS.  */
-void mq_fleet_begun (struct mq_fleet *fleet, uint32_t worker, uint32_t wait_ms,
-                     uint32_t objective_ms, uint64_t now_ms);
+void mq_fleet_record_delay (struct mq_fleet *fleet, uint32_t worker,
+                            uint32_t wait_ms, uint32_t objective_ms,
+                            uint64_t now_ms);
 /* Values live as long as the handle is held or the worker is listed.  */
 const struct mq_fleet_member *mq_fleet_member (const struct mq_fleet *fleet,
                                                uint32_t worker);
 /* Number that differs between two workers which had the same handle one after
    the other.  */
-uint64_t mq_fleet_stamp (const struct mq_fleet *fleet, uint32_t worker);
+uint64_t mq_fleet_instance_digest (const struct mq_fleet *fleet,
+                                   uint32_t worker);
 /* It may be sent to: listed, not leaving.  */
-bool mq_fleet_usable (const struct mq_fleet *fleet, uint32_t worker);
+bool mq_fleet_is_available (const struct mq_fleet *fleet, uint32_t worker);
 /* As far as is known, requests wait at WORKER for a slot.  */
 bool mq_fleet_has_queue (const struct mq_fleet *fleet, uint32_t worker,
                          uint64_t now_ms);
 /* A request begins and ends at WORKER; each start is followed by one end.  */
-void mq_fleet_started (struct mq_fleet *fleet, uint32_t worker);
-void mq_fleet_ended (struct mq_fleet *fleet, uint32_t worker,
-                     enum mq_fleet_outcome outcome, uint64_t now_ms);
+void mq_fleet_request_started (struct mq_fleet *fleet, uint32_t worker);
+void mq_fleet_request_ended (struct mq_fleet *fleet, uint32_t worker,
+                             enum mq_fleet_outcome outcome, uint64_t now_ms);
 /* Bytes came from WORKER, for whatever request.  */
-void mq_fleet_heard (struct mq_fleet *fleet, uint32_t worker, uint64_t now_ms);
+void mq_fleet_record_activity (struct mq_fleet *fleet, uint32_t worker,
+                               uint64_t now_ms);
 /* When bytes last came from WORKER, 0: never.  */
-uint64_t mq_fleet_heard_ms (const struct mq_fleet *fleet, uint32_t worker);
+uint64_t mq_fleet_last_activity_ms (const struct mq_fleet *fleet,
+                                    uint32_t worker);
 /* What an answer told of the worker's load.  */
-void mq_fleet_told (struct mq_fleet *fleet, uint32_t worker, uint32_t running,
-                    uint32_t waiting, uint64_t now_ms);
+void mq_fleet_record_load (struct mq_fleet *fleet, uint32_t worker,
+                           uint32_t running, uint32_t waiting,
+                           uint64_t now_ms);
 /* Workers of SERVICE that may be sent to.  */
 size_t mq_fleet_count (const struct mq_fleet *fleet, const char *service);
 /* Pause after which a worker of SERVICE may have room, for a refusal.  */
--- a/src/core/router/fleet_choice.c
+++ b/src/core/router/fleet_choice.c
@@ -51,12 +51,13 @@
       if (!fleet_is_candidate (entry, query->service))
         continue;
       survey.count++;
-      survey.load += fleet_load_of (entry, query->now_ms);
-      if (entry->out_until_ms > query->now_ms)
+      survey.load += fleet_decayed_load (entry, query->now_ms);
+      if (entry->ejected_until_ms > query->now_ms)
         survey.out++;
     }
   survey.told = mq_fleet_service_load (fleet, query->service, query->now_ms);
-  survey.ignore_out = survey.out * 100 > survey.count * MQ_FLEET_OUT_PERCENT;
+  survey.ignore_out
+      = survey.out * 100 > survey.count * MQ_FLEET_EJECT_MAX_PERCENT;
   return survey;
 }
 
@@ -99,12 +100,12 @@
 
 /* Load from which on a worker is full.  A request with a key stays with its
    worker while that one waits no longer than the others: see
-   MQ_FLEET_WAIT_PERCENT.  */
+   MQ_FLEET_AFFINITY_QUEUE_PERCENT.  */
 static uint64_t
 full_load (const struct mq_fleet_query *query, uint64_t slots, uint64_t mean)
 {
   uint64_t full = slots * LOAD_UNIT;
-  uint64_t waiting = mean + full * MQ_FLEET_WAIT_PERCENT / 100U;
+  uint64_t waiting = mean + full * MQ_FLEET_AFFINITY_QUEUE_PERCENT / 100U;
 
   return query->has_key && waiting > full ? waiting : full;
 }
@@ -114,15 +115,15 @@
              const struct mq_fleet_query *query, const struct survey *survey)
 {
   uint64_t told = told_mean (survey, entry);
-  uint64_t load = fleet_guess_of (entry, told, query->now_ms);
+  uint64_t load = fleet_estimate_load (entry, told, query->now_ms);
   uint64_t slots = slots_of (entry);
   uint64_t count = survey->count > 0 ? survey->count : 1;
   uint64_t mean = told > 0 ? told : survey->load / count;
-  uint64_t bound = mean + (uint64_t)MQ_FLEET_AHEAD * LOAD_UNIT;
+  uint64_t bound = mean + (uint64_t)MQ_FLEET_AFFINITY_EXCESS_MAX * LOAD_UNIT;
   struct rank rank = { 0, 0 };
 
-  if (entry->out_until_ms > query->now_ms && !survey->ignore_out)
-    return (struct rank){ 3, entry->out_until_ms };
+  if (entry->ejected_until_ms > query->now_ms && !survey->ignore_out)
+    return (struct rank){ 3, entry->ejected_until_ms };
   if (load >= full_load (query, slots, mean))
     rank.group = 2;
   else if (query->has_key && load > bound)
@@ -162,12 +163,12 @@
     return MQ_WORKER_NONE;
   entry = fleet_find_hash (fleet, query->home);
   if (entry == NULL || !fleet_is_candidate (entry, query->service)
-      || entry->out_until_ms > query->now_ms)
+      || entry->ejected_until_ms > query->now_ms)
     return MQ_WORKER_NONE;
   worker = (uint32_t)(entry - fleet->entries);
   survey.told = mq_fleet_service_load (fleet, query->service, query->now_ms);
   if (was_tried (query, worker)
-      || fleet_guess_of (entry, told_mean (&survey, entry), query->now_ms)
+      || fleet_estimate_load (entry, told_mean (&survey, entry), query->now_ms)
              >= slots_of (entry) * LOAD_UNIT)
     return MQ_WORKER_NONE;
   return worker;
@@ -230,9 +231,9 @@
   uint64_t load;
 
   if (!fleet_is_candidate (entry, query->service)
-      || (entry->out_until_ms > query->now_ms && !survey->ignore_out))
+      || (entry->ejected_until_ms > query->now_ms && !survey->ignore_out))
     return;
-  load = fleet_guess_of (entry, told_mean (survey, entry), query->now_ms);
+  load = fleet_estimate_load (entry, told_mean (survey, entry), query->now_ms);
   load = load * HOME_STEPS / slots_of (entry)
          + mq_random_next (&state) % HOME_STEPS;
   if (home->hash == 0 || load < home->load)
@@ -250,8 +251,8 @@
   struct home home = { 0, 0 };
   uint64_t state = query->random;
 
-  for (uint32_t i = 0; row != NULL && i < MQ_RECENT_VALUES; i++)
-    if (row->loads.values[i].seen_ms != 0)
+  for (uint32_t i = 0; row != NULL && i < MQ_RECENT_SAMPLES; i++)
+    if (row->loads.values[i].sampled_ms != 0)
       try_home (&fleet->entries[row->loads.values[i].worker], query, &survey,
                 &home);
   for (uint32_t i = 0; fleet->count > 0 && i < HOME_RANDOM; i++)
@@ -264,8 +265,8 @@
    third of the engines has a queue while another third has free slots, and
    the programs of the first are late.  */
 uint64_t
-mq_fleet_home (const struct mq_fleet *fleet,
-               const struct mq_fleet_query *query)
+mq_fleet_choose_home (const struct mq_fleet *fleet,
+                      const struct mq_fleet_query *query)
 {
   struct home home = home_among_heard (fleet, query);
   struct survey survey;
--- a/src/core/router/fleet_evidence.c
+++ b/src/core/router/fleet_health.c
@@ -8,25 +8,25 @@
 static void
 leave_out (struct fleet_entry *entry, uint64_t now_ms)
 {
-  uint64_t pause = MQ_FLEET_OUT_MS;
+  uint64_t pause = MQ_FLEET_EJECT_MS;
 
-  if (entry->out_until_ms > now_ms)
+  if (entry->ejected_until_ms > now_ms)
     return;
-  for (uint32_t i = 0; i < entry->outs && pause < MQ_FLEET_OUT_MAX_MS; i++)
+  for (uint32_t i = 0; i < entry->outs && pause < MQ_FLEET_EJECT_MAX_MS; i++)
     pause *= 2;
   entry->outs++;
-  entry->rate = MQ_FLEET_BACK_RATE;
+  entry->rate = MQ_FLEET_RETURN_FAILURE_RATE;
   entry->failures = 0;
-  entry->out_until_ms = now_ms + pause;
+  entry->ejected_until_ms = now_ms + pause;
 }
 
 static void
 note_failure (struct fleet_entry *entry, bool certain, uint64_t now_ms)
 {
   entry->failures++;
-  entry->rate += (1000U - entry->rate) / MQ_FLEET_RATE_WEIGHT;
-  if (certain || entry->failures >= MQ_FLEET_FAILURES_MAX
-      || entry->rate >= MQ_FLEET_FAIL_RATE)
+  entry->rate += (1000U - entry->rate) / MQ_FLEET_FAILURE_RATE_WEIGHT;
+  if (certain || entry->failures >= MQ_FLEET_CONSECUTIVE_FAILURES_MAX
+      || entry->rate >= MQ_FLEET_EJECT_FAILURE_RATE)
     leave_out (entry, now_ms);
 }
 
@@ -34,21 +34,21 @@
 note_success (struct fleet_entry *entry)
 {
   entry->failures = 0;
-  entry->rate -= entry->rate / MQ_FLEET_RATE_WEIGHT;
-  if (entry->rate < MQ_FLEET_SOUND_RATE)
+  entry->rate -= entry->rate / MQ_FLEET_FAILURE_RATE_WEIGHT;
+  if (entry->rate < MQ_FLEET_HEALTHY_FAILURE_RATE)
     entry->outs = 0;
 }
 
 void
-mq_fleet_ended (struct mq_fleet *fleet, uint32_t worker,
-                enum mq_fleet_outcome outcome, uint64_t now_ms)
+mq_fleet_request_ended (struct mq_fleet *fleet, uint32_t worker,
+                        enum mq_fleet_outcome outcome, uint64_t now_ms)
 {
   struct fleet_entry *entry = &fleet->entries[worker];
 
   entry->own--;
   switch (outcome)
     {
-    case MQ_OUTCOME_SERVED:
+    case MQ_OUTCOME_SUCCEEDED:
       note_success (entry);
       break;
     case MQ_OUTCOME_FAILED:
@@ -61,10 +61,10 @@
       entry->refused = true;
       break;
     case MQ_OUTCOME_FULL:
-      fleet_note_full (entry, now_ms);
+      fleet_mark_full (entry, now_ms);
       break;
-    case MQ_OUTCOME_STOPPED:
+    case MQ_OUTCOME_CANCELLED:
       break;
     }
-  fleet_forget_if_idle (fleet, entry);
+  fleet_free_if_idle (fleet, entry);
 }
--- a/src/core/router/fleet_load.c
+++ b/src/core/router/fleet_load.c
@@ -8,20 +8,20 @@
 #include "../memory.h"
 
 uint64_t
-fleet_load_of (const struct fleet_entry *entry, uint64_t now_ms)
+fleet_decayed_load (const struct fleet_entry *entry, uint64_t now_ms)
 {
   uint64_t age = now_ms - entry->told_ms;
   uint64_t load = (uint64_t)entry->own * LOAD_UNIT;
 
-  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_AGE_MS)
-    load += (uint64_t)entry->others * LOAD_UNIT * (MQ_FLEET_LOAD_AGE_MS - age)
-            / MQ_FLEET_LOAD_AGE_MS;
+  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
+    load += (uint64_t)entry->others * LOAD_UNIT * (MQ_FLEET_LOAD_TTL_MS - age)
+            / MQ_FLEET_LOAD_TTL_MS;
   return load;
 }
 
 uint64_t
-fleet_guess_of (const struct fleet_entry *entry, uint64_t mean,
-                uint64_t now_ms)
+fleet_estimate_load (const struct fleet_entry *entry, uint64_t mean,
+                     uint64_t now_ms)
 {
   uint64_t age = now_ms - entry->told_ms;
   uint64_t own = (uint64_t)entry->own * LOAD_UNIT;
@@ -29,10 +29,10 @@
   uint64_t guess = mean;
 
   if (mean == 0)
-    return fleet_load_of (entry, now_ms);
-  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_AGE_MS)
-    guess = (mean * age + told * (MQ_FLEET_LOAD_AGE_MS - age))
-            / MQ_FLEET_LOAD_AGE_MS;
+    return fleet_decayed_load (entry, now_ms);
+  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
+    guess = (mean * age + told * (MQ_FLEET_LOAD_TTL_MS - age))
+            / MQ_FLEET_LOAD_TTL_MS;
   return guess > own ? guess : own;
 }
 
@@ -77,13 +77,14 @@
     return 0;
   load = mq_recent_mean (&row->loads, now_ms);
   wait = mq_recent_mean (&row->waits, now_ms) * 100U
-         / MQ_FLEET_WAIT_FULL_PERCENT;
+         / MQ_FLEET_DELAY_FULL_PERCENT;
   return load < wait ? load : wait;
 }
 
 void
-mq_fleet_begun (struct mq_fleet *fleet, uint32_t worker, uint32_t wait_ms,
-                uint32_t objective_ms, uint64_t now_ms)
+mq_fleet_record_delay (struct mq_fleet *fleet, uint32_t worker,
+                       uint32_t wait_ms, uint32_t objective_ms,
+                       uint64_t now_ms)
 {
   const struct fleet_entry *entry = &fleet->entries[worker];
   struct fleet_service *row;
@@ -103,31 +104,32 @@
 {
   const struct fleet_entry *entry = &fleet->entries[worker];
 
-  return fleet_load_of (entry, now_ms)
+  return fleet_decayed_load (entry, now_ms)
          > (uint64_t)entry->member.slots * LOAD_UNIT;
 }
 
 void
-mq_fleet_started (struct mq_fleet *fleet, uint32_t worker)
+mq_fleet_request_started (struct mq_fleet *fleet, uint32_t worker)
 {
   fleet->entries[worker].own++;
 }
 
 void
-mq_fleet_heard (struct mq_fleet *fleet, uint32_t worker, uint64_t now_ms)
+mq_fleet_record_activity (struct mq_fleet *fleet, uint32_t worker,
+                          uint64_t now_ms)
 {
   fleet->entries[worker].heard_ms = now_ms;
 }
 
 uint64_t
-mq_fleet_heard_ms (const struct mq_fleet *fleet, uint32_t worker)
+mq_fleet_last_activity_ms (const struct mq_fleet *fleet, uint32_t worker)
 {
   return fleet->entries[worker].heard_ms;
 }
 
 void
-mq_fleet_told (struct mq_fleet *fleet, uint32_t worker, uint32_t running,
-               uint32_t waiting, uint64_t now_ms)
+mq_fleet_record_load (struct mq_fleet *fleet, uint32_t worker,
+                      uint32_t running, uint32_t waiting, uint64_t now_ms)
 {
   struct fleet_entry *entry = &fleet->entries[worker];
   uint32_t total = running + waiting;
@@ -140,7 +142,7 @@
 }
 
 void
-fleet_note_full (struct fleet_entry *entry, uint64_t now_ms)
+fleet_mark_full (struct fleet_entry *entry, uint64_t now_ms)
 {
   entry->others = entry->member.slots;
   entry->told_ms = now_ms;
--- a/src/core/router/fleet_state.h
+++ b/src/core/router/fleet_state.h
@@ -24,7 +24,7 @@
  * @used: the slot of the table is taken
  * @listed: the registry has it
  * @seen: the list under way has it
- * @lapses_ms: the registry has it no more; it is taken as gone from then on,
+ * @removal_ms: the registry has it no more; it is taken as gone from then on,
  *             0: it has it
  * @refused: it said itself that it takes no more work
  * @own: requests of this host at it
@@ -34,7 +34,7 @@
  * @failures: in a row
  * @rate: share of failures among the last requests, thousandths, smoothed
  * @outs: times that it was left out in a row
- * @out_until_ms: no requests before this time
+ * @ejected_until_ms: no requests before this time
  */
 struct fleet_entry
 {
@@ -45,7 +45,7 @@
   bool replaced;
   bool listed;
   bool seen;
-  uint64_t lapses_ms;
+  uint64_t removal_ms;
   bool refused;
   uint32_t own;
   uint32_t others;
@@ -54,7 +54,7 @@
   uint32_t failures;
   uint32_t rate;
   uint32_t outs;
-  uint64_t out_until_ms;
+  uint64_t ejected_until_ms;
 };
 
 /* Numbers in the map of workers.  */
@@ -89,10 +89,10 @@
 };
 
 /* It may be sent to.  */
-bool fleet_is_usable (const struct fleet_entry *entry);
+bool fleet_is_available (const struct fleet_entry *entry);
 bool fleet_is_candidate (const struct fleet_entry *entry, const char *service);
 /* Frees the entry of a worker that is gone once no request is there.  */
-void fleet_forget_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry);
+void fleet_free_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry);
 
 /* The listed worker of which HASH is the hash, NULL: there is none.  */
 struct fleet_entry *fleet_find_hash (const struct mq_fleet *fleet,
@@ -106,16 +106,16 @@
 
 /* Requests at the worker in LOAD_UNITs: our own, and those of other hosts as
    last told, which count less the older the figure is.  */
-uint64_t fleet_load_of (const struct fleet_entry *entry, uint64_t now_ms);
+uint64_t fleet_decayed_load (const struct fleet_entry *entry, uint64_t now_ms);
 /* The same where MEAN requests are at a worker of the service, 0: not known.
    A worker of which nothing was told lately counts as one of them.
 
    Failure: such a worker counts as idle, so that one which just told of a
    short queue seems full beside the others; its programs go elsewhere and
    their histories are read again, while all workers wait alike.  */
-uint64_t fleet_guess_of (const struct fleet_entry *entry, uint64_t mean,
-                         uint64_t now_ms);
+uint64_t fleet_estimate_load (const struct fleet_entry *entry, uint64_t mean,
+                              uint64_t now_ms);
 /* It had no room for a request of ours.  */
-void fleet_note_full (struct fleet_entry *entry, uint64_t now_ms);
+void fleet_mark_full (struct fleet_entry *entry, uint64_t now_ms);
 
 #endif
--- a/src/core/router/outage.c
+++ b/src/core/router/outage.c
@@ -5,7 +5,7 @@
 #include "outage.h"
 
 bool
-mq_outage_runs (uint64_t left_ms, uint64_t timeout_ms)
+mq_outage_should_run (uint64_t left_ms, uint64_t timeout_ms)
 {
-  return left_ms * 100U < timeout_ms * MQ_OUTAGE_FIRST_PERCENT;
+  return left_ms * 100U < timeout_ms * MQ_OUTAGE_FIRST_TRY_PERCENT;
 }
--- a/src/core/router/outage.h
+++ b/src/core/router/outage.h
@@ -17,10 +17,10 @@
 
 /* Share of the route's time, in percent, that a caller's first try still has:
    what is less has been refused before, and is the last of this send.  */
-#define MQ_OUTAGE_FIRST_PERCENT 80U
+#define MQ_OUTAGE_FIRST_TRY_PERCENT 80U
 
 /* A turn with LEFT_MS of its route's TIMEOUT_MS is begun with what hosts lend
    each other; else it is better refused at once, with a time to come back.  */
-bool mq_outage_runs (uint64_t left_ms, uint64_t timeout_ms);
+bool mq_outage_should_run (uint64_t left_ms, uint64_t timeout_ms);
 
 #endif
--- a/src/core/router/recent.c
+++ b/src/core/router/recent.c
@@ -9,8 +9,8 @@
                uint64_t now_ms)
 {
   recent->values[recent->next]
-      = (struct mq_recent_value){ now_ms, value, worker };
-  recent->next = (recent->next + 1) % MQ_RECENT_VALUES;
+      = (struct mq_recent_sample){ now_ms, value, worker };
+  recent->next = (recent->next + 1) % MQ_RECENT_SAMPLES;
 }
 
 uint32_t
@@ -19,16 +19,17 @@
   uint64_t sum = 0;
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < MQ_RECENT_VALUES; i++)
+  for (uint32_t i = 0; i < MQ_RECENT_SAMPLES; i++)
     {
-      const struct mq_recent_value *value = &recent->values[i];
+      const struct mq_recent_sample *value = &recent->values[i];
 
-      if (value->seen_ms == 0 || now_ms - value->seen_ms >= MQ_RECENT_AGE_MS)
+      if (value->sampled_ms == 0
+          || now_ms - value->sampled_ms >= MQ_RECENT_WINDOW_MS)
         continue;
       sum += value->value;
       count++;
     }
-  if (count < MQ_RECENT_LEAST)
-    count = MQ_RECENT_LEAST;
+  if (count < MQ_RECENT_MIN_SAMPLES)
+    count = MQ_RECENT_MIN_SAMPLES;
   return (uint32_t)(sum / count);
 }
--- a/src/core/router/recent.h
+++ b/src/core/router/recent.h
@@ -8,23 +8,23 @@
 
 #include "../types.h"
 
-#define MQ_RECENT_VALUES 64U
+#define MQ_RECENT_SAMPLES 64U
 /* What was seen counts for so long: long enough for a host with few requests
    to have seen several.  */
-#define MQ_RECENT_AGE_MS 1000U
+#define MQ_RECENT_WINDOW_MS 1000U
 /* Values that are needed to tell the mean; each that is missing counts as 0,
    since a host that saw little knows little.  */
-#define MQ_RECENT_LEAST 8U
+#define MQ_RECENT_MIN_SAMPLES 8U
 
 /**
- * struct mq_recent_value - one value
- * @seen_ms: when, 0: never
+ * struct mq_recent_sample - one value
+ * @sampled_ms: when, 0: never
  * @value: what
  * @worker: whose it is, where that matters
  */
-struct mq_recent_value
+struct mq_recent_sample
 {
-  uint64_t seen_ms;
+  uint64_t sampled_ms;
   uint32_t value;
   uint32_t worker;
 };
@@ -36,7 +36,7 @@
  */
 struct mq_recent
 {
-  struct mq_recent_value values[MQ_RECENT_VALUES];
+  struct mq_recent_sample values[MQ_RECENT_SAMPLES];
   uint32_t next;
 };
 
--- a/src/core/router/reserve.c
+++ b/src/core/router/reserve.c
@@ -15,7 +15,7 @@
 {
   struct mq_reserve_lease lease;
   uint64_t version;
-  struct mq_reserve_own own;
+  struct mq_reserve_own_lease own;
 };
 
 struct mq_reserve
@@ -68,9 +68,9 @@
 
 static void
 begin_own (const struct mq_reserve *reserve, struct slot *at,
-           struct mq_reserve_moment moment)
+           struct mq_reserve_clock_sample moment)
 {
-  uint64_t earlier = at->lease.until_ms + MQ_RESERVE_MARGIN_MS;
+  uint64_t earlier = at->lease.until_ms + MQ_RESERVE_GRACE_MS;
 
   at->own.since_ms = moment.asked_ms;
   at->own.inherited_ms = 0;
@@ -79,9 +79,9 @@
 }
 
 void
-mq_reserve_read (struct mq_reserve *reserve, uint32_t slot,
-                 struct mq_reserve_lease lease, uint64_t version,
-                 struct mq_reserve_moment moment)
+mq_reserve_record_row (struct mq_reserve *reserve, uint32_t slot,
+                       struct mq_reserve_lease lease, uint64_t version,
+                       struct mq_reserve_clock_sample moment)
 {
   struct slot *at = &reserve->slots[slot];
   uint64_t left = lease.until_ms > moment.table_ms
@@ -89,7 +89,7 @@
                       : 0;
 
   if (lease.holder != reserve->holder)
-    at->own = (struct mq_reserve_own){ 0, 0, 0 };
+    at->own = (struct mq_reserve_own_lease){ 0, 0, 0 };
   else if (at->own.until_ms == 0 || at->own.until_ms < moment.asked_ms)
     begin_own (reserve, at, moment);
   if (lease.holder == reserve->holder)
@@ -115,7 +115,7 @@
          uint64_t table_ms)
 {
   return slot->lease.holder == 0 || is_earlier_run (reserve, &slot->lease)
-         || slot->lease.until_ms + MQ_RESERVE_MARGIN_MS < table_ms;
+         || slot->lease.until_ms + MQ_RESERVE_GRACE_MS < table_ms;
 }
 
 /* Slots that one of HOSTS hosts takes at most.  */
@@ -128,9 +128,9 @@
 }
 
 uint32_t
-mq_reserve_free (const struct mq_reserve *reserve,
-                 struct mq_reserve_moment moment, size_t hosts,
-                 uint64_t random, uint32_t slots[MQ_RESERVE_SLOTS])
+mq_reserve_claimable (const struct mq_reserve *reserve,
+                      struct mq_reserve_clock_sample moment, size_t hosts,
+                      uint64_t random, uint32_t slots[MQ_RESERVE_SLOTS])
 {
   uint32_t own[MQ_RESERVE_SLOTS];
   uint32_t owned = mq_reserve_owned (reserve, own);
@@ -146,7 +146,7 @@
     {
       uint32_t at = (uint32_t)((random + i) % MQ_RESERVE_SLOTS);
 
-      if (count == MQ_RESERVE_CLAIM || owned + count >= share)
+      if (count == MQ_RESERVE_CLAIM_MAX || owned + count >= share)
         break;
       if (reserve->slots[at].lease.holder != reserve->holder
           && is_free (reserve, &reserve->slots[at], moment.table_ms))
@@ -156,8 +156,8 @@
 }
 
 struct mq_reserve_lease
-mq_reserve_next (const struct mq_reserve *reserve,
-                 struct mq_reserve_moment moment)
+mq_reserve_renewed_lease (const struct mq_reserve *reserve,
+                          struct mq_reserve_clock_sample moment)
 {
   struct mq_reserve_lease lease
       = { reserve->holder, moment.table_ms + MQ_RESERVE_LEASE_MS, "" };
@@ -173,17 +173,17 @@
 }
 
 bool
-mq_reserve_holds (const struct mq_reserve *reserve, uint32_t slot,
-                  uint64_t now_ms)
+mq_reserve_can_issue (const struct mq_reserve *reserve, uint32_t slot,
+                      uint64_t now_ms)
 {
-  const struct mq_reserve_own *own = &reserve->slots[slot].own;
+  const struct mq_reserve_own_lease *own = &reserve->slots[slot].own;
 
   return now_ms < own->until_ms && now_ms >= own->inherited_ms;
 }
 
 bool
-mq_reserve_has (const struct mq_reserve *reserve, uint32_t slot,
-                uint64_t now_ms, struct mq_reserve_own *own)
+mq_reserve_has_lease (const struct mq_reserve *reserve, uint32_t slot,
+                      uint64_t now_ms, struct mq_reserve_own_lease *own)
 {
   *own = reserve->slots[slot].own;
   return now_ms < own->until_ms;
--- a/src/core/router/route.c
+++ b/src/core/router/route.c
@@ -117,7 +117,8 @@
 }
 
 uint64_t
-mq_route_whole_events (const struct mq_route_service *service, uint64_t tokens)
+mq_route_round_to_events (const struct mq_route_service *service,
+                          uint64_t tokens)
 {
   uint64_t step = service == NULL ? 1 : service->tokens_per_event;
 
@@ -127,9 +128,9 @@
 }
 
 bool
-mq_route_placing_key (const struct mq_path_route *route,
-                      const struct mq_route_service *service,
-                      const char *program, const char *object, uint64_t *key)
+mq_route_affinity_key (const struct mq_path_route *route,
+                       const struct mq_route_service *service,
+                       const char *program, const char *object, uint64_t *key)
 {
   const char *text = NULL;
 
@@ -150,7 +151,7 @@
     {
     case MQ_ROUTE_IDEMPOTENT:
       return true;
-    case MQ_ROUTE_ONCE:
+    case MQ_ROUTE_AT_MOST_ONCE:
       return false;
     case MQ_ROUTE_STREAM:
       return route->resumable;
--- a/src/core/router/route.h
+++ b/src/core/router/route.h
@@ -13,9 +13,9 @@
 /* What may be done with a request whose outcome is not known.  */
 enum mq_route_kind
 {
-  MQ_ROUTE_IDEMPOTENT, /* it may run again at another worker */
-  MQ_ROUTE_ONCE,       /* it runs once at most */
-  MQ_ROUTE_STREAM      /* events; once, unless the route is resumable */
+  MQ_ROUTE_IDEMPOTENT,   /* it may run again at another worker */
+  MQ_ROUTE_AT_MOST_ONCE, /* it runs once at most */
+  MQ_ROUTE_STREAM        /* events; once, unless the route is resumable */
 };
 
 #define MQ_ROUTE_KINDS 3
@@ -124,16 +124,16 @@
 const struct mq_route_service *
 mq_route_service_find (const struct mq_route_table *table, const char *name);
 /* TOKENS in whole events of SERVICE, NULL: not known, rounded up.  */
-uint64_t mq_route_whole_events (const struct mq_route_service *service,
-                                uint64_t tokens);
+uint64_t mq_route_round_to_events (const struct mq_route_service *service,
+                                   uint64_t tokens);
 /* Key by which all hosts choose the same worker without asking each other, for
    requests that gain from one worker's cache: those of one PROGRAM on
    engines, those on one OBJECT elsewhere, when the route asks for it.  False
    when there is none.  */
-bool mq_route_placing_key (const struct mq_path_route *route,
-                           const struct mq_route_service *service,
-                           const char *program, const char *object,
-                           uint64_t *key);
+bool mq_route_affinity_key (const struct mq_path_route *route,
+                            const struct mq_route_service *service,
+                            const char *program, const char *object,
+                            uint64_t *key);
 /* A request of ROUTE may run more than once.  */
 bool mq_route_repeatable (const struct mq_path_route *route);
 
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -196,7 +196,8 @@
 }
 
 static Mqrelay__QuotaWant **
-make_wants (TALLOC_CTX *ctx, const struct mq_quota_want *wants, size_t count)
+make_wants (TALLOC_CTX *ctx, const struct mq_quota_request *wants,
+            size_t count)
 {
   Mqrelay__QuotaWant **list = make_list (ctx, count, sizeof **list);
 
@@ -234,7 +235,7 @@
 }
 
 static Mqrelay__QuotaGift **
-make_gifts (TALLOC_CTX *ctx, const struct mq_quota_gift *gifts, size_t count)
+make_gifts (TALLOC_CTX *ctx, const struct mq_quota_grant *gifts, size_t count)
 {
   Mqrelay__QuotaGift **list = make_list (ctx, count, sizeof **list);
 
@@ -427,11 +428,11 @@
 static void
 read_quota_ask (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
 {
-  struct mq_quota_want *wants = mq_must (
-      talloc_zero_array (to, struct mq_quota_want, from->n_wants + 1));
+  struct mq_quota_request *wants = mq_must (
+      talloc_zero_array (to, struct mq_quota_request, from->n_wants + 1));
 
   for (size_t i = 0; i < from->n_wants; i++)
-    wants[i] = (struct mq_quota_want){
+    wants[i] = (struct mq_quota_request){
       .organisation = from->wants[i]->organisation,
       .need = from->wants[i]->need,
       .begins = from->wants[i]->begins,
@@ -456,11 +457,11 @@
 static void
 read_quota_told (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
 {
-  struct mq_quota_gift *gifts = mq_must (
-      talloc_zero_array (to, struct mq_quota_gift, from->n_gifts + 1));
+  struct mq_quota_grant *gifts = mq_must (
+      talloc_zero_array (to, struct mq_quota_grant, from->n_gifts + 1));
 
   for (size_t i = 0; i < from->n_gifts; i++)
-    gifts[i] = (struct mq_quota_gift){
+    gifts[i] = (struct mq_quota_grant){
       .organisation = from->gifts[i]->organisation,
       .unknown = from->gifts[i]->unknown,
       .need = from->gifts[i]->need,
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -135,7 +135,7 @@
   uint64_t host;
   uint64_t heard_ms;
   uint64_t server;
-  const struct mq_quota_want *wants;
+  const struct mq_quota_request *wants;
   size_t want_count;
   bool listed;
   bool recalled;
@@ -152,7 +152,7 @@
   uint64_t id;
   uint64_t server;
   uint64_t told_ms;
-  const struct mq_quota_gift *gifts;
+  const struct mq_quota_grant *gifts;
   size_t gift_count;
 };
 
--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -21,15 +21,15 @@
   if (!request->route->retains)
     return 0;
   return mq_recent_mean (&request->router->record_waits, now) * 100U
-         / MQ_FLEET_WAIT_FULL_PERCENT;
+         / MQ_FLEET_DELAY_FULL_PERCENT;
 }
 
-static struct mq_admission_ask
+static struct mq_admission_request
 admission_ask (const struct mq_request *request, uint64_t now)
 {
   const struct mq_call_facts *facts = &request->facts;
 
-  return (struct mq_admission_ask){
+  return (struct mq_admission_request){
     .service = request->service,
     .route = request->route->name,
     .priority = request_priority (request),
@@ -98,15 +98,15 @@
     .random = mq_random_next (&router->random),
   };
 
-  return mq_fleet_home (router->fleet, &query);
+  return mq_fleet_choose_home (router->fleet, &query);
 }
 
 void
 request_admit_turn (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
-  struct mq_admission_ask ask;
-  enum mq_admission_answer answer;
+  struct mq_admission_request ask;
+  enum mq_admission_decision answer;
 
   if (!request->begins_program)
     {
@@ -118,15 +118,15 @@
       = ask.load > ask.record_load ? ask.load : ask.record_load;
   answer = mq_admission_decide (request->router->admission, &ask,
                                 &request->retry_ms);
-  request->program_late = answer == MQ_ADMISSION_LATE;
+  request->program_late = answer == MQ_ADMISSION_TOO_LATE;
   switch (answer)
     {
-    case MQ_ADMISSION_YES:
+    case MQ_ADMISSION_ACCEPTED:
       request->home = choose_home (request, now);
       request_begin_turn (request);
       return;
-    case MQ_ADMISSION_LOADED:
-    case MQ_ADMISSION_LATE:
+    case MQ_ADMISSION_OVERLOADED:
+    case MQ_ADMISSION_TOO_LATE:
       refuse_unless_begun (request);
       return;
     }
--- a/src/router/router_answer.c
+++ b/src/router/router_answer.c
@@ -69,7 +69,7 @@
 mq_answer_is_cut (const struct mq_answer *answer)
 {
   return answer->stream && answer->events != NULL
-         && mq_event_stream_partial (answer->events);
+         && mq_event_stream_has_partial (answer->events);
 }
 
 enum mq_fleet_outcome
@@ -77,7 +77,7 @@
 {
   if (answer->not_run)
     return answer->other_worker ? MQ_OUTCOME_LEAVING : MQ_OUTCOME_FULL;
-  return answer->status >= 500 ? MQ_OUTCOME_FAILED : MQ_OUTCOME_SERVED;
+  return answer->status >= 500 ? MQ_OUTCOME_FAILED : MQ_OUTCOME_SUCCEEDED;
 }
 
 bool
@@ -95,5 +95,5 @@
   mq_buffer_clear (&answer->body);
   *answer = (struct mq_answer){ .events = events };
   if (events != NULL)
-    mq_event_stream_restart (events);
+    mq_event_stream_reset (events);
 }
--- a/src/router/router_clean.c
+++ b/src/router/router_clean.c
@@ -46,7 +46,7 @@
   struct mq_budget_record record;
 
   if (cleaner->part >= MQ_TURN_PARTS)
-    return mq_chain_row_until (value);
+    return mq_chain_row_expiry_s (value);
   return mq_budget_unpack (value, &record) ? record.until_s : 0;
 }
 
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -72,7 +72,7 @@
   if (!mq_wire_read_worker (ctx, row->key, row->value, &member, &error))
     drop_worker (router, row->key, &error);
   else if (member.born_ms == 0
-           && mq_fleet_born_ms (router->fleet, row->key) != 0)
+           && mq_fleet_start_time_ms (router->fleet, row->key) != 0)
     {
       mq_error_set (&error, MQ_ERR_TEXT_MISSING, row->key, "its start");
       drop_worker (router, row->key, &error);
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -16,7 +16,7 @@
 {
   if (id == NULL)
     return NULL;
-  return mq_org_scope ((TALLOC_CTX *)(uintptr_t)request, request->org, id);
+  return mq_org_scoped_id ((TALLOC_CTX *)(uintptr_t)request, request->org, id);
 }
 
 /* Without organisations in the configuration ids are kept as they are.  */
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -87,7 +87,7 @@
   program = mq_program_get (turn->turns, turn->program);
   if (program == NULL)
     return false;
-  turn->granted = mq_budget_take (&program->budget, turn->most);
+  turn->granted = mq_budget_reserve_local (&program->budget, turn->most);
   if (turn->granted == 0)
     return false;
   turn->in = program;
@@ -151,7 +151,7 @@
       ask_for_turn (loan);
       return;
     }
-  mq_budget_issue (&program->budget, turn->limit, turn->most);
+  mq_budget_issue_unrecorded (&program->budget, turn->limit, turn->most);
   step_loan (loan);
 }
 
@@ -283,7 +283,7 @@
 
   if (program == NULL)
     return;
-  mq_budget_borrow (&program->budget, told->tokens);
+  mq_budget_receive_loan (&program->budget, told->tokens);
   talloc_free (program->lender);
   program->lender = talloc_strdup (program, address);
 }
@@ -312,7 +312,8 @@
   if (!turn->budgeted)
     return true;
   program = mq_program_find (loan->turns, turn->program);
-  return program != NULL && mq_budget_has (&program->budget, turn->most);
+  return program != NULL
+         && mq_budget_can_reserve (&program->budget, turn->most);
 }
 
 void
@@ -356,8 +357,8 @@
   program->used_ms = mq_clock_ms ();
   program->limit = ask->limit;
   if (issues)
-    mq_budget_issue (&program->budget, ask->limit, ask->most);
-  told->over = mq_budget_over (&program->budget, ask->limit)
+    mq_budget_issue_unrecorded (&program->budget, ask->limit, ask->most);
+  told->over = mq_budget_is_overdrawn (&program->budget, ask->limit)
                || (program->budget.issued > 0
                    && !mq_reserve_may_issue (router, ask->program));
   told->tokens = mq_budget_lend (&program->budget, ask->most);
@@ -374,7 +375,7 @@
   if (chain == NULL)
     return;
   told->turn = ask->turn;
-  told->history = mq_chain_pack_whole (ctx, chain);
+  told->history = mq_chain_pack_full (ctx, chain);
 }
 
 void
@@ -407,7 +408,7 @@
   struct mq_program *program = mq_program_find (router->turns, back->program);
 
   if (program != NULL)
-    mq_budget_take_back (&program->budget, back->tokens);
+    mq_budget_reclaim_loan (&program->budget, back->tokens);
 }
 
 /* Without the table, what a turn leaves of its most, three quarters of it,
@@ -421,9 +422,9 @@
   if (program->lender == NULL
       || !mq_turns_away (program->turns, program->part))
     return;
-  back.tokens = mq_budget_give_back (&program->budget);
+  back.tokens = mq_budget_return_loan (&program->budget);
   if (back.tokens == 0)
     return;
   if (!mq_relay_give_back (relay, program->lender, &back))
-    mq_budget_borrow (&program->budget, back.tokens);
+    mq_budget_receive_loan (&program->budget, back.tokens);
 }
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -238,22 +238,22 @@
   return permit;
 }
 
-static enum mq_quota_answer
+static enum mq_quota_decision
 take (struct share *share, bool begins, uint64_t now)
 {
   static const struct mq_quota_contact none = { 0 };
   struct contact *contact = contact_of (share);
   struct mq_quota_contact nobody = none;
-  enum mq_quota_answer answer;
+  enum mq_quota_decision answer;
 
   /* An issuer that starts again does not find a host that leaves.  */
   if (share->permits->router->leaving)
     share->quota.standing = 0;
   /* Whoever is to issue may show up soon after this host has begun.  */
   nobody.answered_ms = share->began_ms;
-  answer = mq_quota_take (
+  answer = mq_quota_try_acquire (
       &share->quota, contact == NULL ? &nobody : &contact->quota, begins, now);
-  if (answer == MQ_QUOTA_PERMIT && share->quota.alone)
+  if (answer == MQ_QUOTA_GRANTED && share->quota.alone)
     share->permits->router->counters.permits_alone++;
   return answer;
 }
@@ -271,17 +271,17 @@
   share->active_ms = now;
   switch (take (share, begins, now))
     {
-    case MQ_QUOTA_PERMIT:
+    case MQ_QUOTA_GRANTED:
       router->counters.permits_used++;
       set_timers (router->permits);
       return MQ_PERMIT_GRANTED;
-    case MQ_QUOTA_ASK:
+    case MQ_QUOTA_ASK_ISSUER:
       *permit = add_waiting (share, begins, told, user);
       return MQ_PERMIT_WAITS;
-    case MQ_QUOTA_OVER:
-      *retry_ms = mq_quota_wait_ms (&share->quota, begins, now);
+    case MQ_QUOTA_EXCEEDED:
+      *retry_ms = mq_quota_retry_after_ms (&share->quota, begins, now);
       return MQ_PERMIT_OVER;
-    case MQ_QUOTA_ALONE:
+    case MQ_QUOTA_NO_ISSUER:
       return MQ_PERMIT_UNKNOWN;
     }
   return MQ_PERMIT_UNKNOWN;
@@ -295,9 +295,9 @@
                                              mq_id_text_hash (org->name), 0);
   uint64_t now = mq_clock_boot_ms ();
 
-  if (share == NULL || !mq_quota_is_over (&share->quota, begins, now))
+  if (share == NULL || !mq_quota_is_exhausted (&share->quota, begins, now))
     return false;
-  *retry_ms = mq_quota_wait_ms (&share->quota, begins, now);
+  *retry_ms = mq_quota_retry_after_ms (&share->quota, begins, now);
   return true;
 }
 
@@ -322,7 +322,7 @@
 {
   return (now - share->active_ms < IDLE_MS || share->quota.standing > 0
           || share->quota.surrendered > 0)
-         && now - share->wanted_ms >= MQ_QUOTA_REFRESH_MS;
+         && now - share->wanted_ms >= MQ_QUOTA_STANDING_REFRESH_MS;
 }
 
 static void
@@ -344,7 +344,7 @@
 
 static void
 send_ask (struct mq_permits *permits, struct contact *contact, uint64_t id,
-          const struct mq_quota_want *wants, size_t count, uint64_t now)
+          const struct mq_quota_request *wants, size_t count, uint64_t now)
 {
   struct mq_relay *relay = permits->router->relay;
   struct mq_relay_quota_ask ask = { .id = id,
@@ -368,8 +368,8 @@
 static void
 ask_contact (struct mq_permits *permits, struct contact *contact, uint64_t now)
 {
-  struct mq_quota_want *wants
-      = mq_must (talloc_zero_array (permits, struct mq_quota_want, WANTS_MAX));
+  struct mq_quota_request *wants = mq_must (
+      talloc_zero_array (permits, struct mq_quota_request, WANTS_MAX));
   uint64_t id
       = now << COUNT_BITS | (++permits->next_ask & ((1U << COUNT_BITS) - 1));
   size_t count = 0;
@@ -390,12 +390,13 @@
                || share->quota.standing > 0;
       if (need + begins == 0 && !is_due (share, now))
         continue;
-      wants[count++] = mq_quota_want (&share->quota, &contact->quota,
-                                      share->name, need, begins, now);
+      wants[count++] = mq_quota_request (&share->quota, &contact->quota,
+                                         share->name, need, begins, now);
       share->wanted_ms = now;
       mark_asked (share, id);
     }
-  if (count > 0 || (needed && now - contact->asked_ms >= MQ_QUOTA_PING_MS))
+  if (count > 0
+      || (needed && now - contact->asked_ms >= MQ_QUOTA_POLL_INTERVAL_MS))
     send_ask (permits, contact, id, wants, count, now);
   talloc_free (wants);
 }
@@ -440,19 +441,19 @@
           && now >= asked_ms_of (permit->asked) + ASK_AGAIN_MS)
         permit->asked = 0;
       if (contact_of (share) == NULL
-          && now >= permit->since_ms + MQ_QUOTA_ALONE_MS)
+          && now >= permit->since_ms + MQ_QUOTA_ISSUER_TIMEOUT_MS)
         end_permit (permit, MQ_PERMIT_UNKNOWN, 0);
       else
         switch (take (share, permit->begins, now))
           {
-          case MQ_QUOTA_PERMIT:
+          case MQ_QUOTA_GRANTED:
             end_permit (permit, MQ_PERMIT_GRANTED, 0);
             break;
-          case MQ_QUOTA_ALONE:
+          case MQ_QUOTA_NO_ISSUER:
             end_permit (permit, MQ_PERMIT_UNKNOWN, 0);
             break;
-          case MQ_QUOTA_OVER:
-          case MQ_QUOTA_ASK:
+          case MQ_QUOTA_EXCEEDED:
+          case MQ_QUOTA_ASK_ISSUER:
             break;
           }
       permit = next;
@@ -476,7 +477,8 @@
   if (mq_idmap_count (permits->shares) > 0)
     permits->look = mq_timer_add (
         permits, permits->router->ev,
-        permits->waiting > 0 ? LOOK_MS : MQ_QUOTA_PING_MS, on_look, permits);
+        permits->waiting > 0 ? LOOK_MS : MQ_QUOTA_POLL_INTERVAL_MS, on_look,
+        permits);
 }
 
 /* Answers */
@@ -502,7 +504,7 @@
 }
 
 static void
-hand_out (struct share *share, const struct mq_quota_gift *gift, uint64_t ask)
+hand_out (struct share *share, const struct mq_quota_grant *gift, uint64_t ask)
 {
   uint32_t need = gift->need;
   uint32_t begins = gift->begins;
@@ -523,7 +525,7 @@
 }
 
 static void
-take_gift (struct mq_permits *permits, const struct mq_quota_gift *gift,
+take_gift (struct mq_permits *permits, const struct mq_quota_grant *gift,
            const struct mq_relay_quota_told *told, const char *address,
            bool in_time, uint64_t now)
 {
@@ -541,8 +543,8 @@
     }
   if (share->issuer == NULL || strcmp (share->issuer, address) != 0)
     mq_text_set (share, &share->issuer, address);
-  mq_quota_told (&share->quota, gift, told->server, asked_ms_of (told->id),
-                 now);
+  mq_quota_apply_grant (&share->quota, gift, told->server,
+                        asked_ms_of (told->id), now);
   hand_out (share, gift, told->id);
 }
 
@@ -558,8 +560,8 @@
 
   if (contact == NULL)
     return;
-  in_time = mq_quota_answered (&contact->quota, told->server,
-                               asked_ms_of (told->id), told->told_ms, now);
+  in_time = mq_quota_record_reply (&contact->quota, told->server,
+                                   asked_ms_of (told->id), told->told_ms, now);
   for (size_t i = 0; i < told->gift_count; i++)
     take_gift (permits, &told->gifts[i], told, address, in_time, now);
 }
@@ -584,7 +586,7 @@
   uint64_t over = whole * settings->limit_over_permille / 1000U
                   + settings->limit_slack * (uint64_t)1000;
   uint64_t spent = over / AHEAD_PART + over / KEPT_PART
-                   + limit->rate * MQ_QUOTA_ANSWER_MS / 1000U;
+                   + limit->rate * MQ_QUOTA_REPLY_TIMEOUT_MS / 1000U;
 
   bounds->limit = *limit;
   bounds->ahead = over / AHEAD_PART / 1000U;
@@ -592,14 +594,14 @@
     bounds->limit.burst += over - spent;
 }
 
-static struct mq_quota_gift
+static struct mq_quota_grant
 issue (struct mq_permits *permits, uint64_t host,
-       const struct mq_quota_want *want, bool lends, uint64_t now)
+       const struct mq_quota_request *want, bool lends, uint64_t now)
 {
   struct mq_router *router = permits->router;
-  struct mq_quota_gift gift
+  struct mq_quota_grant gift
       = { .organisation = want->organisation, .unknown = true };
-  struct mq_reserve_own own;
+  struct mq_reserve_own_lease own;
   struct mq_quota_bounds bounds = { .lends = lends && !router->leaving };
   struct mq_quota_lease lease;
   const struct mq_org *org = NULL;
@@ -625,13 +627,13 @@
 {
   uint64_t now = mq_clock_boot_ms ();
   uint64_t heard = ask->server == permits->run ? ask->heard_ms : 0;
-  struct mq_quota_gift *gifts = mq_must (
-      talloc_array (ctx, struct mq_quota_gift, ask->want_count + 1));
+  struct mq_quota_grant *gifts = mq_must (
+      talloc_array (ctx, struct mq_quota_grant, ask->want_count + 1));
 
-  mq_quota_heard (permits->issuer, ask->host, heard, now);
+  mq_quota_record_ack (permits->issuer, ask->host, heard, now);
   for (size_t i = 0; i < ask->want_count; i++)
     {
-      struct mq_quota_want want = ask->wants[i];
+      struct mq_quota_request want = ask->wants[i];
 
       want.heard_ms = heard;
       gifts[i] = issue (permits, ask->host, &want, ask->listed, now);
@@ -676,8 +678,8 @@
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
   uint64_t now = mq_clock_boot_ms ();
-  struct mq_quota_want *wants = mq_must (talloc_zero_array (
-      permits, struct mq_quota_want, mq_idmap_count (permits->shares) + 1));
+  struct mq_quota_request *wants = mq_must (talloc_zero_array (
+      permits, struct mq_quota_request, mq_idmap_count (permits->shares) + 1));
   struct mq_relay_quota_ask ask = { .host = permits->run,
                                     .wants = wants,
                                     .listed = router->row_written,
@@ -690,7 +692,7 @@
       {
         mq_quota_surrender (&share->quota, recall->server, now);
         wants[ask.want_count++]
-            = mq_quota_want (&share->quota, &none, share->name, 0, 0, now);
+            = mq_quota_request (&share->quota, &none, share->name, 0, 0, now);
       }
   mq_relay_surrender (router->relay, link, &ask);
   talloc_free (wants);
@@ -713,8 +715,8 @@
 mq_permits_lent (const struct mq_router *router, uint32_t slot)
 {
   return router->permits != NULL
-         && mq_quota_issuer_lent (router->permits->issuer, slot,
-                                  mq_clock_boot_ms ());
+         && mq_quota_issuer_has_lent (router->permits->issuer, slot,
+                                      mq_clock_boot_ms ());
 }
 
 void
--- a/src/router/router_pool.c
+++ b/src/router/router_pool.c
@@ -62,7 +62,7 @@
           uint32_t worker, uint64_t now_ms)
 {
   return idle->until_ms > now_ms
-         && idle->stamp == mq_fleet_stamp (pool->fleet, worker);
+         && idle->stamp == mq_fleet_instance_digest (pool->fleet, worker);
 }
 
 void
@@ -158,7 +158,8 @@
   uint32_t keep_ms = idle_s == 0 ? MQ_POOL_IDLE_MS : idle_s * 1000U;
   struct idle_lane *idle = NULL;
 
-  if (mq_http_lane_reusable (lane) && mq_fleet_usable (pool->fleet, worker)
+  if (mq_http_lane_reusable (lane)
+      && mq_fleet_is_available (pool->fleet, worker)
       && keep_ms > MQ_POOL_IDLE_MARGIN_MS)
     idle = talloc_zero (pool, struct idle_lane);
   if (idle == NULL)
@@ -167,7 +168,7 @@
       return;
     }
   idle->lane = lane;
-  idle->stamp = mq_fleet_stamp (pool->fleet, worker);
+  idle->stamp = mq_fleet_instance_digest (pool->fleet, worker);
   idle->until_ms = mq_clock_ms () + keep_ms - MQ_POOL_IDLE_MARGIN_MS;
   idle->next = pool->idle[worker];
   pool->idle[worker] = idle;
@@ -181,7 +182,7 @@
   for (size_t i = 0; i < pool->count; i++)
     {
       bool usable = pool->idle[i] != NULL
-                    && mq_fleet_usable (pool->fleet, (uint32_t)i);
+                    && mq_fleet_is_available (pool->fleet, (uint32_t)i);
       struct idle_lane **at = &pool->idle[i];
 
       while (*at != NULL)
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -112,7 +112,7 @@
           mq_json_end (&line);
         }
     }
-  mq_budget_read (&program->budget, program->holder, &record, version);
+  mq_budget_record_read (&program->budget, program->holder, &record, version);
   if (record.home != 0)
     program->home = record.home;
   for (struct mq_turn *turn = program->waiting; turn != NULL;
@@ -176,8 +176,8 @@
     {
     case MQ_STORE_OK:
       program->tries = 0;
-      mq_budget_written (&program->budget, program->holder, &program->next,
-                         result->version);
+      mq_budget_record_written (&program->budget, program->holder,
+                                &program->next, result->version);
       break;
     case MQ_STORE_CONFLICT:
       program->tries = 0;
@@ -230,7 +230,7 @@
 
 /* The table is to be asked for the first turn that waits.  */
 static void
-call_table (struct mq_program *program, enum mq_budget_answer need)
+call_table (struct mq_program *program, enum mq_budget_decision need)
 {
   if (mq_turns_away (program->turns, program->part))
     fail_waiting (program);
@@ -250,7 +250,7 @@
   uint64_t now = mq_clock_ms ();
 
   return !turn->recalled
-         && mq_budget_has_others (&program->budget, program->holder)
+         && mq_budget_has_other_grants (&program->budget, program->holder)
          && (program->recalled_ms == 0
              || now - program->recalled_ms >= RECALL_MS);
 }
@@ -295,13 +295,13 @@
          && program->timer == NULL && program->recall == NULL)
     {
       struct mq_turn *turn = program->waiting;
-      enum mq_budget_answer answer
-          = mq_budget_ask (&program->budget, program->holder, turn->limit,
-                           turn->most, &program->next);
+      enum mq_budget_decision answer
+          = mq_budget_reserve (&program->budget, program->holder, turn->limit,
+                               turn->most, &program->next);
 
       switch (answer)
         {
-        case MQ_BUDGET_READY:
+        case MQ_BUDGET_RESERVED:
           turn->granted = turn->most;
           end_waiting (program, MQ_TURN_READY);
           break;
@@ -309,10 +309,10 @@
         case MQ_BUDGET_READ:
           call_table (program, answer);
           break;
-        case MQ_BUDGET_DOUBT:
+        case MQ_BUDGET_UNCERTAIN:
           answer_doubt (program);
           break;
-        case MQ_BUDGET_SPENT:
+        case MQ_BUDGET_EXHAUSTED:
           end_waiting (program, MQ_TURN_SPENT);
           break;
         }
@@ -402,8 +402,8 @@
       || program->timer != NULL || program->running > 0
       || mq_turns_away (program->turns, program->part))
     return;
-  if (mq_budget_unrecorded (&program->budget, program->holder, program->limit,
-                            &program->next))
+  if (mq_budget_record_issued (&program->budget, program->holder,
+                               program->limit, &program->next))
     write_program (program);
 }
 
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -87,7 +87,7 @@
 {
   static const char *const labels[MQ_ROUTE_KINDS] = {
     [MQ_ROUTE_IDEMPOTENT] = "kind=\"idempotent\"",
-    [MQ_ROUTE_ONCE] = "kind=\"once\"",
+    [MQ_ROUTE_AT_MOST_ONCE] = "kind=\"once\"",
     [MQ_ROUTE_STREAM] = "kind=\"stream\"",
   };
 
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -88,7 +88,7 @@
 {
   struct mq_router *router = request->router;
 
-  stop_try (request, MQ_OUTCOME_STOPPED);
+  stop_try (request, MQ_OUTCOME_CANCELLED);
   mq_config_forget (request->confirm);
   mq_permit_forget (request->permit);
   mq_ledger_cancel (request->record_call);
@@ -229,10 +229,10 @@
     case MQ_NEXT_FAIL:
       request_refuse (request, MQ_REFUSE_FAILED);
       return;
-    case MQ_NEXT_PASS_ON:
+    case MQ_NEXT_FORWARD:
       pass_on (request);
       return;
-    case MQ_NEXT_BREAK:
+    case MQ_NEXT_ABORT:
       request_break_off (request, "broken");
       return;
     }
@@ -287,9 +287,9 @@
 
   if (request->is_turn)
     query.home = request->turn.home;
-  query.has_key = mq_route_placing_key (request->route, request->service_info,
-                                        request->program,
-                                        request->facts.affinity, &query.key);
+  query.has_key = mq_route_affinity_key (request->route, request->service_info,
+                                         request->program,
+                                         request->facts.affinity, &query.key);
   return mq_fleet_choose (request->router->fleet, &query);
 }
 
@@ -407,7 +407,8 @@
   const struct mq_chain *before = request->turn.before;
 
   if (before != NULL)
-    request->send_body = mq_chain_join (request, before, request->body);
+    request->send_body
+        = mq_chain_append_input (request, before, request->body);
   if (before != NULL && request->send_body.data == NULL)
     request_refuse (request, MQ_REFUSE_FULL);
   else
@@ -445,7 +446,8 @@
 void
 request_begin_turn (struct mq_request *request)
 {
-  bool runs = mq_outage_runs (left_ms (request), request->route->timeout_ms);
+  bool runs
+      = mq_outage_should_run (left_ms (request), request->route->timeout_ms);
 
   if (!runs && request->route->retains
       && mq_ledger_down (request->router->ledger))
@@ -459,8 +461,8 @@
     .id = request->turn_id,
     .previous = request->route->retains ? request->previous : NULL,
     .limit = request->facts.budget,
-    .most
-    = mq_route_whole_events (request->service_info, request->facts.tokens_out),
+    .most = mq_route_round_to_events (request->service_info,
+                                      request->facts.tokens_out),
     .budgeted = request->facts.has_budget && request->program != NULL,
     .retains = request->route->retains,
     .retain_s = request->route->retain_s,
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -59,7 +59,7 @@
   uint64_t listed_ms;
   uint64_t renewed_ms;
   uint64_t claim_ms;
-  struct mq_reserve_moment moment;
+  struct mq_reserve_clock_sample moment;
   uint32_t claimed[MQ_RESERVE_SLOTS];
   uint32_t claimed_count;
 };
@@ -101,8 +101,9 @@
 
   if (slot >= MQ_RESERVE_SLOTS)
     return MQ_RESERVE_SLOTS;
-  mq_reserve_read (leases->reserve, (uint32_t)slot, read_lease (row->value),
-                   row->version, leases->moment);
+  mq_reserve_record_row (leases->reserve, (uint32_t)slot,
+                         read_lease (row->value), row->version,
+                         leases->moment);
   return (uint32_t)slot;
 }
 
@@ -120,7 +121,7 @@
     seen[take_row (leases, &result->rows[i])] = true;
   for (uint32_t i = 0; i < MQ_RESERVE_SLOTS; i++)
     if (!seen[i])
-      mq_reserve_read (leases->reserve, i, nobodys, 0, leases->moment);
+      mq_reserve_record_row (leases->reserve, i, nobodys, 0, leases->moment);
   leases->listed = true;
   leases->known = true;
 }
@@ -139,9 +140,10 @@
 static void
 note_written (struct mq_leases *leases, uint32_t slot, uint64_t version)
 {
-  mq_reserve_read (leases->reserve, slot,
-                   mq_reserve_next (leases->reserve, leases->moment), version,
-                   leases->moment);
+  mq_reserve_record_row (
+      leases->reserve, slot,
+      mq_reserve_renewed_lease (leases->reserve, leases->moment), version,
+      leases->moment);
 }
 
 static void
@@ -182,7 +184,7 @@
             bool remove, mq_rows_done *done)
 {
   struct mq_reserve_lease lease
-      = mq_reserve_next (leases->reserve, leases->moment);
+      = mq_reserve_renewed_lease (leases->reserve, leases->moment);
   Mqturn__ReserveRow row = MQTURN__RESERVE_ROW__INIT;
   struct mq_rows_entry entries[MQ_RESERVE_SLOTS];
   char keys[MQ_RESERVE_SLOTS][KEY_BYTES];
@@ -229,7 +231,7 @@
 
   leases->claim_ms
       = now + CLAIM_MS / 2 + mq_random_below (&router->random, CLAIM_MS);
-  leases->claimed_count = mq_reserve_free (
+  leases->claimed_count = mq_reserve_claimable (
       leases->reserve, leases->moment, 1 + mq_relay_host_count (router->relay),
       mq_random_next (&router->random), leases->claimed);
   if (leases->claimed_count > 0)
@@ -380,18 +382,19 @@
   const struct mq_leases *leases = router->leases;
 
   return leases != NULL && !leases->stopped
-         && mq_reserve_holds (leases->reserve, mq_reserve_slot (program),
-                              mq_clock_boot_ms ());
+         && mq_reserve_can_issue (leases->reserve, mq_reserve_slot (program),
+                                  mq_clock_boot_ms ());
 }
 
 bool
 mq_reserve_issues (const struct mq_router *router, uint32_t slot,
-                   struct mq_reserve_own *own)
+                   struct mq_reserve_own_lease *own)
 {
   const struct mq_leases *leases = router->leases;
 
   return leases != NULL && !leases->stopped
-         && mq_reserve_has (leases->reserve, slot, mq_clock_boot_ms (), own);
+         && mq_reserve_has_lease (leases->reserve, slot, mq_clock_boot_ms (),
+                                  own);
 }
 
 const char *
@@ -427,7 +430,7 @@
 
   for (uint32_t i = 0; i < MQ_RESERVE_SLOTS; i++)
     {
-      struct mq_reserve_own own;
+      struct mq_reserve_own_lease own;
 
       if (mq_reserve_issues (router, i, &own) && now < own.inherited_ms)
         return true;
--- a/src/router/router_silence.c
+++ b/src/router/router_silence.c
@@ -78,8 +78,8 @@
 left_ms (const struct mq_silence *silence)
 {
   uint64_t now = mq_clock_ms ();
-  uint64_t other
-      = mq_fleet_heard_ms (silence->options.fleet, silence->options.worker);
+  uint64_t other = mq_fleet_last_activity_ms (silence->options.fleet,
+                                              silence->options.worker);
   uint64_t until = silence->heard_ms + longest_ms (silence);
   uint64_t busy_until = silence->heard_ms + longest_busy_ms (silence);
 
@@ -140,7 +140,8 @@
   uint64_t now = mq_clock_ms ();
 
   silence->heard_ms = now;
-  mq_fleet_heard (silence->options.fleet, silence->options.worker, now);
+  mq_fleet_record_activity (silence->options.fleet, silence->options.worker,
+                            now);
 }
 
 void
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -345,7 +345,7 @@
 
 /* This host may issue permits of the organisations of SLOT; fills OWN.  */
 bool mq_reserve_issues (const struct mq_router *router, uint32_t slot,
-                        struct mq_reserve_own *own);
+                        struct mq_reserve_own_lease *own);
 /* Address of the host that does, as far as is known; NULL: none is.  */
 const char *mq_reserve_issuer (const struct mq_router *router, uint32_t slot);
 /* The lease of SLOT seems to have moved: looks who has it now.  */
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -15,9 +15,9 @@
 {
   uint64_t now = mq_clock_ms ();
 
-  mq_fleet_begun (request->router->fleet, request->worker,
-                  (uint32_t)(now - request->sent_ms),
-                  request->route->objective_ms, now);
+  mq_fleet_record_delay (request->router->fleet, request->worker,
+                         (uint32_t)(now - request->sent_ms),
+                         request->route->objective_ms, now);
 }
 
 static void
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -23,8 +23,8 @@
 static void
 tell_fleet (const struct mq_try *try, enum mq_fleet_outcome outcome)
 {
-  mq_fleet_ended (try->options.fleet, try->options.worker, outcome,
-                  mq_clock_ms ());
+  mq_fleet_request_ended (try->options.fleet, try->options.worker, outcome,
+                          mq_clock_ms ());
 }
 
 void
@@ -82,8 +82,8 @@
   if (strcmp (facts.id, options->id) != 0)
     return false;
   if (facts.has_load)
-    mq_fleet_told (options->fleet, options->worker, facts.running,
-                   facts.waiting, mq_clock_ms ());
+    mq_fleet_record_load (options->fleet, options->worker, facts.running,
+                          facts.waiting, mq_clock_ms ());
   mq_answer_take_head (options->answer_ctx, options->answer, head, &facts,
                        options->send.route->kind == MQ_ROUTE_STREAM);
   return true;
@@ -119,7 +119,7 @@
 {
   struct mq_try *try = user;
   const struct mq_answer *answer = try->options.answer;
-  struct mq_attempt_answer facts = {
+  struct mq_attempt_response facts = {
     .status = answer->status,
     .not_run = answer->not_run,
     .cut = mq_answer_is_cut (answer),
@@ -130,7 +130,7 @@
 
   if (!facts.cut)
     keep_lane (try);
-  end_try (try, mq_attempt_judge (&facts), MQ_OUTCOME_FAILED);
+  end_try (try, mq_attempt_classify (&facts), MQ_OUTCOME_FAILED);
 }
 
 /* Failure: a worker that goes down and up by turns takes connections while it
@@ -205,7 +205,7 @@
   struct mq_error error = { .type = MQ_ERR_NONE };
 
   try->options = *options;
-  mq_fleet_started (options->fleet, options->worker);
+  mq_fleet_request_started (options->fleet, options->worker);
   try->lane = mq_pool_take (options->pool, options->worker, &error);
   if (try->lane == NULL)
     {
--- a/tests/fuzz/fuzz_record.c
+++ b/tests/fuzz/fuzz_record.c
@@ -38,11 +38,11 @@
 {
   struct mq_budget budget = { .known = false };
   struct mq_budget_record next;
-  enum mq_budget_answer answer;
+  enum mq_budget_decision answer;
 
-  mq_budget_read (&budget, 1, record, 5);
-  answer = mq_budget_ask (&budget, 1, 100, 10, &next);
-  if (answer == MQ_BUDGET_READY)
+  mq_budget_record_read (&budget, 1, record, 5);
+  answer = mq_budget_reserve (&budget, 1, 100, 10, &next);
+  if (answer == MQ_BUDGET_RESERVED)
     FUZZ_CHECK (record->spent < 100);
 }
 
@@ -52,7 +52,7 @@
   struct mq_chain *chain = mq_chain_unpack (ctx, "t1", bytes);
   struct mq_chain *again;
 
-  (void)mq_chain_row_until (bytes);
+  (void)mq_chain_row_expiry_s (bytes);
   if (chain == NULL)
     return false;
   FUZZ_CHECK (memchr (chain->base, '\0', sizeof chain->base) != NULL);
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -359,7 +359,7 @@
 {
   struct host *host = &self->hosts[program->host];
   uint64_t spent = self->now_ms - program->began_ms;
-  struct mq_admission_ask ask = {
+  struct mq_admission_request ask = {
     .service = service_name,
     .route = kinds[program->kind].route,
     .priority = program->kind,
@@ -378,11 +378,11 @@
     return true;
   if (self->options->way == REPLAY_AS_IS
       && mq_admission_decide (host->admission, &ask, retry_ms)
-             != MQ_ADMISSION_YES)
+             != MQ_ADMISSION_ACCEPTED)
     return false;
   program->begun = true;
   if (self->options->way <= REPLAY_ALL_ADMITTED)
-    program->home = mq_fleet_home (host->fleet, &query);
+    program->home = mq_fleet_choose_home (host->fleet, &query);
   return true;
 }
 
@@ -403,10 +403,11 @@
   query = query_of (self, program);
   program->engine = mq_fleet_choose (fleet, &query);
   program->placed_ms = self->now_ms;
-  mq_fleet_started (fleet, program->engine);
+  mq_fleet_request_started (fleet, program->engine);
   if (submit (self, program, program->engine))
     return;
-  mq_fleet_ended (fleet, program->engine, MQ_OUTCOME_FULL, self->now_ms);
+  mq_fleet_request_ended (fleet, program->engine, MQ_OUTCOME_FULL,
+                          self->now_ms);
   program->engine = UINT32_MAX;
   try_again (self, program, AGAIN_MS);
 }
@@ -418,9 +419,10 @@
   struct mq_engine_load load = mq_engine_load (self->engines[program->engine]);
   const struct turn *turn = &program->turns[program->at];
 
-  mq_fleet_told (fleet, program->engine, load.running, load.queued,
-                 self->now_ms);
-  mq_fleet_ended (fleet, program->engine, MQ_OUTCOME_SERVED, self->now_ms);
+  mq_fleet_record_load (fleet, program->engine, load.running, load.queued,
+                        self->now_ms);
+  mq_fleet_request_ended (fleet, program->engine, MQ_OUTCOME_SUCCEEDED,
+                          self->now_ms);
   program->engine = UINT32_MAX;
   program->history += turn->input + turn->output;
   program->tries = 0;
@@ -447,8 +449,8 @@
     return;
   mq_engine_cancel (self->engines[program->engine], self->now_ms * US_PER_MS,
                     program->sequence, &generated);
-  mq_fleet_ended (self->hosts[program->host].fleet, program->engine,
-                  MQ_OUTCOME_STOPPED, self->now_ms);
+  mq_fleet_request_ended (self->hosts[program->host].fleet, program->engine,
+                          MQ_OUTCOME_CANCELLED, self->now_ms);
   program->engine = UINT32_MAX;
   program->tries = TRIES_A_SEND;
   try_again (self, program, 0);
@@ -496,9 +498,9 @@
 note_wait (struct replay *self, const struct program *program)
 {
   if (program->engine != UINT32_MAX)
-    mq_fleet_begun (self->hosts[program->host].fleet, program->engine,
-                    (uint32_t)(self->now_ms - program->placed_ms),
-                    OBJECTIVE_MS, self->now_ms);
+    mq_fleet_record_delay (self->hosts[program->host].fleet, program->engine,
+                           (uint32_t)(self->now_ms - program->placed_ms),
+                           OBJECTIVE_MS, self->now_ms);
 }
 
 static void
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -24,10 +24,10 @@
 
 TestSuite (admission, .init = set_up, .fini = tear_down);
 
-static struct mq_admission_ask
+static struct mq_admission_request
 ask_of (uint64_t program, uint32_t priority, uint32_t load, uint64_t now_ms)
 {
-  return (struct mq_admission_ask){
+  return (struct mq_admission_request){
     .service = "models",
     .route = "chat",
     .priority = priority,
@@ -49,9 +49,11 @@
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_ask ask = ask_of (program, priority, load, now_ms);
+      struct mq_admission_request ask
+          = ask_of (program, priority, load, now_ms);
 
-      if (mq_admission_decide (admission, &ask, &retry_ms) == MQ_ADMISSION_YES)
+      if (mq_admission_decide (admission, &ask, &retry_ms)
+          == MQ_ADMISSION_ACCEPTED)
         count++;
     }
   return count;
@@ -105,8 +107,8 @@
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_ask ask = ask_of (program, 1, 1300, 1);
-      enum mq_admission_answer here
+      struct mq_admission_request ask = ask_of (program, 1, 1300, 1);
+      enum mq_admission_decision here
           = mq_admission_decide (admission, &ask, &retry_ms);
 
       cr_assert_eq (mq_admission_decide (other, &ask, &retry_ms), here);
@@ -137,7 +139,7 @@
   cr_assert_eq (admitted (1, 3000, 1), 0);
   for (uint64_t now = 2; now < 40000; now++)
     {
-      struct mq_admission_ask ask = ask_of (now, 1, 600, now);
+      struct mq_admission_request ask = ask_of (now, 1, 600, now);
 
       mq_admission_decide (admission, &ask, &retry_ms);
     }
@@ -149,16 +151,16 @@
    too; unlike a queue at the engines that is over when it is over.  */
 Test (admission, table_behind)
 {
-  struct mq_admission_ask ask = ask_of (1, 0, 500, 1);
+  struct mq_admission_request ask = ask_of (1, 0, 500, 1);
   uint32_t retry_ms;
 
   ask.record_load = 3000;
   cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
-                MQ_ADMISSION_LOADED);
+                MQ_ADMISSION_OVERLOADED);
   cr_expect_geq (retry_ms, 300);
   ask.record_load = 0;
   cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
-                MQ_ADMISSION_YES);
+                MQ_ADMISSION_ACCEPTED);
 }
 
 /* However high the load was, all are taken on again within seconds.  */
@@ -175,7 +177,7 @@
   uint64_t budget;
   bool has_left;
   uint32_t load;
-  enum mq_admission_answer answer;
+  enum mq_admission_decision answer;
 };
 
 /* A program that comes back after a refusal has lost much of the time that
@@ -184,21 +186,21 @@
 Test (admission, late_programs_wait_for_room)
 {
   static const struct late_case cases[] = {
-    { "all its time", 3000, 1000, true, 1010, MQ_ADMISSION_YES },
-    { "a long program", 9000, 3000, true, 1010, MQ_ADMISSION_YES },
-    { "most of its time", 2500, 1000, true, 1010, MQ_ADMISSION_YES },
-    { "half of its time", 1500, 1000, true, 1010, MQ_ADMISSION_LATE },
-    { "a long one, half", 4500, 3000, true, 1010, MQ_ADMISSION_LATE },
-    { "no time", 0, 1000, true, 1010, MQ_ADMISSION_LATE },
-    { "no time, room", 0, 1000, true, 700, MQ_ADMISSION_YES },
-    { "time not told", 0, 1000, false, 1010, MQ_ADMISSION_YES },
-    { "length not told", 100, 0, true, 1010, MQ_ADMISSION_YES },
+    { "all its time", 3000, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "a long program", 9000, 3000, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "most of its time", 2500, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "half of its time", 1500, 1000, true, 1010, MQ_ADMISSION_TOO_LATE },
+    { "a long one, half", 4500, 3000, true, 1010, MQ_ADMISSION_TOO_LATE },
+    { "no time", 0, 1000, true, 1010, MQ_ADMISSION_TOO_LATE },
+    { "no time, room", 0, 1000, true, 700, MQ_ADMISSION_ACCEPTED },
+    { "time not told", 0, 1000, false, 1010, MQ_ADMISSION_ACCEPTED },
+    { "length not told", 100, 0, true, 1010, MQ_ADMISSION_ACCEPTED },
   };
   uint32_t retry_ms;
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
-      struct mq_admission_ask ask;
+      struct mq_admission_request ask;
 
       tear_down ();
       set_up ();
@@ -216,8 +218,8 @@
    them must not make all that follow look late.  */
 Test (admission, odd_programs_do_not_set_the_measure)
 {
-  struct mq_admission_ask odd = ask_of (1, 0, 0, 1);
-  struct mq_admission_ask usual = ask_of (1, 0, 1010, 2000);
+  struct mq_admission_request odd = ask_of (1, 0, 0, 1);
+  struct mq_admission_request usual = ask_of (1, 0, 1010, 2000);
   uint32_t retry_ms;
 
   odd.left_ms = 30000;
@@ -226,7 +228,7 @@
   admitted (0, 500, 1000);
   usual.program = PROGRAMS - 1;
   cr_expect_eq (mq_admission_decide (admission, &usual, &retry_ms),
-                MQ_ADMISSION_YES);
+                MQ_ADMISSION_ACCEPTED);
 }
 
 /* The time to come back is when the load may have fallen far enough for just
@@ -239,11 +241,11 @@
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_ask ask = ask_of (program, 0, 1700, 1);
+      struct mq_admission_request ask = ask_of (program, 0, 1700, 1);
       uint32_t retry_ms = 0;
 
       cr_assert_eq (mq_admission_decide (admission, &ask, &retry_ms),
-                    MQ_ADMISSION_LOADED);
+                    MQ_ADMISSION_OVERLOADED);
       least = retry_ms < least ? retry_ms : least;
       most = retry_ms > most ? retry_ms : most;
     }
--- a/tests/test_budget_model.c
+++ b/tests/test_budget_model.c
@@ -117,7 +117,8 @@
 
   if (budget->version != world->version)
     {
-      mq_budget_read (budget, host->holder, &world->record, world->version);
+      mq_budget_record_read (budget, host->holder, &world->record,
+                             world->version);
       return;
     }
   if (luck == 0)
@@ -132,10 +133,11 @@
   world->version++;
   if (luck == 1)
     {
-      mq_budget_read (budget, host->holder, &world->record, world->version);
+      mq_budget_record_read (budget, host->holder, &world->record,
+                             world->version);
       return;
     }
-  mq_budget_written (budget, host->holder, next, world->version);
+  mq_budget_record_written (budget, host->holder, next, world->version);
 }
 
 static void
@@ -151,23 +153,23 @@
   struct mq_budget_record next;
 
   for (int i = 0; i < 6 && host->running < TURNS; i++)
-    switch (
-        mq_budget_ask (&host->budget, host->holder, world->limit, MOST, &next))
+    switch (mq_budget_reserve (&host->budget, host->holder, world->limit, MOST,
+                               &next))
       {
-      case MQ_BUDGET_READY:
+      case MQ_BUDGET_RESERVED:
         begin (world, host, MOST);
         return;
       case MQ_BUDGET_WRITE:
         write_record (world, host, &next);
         break;
       case MQ_BUDGET_READ:
-      case MQ_BUDGET_DOUBT:
-        mq_budget_read (&host->budget, host->holder, &world->record,
-                        world->version);
+      case MQ_BUDGET_UNCERTAIN:
+        mq_budget_record_read (&host->budget, host->holder, &world->record,
+                               world->version);
         if (i > 2)
           return;
         break;
-      case MQ_BUDGET_SPENT:
+      case MQ_BUDGET_EXHAUSTED:
         return;
       }
 }
@@ -193,9 +195,9 @@
 
   /* One in four is lost.  */
   if (letter->kind == LETTER_LOAN && below (world, 4) > 0)
-    mq_budget_borrow (&to->budget, letter->tokens);
+    mq_budget_receive_loan (&to->budget, letter->tokens);
   else if (letter->kind == LETTER_BACK && below (world, 4) > 0)
-    mq_budget_take_back (&to->budget, letter->tokens);
+    mq_budget_reclaim_loan (&to->budget, letter->tokens);
   letter->kind = LETTER_NONE;
 }
 
@@ -205,8 +207,8 @@
   if (world->planted == PLANTED_NO_LEASE)
     return true;
   if (world->planted == PLANTED_LEASE_UNCHECKED)
-    return mq_reserve_holds (host->reserve, SLOT, 0);
-  return mq_reserve_holds (host->reserve, SLOT, world->now_ms);
+    return mq_reserve_can_issue (host->reserve, SLOT, 0);
+  return mq_reserve_can_issue (host->reserve, SLOT, world->now_ms);
 }
 
 /* Some host knows that issued tokens were recorded beyond the limit, or has
@@ -219,7 +221,7 @@
     {
       const struct host *host = &world->hosts[i];
 
-      if (mq_budget_over (&host->budget, world->limit)
+      if (mq_budget_is_overdrawn (&host->budget, world->limit)
           || (host->budget.issued > 0 && !may_issue (world, host)))
         return world->planted != PLANTED_OVER_UNHEEDED;
     }
@@ -234,24 +236,24 @@
 
   if (may_issue (world, lender) && !is_over (world) && below (world, 2) == 0)
     {
-      mq_budget_issue (&lender->budget, world->limit, MOST);
+      mq_budget_issue_unrecorded (&lender->budget, world->limit, MOST);
       lender->has_issued = true;
     }
   given = mq_budget_lend (&lender->budget, MOST);
   send (world, LETTER_LOAN, to, given);
   world->hosts[to].lender = from;
   if (world->planted == PLANTED_LENDS_AND_KEEPS)
-    mq_budget_borrow (&lender->budget, given);
+    mq_budget_receive_loan (&lender->budget, given);
 }
 
 static void
 give_back (struct world *world, struct host *host)
 {
-  uint64_t tokens = mq_budget_give_back (&host->budget);
+  uint64_t tokens = mq_budget_return_loan (&host->budget);
 
   send (world, LETTER_BACK, host->lender, tokens);
   if (world->planted == PLANTED_RETURNS_TWICE)
-    mq_budget_borrow (&host->budget, tokens);
+    mq_budget_receive_loan (&host->budget, tokens);
 }
 
 static void
@@ -292,7 +294,7 @@
 static void
 claim (struct world *world, struct host *host)
 {
-  struct mq_reserve_moment moment = { world->now_ms, 0 };
+  struct mq_reserve_clock_sample moment = { world->now_ms, 0 };
   uint32_t slots[MQ_RESERVE_SLOTS];
   uint64_t took = below (world, 3) == 0 ? below (world, 8000) : 5;
   bool mine = world->lease.holder == host->holder;
@@ -305,18 +307,18 @@
       moment.asked_ms = world->now_ms;
     }
   for (uint32_t i = 0; i < MQ_RESERVE_SLOTS; i++)
-    mq_reserve_read (host->reserve, i,
-                     (struct mq_reserve_lease){ 1, UINT64_MAX / 2, "" }, 1,
-                     moment);
-  mq_reserve_read (host->reserve, SLOT, world->lease, world->lease_version,
-                   moment);
-  if (!mine && mq_reserve_free (host->reserve, moment, 1, 0, slots) == 0)
+    mq_reserve_record_row (host->reserve, i,
+                           (struct mq_reserve_lease){ 1, UINT64_MAX / 2, "" },
+                           1, moment);
+  mq_reserve_record_row (host->reserve, SLOT, world->lease,
+                         world->lease_version, moment);
+  if (!mine && mq_reserve_claimable (host->reserve, moment, 1, 0, slots) == 0)
     return;
-  world->lease = mq_reserve_next (host->reserve, moment);
+  world->lease = mq_reserve_renewed_lease (host->reserve, moment);
   world->lease_version++;
   if (below (world, 6) > 0)
-    mq_reserve_read (host->reserve, SLOT, world->lease, world->lease_version,
-                     moment);
+    mq_reserve_record_row (host->reserve, SLOT, world->lease,
+                           world->lease_version, moment);
 }
 
 static void
@@ -324,7 +326,8 @@
 {
   struct mq_budget_record next;
 
-  if (mq_budget_unrecorded (&host->budget, host->holder, world->limit, &next))
+  if (mq_budget_record_issued (&host->budget, host->holder, world->limit,
+                               &next))
     write_record (world, host, &next);
 }
 
@@ -391,7 +394,7 @@
     case 10:
       if (host->running == TURNS)
         break;
-      granted = mq_budget_take (&host->budget, MOST);
+      granted = mq_budget_reserve_local (&host->budget, MOST);
       if (granted > 0)
         begin (world, host, granted);
       break;
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -30,7 +30,7 @@
     {
       snprintf (key, sizeof key, "key-%u", i);
       mq_key_digest (key, digest);
-      cr_assert_eq (mq_key_set_find (set, digest), MQ_KEY_NOBODY);
+      cr_assert_eq (mq_key_set_find (set, digest), MQ_KEY_NO_OWNER);
       cr_assert_eq (mq_key_set_add (set, digest, i / 2), MQ_KEY_ADDED);
       cr_assert_eq (mq_key_set_add (set, digest, i), MQ_KEY_TAKEN);
     }
@@ -417,9 +417,9 @@
   char *inside;
 
   cr_assert_eq (mq_orgs_add (orgs, &org, &error), 0);
-  inside = mq_org_scope (ctx, mq_orgs_find_name (orgs, "acme"), "p");
-  cr_assert_str_neq (mq_org_scope (ctx, NULL, inside), inside);
-  cr_assert_str_neq (mq_org_scope (ctx, NULL, "p"), inside);
+  inside = mq_org_scoped_id (ctx, mq_orgs_find_name (orgs, "acme"), "p");
+  cr_assert_str_neq (mq_org_scoped_id (ctx, NULL, inside), inside);
+  cr_assert_str_neq (mq_org_scoped_id (ctx, NULL, "p"), inside);
   talloc_free (ctx);
 }
 
--- a/tests/test_quota_model.c
+++ b/tests/test_quota_model.c
@@ -79,8 +79,8 @@
   uint64_t heard_ms;
   uint64_t server;
   uint64_t told_ms;
-  struct mq_quota_want want;
-  struct mq_quota_gift gift;
+  struct mq_quota_request want;
+  struct mq_quota_grant gift;
 };
 
 /**
@@ -163,9 +163,10 @@
     {
       size_t index = (world->uses - 2 - i) % USES;
       uint64_t span = world->now_ms - world->used[index];
-      uint64_t allowed = most->burst
-                         + most->rate * (span + MQ_QUOTA_ANSWER_MS) / 1000
-                         + (uint64_t)(AHEAD + 1) * 1000;
+      uint64_t allowed
+          = most->burst
+            + most->rate * (span + MQ_QUOTA_REPLY_TIMEOUT_MS) / 1000
+            + (uint64_t)(AHEAD + 1) * 1000;
 
       if (span > SPAN_MS)
         return;
@@ -242,7 +243,7 @@
   uint64_t now = clock_of (world, host);
   struct letter told = { .told = true, .from = at, .to = ask->from };
   struct mq_quota_bounds bounds = { world->limit, AHEAD, !host->leaving };
-  struct mq_quota_want want = ask->want;
+  struct mq_quota_request want = ask->want;
 
   told.asked_ms = ask->asked_ms;
   told.host = ask->host;
@@ -255,7 +256,7 @@
   if (ask->recalled && ask->server == host->run)
     host->surrendered[ask->from] = true;
   host->lease.unheard = count_unheard (world, at);
-  mq_quota_heard (host->issuer, ask->host, want.heard_ms, now);
+  mq_quota_record_ack (host->issuer, ask->host, want.heard_ms, now);
   if (may_issue (world, host))
     told.gift = mq_quota_issue (host->issuer, ask->host, &want, &bounds,
                                 &host->lease, now);
@@ -296,7 +297,7 @@
 give_back (struct world *world, struct host *host)
 {
   if (world->planted != PLANTED_GIVEN_BACK_EARLY
-      && mq_quota_issuer_lent (host->issuer, 0, clock_of (world, host)))
+      && mq_quota_issuer_has_lent (host->issuer, 0, clock_of (world, host)))
     return;
   memset (&host->lease, 0, sizeof host->lease);
   world->holder = -1;
@@ -343,20 +344,21 @@
   if (world->planted == PLANTED_ENDLESS_STANDING)
     host->share.standing_until_ms = UINT64_MAX / 2;
   for (uint32_t i = draw (world, 3); i > 0; i--)
-    switch (mq_quota_take (&host->share, contact, draw (world, 4) == 0, now))
+    switch (mq_quota_try_acquire (&host->share, contact, draw (world, 4) == 0,
+                                  now))
       {
-      case MQ_QUOTA_PERMIT:
+      case MQ_QUOTA_GRANTED:
         note_use (world);
         break;
-      case MQ_QUOTA_ASK:
+      case MQ_QUOTA_ASK_ISSUER:
         host->waiting++;
         if (world->planted == PLANTED_NOT_ALONE
-            && mq_quota_take (&host->share, &none, false, now)
-                   == MQ_QUOTA_PERMIT)
+            && mq_quota_try_acquire (&host->share, &none, false, now)
+                   == MQ_QUOTA_GRANTED)
           note_use (world);
         break;
-      case MQ_QUOTA_OVER:
-      case MQ_QUOTA_ALONE:
+      case MQ_QUOTA_EXCEEDED:
+      case MQ_QUOTA_NO_ISSUER:
         break;
       }
 }
@@ -369,7 +371,7 @@
   struct mq_quota_contact *contact = &host->contacts[host->believed];
   struct letter letter = { .from = at, .to = host->believed };
 
-  if (host->waiting == 0 && now - host->asked_ms < MQ_QUOTA_PING_MS)
+  if (host->waiting == 0 && now - host->asked_ms < MQ_QUOTA_POLL_INTERVAL_MS)
     return;
   host->asked_ms = now;
   letter.asked_ms = now;
@@ -377,7 +379,7 @@
   letter.heard_ms = contact->told_ms;
   letter.server = contact->server;
   letter.want
-      = mq_quota_want (&host->share, contact, "o", host->waiting, 0, now);
+      = mq_quota_request (&host->share, contact, "o", host->waiting, 0, now);
   host->waiting = 0;
   if (world->planted == PLANTED_FALSE_SURRENDER)
     letter.want.surrendered = world->limit.rate;
@@ -396,13 +398,13 @@
     return;
   if (world->planted == PLANTED_LATE_ANSWERS)
     asked = now;
-  if (!mq_quota_answered (&host->contacts[told->from], told->server, asked,
-                          told->told_ms, now)
+  if (!mq_quota_record_reply (&host->contacts[told->from], told->server, asked,
+                              told->told_ms, now)
       || told->gift.unknown)
     return;
   host->lender = told->from;
   before = host->share;
-  mq_quota_told (&host->share, &told->gift, told->server, asked, now);
+  mq_quota_apply_grant (&host->share, &told->gift, told->server, asked, now);
   if (world->planted == PLANTED_NOT_ALONE)
     {
       host->share.alone = before.alone;
@@ -427,7 +429,7 @@
   reply.asked_ms = now;
   reply.host = host->run;
   reply.server = letter->server;
-  reply.want = mq_quota_want (&host->share, &none, "o", 0, 0, now);
+  reply.want = mq_quota_request (&host->share, &none, "o", 0, 0, now);
   post (world, &reply);
 }
 
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -59,8 +59,8 @@
 }
 
 static void
-expect_wants (const struct mq_quota_want *a, const struct mq_quota_want *b,
-              size_t count)
+expect_wants (const struct mq_quota_request *a,
+              const struct mq_quota_request *b, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
@@ -75,7 +75,7 @@
 }
 
 static void
-expect_gifts (const struct mq_quota_gift *a, const struct mq_quota_gift *b,
+expect_gifts (const struct mq_quota_grant *a, const struct mq_quota_grant *b,
               size_t count)
 {
   for (size_t i = 0; i < count; i++)
@@ -201,7 +201,7 @@
       .slots = UINT32_MAX,
       .leaving = true },
   };
-  struct mq_quota_want wants[] = {
+  struct mq_quota_request wants[] = {
     { .organisation = "acme",
       .need = 1,
       .begins = 2,
@@ -211,7 +211,7 @@
       .holds = 6 },
     { .organisation = "bolt" },
   };
-  struct mq_quota_gift gifts[] = {
+  struct mq_quota_grant gifts[] = {
     { .organisation = "acme",
       .need = 1,
       .begins = 2,
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -85,7 +85,7 @@
     .turn = ask->turn,
   };
   if (ask->turn[0] != '\0')
-    frame.u.loan_told.history = mq_chain_pack_whole (lender, chain);
+    frame.u.loan_told.history = mq_chain_pack_full (lender, chain);
   send_frame (lender, question->link, &frame);
 }
 
--- a/tests/test_reserve.c
+++ b/tests/test_reserve.c
@@ -44,27 +44,27 @@
     {
       struct mq_reserve *first = mq_reserve_create (NULL, FIRST, "a:1");
       struct mq_reserve *second = mq_reserve_create (NULL, SECOND, "b:1");
-      struct mq_reserve_moment moment
+      struct mq_reserve_clock_sample moment
           = { cases[i].asked_ms, cases[i].table_ms };
-      struct mq_reserve_moment look = { 7, cases[i].other_ms };
-      struct mq_reserve_lease lease = mq_reserve_next (first, moment);
+      struct mq_reserve_clock_sample look = { 7, cases[i].other_ms };
+      struct mq_reserve_lease lease = mq_reserve_renewed_lease (first, moment);
       uint32_t slots[MQ_RESERVE_SLOTS];
       uint32_t free = 0;
 
-      mq_reserve_read (first, 3, lease, 9, moment);
-      cr_expect_eq (mq_reserve_holds (first, 3, cases[i].now_ms),
+      mq_reserve_record_row (first, 3, lease, 9, moment);
+      cr_expect_eq (mq_reserve_can_issue (first, 3, cases[i].now_ms),
                     cases[i].holds, "%s", cases[i].what);
       for (uint32_t s = 0; s < MQ_RESERVE_SLOTS; s++)
-        mq_reserve_read (
+        mq_reserve_record_row (
             second, s,
             (struct mq_reserve_lease){ FIRST, UINT64_MAX / 2, "a:1" }, 9,
             look);
-      mq_reserve_read (second, 3, lease, 9, look);
-      free = mq_reserve_free (second, look, 2, 5, slots);
+      mq_reserve_record_row (second, 3, lease, 9, look);
+      free = mq_reserve_claimable (second, look, 2, 5, slots);
       cr_expect_eq (free == 1 && slots[0] == 3, cases[i].taken, "%s",
                     cases[i].what);
       cr_expect_not (cases[i].holds && cases[i].taken);
-      cr_expect_not (mq_reserve_holds (second, 3, 8));
+      cr_expect_not (mq_reserve_can_issue (second, 3, 8));
       talloc_free (first);
       talloc_free (second);
     }
@@ -83,17 +83,18 @@
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       struct mq_reserve *reserve = mq_reserve_create (NULL, FIRST, "a:1");
-      struct mq_reserve_moment moment = { 100, 5000 };
+      struct mq_reserve_clock_sample moment = { 100, 5000 };
       uint32_t slots[MQ_RESERVE_SLOTS];
       uint32_t count;
 
       for (uint64_t step = 0; step < 40; step++)
         {
-          count = mq_reserve_free (reserve, moment, cases[i].hosts, step * 13,
-                                   slots);
+          count = mq_reserve_claimable (reserve, moment, cases[i].hosts,
+                                        step * 13, slots);
           for (uint32_t s = 0; s < count; s++)
-            mq_reserve_read (reserve, slots[s],
-                             mq_reserve_next (reserve, moment), 1, moment);
+            mq_reserve_record_row (reserve, slots[s],
+                                   mq_reserve_renewed_lease (reserve, moment),
+                                   1, moment);
         }
       cr_expect_eq (mq_reserve_owned (reserve, slots), cases[i].share,
                     "%zu hosts", cases[i].hosts);
@@ -115,6 +116,6 @@
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
-    cr_expect_eq (mq_outage_runs (cases[i].left_ms, cases[i].timeout_ms),
+    cr_expect_eq (mq_outage_should_run (cases[i].left_ms, cases[i].timeout_ms),
                   cases[i].runs, "%zu", i);
 }
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -168,7 +168,7 @@
 Test (fleet, near_and_idle_first)
 {
   cr_assert_str_eq (chosen (1, NULL, 7), "w0");
-  mq_fleet_started (fleet, handle_of ("w0"));
+  mq_fleet_request_started (fleet, handle_of ("w0"));
   cr_assert_str_neq (chosen (1, NULL, 7), "w0");
 }
 
@@ -191,10 +191,10 @@
   const char *first = chosen (1, &key, 1);
   uint32_t worker = handle_of (first);
 
-  mq_fleet_told (fleet, worker, 4, 2, 1000);
+  mq_fleet_record_load (fleet, worker, 4, 2, 1000);
   cr_assert_str_neq (chosen (1001, &key, 1), first);
   /* Old figures count no more.  */
-  cr_assert_str_eq (chosen (1000 + MQ_FLEET_LOAD_AGE_MS, &key, 1), first);
+  cr_assert_str_eq (chosen (1000 + MQ_FLEET_LOAD_TTL_MS, &key, 1), first);
 }
 
 static uint32_t
@@ -204,7 +204,7 @@
     .service = "s", .data_centre = "a", .now_ms = now_ms, .random = random
   };
 
-  query.home = mq_fleet_home (fleet, &query);
+  query.home = mq_fleet_choose_home (fleet, &query);
   query.has_key = true;
   return mq_fleet_choose (fleet, &query);
 }
@@ -234,9 +234,12 @@
 
       for (int round = 0; round < 4; round++)
         {
-          mq_fleet_told (fleet, handle_of ("w0"), cases[i].told[0], 0, now);
-          mq_fleet_told (fleet, handle_of ("w1"), cases[i].told[1], 0, now);
-          mq_fleet_told (fleet, handle_of ("w2"), cases[i].told[2], 0, now);
+          mq_fleet_record_load (fleet, handle_of ("w0"), cases[i].told[0], 0,
+                                now);
+          mq_fleet_record_load (fleet, handle_of ("w1"), cases[i].told[1], 0,
+                                now);
+          mq_fleet_record_load (fleet, handle_of ("w2"), cases[i].told[2], 0,
+                                now);
         }
       for (uint64_t random = 1; random < 20; random++)
         {
@@ -264,12 +267,12 @@
   uint32_t other = (by_key + 1) % 3;
 
   for (uint32_t i = 0; i < 12; i++)
-    mq_fleet_told (fleet, i % 3, i % 3 == other ? 1 : 3, 0, 900);
-  query.home = mq_fleet_home (fleet, &query);
+    mq_fleet_record_load (fleet, i % 3, i % 3 == other ? 1 : 3, 0, 900);
+  query.home = mq_fleet_choose_home (fleet, &query);
   cr_assert_eq (mq_fleet_choose (fleet, &query), other);
-  mq_fleet_told (fleet, other, 4, 4, 1000);
+  mq_fleet_record_load (fleet, other, 4, 4, 1000);
   cr_expect_neq (mq_fleet_choose (fleet, &query), other);
-  query.now_ms = 1000 + MQ_FLEET_LOAD_AGE_MS;
+  query.now_ms = 1000 + MQ_FLEET_LOAD_TTL_MS;
   cr_assert_eq (mq_fleet_choose (fleet, &query), other);
   mq_fleet_remove (fleet, mq_fleet_member (fleet, other)->id, 0);
   cr_expect_eq (mq_fleet_choose (fleet, &query), by_key);
@@ -304,8 +307,10 @@
 
       for (uint32_t k = 0; k < cases[i].answers; k++)
         {
-          mq_fleet_told (fleet, handle_of ("w0"), 4, cases[i].waiting, now);
-          mq_fleet_begun (fleet, handle_of ("w0"), cases[i].wait_ms, 100, now);
+          mq_fleet_record_load (fleet, handle_of ("w0"), 4, cases[i].waiting,
+                                now);
+          mq_fleet_record_delay (fleet, handle_of ("w0"), cases[i].wait_ms,
+                                 100, now);
         }
       cr_expect_eq (mq_fleet_service_pressure (fleet, "s", now + 1),
                     cases[i].pressure, "%s: %u", cases[i].name,
@@ -326,15 +331,15 @@
 Test (fleet, failures_leave_a_worker_out)
 {
   static const struct outcome_case cases[] = {
-    { "served", { MQ_OUTCOME_SERVED }, 1, false },
+    { "served", { MQ_OUTCOME_SUCCEEDED }, 1, false },
     { "one failure", { MQ_OUTCOME_FAILED }, 1, false },
     { "two failures", { MQ_OUTCOME_FAILED, MQ_OUTCOME_FAILED }, 2, true },
     { "served between",
-      { MQ_OUTCOME_FAILED, MQ_OUTCOME_SERVED, MQ_OUTCOME_FAILED },
+      { MQ_OUTCOME_FAILED, MQ_OUTCOME_SUCCEEDED, MQ_OUTCOME_FAILED },
       3,
       false },
     { "unreachable", { MQ_OUTCOME_UNREACHABLE }, 1, true },
-    { "stopped", { MQ_OUTCOME_STOPPED, MQ_OUTCOME_STOPPED }, 2, false },
+    { "stopped", { MQ_OUTCOME_CANCELLED, MQ_OUTCOME_CANCELLED }, 2, false },
     { "leaving", { MQ_OUTCOME_LEAVING }, 1, true },
   };
 
@@ -348,8 +353,8 @@
       worker = handle_of ("w0");
       for (int k = 0; k < cases[i].count; k++)
         {
-          mq_fleet_started (fleet, worker);
-          mq_fleet_ended (fleet, worker, cases[i].outcomes[k], 1000);
+          mq_fleet_request_started (fleet, worker);
+          mq_fleet_request_ended (fleet, worker, cases[i].outcomes[k], 1000);
         }
       out = strcmp (chosen (1001, NULL, 7), "w0") != 0;
       cr_assert_eq (out, cases[i].out, "%s", cases[i].name);
@@ -362,16 +367,16 @@
 {
   uint32_t worker = handle_of ("w0");
   uint64_t now = 1000;
-  uint64_t pause = MQ_FLEET_OUT_MS;
+  uint64_t pause = MQ_FLEET_EJECT_MS;
 
   for (int i = 0; i < 5; i++)
     {
-      mq_fleet_started (fleet, worker);
-      mq_fleet_ended (fleet, worker, MQ_OUTCOME_UNREACHABLE, now);
+      mq_fleet_request_started (fleet, worker);
+      mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_UNREACHABLE, now);
       cr_assert_str_neq (chosen (now + pause - 1, NULL, 7), "w0");
       cr_assert_str_eq (chosen (now + pause, NULL, 7), "w0", "after %d", i);
       now += pause;
-      if (pause < MQ_FLEET_OUT_MAX_MS)
+      if (pause < MQ_FLEET_EJECT_MAX_MS)
         pause *= 2;
     }
 }
@@ -392,9 +397,10 @@
       if (strcmp (chosen (now, NULL, 7), "w0") != 0)
         continue;
       sent++;
-      mq_fleet_started (fleet, worker);
-      mq_fleet_ended (fleet, worker,
-                      fails ? MQ_OUTCOME_FAILED : MQ_OUTCOME_SERVED, now);
+      mq_fleet_request_started (fleet, worker);
+      mq_fleet_request_ended (fleet, worker,
+                              fails ? MQ_OUTCOME_FAILED : MQ_OUTCOME_SUCCEEDED,
+                              now);
     }
   cr_assert_leq (sent, 60, "%d of 400", sent);
   sent = 0;
@@ -402,8 +408,8 @@
     if (strcmp (chosen (now, NULL, 7), "w0") == 0)
       {
         sent++;
-        mq_fleet_started (fleet, worker);
-        mq_fleet_ended (fleet, worker, MQ_OUTCOME_SERVED, now);
+        mq_fleet_request_started (fleet, worker);
+        mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_SUCCEEDED, now);
       }
   cr_assert_geq (sent, 600, "%d of 800 once it is sound", sent);
 }
@@ -419,8 +425,8 @@
 
       snprintf (id, sizeof id, "w%d", i);
       worker = handle_of (id);
-      mq_fleet_started (fleet, worker);
-      mq_fleet_ended (fleet, worker, MQ_OUTCOME_UNREACHABLE, 1000);
+      mq_fleet_request_started (fleet, worker);
+      mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_UNREACHABLE, 1000);
     }
   cr_assert_str_eq (chosen (1001, NULL, 7), "w0");
 }
@@ -433,13 +439,13 @@
   put ("w1", "b", 4, true);
   cr_assert_eq (mq_fleet_count (fleet, "s"), 2);
   /* A request under way keeps the handle.  */
-  mq_fleet_started (fleet, worker);
+  mq_fleet_request_started (fleet, worker);
   cr_assert (mq_fleet_remove (fleet, "w0", 0));
   cr_assert_not (mq_fleet_remove (fleet, "w0", 0));
   cr_assert_str_eq (mq_fleet_member (fleet, worker)->id, "w0");
-  cr_assert_not (mq_fleet_usable (fleet, worker));
+  cr_assert_not (mq_fleet_is_available (fleet, worker));
   cr_assert_str_eq (chosen (1, NULL, 7), "w2");
-  mq_fleet_ended (fleet, worker, MQ_OUTCOME_SERVED, 5);
+  mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_SUCCEEDED, 5);
   /* A list that does not name w2 ends it.  */
   mq_fleet_list_begin (fleet);
   put ("w3", "a", 4, false);
@@ -469,7 +475,7 @@
 struct answer_case
 {
   const char *name;
-  struct mq_attempt_answer answer;
+  struct mq_attempt_response answer;
   enum mq_attempt_end end;
 };
 
@@ -514,7 +520,7 @@
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    cr_assert_eq (mq_attempt_judge (&cases[i].answer), cases[i].end, "%s",
+    cr_assert_eq (mq_attempt_classify (&cases[i].answer), cases[i].end, "%s",
                   cases[i].name);
 }
 
@@ -535,10 +541,10 @@
       struct mq_route_service service
           = { .tokens_per_event = cases[i].per_event };
 
-      cr_assert_eq (mq_route_whole_events (&service, cases[i].tokens),
+      cr_assert_eq (mq_route_round_to_events (&service, cases[i].tokens),
                     cases[i].whole, "%zu", i);
     }
-  cr_assert_eq (mq_route_whole_events (NULL, 5), 5);
+  cr_assert_eq (mq_route_round_to_events (NULL, 5), 5);
 }
 
 struct attempt_case
@@ -583,17 +589,17 @@
       TRY (MQ_ATTEMPT_BROKEN, true, true, 1, 2, 0, 500, true), MQ_NEXT_RETRY },
     { "broken in the middle, once",
       TRY (MQ_ATTEMPT_BROKEN, false, true, 1, 2, 0, 500, true),
-      MQ_NEXT_BREAK },
+      MQ_NEXT_ABORT },
     { "error, once", TRY (MQ_ATTEMPT_ERROR, false, false, 1, 2, 0, 500, true),
-      MQ_NEXT_PASS_ON },
+      MQ_NEXT_FORWARD },
     { "error, last", TRY (MQ_ATTEMPT_ERROR, true, false, 2, 2, 0, 500, true),
-      MQ_NEXT_PASS_ON },
+      MQ_NEXT_FORWARD },
     { "ran before, then not run",
       TRY (MQ_ATTEMPT_NOT_RUN, true, false, 2, 2, 0, 500, true),
       MQ_NEXT_REFUSE },
     { "not run in the middle of a stream",
       TRY (MQ_ATTEMPT_NOT_RUN, true, true, 2, 2, 0, 500, true),
-      MQ_NEXT_BREAK },
+      MQ_NEXT_ABORT },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -680,17 +686,17 @@
 
   put_start ("127.0.0.1:1", 1000);
   former = handle_of ("w0");
-  mq_fleet_started (fleet, former);
-  mq_fleet_told (fleet, former, 4, 9, 1);
+  mq_fleet_request_started (fleet, former);
+  mq_fleet_record_load (fleet, former, 4, 9, 1);
   put_start ("127.0.0.1:1", 2000);
   later = handle_of ("w0");
   cr_assert_neq (former, later);
-  cr_assert_neq (mq_fleet_stamp (fleet, former),
-                 mq_fleet_stamp (fleet, later));
-  cr_assert_not (mq_fleet_usable (fleet, former));
-  mq_fleet_ended (fleet, former, MQ_OUTCOME_LEAVING, 1);
-  cr_assert (mq_fleet_usable (fleet, later));
-  cr_assert_eq (mq_fleet_born_ms (fleet, "w0"), 2000);
+  cr_assert_neq (mq_fleet_instance_digest (fleet, former),
+                 mq_fleet_instance_digest (fleet, later));
+  cr_assert_not (mq_fleet_is_available (fleet, former));
+  mq_fleet_request_ended (fleet, former, MQ_OUTCOME_LEAVING, 1);
+  cr_assert (mq_fleet_is_available (fleet, later));
+  cr_assert_eq (mq_fleet_start_time_ms (fleet, "w0"), 2000);
 }
 
 /* A burst fills the slots of all engines, and nothing gets better when it is
@@ -718,7 +724,7 @@
                                   .random = step };
   uint32_t worker = mq_fleet_choose (fleet, &query);
 
-  mq_fleet_started (fleet, worker);
+  mq_fleet_request_started (fleet, worker);
   return worker;
 }
 
@@ -727,7 +733,7 @@
 {
   uint32_t worker = ask_for (program, 0);
 
-  mq_fleet_ended (fleet, worker, MQ_OUTCOME_STOPPED, 1);
+  mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_CANCELLED, 1);
   return worker;
 }
 
@@ -764,7 +770,8 @@
         {
           uint32_t p = mq_random_below (&random, cases[i].programs);
 
-          mq_fleet_ended (fleet, at[p], MQ_OUTCOME_SERVED, 1 + step);
+          mq_fleet_request_ended (fleet, at[p], MQ_OUTCOME_SUCCEEDED,
+                                  1 + step);
           at[p] = ask_for (p, step);
           kept += at[p] == homes[p] ? 1U : 0U;
         }
--- a/tests/test_turns.c
+++ b/tests/test_turns.c
@@ -36,13 +36,13 @@
 
   if (budget->version != world->version)
     {
-      mq_budget_read (budget, world->holder[host], &world->record,
-                      world->version);
+      mq_budget_record_read (budget, world->holder[host], &world->record,
+                             world->version);
       return false;
     }
   world->record = *next;
   world->version++;
-  mq_budget_written (budget, world->holder[host], next, world->version);
+  mq_budget_record_written (budget, world->holder[host], next, world->version);
   return true;
 }
 
@@ -57,24 +57,25 @@
       struct mq_budget_record next;
       struct mq_budget *budget = &world->hosts[host];
 
-      switch (mq_budget_ask (budget, world->holder[host], limit, MOST, &next))
+      switch (
+          mq_budget_reserve (budget, world->holder[host], limit, MOST, &next))
         {
-        case MQ_BUDGET_READY:
+        case MQ_BUDGET_RESERVED:
           world->running[host]++;
           return true;
         case MQ_BUDGET_WRITE:
           write_record (world, host, &next);
           break;
-        case MQ_BUDGET_DOUBT:
+        case MQ_BUDGET_UNCERTAIN:
           if (fresh)
             return false;
           /* fallthrough */
         case MQ_BUDGET_READ:
-          mq_budget_read (budget, world->holder[host], &world->record,
-                          world->version);
+          mq_budget_record_read (budget, world->holder[host], &world->record,
+                                 world->version);
           fresh = true;
           break;
-        case MQ_BUDGET_SPENT:
+        case MQ_BUDGET_EXHAUSTED:
           return false;
         }
     }
@@ -173,7 +174,7 @@
       struct mq_budget_record next;
       int served = 0;
 
-      cr_assert_eq (mq_budget_ask (&world.hosts[0], 7, 50, MOST, &next),
+      cr_assert_eq (mq_budget_reserve (&world.hosts[0], 7, 50, MOST, &next),
                     MQ_BUDGET_WRITE);
       if (done != 0)
         {
@@ -385,8 +386,8 @@
         cr_assert_eq (count, cases[i].events, "%s", cases[i].name);
         cr_assert_str_eq (id, cases[i].last_id, "%s", cases[i].name);
         cr_assert_str_eq (data, cases[i].last_data, "%s", cases[i].name);
-        cr_assert_eq (mq_event_stream_partial (stream), cases[i].partial, "%s",
-                      cases[i].name);
+        cr_assert_eq (mq_event_stream_has_partial (stream), cases[i].partial,
+                      "%s", cases[i].name);
         cr_assert_eq (strncmp (all, cases[i].text, strlen (all)), 0, "%s",
                       cases[i].name);
         mq_event_stream_destroy (stream);
