--- a/src/core/organisation/quota.h
+++ b/src/core/organisation/quota.h
@@ -7,7 +7,7 @@
    need many; permits that are not used soon are given back.
 
    An issuer that can't be reached must not stop its organisations.  So it
-   lends each host a standing rate, what that host used lately, all together
+   may_lend each host a standing rate, what that host used lately, all together
    no more than the limit, and for no longer than its lease.  A host lives on
    its standing rate only once it has not heard from the issuer for a while;
    the issuer takes that rate off the bucket's as soon as the host does not
@@ -62,7 +62,7 @@
  * @until_ms: it ends then unless it is renewed
  * @inherited_ms: what this host lent in an earlier run may be used until
  *                then, 0: there was none
- * @unheard: hosts that may still use it
+ * @unconfirmed_hosts: hosts that may still use it
  */
 struct mq_quota_lease
 {
@@ -70,21 +70,21 @@
   uint64_t since_ms;
   uint64_t until_ms;
   uint64_t inherited_ms;
-  uint64_t unheard;
+  uint64_t unconfirmed_hosts;
 };
 
 /**
  * struct mq_quota_bounds - what an issuer may do with one organisation
  * @limit: of the configuration in force
  * @ahead: permits that may be out ahead at a time
- * @lends: standing rates are lent; false: the issuer is leaving, or would not
- *         find the host again
+ * @may_lend: standing rates are lent; false: the issuer is leaving, or would
+ * not find the host again
  */
 struct mq_quota_bounds
 {
   struct mq_quota_limit limit;
   uint64_t ahead;
-  bool lends;
+  bool may_lend;
 };
 
 /**
@@ -190,7 +190,7 @@
  * @standing: rate that it may use alone, until @standing_until_ms
  * @server: run of the issuer that lent it
  * @surrendered: to be told to the issuer
- * @alone: it lives on the standing rate
+ * @on_standing_rate: it lives on the standing rate
  * @level: millionths of a permit then, as of @level_ms
  * @exhausted_until_ms: no permit will be there before
  * @begin_refused_until_ms: none for a program's first request
@@ -206,7 +206,7 @@
   uint64_t standing_until_ms;
   uint64_t server;
   uint64_t surrendered;
-  bool alone;
+  bool on_standing_rate;
   uint64_t level;
   uint64_t level_ms;
   uint64_t exhausted_until_ms;
--- a/src/core/organisation/quota_issuer.c
+++ b/src/core/organisation/quota_issuer.c
@@ -126,8 +126,8 @@
 
   if (since >= bucket->lease.inherited_ms || bucket->surrendered >= rate)
     return rate;
-  if (bucket->lease.unheard < STANDING_PART)
-    unknown = bucket->lease.unheard * (rate / STANDING_PART + 1);
+  if (bucket->lease.unconfirmed_hosts < STANDING_PART)
+    unknown = bucket->lease.unconfirmed_hosts * (rate / STANDING_PART + 1);
   return unknown < rate - bucket->surrendered ? rate - unknown
                                               : bucket->surrendered;
 }
@@ -431,7 +431,7 @@
   room = less (whole_rate (bucket, now), lent);
   if (rate > room)
     rate = room;
-  if (!bounds->lends || rate < STANDING_LEAST
+  if (!bounds->may_lend || rate < STANDING_LEAST
       || saved + mq_quota_standing_burst (rate)
              > burst_of (bucket) + bounds->ahead * PERMIT / 2)
     return 0;
--- a/src/core/organisation/quota_share.c
+++ b/src/core/organisation/quota_share.c
@@ -93,9 +93,9 @@
 
   if (share->standing == 0 || now >= share->standing_until_ms)
     return false;
-  if (!share->alone)
+  if (!share->on_standing_rate)
     {
-      share->alone = true;
+      share->on_standing_rate = true;
       share->level = 0;
       share->level_ms = now;
     }
@@ -245,7 +245,7 @@
   if (gift->unknown)
     return;
   mq_quota_surrender (share, server, now_ms);
-  share->alone = false;
+  share->on_standing_rate = false;
   share->standing = gift->standing;
   share->standing_until_ms = asked_ms + gift->standing_ms;
   add_stock (share, gift->ahead, asked_ms + MQ_QUOTA_PREFETCH_TTL_MS, now_ms);
--- a/src/core/router/admission.c
+++ b/src/core/router/admission.c
@@ -148,9 +148,9 @@
 static uint64_t
 time_of (const struct mq_admission_request *ask)
 {
-  if (!ask->has_left || ask->budget == 0)
+  if (!ask->has_remaining || ask->budget == 0)
     return 0;
-  return (uint64_t)ask->left_ms * TIME_UNIT / ask->budget + 1;
+  return (uint64_t)ask->remaining_ms * TIME_UNIT / ask->budget + 1;
 }
 
 /* Learns how much time programs of a route begin with.  Loops have tiny
--- a/src/core/router/admission.h
+++ b/src/core/router/admission.h
@@ -35,8 +35,8 @@
  * @record_load: of the table that keeps the program's turns, likewise; it
  *               counts as it is, since one that comes back from an outage has
  *               no queue a second later
- * @has_left: @left_ms was told
- * @left_ms: time until the program should be finished
+ * @has_remaining: @remaining_ms was told
+ * @remaining_ms: time until the program should be finished
  * @budget: tokens that its turns may generate, 0: not told
  * @now_ms: steady clock
  */
@@ -48,8 +48,8 @@
   uint64_t program;
   uint32_t load;
   uint32_t record_load;
-  bool has_left;
-  uint32_t left_ms;
+  bool has_remaining;
+  uint32_t remaining_ms;
   uint64_t budget;
   uint64_t now_ms;
 };
--- a/src/core/router/attempt.c
+++ b/src/core/router/attempt.c
@@ -15,7 +15,7 @@
 enum mq_attempt_end
 mq_attempt_classify (const struct mq_attempt_response *answer)
 {
-  if (answer->cut)
+  if (answer->truncated)
     return MQ_ATTEMPT_BROKEN;
   if (answer->not_run)
     return MQ_ATTEMPT_NOT_RUN;
@@ -31,7 +31,7 @@
 static bool
 may_try_again (const struct mq_attempt *attempt)
 {
-  if (attempt->left_ms < MQ_ATTEMPT_MIN_REMAINING_MS)
+  if (attempt->remaining_ms < MQ_ATTEMPT_MIN_REMAINING_MS)
     return false;
   if (attempt->unreachable >= MQ_ATTEMPT_UNREACHABLE_MAX)
     return false;
@@ -65,8 +65,8 @@
     {
     case MQ_ATTEMPT_UNREACHABLE:
     case MQ_ATTEMPT_NOT_RUN:
-      return attempt->ran && !attempt->repeatable ? MQ_NEXT_FAIL
-                                                  : MQ_NEXT_REFUSE;
+      return attempt->may_have_run && !attempt->repeatable ? MQ_NEXT_FAIL
+                                                           : MQ_NEXT_REFUSE;
     case MQ_ATTEMPT_BROKEN:
       return MQ_NEXT_FAIL;
     case MQ_ATTEMPT_ERROR:
--- a/src/core/router/attempt.h
+++ b/src/core/router/attempt.h
@@ -12,7 +12,7 @@
  * struct mq_attempt_response - a worker's answer that has come to its end
  * @status: of HTTP
  * @not_run: it states that the request was not run
- * @cut: it ends within an event
+ * @truncated: it ends within an event
  * @stream: it is a stream, its events were passed on
  * @begun: some of an answer was passed on to the caller
  * @repeatable: the request may run more than once
@@ -21,7 +21,7 @@
 {
   int status;
   bool not_run;
-  bool cut;
+  bool truncated;
   bool stream;
   bool begun;
   bool repeatable;
@@ -55,8 +55,8 @@
  * @sent: workers that the request was sent to
  * @sent_max: workers that it may be sent to
  * @unreachable: tries that reached no worker
- * @left_ms: time that is left
- * @ran: an earlier try may have run
+ * @remaining_ms: time that is left
+ * @may_have_run: an earlier try may have run
  */
 struct mq_attempt
 {
@@ -66,8 +66,8 @@
   uint32_t sent;
   uint32_t sent_max;
   uint32_t unreachable;
-  uint64_t left_ms;
-  bool ran;
+  uint64_t remaining_ms;
+  bool may_have_run;
 };
 
 enum mq_attempt_next
--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -38,8 +38,8 @@
     .load = mq_fleet_service_pressure (request->router->fleet,
                                        request->service, now),
     .record_load = record_load (request, now),
-    .has_left = facts->has_left,
-    .left_ms = facts->left_ms,
+    .has_remaining = facts->has_left,
+    .remaining_ms = facts->left_ms,
     .budget = facts->has_budget ? facts->budget : 0,
     .now_ms = now,
   };
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -253,7 +253,7 @@
   nobody.answered_ms = share->began_ms;
   answer = mq_quota_try_acquire (
       &share->quota, contact == NULL ? &nobody : &contact->quota, begins, now);
-  if (answer == MQ_QUOTA_GRANTED && share->quota.alone)
+  if (answer == MQ_QUOTA_GRANTED && share->quota.on_standing_rate)
     share->permits->router->counters.permits_alone++;
   return answer;
 }
@@ -602,7 +602,7 @@
   struct mq_quota_grant gift
       = { .organisation = want->organisation, .unknown = true };
   struct mq_reserve_own_lease own;
-  struct mq_quota_bounds bounds = { .lends = lends && !router->leaving };
+  struct mq_quota_bounds bounds = { .may_lend = lends && !router->leaving };
   struct mq_quota_lease lease;
   const struct mq_org *org = NULL;
 
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -207,8 +207,8 @@
     .sent = request->sent,
     .sent_max = request->route->attempts,
     .unreachable = request->unreachable,
-    .left_ms = left_ms (request),
-    .ran = request->ran,
+    .remaining_ms = left_ms (request),
+    .may_have_run = request->ran,
   };
   next = mq_attempt_decide (&attempt);
   log_try (request, end, next);
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -122,13 +122,13 @@
   struct mq_attempt_response facts = {
     .status = answer->status,
     .not_run = answer->not_run,
-    .cut = mq_answer_is_cut (answer),
+    .truncated = mq_answer_is_cut (answer),
     .stream = answer->stream,
     .begun = try->options.begun,
     .repeatable = try->options.repeatable,
   };
 
-  if (!facts.cut)
+  if (!facts.truncated)
     keep_lane (try);
   end_try (try, mq_attempt_classify (&facts), MQ_OUTCOME_FAILED);
 }
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -366,8 +366,8 @@
     .program = program_hash (program, ADMISSION_SEED),
     .load
     = mq_fleet_service_pressure (host->fleet, service_name, self->now_ms),
-    .has_left = true,
-    .left_ms
+    .has_remaining = true,
+    .remaining_ms
     = (uint32_t)(program->aim_ms > spent ? program->aim_ms - spent : 0),
     .budget = BUDGET_BASE + (uint64_t)BUDGET_A_TURN * program->turn_count,
     .now_ms = self->now_ms,
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -33,8 +33,8 @@
     .priority = priority,
     .program = program,
     .load = load,
-    .has_left = true,
-    .left_ms = 3000,
+    .has_remaining = true,
+    .remaining_ms = 3000,
     .budget = 1000,
     .now_ms = now_ms,
   };
@@ -206,8 +206,8 @@
       set_up ();
       cr_assert_eq (admitted (0, 0, 1), PROGRAMS);
       ask = ask_of (PROGRAMS - 1, 0, cases[i].load, 1000);
-      ask.has_left = cases[i].has_left;
-      ask.left_ms = cases[i].left_ms;
+      ask.has_remaining = cases[i].has_left;
+      ask.remaining_ms = cases[i].left_ms;
       ask.budget = cases[i].budget;
       cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
                     cases[i].answer, "%s", cases[i].name);
@@ -222,7 +222,7 @@
   struct mq_admission_request usual = ask_of (1, 0, 1010, 2000);
   uint32_t retry_ms;
 
-  odd.left_ms = 30000;
+  odd.remaining_ms = 30000;
   odd.budget = 270;
   mq_admission_decide (admission, &odd, &retry_ms);
   admitted (0, 500, 1000);
--- a/tests/test_quota_model.c
+++ b/tests/test_quota_model.c
@@ -255,7 +255,7 @@
     want.heard_ms = now;
   if (ask->recalled && ask->server == host->run)
     host->surrendered[ask->from] = true;
-  host->lease.unheard = count_unheard (world, at);
+  host->lease.unconfirmed_hosts = count_unheard (world, at);
   mq_quota_record_ack (host->issuer, ask->host, want.heard_ms, now);
   if (may_issue (world, host))
     told.gift = mq_quota_issue (host->issuer, ask->host, &want, &bounds,
@@ -407,7 +407,7 @@
   mq_quota_apply_grant (&host->share, &told->gift, told->server, asked, now);
   if (world->planted == PLANTED_NOT_ALONE)
     {
-      host->share.alone = before.alone;
+      host->share.on_standing_rate = before.on_standing_rate;
       host->share.level = before.level;
       host->share.level_ms = before.level_ms;
     }
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -492,7 +492,7 @@
       { .status = 200, .stream = true, .begun = true, .repeatable = true },
       MQ_ATTEMPT_STREAMED },
     { "cut stream",
-      { .status = 200, .stream = true, .cut = true },
+      { .status = 200, .stream = true, .truncated = true },
       MQ_ATTEMPT_BROKEN },
     { "plain answer in the middle of a stream",
       { .status = 404, .begun = true, .repeatable = true },
