--- a/src/core/organisation/key_set.c
+++ b/src/core/organisation/key_set.c
@@ -1,6 +1,6 @@
-/* key_set.c - whose key is this?  Digests of callers' keys and their owners.
+/* key_set.c - hash set that maps API keys to their owners.
 
-   Open addressing with linear probing; it grows by doubling.
+   Open addressing with linear probing; the table doubles when half full.
    Needs: key_set.h, id.h, nettle.  */
 
 #include "key_set.h"
@@ -9,11 +9,11 @@
 #include <nettle/sha2.h>
 #include <string.h>
 
-#define FIRST_ROOM 64U
+#define INITIAL_CAPACITY 64U
 
 /**
  * struct entry - one key
- * @owner: MQ_KEY_NO_OWNER: the place is free
+ * @owner: MQ_KEY_NO_OWNER if the entry is free
  */
 struct entry
 {
@@ -22,23 +22,23 @@
 };
 
 /**
- * struct mq_key_set - places for keys
- * @room: how many places, a power of two; at most half of them are taken
+ * struct mq_key_set - hash table of keys
+ * @capacity: number of entries, a power of two
  */
 struct mq_key_set
 {
   uint64_t seed;
   struct entry *entries;
-  size_t room;
+  size_t capacity;
   size_t count;
 };
 
 static struct entry *
-make_entries (TALLOC_CTX *ctx, size_t room)
+make_entries (TALLOC_CTX *ctx, size_t capacity)
 {
-  struct entry *entries = talloc_array (ctx, struct entry, room);
+  struct entry *entries = talloc_array (ctx, struct entry, capacity);
 
-  for (size_t i = 0; entries != NULL && i < room; i++)
+  for (size_t i = 0; entries != NULL && i < capacity; i++)
     entries[i].owner = MQ_KEY_NO_OWNER;
   return entries;
 }
@@ -51,8 +51,8 @@
   if (set == NULL)
     return NULL;
   set->seed = seed;
-  set->room = FIRST_ROOM;
-  set->entries = make_entries (set, FIRST_ROOM);
+  set->capacity = INITIAL_CAPACITY;
+  set->entries = make_entries (set, INITIAL_CAPACITY);
   if (set->entries == NULL)
     TALLOC_FREE (set);
   return set;
@@ -74,15 +74,15 @@
   sha256_digest (&sha, MQ_KEY_BYTES, digest);
 }
 
-/* The place of DIGEST, or the free one where it would be.  */
+/* Returns the entry of DIGEST, or the free entry where it would be added.  */
 static struct entry *
-find_place (const struct mq_key_set *set, const uint8_t digest[MQ_KEY_BYTES])
+find_entry (const struct mq_key_set *set, const uint8_t digest[MQ_KEY_BYTES])
 {
   size_t at = mq_hash_bytes (digest, MQ_KEY_BYTES, set->seed);
 
   for (;; at++)
     {
-      struct entry *entry = &set->entries[at & (set->room - 1)];
+      struct entry *entry = &set->entries[at & (set->capacity - 1)];
 
       if (entry->owner == MQ_KEY_NO_OWNER
           || memeql_sec (entry->digest, digest, MQ_KEY_BYTES))
@@ -93,17 +93,18 @@
 static bool
 grow (struct mq_key_set *set)
 {
-  struct mq_key_set grown = { .seed = set->seed, .room = set->room * 2 };
+  struct mq_key_set grown
+      = { .seed = set->seed, .capacity = set->capacity * 2 };
 
-  grown.entries = make_entries (set, grown.room);
+  grown.entries = make_entries (set, grown.capacity);
   if (grown.entries == NULL)
     return false;
-  for (size_t i = 0; i < set->room; i++)
+  for (size_t i = 0; i < set->capacity; i++)
     if (set->entries[i].owner != MQ_KEY_NO_OWNER)
-      *find_place (&grown, set->entries[i].digest) = set->entries[i];
+      *find_entry (&grown, set->entries[i].digest) = set->entries[i];
   talloc_free (set->entries);
   set->entries = grown.entries;
-  set->room = grown.room;
+  set->capacity = grown.capacity;
   return true;
 }
 
@@ -113,9 +114,9 @@
 {
   struct entry *entry;
 
-  if (set->count >= set->room / 2 && !grow (set))
+  if (set->count >= set->capacity / 2 && !grow (set))
     return MQ_KEY_NO_MEMORY;
-  entry = find_place (set, digest);
+  entry = find_entry (set, digest);
   if (entry->owner != MQ_KEY_NO_OWNER)
     return MQ_KEY_TAKEN;
   memcpy (entry->digest, digest, MQ_KEY_BYTES);
@@ -128,7 +129,7 @@
 mq_key_set_find (const struct mq_key_set *set,
                  const uint8_t digest[MQ_KEY_BYTES])
 {
-  return find_place (set, digest)->owner;
+  return find_entry (set, digest)->owner;
 }
 
 size_t
--- a/src/core/organisation/key_set.h
+++ b/src/core/organisation/key_set.h
@@ -1,8 +1,8 @@
-/* key_set.h - whose key is this?  Digests of callers' keys and their owners.
+/* key_set.h - hash set that maps API keys to their owners.
 
-   Keys are kept as SHA-256 digests alone.  A digest is found by a hash with a
-   seed that callers don't know and compared in constant time, so that neither
-   the time of a look-up nor a crafted key tells anything of the others.  Pure.
+   Only SHA-256 digests of keys are stored.  Look-ups use a secret seed and
+   compare digests in constant time, so that neither timing nor crafted keys
+   reveal anything about stored keys.  Pure.
    Needs: types.h, nettle.  */
 
 #ifndef MQ_KEY_SET_H
@@ -12,23 +12,22 @@
 
 struct mq_key_set;
 
-/* What mq_key_set_find returns for a key that nobody has.  */
+/* Returned by mq_key_set_find for an unknown key.  */
 #define MQ_KEY_NO_OWNER UINT32_MAX
 
-/* SEED: by chance, unknown to callers.  NULL when memory is out.  */
+/* SEED must be random and secret.  Returns NULL if out of memory.  */
 struct mq_key_set *mq_key_set_create (TALLOC_CTX *ctx, uint64_t seed);
 void mq_key_set_destroy (struct mq_key_set *set);
-/* The digest under which KEY is kept.  */
 void mq_key_digest (const char *key, uint8_t digest[MQ_KEY_BYTES]);
 
 enum mq_key_added
 {
   MQ_KEY_ADDED,
-  MQ_KEY_TAKEN, /* it is somebody's already */
+  MQ_KEY_TAKEN, /* the key already has an owner */
   MQ_KEY_NO_MEMORY
 };
 
-/* OWNER is anything below MQ_KEY_NO_OWNER.  */
+/* OWNER must be less than MQ_KEY_NO_OWNER.  */
 enum mq_key_added mq_key_set_add (struct mq_key_set *set,
                                   const uint8_t digest[MQ_KEY_BYTES],
                                   uint32_t owner);
--- a/src/core/organisation/orgs.c
+++ b/src/core/organisation/orgs.c
@@ -1,4 +1,4 @@
-/* orgs.c - the organisations of one configuration: their names, keys, limits.
+/* orgs.c - organisations of one configuration version: names, keys, limits.
 
    Needs: orgs.h, id.h, idmap.h.  */
 
@@ -7,14 +7,14 @@
 #include "../idmap.h"
 #include <string.h>
 
-/* Scope of callers without an organisation: no digest is all zero.  */
+/* Scope of callers without an organisation; no digest is all zeros.  */
 #define NO_SCOPE "0000000000000000"
 
 struct mq_orgs
 {
   struct mq_org *list;
   size_t count;
-  size_t room;
+  size_t capacity;
   struct mq_key_set *keys;
   struct mq_idmap *names;
 };
@@ -26,7 +26,7 @@
 
   if (orgs == NULL)
     return NULL;
-  orgs->room = count;
+  orgs->capacity = count;
   orgs->list = talloc_zero_array (orgs, struct mq_org, count + 1);
   orgs->keys = mq_key_set_create (orgs, seed);
   orgs->names = mq_idmap_create (orgs);
@@ -76,7 +76,7 @@
     }
   *to = *org;
   to->name = talloc_strdup (orgs, org->name);
-  if (orgs->count == orgs->room || to->name == NULL)
+  if (orgs->count == orgs->capacity || to->name == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "organisations", NULL);
       return MQ_KEY_NO_OWNER;
--- a/src/core/organisation/quota.h
+++ b/src/core/organisation/quota.h
@@ -1,68 +1,71 @@
-/* quota.h - how many requests an organisation may have run, agreed among
-   hosts.
+/* quota.h - request quotas of organisations, enforced across hosts.
 
    One host at a time, the issuer, holds the lease on an organisation
-   (reserve.h) and has its one token bucket, which begins empty.  Other hosts
-   ask it for permits, one for each request, and for a few ahead where they
-   need many; permits that are not used soon are given back.
+   (reserve.h) and runs its only token bucket, which starts empty.  Other hosts
+   request permits from it, one per request, and prefetch a few when traffic is
+   high.  Prefetched permits that are not used soon are returned.
 
-   An issuer that can't be reached must not stop its organisations.  So it
-   may_lend each host a standing rate, what that host used lately, all together
-   no more than the limit, and for no longer than its lease.  A host lives on
-   its standing rate only once it has not heard from the issuer for a while;
-   the issuer takes that rate off the bucket's as soon as the host does not
-   acknowledge what it is told.  The host waits longer than the issuer, so
-   that no rate counts twice.
+   An unreachable issuer must not stop its organisations.  It therefore lends
+   each host a standing rate, based on the host's recent use.  The standing
+   rates of all hosts never exceed the limit and expire with the issuer's
+   lease.  A host falls back to its standing rate only after it has not heard
+   from the issuer for MQ_QUOTA_ISSUER_TIMEOUT_MS.  The issuer deducts that
+   rate from its bucket as soon as the host stops acknowledging replies.  The
+   host's timeout is longer than the issuer's, so no rate counts twice.
 
-   An issuer that starts again under its own lease does not know what it lent.
-   It has all hosts surrender what they still hold, and until that lease would
-   have run out it leaves to each that did not answer the most that one host is
-   lent.
+   An issuer that restarts under its own lease does not know what it lent.  It
+   asks all hosts to surrender their standing rates.  Until the previous lease
+   would have expired, it reserves the largest standing rate a host can have
+   for each host that has not answered.
 
-   In any time, with any losses, delays and pauses, no more permits are used
-   than one bucket gives, and the bound on those ahead.  Pure: time is given,
-   by a clock that goes on while the host is suspended. Needs: orgs.h.  */
+   Over any interval and under any message loss, delay or suspension, hosts use
+   no more permits than one bucket provides plus the bound on prefetched
+   permits.  Pure: callers pass the time, from a clock that continues while the
+   host is suspended.
+   Needs: orgs.h.  */
 
 #ifndef MQ_QUOTA_H
 #define MQ_QUOTA_H
 
 #include "orgs.h"
 
-/* An answer that took longer is not used; its permits are lost.  */
+/* A later reply is ignored; the permits in it are lost.  */
 #define MQ_QUOTA_REPLY_TIMEOUT_MS 300U
-/* Permits that were asked for ahead are kept for so long.  */
+/* Lifetime of prefetched permits at a host.  */
 #define MQ_QUOTA_PREFETCH_TTL_MS 250U
-/* The issuer takes a host that acknowledged nothing newer for silent.  */
+/* The issuer treats a host as silent if its newest acknowledgement is older.
+ */
 #define MQ_QUOTA_ACK_TIMEOUT_MS 800U
-/* A host lives on its standing rates when the last question that was answered
-   is so old: MQ_QUOTA_REPLY_TIMEOUT_MS and MQ_QUOTA_ACK_TIMEOUT_MS, and what
-   clocks may differ in that time.  */
+/* A host falls back to its standing rates if its last answered request is
+   older.  Covers MQ_QUOTA_REPLY_TIMEOUT_MS, MQ_QUOTA_ACK_TIMEOUT_MS and clock
+   drift over both.  */
 #define MQ_QUOTA_ISSUER_TIMEOUT_MS 1200U
-/* A host that needs permits of an issuer asks at least this often.  */
+/* Longest interval between requests of a host that uses an issuer's permits.
+ */
 #define MQ_QUOTA_POLL_INTERVAL_MS 200U
-/* Standing rates are told anew so often.  */
+/* Interval at which standing rates are renewed.  */
 #define MQ_QUOTA_STANDING_REFRESH_MS 1000U
 
-/* Levels of buckets count millionths of a permit: thousandths a second times
-   milliseconds.  */
+/* Unit of bucket levels: a rate in thousandths of a permit per second times
+   milliseconds gives millionths of a permit.  */
 #define MQ_QUOTA_UNITS_PER_PERMIT 1000000U
 
-/* What a host that lives on the standing RATE may have saved up, in those: one
-   permit, and a moment's use.  The issuer keeps as much back.  */
+/* Burst that a host may accumulate under the standing RATE, in bucket units.
+   The issuer lowers its own burst by the same amount.  */
 uint64_t mq_quota_standing_burst (uint64_t rate);
 
-/* The issuer's side */
+/* Issuer */
 
 struct mq_quota_issuer;
 
 /**
- * struct mq_quota_lease - an issuer's right to issue, by its own clock
- * @slot: of the organisations that it is for
- * @since_ms: it began then
- * @until_ms: it ends then unless it is renewed
- * @inherited_ms: what this host lent in an earlier run may be used until
- *                then, 0: there was none
- * @unconfirmed_hosts: hosts that may still use it
+ * struct mq_quota_lease - right to issue permits, issuer's monotonic clock
+ * @slot: slot of the organisations it covers
+ * @since_ms: start of the lease
+ * @until_ms: expiry unless renewed
+ * @inherited_ms: expiry of standing rates lent by an earlier run of this
+ *                host, 0 if there are none
+ * @unconfirmed_hosts: hosts that may still use such standing rates
  */
 struct mq_quota_lease
 {
@@ -74,11 +77,11 @@
 };
 
 /**
- * struct mq_quota_bounds - what an issuer may do with one organisation
- * @limit: of the configuration in force
- * @ahead: permits that may be out ahead at a time
- * @may_lend: standing rates are lent; false: the issuer is leaving, or would
- * not find the host again
+ * struct mq_quota_bounds - what an issuer may grant for one organisation
+ * @limit: limit in the active configuration
+ * @ahead: maximum number of outstanding prefetched permits
+ * @may_lend: whether standing rates may be lent; false if the issuer is
+ *            shutting down or could not reach the host to recall them
  */
 struct mq_quota_bounds
 {
@@ -88,16 +91,16 @@
 };
 
 /**
- * struct mq_quota_request - what a host wants for one organisation
- * @organisation: its name
- * @need: permits for requests that wait
- * @begins: permits for first requests of programs that wait
- * @ahead: permits for requests to come
- * @unused: permits that are given back
- * @surrendered: standing rate of an earlier run of the issuer that the host
- *               does not use any more
- * @holds: standing rate that the host has, as of @heard_ms
- * @heard_ms: what the host acknowledges with it
+ * struct mq_quota_request - a host's request for one organisation
+ * @need: permits for waiting requests of programs that have begun
+ * @begins: permits for waiting first requests of programs
+ * @ahead: permits to prefetch
+ * @unused: prefetched permits returned
+ * @surrendered: standing rate from an earlier run of the issuer that the host
+ *               no longer uses
+ * @holds: standing rate the host has, as of @heard_ms
+ * @heard_ms: newest issuer time the host has received, acknowledged by this
+ *            request
  */
 struct mq_quota_request
 {
@@ -112,16 +115,15 @@
 };
 
 /**
- * struct mq_quota_grant - the answer
- * @organisation: its name
- * @unknown: this host does not issue permits of the organisation
- * @need: of those that were wanted
- * @begins: of those that were wanted
- * @ahead: of those that were wanted
- * @retry_ms: when there will be more, 0: nothing was missing
- * @empty: not even what programs that have begun need is there
- * @standing: rate that the host may use alone, as in struct mq_quota_limit
- * @standing_ms: for so long from the question on
+ * struct mq_quota_grant - reply to a struct mq_quota_request
+ * @unknown: this host is not the issuer of the organisation
+ * @need: permits granted of those requested
+ * @begins: permits granted of those requested
+ * @ahead: permits granted of those requested
+ * @retry_ms: delay until more permits are available, 0 if all were granted
+ * @empty: the bucket could not even cover programs that have begun
+ * @standing: standing rate of the host, unit as in struct mq_quota_limit
+ * @standing_ms: lifetime of @standing, counted from the request
  */
 struct mq_quota_grant
 {
@@ -137,31 +139,31 @@
 };
 
 struct mq_quota_issuer *mq_quota_issuer_create (TALLOC_CTX *ctx);
-/* The host that names itself HOST asks, and acknowledges what it was told at
-   HEARD_MS by this host's clock, 0: nothing yet.  Before mq_quota_issue.  */
+/* Records a request from HOST and the issuer time HEARD_MS it acknowledges, 0
+   if none.  Call before mq_quota_issue.  */
 void mq_quota_record_ack (struct mq_quota_issuer *issuer, uint64_t host,
                           uint64_t heard_ms, uint64_t now_ms);
-/* Answers WANT of HOST.  */
+/* Returns the grant for the request WANT of HOST.  */
 struct mq_quota_grant mq_quota_issue (struct mq_quota_issuer *issuer,
                                       uint64_t host,
                                       const struct mq_quota_request *want,
                                       const struct mq_quota_bounds *bounds,
                                       const struct mq_quota_lease *lease,
                                       uint64_t now_ms);
-/* Some host may still have a standing rate of an organisation of the lease
+/* Whether any host may still have a standing rate for an organisation of
    SLOT.  */
 bool mq_quota_issuer_has_lent (const struct mq_quota_issuer *issuer,
                                uint32_t slot, uint64_t now_ms);
-/* Forgets organisations and hosts that were not heard of for long.  */
+/* Frees the state of organisations and hosts that have long been inactive.  */
 void mq_quota_issuer_sweep (struct mq_quota_issuer *issuer, uint64_t now_ms);
 
-/* The side of a host that serves requests */
+/* Host that serves requests */
 
 /**
- * struct mq_quota_contact - what a host has heard of an issuer
- * @server: run of the issuer that answered last, 0: none did
- * @told_ms: what it said of its own clock, to be acknowledged
- * @answered_ms: when the last question that was answered in time was asked
+ * struct mq_quota_contact - a host's view of an issuer
+ * @server: run of the issuer that answered last, 0 if none
+ * @told_ms: newest issuer time received, to be acknowledged
+ * @answered_ms: send time of the newest request that was answered in time
  */
 struct mq_quota_contact
 {
@@ -173,7 +175,7 @@
 #define MQ_QUOTA_BATCHES 2
 
 /**
- * struct mq_quota_batch - permits that were asked for ahead
+ * struct mq_quota_batch - prefetched permits that expire together
  */
 struct mq_quota_batch
 {
@@ -182,22 +184,21 @@
 };
 
 /**
- * struct mq_quota_share - what a host has of one organisation's limit
- * @stocks: permits at hand
- * @unused: permits to be given back, since @unused_ms
- * @used: in this second and the one before
- * @used_s: which second that is
- * @standing: rate that it may use alone, until @standing_until_ms
- * @server: run of the issuer that lent it
- * @surrendered: to be told to the issuer
- * @on_standing_rate: it lives on the standing rate
- * @level: millionths of a permit then, as of @level_ms
- * @exhausted_until_ms: no permit will be there before
- * @begin_refused_until_ms: none for a program's first request
+ * struct mq_quota_share - a host's share of one organisation's limit
+ * @batches: prefetched permits
+ * @unused: permits to return, the first of them since @unused_ms
+ * @used: permits used in second @used_s and in the second before
+ * @standing: standing rate, valid until @standing_until_ms
+ * @server: run of the issuer that lent @standing
+ * @surrendered: standing rate to report as surrendered
+ * @on_standing_rate: the host is using its standing rate
+ * @level: bucket level under the standing rate at @level_ms
+ * @exhausted_until_ms: no permit is available before
+ * @begin_refused_until_ms: no permit for first requests is available before
  */
 struct mq_quota_share
 {
-  struct mq_quota_batch stocks[MQ_QUOTA_BATCHES];
+  struct mq_quota_batch batches[MQ_QUOTA_BATCHES];
   uint32_t unused;
   uint64_t unused_ms;
   uint32_t used[2];
@@ -216,42 +217,44 @@
 enum mq_quota_decision
 {
   MQ_QUOTA_GRANTED,    /* the request may be sent */
-  MQ_QUOTA_ASK_ISSUER, /* the issuer is to be asked */
+  MQ_QUOTA_ASK_ISSUER, /* request a permit from the issuer */
   MQ_QUOTA_EXCEEDED,   /* the limit is reached */
-  MQ_QUOTA_NO_ISSUER   /* the issuer can't be asked, and nothing is left */
+  MQ_QUOTA_NO_ISSUER   /* issuer unavailable and standing rate used up */
 };
 
-/* A request, the first one of a program: BEGINS, wants a permit.  */
+/* Takes a permit for a request; BEGINS if it is a program's first one.  */
 enum mq_quota_decision
 mq_quota_try_acquire (struct mq_quota_share *share,
                       const struct mq_quota_contact *contact, bool begins,
                       uint64_t now_ms);
-/* What to ask for, beside NEED and BEGINS of the requests that wait.  What is
-   given back or surrendered has left the share then.  */
+/* Builds the request to the issuer, with NEED and BEGINS permits for waiting
+   requests.  Returned permits and surrendered rates are removed from SHARE. */
 struct mq_quota_request mq_quota_request (
     struct mq_quota_share *share, const struct mq_quota_contact *contact,
     const char *organisation, uint32_t need, uint32_t begins, uint64_t now_ms);
-/* SERVER has answered what was asked at ASKED_MS, in time if true is returned;
-   TOLD_MS is its clock.  Before mq_quota_apply_grant of each gift.  */
+/* Records SERVER's reply to a request sent at ASKED_MS; TOLD_MS is SERVER's
+   clock.  Returns false if the reply is too late to be used.  Call before
+   mq_quota_apply_grant for the grants in the reply.  */
 bool mq_quota_record_reply (struct mq_quota_contact *contact, uint64_t server,
                             uint64_t asked_ms, uint64_t told_ms,
                             uint64_t now_ms);
-/* The rate that SHARE was lent by another run than SERVER of its issuer is not
-   used any more; the next want says so.  */
+/* Stops using a standing rate that was lent by a run of the issuer other than
+   SERVER; the next request reports it as surrendered.  */
 void mq_quota_surrender (struct mq_quota_share *share, uint64_t server,
                          uint64_t now_ms);
-/* A gift that came in time.  The permits for those that wait are the
-   caller's.  */
+/* Applies a grant that arrived in time.  The caller distributes its permits
+   for waiting requests.  */
 void mq_quota_apply_grant (struct mq_quota_share *share,
-                           const struct mq_quota_grant *gift, uint64_t server,
+                           const struct mq_quota_grant *grant, uint64_t server,
                            uint64_t asked_ms, uint64_t now_ms);
-/* The issuer has not answered for so long that the host is alone.  */
+/* Whether the issuer has not answered within MQ_QUOTA_ISSUER_TIMEOUT_MS.  */
 bool mq_quota_issuer_unavailable (const struct mq_quota_contact *contact,
                                   uint64_t now_ms);
-/* The limit was reached a moment ago: nobody need be asked.  */
+/* Whether the limit was reached so recently that the issuer need not be asked
+   again.  */
 bool mq_quota_is_exhausted (const struct mq_quota_share *share, bool begins,
                             uint64_t now_ms);
-/* Until then a permit is not to be had, milliseconds from now.  */
+/* Delay until a permit may be available.  */
 uint32_t mq_quota_retry_after_ms (const struct mq_quota_share *share,
                                   bool begins, uint64_t now_ms);
 
--- a/src/core/organisation/quota_issuer.c
+++ b/src/core/organisation/quota_issuer.c
@@ -1,5 +1,5 @@
-/* quota_issuer.c - the one token bucket of each organisation, and what hosts
-   are lent of it.
+/* quota_issuer.c - token bucket of each organisation and the standing
+   rates lent to hosts.
 
    Needs: quota.h, id.h, idmap.h, memory.h.  */
 
@@ -11,32 +11,30 @@
 
 #define PERMIT MQ_QUOTA_UNITS_PER_PERMIT
 #define PER_THOUSANDTH 1000U
-/* A standing rate is what a host used in so many seconds, and half more.  */
+/* A standing rate is the mean use over this many seconds, plus half.  */
 #define USE_SECONDS 4U
 #define STANDING_PERCENT 150U
-/* One host is lent no more than this part of the limit.  */
-#define STANDING_PART 4U
-/* Lower ones are not lent, thousandths a second.  */
-#define STANDING_LEAST 100U
-/* Part of the burst that is kept for programs that have begun, percent.
-
-   The load: an organisation asks for more than its limit.  A program whose
-   fifth request is refused has wasted four, so those that begin are refused
-   first.  */
+/* A host is lent at most the limit divided by this.  */
+#define STANDING_DIVISOR 4U
+/* Lowest standing rate, thousandths of a request per second.  */
+#define STANDING_MIN 100U
+/* Part of the burst reserved for programs that have begun, percent.  Guards
+   against refusing a program in the middle, which wastes its earlier requests:
+   over the limit, new programs are refused first.  */
 #define BEGIN_KEEP_PERCENT 50U
-#define RETRY_LEAST_MS 100U
-#define RETRY_MOST_MS 4000U
-/* Permits that are out ahead may be used or come back for so long.  */
-#define AHEAD_MS 1000U
-/* An organisation or a host that was not heard of for so long is forgotten:
-   its bucket would be full again, and nothing lent to it is left.  */
-#define FORGET_MS 60000U
-#define FORGET_MAX 64U
+#define RETRY_MIN_MS 100U
+#define RETRY_MAX_MS 4000U
+/* Time within which prefetched permits may be used or returned.  */
+#define PREFETCH_WINDOW_MS 1000U
+/* Inactivity after which an organisation or a host is freed.  By then the
+   bucket is full and all standing rates have expired.  */
+#define INACTIVE_MS 60000U
+#define SWEEP_MAX 64U
 
 /**
- * struct issuer_host - a host that asks
- * @heard_ms: when it was told what it acknowledged last, by this host's clock
- * @asked_ms: when it asked last
+ * struct issuer_host - a host that requests permits
+ * @heard_ms: issuer time in its newest acknowledgement
+ * @asked_ms: time of its last request
  */
 struct issuer_host
 {
@@ -46,13 +44,12 @@
 };
 
 /**
- * struct standing - what one host was lent of one organisation
- * @used: permits in each of the last seconds, the newest is @used_s
- * @rate: as told last
- * @high: the highest that it may still hold
- * @told_ms: when @rate was told
- * @until_ms: nothing of it may be used later
- * @surrendered: of what an earlier run lent it
+ * struct standing - standing rate of one host for one organisation
+ * @used: permits issued in each of the last seconds, the newest is @used_s
+ * @rate: rate in the last reply, sent at @told_ms
+ * @high: highest rate that the host may still hold
+ * @until_ms: expiry of all rates lent
+ * @surrendered: rate from an earlier run of the issuer that it surrendered
  */
 struct standing
 {
@@ -68,12 +65,12 @@
 };
 
 /**
- * struct bucket - an organisation's
+ * struct bucket - token bucket of an organisation
  * @level: millionths of a permit at @settled_ms
- * @surrendered: all that hosts surrendered
- * @ahead: permits issued ahead in this AHEAD_MS and the one before, less what
- *         came back
- * @ahead_at: which one that is
+ * @surrendered: sum of the rates that hosts surrendered
+ * @ahead: prefetched permits issued in the current PREFETCH_WINDOW_MS and in
+ *         the one before, less those returned
+ * @ahead_at: number of the current window
  */
 struct bucket
 {
@@ -117,17 +114,17 @@
   return now > host->heard_ms + MQ_QUOTA_ACK_TIMEOUT_MS;
 }
 
-/* Rate that this issuer has to give out, itself or by lending.  */
+/* Rate available to this issuer, for its bucket and for lending.  */
 static uint64_t
-whole_rate (const struct bucket *bucket, uint64_t since)
+available_rate (const struct bucket *bucket, uint64_t since)
 {
   uint64_t rate = bucket->limit.rate;
   uint64_t unknown = rate;
 
   if (since >= bucket->lease.inherited_ms || bucket->surrendered >= rate)
     return rate;
-  if (bucket->lease.unconfirmed_hosts < STANDING_PART)
-    unknown = bucket->lease.unconfirmed_hosts * (rate / STANDING_PART + 1);
+  if (bucket->lease.unconfirmed_hosts < STANDING_DIVISOR)
+    unknown = bucket->lease.unconfirmed_hosts * (rate / STANDING_DIVISOR + 1);
   return unknown < rate - bucket->surrendered ? rate - unknown
                                               : bucket->surrendered;
 }
@@ -139,41 +136,40 @@
 }
 
 static uint64_t
-less (uint64_t from, uint64_t by)
+saturating_sub (uint64_t from, uint64_t by)
 {
   return from > by ? from - by : 0;
 }
 
-/* Rate and depth of the bucket while silent hosts may use what they were
-   lent.  */
+/* Rate and depth of the bucket, less what silent hosts may be using.  */
 static void
-effective (const struct bucket *bucket, uint64_t since, uint64_t now,
-           uint64_t *rate, uint64_t *depth)
+effective_limit (const struct bucket *bucket, uint64_t since, uint64_t now,
+                 uint64_t *rate, uint64_t *depth)
 {
   uint64_t lent = 0;
-  uint64_t saved = 0;
+  uint64_t standing_burst = 0;
 
   for (const struct standing *at = bucket->host_rates; at != NULL;
        at = at->next)
     if (at->high > 0 && at->until_ms > since && is_silent (at->host, now))
       {
         lent += at->high;
-        saved += mq_quota_standing_burst (at->high);
+        standing_burst += mq_quota_standing_burst (at->high);
       }
-  *rate = less (whole_rate (bucket, since), lent);
-  *depth = less (burst_of (bucket), saved);
+  *rate = saturating_sub (available_rate (bucket, since), lent);
+  *depth = saturating_sub (burst_of (bucket), standing_burst);
 }
 
-/* Brings the level up to NOW.  */
+/* Refills the bucket up to NOW.  */
 static void
-settle (struct bucket *bucket, uint64_t now)
+refill (struct bucket *bucket, uint64_t now)
 {
   uint64_t rate;
   uint64_t depth;
 
   if (now < bucket->settled_ms)
     return;
-  effective (bucket, bucket->settled_ms, now, &rate, &depth);
+  effective_limit (bucket, bucket->settled_ms, now, &rate, &depth);
   bucket->level += rate * (now - bucket->settled_ms);
   if (bucket->level > depth)
     bucket->level = depth;
@@ -194,10 +190,11 @@
   return host;
 }
 
-/* While HOST was silent its rate was its own, whatever comes now.  */
+/* Refills the buckets of HOST before its state changes: until now its standing
+   rates were deducted.  */
 static void
-settle_all_of (struct mq_quota_issuer *issuer, const struct issuer_host *host,
-               uint64_t now)
+refill_host_buckets (struct mq_quota_issuer *issuer,
+                     const struct issuer_host *host, uint64_t now)
 {
   size_t position = 0;
   struct bucket *bucket;
@@ -207,7 +204,7 @@
          at = at->next)
       if (at->host == host)
         {
-          settle (bucket, now);
+          refill (bucket, now);
           break;
         }
 }
@@ -222,12 +219,12 @@
   if (heard_ms > now_ms || heard_ms <= host->heard_ms)
     return;
   if (is_silent (host, now_ms))
-    settle_all_of (issuer, host, now_ms);
+    refill_host_buckets (issuer, host, now_ms);
   host->heard_ms = heard_ms;
 }
 
 static void
-begin_bucket (struct bucket *bucket, const struct mq_quota_bounds *bounds,
+reset_bucket (struct bucket *bucket, const struct mq_quota_bounds *bounds,
               const struct mq_quota_lease *lease)
 {
   while (bucket->host_rates != NULL)
@@ -244,7 +241,7 @@
   bucket->settled_ms = lease->since_ms;
 }
 
-/* The organisation's bucket as of NOW, under the limit in force.  */
+/* Returns the organisation's bucket as of NOW, under the active limit.  */
 static struct bucket *
 get_bucket (struct mq_quota_issuer *issuer, const char *organisation,
             const struct mq_quota_bounds *bounds,
@@ -261,8 +258,8 @@
       mq_idmap_put (issuer->buckets, id, 0, bucket);
     }
   if (bucket->lease.since_ms != lease->since_ms)
-    begin_bucket (bucket, bounds, lease);
-  settle (bucket, now);
+    reset_bucket (bucket, bounds, lease);
+  refill (bucket, now);
   bucket->lease = *lease;
   bucket->limit = bounds->limit;
   if (bucket->level > burst_of (bucket))
@@ -286,9 +283,9 @@
   return at;
 }
 
-/* Seconds that went by without use count as such.  */
+/* Advances to the second of NOW; skipped seconds count as zero use.  */
 static void
-turn_use (struct standing *at, uint64_t now)
+advance_use (struct standing *at, uint64_t now)
 {
   uint64_t second = now / 1000;
 
@@ -299,19 +296,20 @@
 }
 
 static void
-note_use (struct standing *at, uint32_t issued, uint32_t unused, uint64_t now)
+record_use (struct standing *at, uint32_t issued, uint32_t unused,
+            uint64_t now)
 {
   uint32_t *used;
 
-  turn_use (at, now);
+  advance_use (at, now);
   used = &at->used[at->used_s % USE_SECONDS];
   *used += issued;
   *used -= *used < unused ? *used : unused;
 }
 
-/* Thousandths of a request a second.  */
+/* Mean use, thousandths of a request per second.  */
 static uint64_t
-rate_of_use (const struct standing *at)
+mean_use (const struct standing *at)
 {
   uint64_t sum = 0;
 
@@ -321,9 +319,9 @@
 }
 
 static uint32_t
-take_level (struct bucket *bucket, uint32_t wanted, uint64_t keep)
+take_permits (struct bucket *bucket, uint32_t wanted, uint64_t reserved)
 {
-  uint64_t room = less (bucket->level, keep) / PERMIT;
+  uint64_t room = saturating_sub (bucket->level, reserved) / PERMIT;
   uint32_t taken = wanted < room ? wanted : (uint32_t)room;
 
   bucket->level -= (uint64_t)taken * PERMIT;
@@ -331,9 +329,9 @@
 }
 
 static void
-turn_ahead (struct bucket *bucket, uint64_t now)
+advance_prefetch_window (struct bucket *bucket, uint64_t now)
 {
-  uint64_t at = now / AHEAD_MS;
+  uint64_t at = now / PREFETCH_WINDOW_MS;
 
   if (at == bucket->ahead_at)
     return;
@@ -342,19 +340,19 @@
   bucket->ahead_at = at;
 }
 
-/* Permits that may still be issued ahead.  */
+/* Number of permits that may still be prefetched.  */
 static uint32_t
-ahead_room (const struct bucket *bucket, uint64_t most)
+prefetch_room (const struct bucket *bucket, uint64_t ahead_max)
 {
-  return (uint32_t)less (most, (uint64_t)bucket->ahead[0] + bucket->ahead[1]);
+  return (uint32_t)saturating_sub (ahead_max, (uint64_t)bucket->ahead[0]
+                                                  + bucket->ahead[1]);
 }
 
-/* Permits that come back, as far as they can be out.
-
-   Failure: what was issued long ago comes back when the bucket has filled up
-   again, and is issued a second time beside all that the limit allows.  */
+/* Credits returned permits, up to the number still outstanding.  Guards
+   against permits returned after the bucket has refilled, which would be
+   issued twice.  */
 static void
-take_back (struct bucket *bucket, uint32_t unused)
+credit_returned (struct bucket *bucket, uint32_t unused)
 {
   uint64_t depth = burst_of (bucket);
 
@@ -371,52 +369,53 @@
 }
 
 static uint32_t
-retry_of (const struct bucket *bucket, uint64_t wanted, uint64_t now)
+retry_delay (const struct bucket *bucket, uint64_t wanted, uint64_t now)
 {
   uint64_t rate;
   uint64_t depth;
-  uint64_t wait = RETRY_MOST_MS;
+  uint64_t wait = RETRY_MAX_MS;
 
-  effective (bucket, now, now, &rate, &depth);
+  effective_limit (bucket, now, now, &rate, &depth);
   if (rate > 0)
-    wait = less (wanted, bucket->level) / rate;
-  if (wait < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return wait > RETRY_MOST_MS ? RETRY_MOST_MS : (uint32_t)wait;
+    wait = saturating_sub (wanted, bucket->level) / rate;
+  if (wait < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return wait > RETRY_MAX_MS ? RETRY_MAX_MS : (uint32_t)wait;
 }
 
 static void
 issue_permits (struct bucket *bucket, const struct mq_quota_request *want,
-               uint64_t ahead_most, uint64_t now, struct mq_quota_grant *gift)
+               uint64_t ahead_max, uint64_t now, struct mq_quota_grant *grant)
 {
-  uint64_t keep = burst_of (bucket) * BEGIN_KEEP_PERCENT / 100U;
-  uint32_t room = ahead_room (bucket, ahead_most);
+  uint64_t reserved = burst_of (bucket) * BEGIN_KEEP_PERCENT / 100U;
+  uint32_t room = prefetch_room (bucket, ahead_max);
   uint32_t missing;
 
-  gift->need = take_level (bucket, want->need, 0);
-  gift->begins = take_level (bucket, want->begins, keep);
-  gift->ahead
-      = take_level (bucket, want->ahead < room ? want->ahead : room, keep);
-  bucket->ahead[0] += gift->ahead;
-  missing = want->need - gift->need;
-  gift->empty = missing > 0;
-  if (want->begins > gift->begins)
-    gift->retry_ms = retry_of (
-        bucket, keep + (uint64_t)(want->begins - gift->begins) * PERMIT, now);
+  grant->need = take_permits (bucket, want->need, 0);
+  grant->begins = take_permits (bucket, want->begins, reserved);
+  grant->ahead = take_permits (bucket, want->ahead < room ? want->ahead : room,
+                               reserved);
+  bucket->ahead[0] += grant->ahead;
+  missing = want->need - grant->need;
+  grant->empty = missing > 0;
+  if (want->begins > grant->begins)
+    grant->retry_ms = retry_delay (
+        bucket, reserved + (uint64_t)(want->begins - grant->begins) * PERMIT,
+        now);
   else if (missing > 0)
-    gift->retry_ms = retry_of (bucket, (uint64_t)missing * PERMIT, now);
+    grant->retry_ms = retry_delay (bucket, (uint64_t)missing * PERMIT, now);
 }
 
-/* The standing rate that the host of AT gets: what it used, as far as all
-   together stay within the rate, and what they may save up within the burst
-   and half of what may be out ahead.  */
+/* Standing rate for the host of AT: its recent use, bounded so that all
+   standing rates fit the limit and their bursts fit the bucket's burst plus
+   half of the prefetch bound.  */
 static uint64_t
 rate_to_lend (const struct bucket *bucket, const struct standing *at,
               const struct mq_quota_bounds *bounds, uint64_t now)
 {
-  uint64_t rate = rate_of_use (at) * STANDING_PERCENT / 100U;
+  uint64_t rate = mean_use (at) * STANDING_PERCENT / 100U;
   uint64_t lent = 0;
-  uint64_t saved = 0;
+  uint64_t standing_burst = 0;
   uint64_t room;
 
   for (const struct standing *other = bucket->host_rates; other != NULL;
@@ -424,28 +423,28 @@
     if (other != at && other->high > 0 && other->until_ms > now)
       {
         lent += other->high;
-        saved += mq_quota_standing_burst (other->high);
+        standing_burst += mq_quota_standing_burst (other->high);
       }
-  if (rate > bucket->limit.rate / STANDING_PART)
-    rate = bucket->limit.rate / STANDING_PART;
-  room = less (whole_rate (bucket, now), lent);
+  if (rate > bucket->limit.rate / STANDING_DIVISOR)
+    rate = bucket->limit.rate / STANDING_DIVISOR;
+  room = saturating_sub (available_rate (bucket, now), lent);
   if (rate > room)
     rate = room;
-  if (!bounds->may_lend || rate < STANDING_LEAST
-      || saved + mq_quota_standing_burst (rate)
+  if (!bounds->may_lend || rate < STANDING_MIN
+      || standing_burst + mq_quota_standing_burst (rate)
              > burst_of (bucket) + bounds->ahead * PERMIT / 2)
     return 0;
   return rate;
 }
 
-/* Failure: an answer with a lower rate is lost with its connection, and a
-   later one that does not name the organisation is acknowledged; the host goes
-   on with the higher rate.  So it says what it holds.  */
+/* Sets the standing rate in the reply.  An acknowledgement alone does not show
+   that the host has received a lower rate, as that reply may have been lost;
+   the rate that the host reports is used.  */
 static void
 lend (struct bucket *bucket, struct standing *at,
       const struct mq_quota_request *want,
       const struct mq_quota_bounds *bounds, uint64_t now,
-      struct mq_quota_grant *gift)
+      struct mq_quota_grant *grant)
 {
   const struct mq_quota_lease *lease = &bucket->lease;
 
@@ -457,14 +456,14 @@
     at->high = at->rate;
   if (at->rate > 0 && lease->until_ms > at->until_ms)
     at->until_ms = lease->until_ms;
-  gift->standing = at->rate;
-  gift->standing_ms = (uint32_t)less (lease->until_ms, now);
+  grant->standing = at->rate;
+  grant->standing_ms = (uint32_t)saturating_sub (lease->until_ms, now);
 }
 
-/* A host surrenders once for a run of the issuer.  */
+/* Counts a surrendered rate once per host and run of the issuer.  */
 static void
-take_surrendered (struct bucket *bucket, struct standing *at, uint64_t rate,
-                  uint64_t now)
+record_surrendered (struct bucket *bucket, struct standing *at, uint64_t rate,
+                    uint64_t now)
 {
   if (rate == 0 || at->surrendered != 0 || now >= bucket->lease.inherited_ms)
     return;
@@ -478,18 +477,19 @@
                 const struct mq_quota_bounds *bounds,
                 const struct mq_quota_lease *lease, uint64_t now_ms)
 {
-  struct mq_quota_grant gift = { .organisation = want->organisation };
+  struct mq_quota_grant grant = { .organisation = want->organisation };
   struct bucket *bucket
       = get_bucket (issuer, want->organisation, bounds, lease, now_ms);
   struct standing *at = get_standing (bucket, get_host (issuer, host, now_ms));
 
-  take_surrendered (bucket, at, want->surrendered, now_ms);
-  turn_ahead (bucket, now_ms);
-  take_back (bucket, want->unused);
-  issue_permits (bucket, want, bounds->ahead, now_ms, &gift);
-  note_use (at, gift.need + gift.begins + gift.ahead, want->unused, now_ms);
-  lend (bucket, at, want, bounds, now_ms, &gift);
-  return gift;
+  record_surrendered (bucket, at, want->surrendered, now_ms);
+  advance_prefetch_window (bucket, now_ms);
+  credit_returned (bucket, want->unused);
+  issue_permits (bucket, want, bounds->ahead, now_ms, &grant);
+  record_use (at, grant.need + grant.begins + grant.ahead, want->unused,
+              now_ms);
+  lend (bucket, at, want, bounds, now_ms, &grant);
+  return grant;
 }
 
 static bool
@@ -518,9 +518,9 @@
   return false;
 }
 
-/* Frees what is kept of hosts that were not heard of for long.  */
+/* Frees the standing rates of inactive hosts.  */
 static void
-forget_standings (struct bucket *bucket, uint64_t now)
+free_inactive_rates (struct bucket *bucket, uint64_t now)
 {
   struct standing **from = &bucket->host_rates;
 
@@ -528,7 +528,7 @@
     {
       struct standing *at = *from;
 
-      if (at->until_ms >= now || now - at->host->asked_ms < FORGET_MS / 2)
+      if (at->until_ms >= now || now - at->host->asked_ms < INACTIVE_MS / 2)
         {
           from = &at->next;
           continue;
@@ -539,16 +539,16 @@
 }
 
 static void
-forget_hosts (struct mq_quota_issuer *issuer, uint64_t now)
+free_inactive_hosts (struct mq_quota_issuer *issuer, uint64_t now)
 {
-  struct issuer_host *found[FORGET_MAX];
+  struct issuer_host *found[SWEEP_MAX];
   size_t count = 0;
   size_t position = 0;
   struct issuer_host *host;
 
-  while (count < FORGET_MAX
+  while (count < SWEEP_MAX
          && (host = mq_idmap_next (issuer->hosts, &position)) != NULL)
-    if (now - host->asked_ms >= FORGET_MS)
+    if (now - host->asked_ms >= INACTIVE_MS)
       found[count++] = host;
   for (size_t i = 0; i < count; i++)
     {
@@ -560,18 +560,18 @@
 void
 mq_quota_issuer_sweep (struct mq_quota_issuer *issuer, uint64_t now_ms)
 {
-  struct bucket *found[FORGET_MAX];
+  struct bucket *found[SWEEP_MAX];
   size_t count = 0;
   size_t position = 0;
   struct bucket *bucket;
 
   while ((bucket = mq_idmap_next (issuer->buckets, &position)) != NULL)
     {
-      forget_standings (bucket, now_ms);
-      if (count < FORGET_MAX && bucket->host_rates == NULL
-          && now_ms > bucket->settled_ms + FORGET_MS)
+      free_inactive_rates (bucket, now_ms);
+      if (count < SWEEP_MAX && bucket->host_rates == NULL
+          && now_ms > bucket->settled_ms + INACTIVE_MS)
         {
-          settle (bucket, now_ms);
+          refill (bucket, now_ms);
           if (bucket->level == burst_of (bucket))
             found[count++] = bucket;
         }
@@ -581,5 +581,5 @@
       mq_idmap_remove (issuer->buckets, found[i]->id, 0);
       talloc_free (found[i]);
     }
-  forget_hosts (issuer, now_ms);
+  free_inactive_hosts (issuer, now_ms);
 }
--- a/src/core/organisation/quota_share.c
+++ b/src/core/organisation/quota_share.c
@@ -1,60 +1,59 @@
-/* quota_share.c - what a host that serves requests has of an organisation's
-   limit.
+/* quota_share.c - a host's share of an organisation's quota.
 
    Needs: quota.h.  */
 
 #include "quota.h"
 
 #define PERMIT MQ_QUOTA_UNITS_PER_PERMIT
-#define ALONE_SAVE_MS 200U
-/* An organisation that used so many permits in a second has as many asked for
-   ahead as it uses in MQ_QUOTA_PREFETCH_TTL_MS; fewer are asked for one by
-   one.  */
-#define AHEAD_LEAST_USE 8U
-/* What was refused is not asked for again before, milliseconds.  */
-#define NONE_MOST_MS 100U
-/* Permits that were not used are not given back later than that.  */
-#define GIVE_BACK_MS 600U
-#define RETRY_LEAST_MS 100U
+/* Standing rate that accumulates as burst.  */
+#define STANDING_BURST_MS 200U
+/* Permits per second from which on a host prefetches; below it requests them
+   one at a time.  */
+#define PREFETCH_MIN_USE 8U
+/* Longest delay before permits are requested again after a refusal.  */
+#define EXHAUSTED_MAX_MS 100U
+/* Unused permits are dropped instead of returned after this time.  */
+#define RETURN_MAX_MS 600U
+#define RETRY_MIN_MS 100U
 #define MS_PER_S 1000U
 
 static void
-note_unused (struct mq_quota_share *share, uint32_t permits, uint64_t now)
+record_unused (struct mq_quota_share *share, uint32_t permits, uint64_t now)
 {
-  if (now - share->unused_ms >= GIVE_BACK_MS)
+  if (now - share->unused_ms >= RETURN_MAX_MS)
     share->unused = 0;
   if (share->unused == 0)
     share->unused_ms = now;
   share->unused += permits;
 }
 
-/* Moves permits that were kept too long to those that are given back.  */
+/* Marks expired prefetched permits as unused, to be returned.  */
 static void
-drop_old (struct mq_quota_share *share, uint64_t now)
+expire_batches (struct mq_quota_share *share, uint64_t now)
 {
   for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
-    if (share->stocks[i].permits > 0 && now >= share->stocks[i].until_ms)
+    if (share->batches[i].permits > 0 && now >= share->batches[i].until_ms)
       {
-        note_unused (share, share->stocks[i].permits, now);
-        share->stocks[i].permits = 0;
+        record_unused (share, share->batches[i].permits, now);
+        share->batches[i].permits = 0;
       }
 }
 
-/* The permits at hand that end first.  */
+/* Prefetched permits that expire first.  */
 static struct mq_quota_batch *
-oldest_stock (struct mq_quota_share *share)
+oldest_batch (struct mq_quota_share *share)
 {
   struct mq_quota_batch *found = NULL;
 
   for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
-    if (share->stocks[i].permits > 0
-        && (found == NULL || share->stocks[i].until_ms < found->until_ms))
-      found = &share->stocks[i];
+    if (share->batches[i].permits > 0
+        && (found == NULL || share->batches[i].until_ms < found->until_ms))
+      found = &share->batches[i];
   return found;
 }
 
 static void
-turn_use (struct mq_quota_share *share, uint64_t now)
+advance_use (struct mq_quota_share *share, uint64_t now)
 {
   uint64_t second = now / MS_PER_S;
 
@@ -66,9 +65,9 @@
 }
 
 static void
-note_use (struct mq_quota_share *share, uint64_t now)
+record_use (struct mq_quota_share *share, uint64_t now)
 {
-  turn_use (share, now);
+  advance_use (share, now);
   share->used[0]++;
 }
 
@@ -82,14 +81,15 @@
 uint64_t
 mq_quota_standing_burst (uint64_t rate)
 {
-  return PERMIT + rate * ALONE_SAVE_MS;
+  return PERMIT + rate * STANDING_BURST_MS;
 }
 
-/* The standing rate, from the moment at which the host is alone.  */
+/* Takes a permit under the standing rate.  Its bucket starts empty when the
+   host falls back to it.  */
 static bool
-take_alone (struct mq_quota_share *share, uint64_t now)
+take_standing (struct mq_quota_share *share, uint64_t now)
 {
-  uint64_t most = mq_quota_standing_burst (share->standing);
+  uint64_t burst = mq_quota_standing_burst (share->standing);
 
   if (share->standing == 0 || now >= share->standing_until_ms)
     return false;
@@ -101,8 +101,8 @@
     }
   share->level += share->standing * (now - share->level_ms);
   share->level_ms = now;
-  if (share->level > most)
-    share->level = most;
+  if (share->level > burst)
+    share->level = burst;
   if (share->level < PERMIT)
     return false;
   share->level -= PERMIT;
@@ -122,57 +122,57 @@
                       const struct mq_quota_contact *contact, bool begins,
                       uint64_t now_ms)
 {
-  struct mq_quota_batch *stock;
+  struct mq_quota_batch *batch;
 
-  drop_old (share, now_ms);
+  expire_batches (share, now_ms);
   if (mq_quota_is_exhausted (share, begins, now_ms))
     return MQ_QUOTA_EXCEEDED;
-  stock = oldest_stock (share);
-  if (stock != NULL)
+  batch = oldest_batch (share);
+  if (batch != NULL)
     {
-      stock->permits--;
-      note_use (share, now_ms);
+      batch->permits--;
+      record_use (share, now_ms);
       return MQ_QUOTA_GRANTED;
     }
   if (!mq_quota_issuer_unavailable (contact, now_ms))
     return MQ_QUOTA_ASK_ISSUER;
-  if (!take_alone (share, now_ms))
+  if (!take_standing (share, now_ms))
     return MQ_QUOTA_NO_ISSUER;
-  note_use (share, now_ms);
+  record_use (share, now_ms);
   return MQ_QUOTA_GRANTED;
 }
 
 static void
-add_stock (struct mq_quota_share *share, uint32_t permits, uint64_t until,
+add_batch (struct mq_quota_share *share, uint32_t permits, uint64_t until,
            uint64_t now)
 {
-  struct mq_quota_batch *to = &share->stocks[0];
+  struct mq_quota_batch *to = &share->batches[0];
 
   if (permits == 0)
     return;
   for (size_t i = 1; i < MQ_QUOTA_BATCHES; i++)
-    if (share->stocks[i].until_ms < to->until_ms)
-      to = &share->stocks[i];
-  /* Nothing may be kept longer than it was meant to.  */
-  note_unused (share, to->permits, now);
+    if (share->batches[i].until_ms < to->until_ms)
+      to = &share->batches[i];
+  /* Permits of the replaced batch must not outlive their TTL.  */
+  record_unused (share, to->permits, now);
   *to = (struct mq_quota_batch){ permits, until };
 }
 
 static uint32_t
-ahead_of (struct mq_quota_share *share, uint64_t now)
+permits_to_prefetch (struct mq_quota_share *share, uint64_t now)
 {
-  uint32_t at_hand = 0;
+  uint32_t available = 0;
   uint32_t use;
   uint32_t wanted;
 
-  turn_use (share, now);
+  advance_use (share, now);
   use = share->used[1] > share->used[0] ? share->used[1] : share->used[0];
-  if (use < AHEAD_LEAST_USE)
+  if (use < PREFETCH_MIN_USE)
     return 0;
   wanted = use * MQ_QUOTA_PREFETCH_TTL_MS / MS_PER_S;
   for (size_t i = 0; i < MQ_QUOTA_BATCHES; i++)
-    at_hand += share->stocks[i].permits;
-  return wanted > at_hand ? wanted - at_hand : 0;
+    available += share->batches[i].permits;
+  return wanted > available ? wanted - available : 0;
 }
 
 struct mq_quota_request
@@ -188,9 +188,9 @@
                                    .holds = share->standing,
                                    .heard_ms = contact->told_ms };
 
-  drop_old (share, now_ms);
-  want.ahead = ahead_of (share, now_ms);
-  if (now_ms - share->unused_ms < GIVE_BACK_MS)
+  expire_batches (share, now_ms);
+  want.ahead = permits_to_prefetch (share, now_ms);
+  if (now_ms - share->unused_ms < RETURN_MAX_MS)
     want.unused = share->unused;
   share->unused = 0;
   share->surrendered = 0;
@@ -212,7 +212,7 @@
   return true;
 }
 
-/* An issuer that does not know what was lent may give it out again.  */
+/* A new run of the issuer does not know this rate and may lend it again.  */
 void
 mq_quota_surrender (struct mq_quota_share *share, uint64_t server,
                     uint64_t now_ms)
@@ -227,32 +227,32 @@
 }
 
 static void
-note_refused (struct mq_quota_share *share, uint32_t retry_ms,
-              bool begins_alone, uint64_t now)
+record_refusal (struct mq_quota_share *share, uint32_t retry_ms,
+                bool begins_only, uint64_t now)
 {
-  uint32_t wait = retry_ms < NONE_MOST_MS ? retry_ms : NONE_MOST_MS;
+  uint32_t wait = retry_ms < EXHAUSTED_MAX_MS ? retry_ms : EXHAUSTED_MAX_MS;
 
   share->begin_refused_until_ms = now + wait;
-  if (!begins_alone)
+  if (!begins_only)
     share->exhausted_until_ms = now + wait;
 }
 
 void
 mq_quota_apply_grant (struct mq_quota_share *share,
-                      const struct mq_quota_grant *gift, uint64_t server,
+                      const struct mq_quota_grant *grant, uint64_t server,
                       uint64_t asked_ms, uint64_t now_ms)
 {
-  if (gift->unknown)
+  if (grant->unknown)
     return;
   mq_quota_surrender (share, server, now_ms);
   share->on_standing_rate = false;
-  share->standing = gift->standing;
-  share->standing_until_ms = asked_ms + gift->standing_ms;
-  add_stock (share, gift->ahead, asked_ms + MQ_QUOTA_PREFETCH_TTL_MS, now_ms);
-  for (uint32_t i = 0; i < gift->need + gift->begins; i++)
-    note_use (share, now_ms);
-  if (gift->retry_ms > 0)
-    note_refused (share, gift->retry_ms, !gift->empty, now_ms);
+  share->standing = grant->standing;
+  share->standing_until_ms = asked_ms + grant->standing_ms;
+  add_batch (share, grant->ahead, asked_ms + MQ_QUOTA_PREFETCH_TTL_MS, now_ms);
+  for (uint32_t i = 0; i < grant->need + grant->begins; i++)
+    record_use (share, now_ms);
+  if (grant->retry_ms > 0)
+    record_refusal (share, grant->retry_ms, !grant->empty, now_ms);
 }
 
 uint32_t
@@ -262,7 +262,7 @@
   uint64_t until
       = begins ? share->begin_refused_until_ms : share->exhausted_until_ms;
 
-  if (until < now_ms + RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
+  if (until < now_ms + RETRY_MIN_MS)
+    return RETRY_MIN_MS;
   return (uint32_t)(until - now_ms);
 }
--- a/src/core/router/admission.c
+++ b/src/core/router/admission.c
@@ -1,4 +1,4 @@
-/* admission.c - whether a program that begins is taken on.
+/* admission.c - admission control for new programs.
 
    Needs: admission.h, id.h, idmap.h, memory.h.  */
 
@@ -7,39 +7,33 @@
 #include "../idmap.h"
 #include "../memory.h"
 
-/* Loads between which programs of the most urgent route are refused, none
-   below the first, all above the second.  The first leaves a short queue, so
-   that no worker is idle while another program is refused.  */
-#define LOAD_FIRST 1050U
-#define LOAD_LAST 1650U
-/* Both lie so much lower for each step that a route is less urgent, down to
-   LOAD_STEPS.  */
-#define LOAD_STEP 100U
-#define LOAD_STEPS 2U
-/* Loads below this leave room for programs that will be late; from here on
-   every worker has all that it can run.  */
-#define LOAD_ROOM 1000U
-/* The load that counts falls no faster than this a second.
-
-   Failure: the load that each host sees varies; in a moment with less a
-   program that was refused gets in late, in place of one that could still be
-   in time.  */
+/* On the highest-priority route, programs are rejected in increasing numbers
+   from REJECT_LOAD_MIN, all of them from REJECT_LOAD_MAX.  The minimum leaves
+   a short queue, so that no worker idles while programs are rejected.  */
+#define REJECT_LOAD_MIN 1050U
+#define REJECT_LOAD_MAX 1650U
+/* Both bounds drop by this much per priority level, up to PRIORITY_LEVELS.  */
+#define LOAD_PER_PRIORITY 100U
+#define PRIORITY_LEVELS 2U
+/* From this load on no worker has a free slot, and programs short of time are
+   rejected.  */
+#define LOAD_FULL 1000U
+/* Fastest fall of the smoothed load.  Guards against admitting programs that
+   retry late during a short dip in the observed load.  */
 #define LOAD_FALL_PER_S 80U
-/* A program is late if it has less than this part of the time for each token
-   of its budget that programs of its route usually have, percent.  It would
-   end late beside short queues already, and take the place of one that would
-   not.  */
+/* A program is short of time if its time per token of budget is below this
+   percentage of its route's mean.  */
 #define LATE_PERCENT 75U
-/* The usual time is a mean over so many programs.  */
-#define USUAL_PROGRAMS 32
-/* Time is compared in thousandths of a millisecond for each token.  */
+/* Number of programs in the mean.  */
+#define MEAN_PROGRAMS 32
+/* Time per token is in thousandths of a millisecond.  */
 #define TIME_UNIT 1000U
-#define RETRY_LEAST_MS 300U
-#define RETRY_MOST_MS 4000U
-#define HASH_PARTS 1000U
+#define RETRY_MIN_MS 300U
+#define RETRY_MAX_MS 4000U
+#define HASH_RANGE 1000U
 #define MS_PER_S 1000U
 
-/* Which of the two tables of names.  */
+/* Key spaces of struct mq_admission names.  */
 enum
 {
   SERVICES,
@@ -47,9 +41,8 @@
 };
 
 /**
- * struct level - the load of a service that still counts
- * @load: when it was told
- * @set_ms: when that was
+ * struct level - smoothed load of a service
+ * @load: load at @set_ms
  */
 struct level
 {
@@ -58,20 +51,19 @@
 };
 
 /**
- * struct usual - what programs of a route begin with
- * @time: for each token of their budget, in TIME_UNITs
- * @count: programs that it is a mean of
+ * struct mean_time - mean time per token of programs that begin on a route
+ * @time: milliseconds per token of budget times TIME_UNIT
+ * @count: number of programs in the mean
  */
-struct usual
+struct mean_time
 {
   uint64_t time;
   int count;
 };
 
 /**
- * struct mq_admission - what was seen of services and routes
- * @names: of both; a service's row is a struct level, a route's a struct
- *         usual
+ * struct mq_admission - observed state of services and routes
+ * @names: struct level by service and struct mean_time by route
  */
 struct mq_admission
 {
@@ -97,7 +89,7 @@
   talloc_free (admission);
 }
 
-/* Row of NAME, made if need be, all zero then.  */
+/* Returns the row of NAME; a new row is zeroed.  */
 static void *
 find_row (struct mq_admission *admission, const char *name, uint32_t table,
           size_t size)
@@ -113,104 +105,105 @@
   return row;
 }
 
-/* The load that counts: as it is, or what is left of the highest one.  What is
-   beyond the last bound makes no difference while it lasts, and would after.
-   */
+/* Updates the smoothed load, which rises at once and falls at LOAD_FALL_PER_S.
+   It is capped at REJECT_LOAD_MAX, so that a spike does not prolong
+   rejections.  */
 static uint32_t
-raise_level (struct mq_admission *admission,
-             const struct mq_admission_request *ask)
+smoothed_load (struct mq_admission *admission,
+               const struct mq_admission_request *request)
 {
-  uint32_t load = ask->load < LOAD_LAST ? ask->load : LOAD_LAST;
+  uint32_t load
+      = request->load < REJECT_LOAD_MAX ? request->load : REJECT_LOAD_MAX;
   struct level *level
-      = find_row (admission, ask->service, SERVICES, sizeof *level);
-  uint64_t fall = (ask->now_ms - level->set_ms) * LOAD_FALL_PER_S / MS_PER_S;
+      = find_row (admission, request->service, SERVICES, sizeof *level);
+  uint64_t fall
+      = (request->now_ms - level->set_ms) * LOAD_FALL_PER_S / MS_PER_S;
   uint32_t held = level->load > fall ? level->load - (uint32_t)fall : 0;
 
   if (load < held)
     return held;
-  *level = (struct level){ load, ask->now_ms };
+  *level = (struct level){ load, request->now_ms };
   return load;
 }
 
-/* Load at which this program is refused.  */
+/* Load at which this program is rejected.  */
 static uint32_t
-bound_of (const struct mq_admission_request *ask)
+reject_load (const struct mq_admission_request *request)
 {
-  uint32_t steps = ask->priority < LOAD_STEPS ? ask->priority : LOAD_STEPS;
-  uint32_t part = (uint32_t)(ask->program % HASH_PARTS);
+  uint32_t steps = request->priority < PRIORITY_LEVELS ? request->priority
+                                                       : PRIORITY_LEVELS;
+  uint32_t part = (uint32_t)(request->program % HASH_RANGE);
 
-  return LOAD_FIRST - steps * LOAD_STEP
-         + (LOAD_LAST - LOAD_FIRST) * part / HASH_PARTS;
+  return REJECT_LOAD_MIN - steps * LOAD_PER_PRIORITY
+         + (REJECT_LOAD_MAX - REJECT_LOAD_MIN) * part / HASH_RANGE;
 }
 
-/* Time that the program has for each token of its budget, which tells how long
-   it is, 0: not told.  */
+/* Time per token of the budget, in TIME_UNITs; 0 if unknown.  */
 static uint64_t
-time_of (const struct mq_admission_request *ask)
+time_per_token (const struct mq_admission_request *request)
 {
-  if (!ask->has_remaining || ask->budget == 0)
+  if (!request->has_remaining || request->budget == 0)
     return 0;
-  return (uint64_t)ask->remaining_ms * TIME_UNIT / ask->budget + 1;
+  return (uint64_t)request->remaining_ms * TIME_UNIT / request->budget + 1;
 }
 
-/* Learns how much time programs of a route begin with.  Loops have tiny
-   budgets, so that no single program counts for more than twice the usual.  */
+/* Updates the mean time of a route.  Each sample is capped at twice the mean,
+   so that programs with tiny budgets do not distort it.  */
 static void
-learn_usual (struct usual *usual, uint64_t time)
+update_mean (struct mean_time *mean, uint64_t time)
 {
-  int64_t most = (int64_t)usual->time * 2;
+  int64_t max = (int64_t)mean->time * 2;
   int64_t seen = (int64_t)time;
 
-  if (usual->count < USUAL_PROGRAMS)
-    usual->count++;
-  if (usual->count > 1 && seen > most)
-    seen = most;
-  usual->time = (uint64_t)((int64_t)usual->time
-                           + (seen - (int64_t)usual->time) / usual->count);
+  if (mean->count < MEAN_PROGRAMS)
+    mean->count++;
+  if (mean->count > 1 && seen > max)
+    seen = max;
+  mean->time = (uint64_t)((int64_t)mean->time
+                          + (seen - (int64_t)mean->time) / mean->count);
 }
 
-/* The program has lost much of the time that those of its route begin with:
-   it was refused before.  What programs usually have shows while none is
-   refused.  */
+/* Whether the program has much less time than others on its route, as after
+   an earlier rejection.  The mean is only updated while none is rejected.  */
 static bool
-is_late (struct mq_admission *admission,
-         const struct mq_admission_request *ask, uint32_t level)
+is_short_of_time (struct mq_admission *admission,
+                  const struct mq_admission_request *request, uint32_t level)
 {
-  struct usual *usual
-      = find_row (admission, ask->route, ROUTES, sizeof *usual);
-  uint64_t time = time_of (ask);
+  struct mean_time *mean
+      = find_row (admission, request->route, ROUTES, sizeof *mean);
+  uint64_t time = time_per_token (request);
 
   if (time == 0)
     return false;
-  if (level < LOAD_ROOM || usual->count == 0)
-    learn_usual (usual, time);
-  return time * 100U < usual->time * LATE_PERCENT;
+  if (level < LOAD_FULL || mean->count == 0)
+    update_mean (mean, time);
+  return time * 100U < mean->time * LATE_PERCENT;
 }
 
-/* Time until the load that counts has fallen from LEVEL to BOUND.  */
+/* Time until the smoothed load falls from LEVEL to BOUND.  */
 static uint32_t
-time_to_fall (uint32_t level, uint32_t bound)
+retry_delay (uint32_t level, uint32_t bound)
 {
   uint64_t wait = (uint64_t)(level - bound) * MS_PER_S / LOAD_FALL_PER_S;
 
-  if (wait < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return wait > RETRY_MOST_MS ? RETRY_MOST_MS : (uint32_t)wait;
+  if (wait < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return wait > RETRY_MAX_MS ? RETRY_MAX_MS : (uint32_t)wait;
 }
 
 enum mq_admission_decision
 mq_admission_decide (struct mq_admission *admission,
-                     const struct mq_admission_request *ask,
+                     const struct mq_admission_request *request,
                      uint32_t *retry_ms)
 {
-  uint32_t held = raise_level (admission, ask);
-  uint32_t level = ask->record_load > held ? ask->record_load : held;
-  bool late = is_late (admission, ask, level);
-  uint32_t bound = late ? LOAD_ROOM : bound_of (ask);
+  uint32_t held = smoothed_load (admission, request);
+  uint32_t level = request->record_load > held ? request->record_load : held;
+  bool late = is_short_of_time (admission, request, level);
+  uint32_t bound = late ? LOAD_FULL : reject_load (request);
 
   *retry_ms = 0;
   if (level < bound)
     return MQ_ADMISSION_ACCEPTED;
-  *retry_ms = time_to_fall (level, bound);
+  *retry_ms = retry_delay (level, bound);
   return late ? MQ_ADMISSION_TOO_LATE : MQ_ADMISSION_OVERLOADED;
 }
--- a/src/core/router/admission.h
+++ b/src/core/router/admission.h
@@ -1,16 +1,14 @@
-/* admission.h - whether a program that begins is taken on, by how loaded the
-   workers of its service are.
+/* admission.h - admission control for new programs.
 
-   The load: far more programs begin than the workers can serve in time.  Taken
-   on all alike they wait for each other: histories are pushed out of the
-   engines' memory and read again, and every program is late in place of some
-   of them.  So a program is refused at its first turn, at once, while workers
-   have more than they run side by side; what has begun goes on.
+   Guards against overload: if more programs begin than the workers can serve
+   in time, they evict each other's cached prompts and all of them miss their
+   deadlines.  While the load of a service is above its capacity, programs are
+   rejected at their first turn.  Programs that have begun continue.
 
-   A program's share of the refusals is fixed by a hash of its id, so that all
-   hosts refuse the same ones without asking each other.  One that is refused
-   and comes back does not take the place of one that has all its time left.
-   Pure: time is given.
+   The load at which a program is rejected depends on a hash of its id, so that
+   all hosts reject the same programs without coordination.  A program that
+   retries after a rejection does not displace one that has its full time left.
+   Pure: callers pass the time.
    Needs: types.h.  */
 
 #ifndef MQ_ADMISSION_H
@@ -20,25 +18,22 @@
 
 struct mq_admission;
 
-/* Load of a service whose workers run all that they can side by side, and
-   keep nothing waiting.  */
+/* Load of a service whose workers have all slots in use and no queue.  */
 #define MQ_ADMISSION_LOAD_FULL 1000U
 
 /**
  * struct mq_admission_request - a program that begins
- * @service: workers that it needs
- * @route: by which it came; programs of a route are compared with each other
- * @priority: of the route, 0 is the most urgent
- * @program: a hash of its id
- * @load: of the service, in thousandths of what its workers can do in time; 0:
- *        not known
- * @record_load: of the table that keeps the program's turns, likewise; it
- *               counts as it is, since one that comes back from an outage has
- *               no queue a second later
- * @has_remaining: @remaining_ms was told
- * @remaining_ms: time until the program should be finished
- * @budget: tokens that its turns may generate, 0: not told
- * @now_ms: steady clock
+ * @route: route of the request; programs are compared with others on the same
+ *         route
+ * @priority: priority of the route, 0 is the highest
+ * @program: hash of the program's id
+ * @load: load of the service in thousandths of its capacity, 0 if unknown
+ * @record_load: load of the table that stores turns, same unit; used without
+ *               smoothing
+ * @has_remaining: whether @remaining_ms is known
+ * @remaining_ms: time until the program's deadline
+ * @budget: tokens that its turns may generate, 0 if unknown
+ * @now_ms: monotonic clock
  */
 struct mq_admission_request
 {
@@ -57,18 +52,18 @@
 enum mq_admission_decision
 {
   MQ_ADMISSION_ACCEPTED,
-  MQ_ADMISSION_OVERLOADED, /* the workers have too much */
-  MQ_ADMISSION_TOO_LATE    /* and it has lost too much of its time */
+  MQ_ADMISSION_OVERLOADED, /* the load is too high */
+  MQ_ADMISSION_TOO_LATE    /* too little time is left at this load */
 };
 
-/* NULL when memory is out.  */
+/* Returns NULL if out of memory.  */
 struct mq_admission *mq_admission_create (TALLOC_CTX *ctx);
 void mq_admission_destroy (struct mq_admission *admission);
-/* Whether the program may begin.  If not, *RETRY_MS is when it may be worth
-   to come back, milliseconds.  */
+/* Decides whether a program may begin.  If not, *RETRY_MS is the delay after
+   which a retry may be admitted.  */
 enum mq_admission_decision
 mq_admission_decide (struct mq_admission *admission,
-                     const struct mq_admission_request *ask,
+                     const struct mq_admission_request *request,
                      uint32_t *retry_ms);
 
 #endif
