--- a/src/core/router/budget.c
+++ b/src/core/router/budget.c
@@ -1,4 +1,4 @@
-/* budget.c - what a program may still generate, agreed among entry hosts.
+/* budget.c - token budgets of programs, enforced across entry hosts.
 
    Needs: budget.h, proto/turn.pb-c.h.  */
 
@@ -7,7 +7,7 @@
 #include <string.h>
 
 static uint64_t
-counted (const struct mq_budget_record *record)
+recorded_total (const struct mq_budget_record *record)
 {
   uint64_t total = record->spent;
 
@@ -32,9 +32,8 @@
   record->grants[index] = record->grants[record->grant_count];
 }
 
-/* Sets the grant of HOLDER.  Where the record has no room for another
-   holder, the first one's grant is settled as spent: that costs tokens, never
-   the bound.  */
+/* Sets the grant of HOLDER.  If the record is full, the first grant is counted
+   as spent, which keeps the limit.  */
 static void
 set_grant (struct mq_budget_record *record, uint64_t holder, uint64_t tokens)
 {
@@ -57,27 +56,27 @@
       = (struct mq_budget_grant){ holder, tokens };
 }
 
-/* Tokens that a turn could have at once.  */
+/* Tokens available to a new turn.  */
 static uint64_t
-at_hand (const struct mq_budget *budget)
+available (const struct mq_budget *budget)
 {
   return budget->held + budget->ungranted - budget->reserved;
 }
 
-/* Tokens that the record could still grant.  */
+/* Tokens that a new record could still grant.  */
 static uint64_t
-room (const struct mq_budget *budget, uint64_t limit)
+grantable (const struct mq_budget *budget, uint64_t limit)
 {
-  uint64_t taken = counted (&budget->record) + budget->issued;
+  uint64_t taken = recorded_total (&budget->record) + budget->issued;
 
   return taken < limit ? limit - taken : 0;
 }
 
-/* Issued tokens that nobody needs any more were never handed out.  */
+/* Cancels issued tokens that are neither used nor reserved.  */
 static void
 cancel_issued (struct mq_budget *budget)
 {
-  uint64_t free = at_hand (budget);
+  uint64_t free = available (budget);
   uint64_t cancelled = budget->issued;
 
   if (cancelled > budget->ungranted)
@@ -88,11 +87,11 @@
   budget->issued -= cancelled;
 }
 
-/* The record with what we have handed out settled, what we have issued
-   counted, and our grant raised by EXTRA.  */
+/* Builds the next record: counts this host's used and issued tokens as spent
+   and raises its grant by EXTRA.  */
 static void
-make_next (struct mq_budget *budget, uint64_t holder, uint64_t limit,
-           uint64_t extra, struct mq_budget_record *next)
+build_next (struct mq_budget *budget, uint64_t holder, uint64_t limit,
+            uint64_t extra, struct mq_budget_record *next)
 {
   uint64_t granted = grant_of (&budget->record, holder);
 
@@ -104,11 +103,11 @@
   set_grant (next, holder, budget->held + extra);
 }
 
-/* What is settled and what we handed out never becomes less, whatever others
-   give back.  */
+/* Whether spent tokens and this host's use, which no other host can return,
+   exhaust the budget.  */
 static bool
-is_proven (const struct mq_budget *budget, uint64_t holder, uint64_t limit,
-           uint64_t most)
+is_exhausted (const struct mq_budget *budget, uint64_t holder, uint64_t limit,
+              uint64_t most)
 {
   uint64_t used = grant_of (&budget->record, holder) - budget->held;
 
@@ -122,8 +121,7 @@
   return tokens;
 }
 
-/* Tokens that a host has at hand for turns of MOST after a write that could
-   grant SPACE more.  */
+/* Size of a grant for turns of MOST when SPACE tokens can be granted.  */
 static uint64_t
 grant_size (uint64_t most, uint64_t space)
 {
@@ -138,8 +136,8 @@
 mq_budget_reserve (struct mq_budget *budget, uint64_t holder, uint64_t limit,
                    uint64_t most, struct mq_budget_record *next)
 {
-  uint64_t unused = at_hand (budget);
-  uint64_t space = room (budget, limit);
+  uint64_t unused = available (budget);
+  uint64_t space = grantable (budget, limit);
   uint64_t extra;
 
   if (unused >= most)
@@ -151,21 +149,21 @@
     {
       if (!budget->known)
         return MQ_BUDGET_READ;
-      return is_proven (budget, holder, limit, most) ? MQ_BUDGET_EXHAUSTED
-                                                     : MQ_BUDGET_UNCERTAIN;
+      return is_exhausted (budget, holder, limit, most) ? MQ_BUDGET_EXHAUSTED
+                                                        : MQ_BUDGET_UNCERTAIN;
     }
   extra = grant_size (most, space) - unused;
   if (extra > space)
     extra = most - unused;
   cancel_issued (budget);
-  make_next (budget, holder, limit, extra, next);
+  build_next (budget, holder, limit, extra, next);
   return MQ_BUDGET_WRITE;
 }
 
 uint64_t
 mq_budget_reserve_local (struct mq_budget *budget, uint64_t most)
 {
-  uint64_t unused = at_hand (budget);
+  uint64_t unused = available (budget);
 
   if (unused == 0 || unused * MQ_BUDGET_MIN_GRANT_DIVISOR < most)
     return 0;
@@ -180,7 +178,7 @@
   uint64_t before = grant_of (&budget->record, holder);
   uint64_t used = before - budget->held;
 
-  /* Turns may have settled tokens while the record was on its way.  */
+  /* Turns may have ended while the write was in progress.  */
   budget->held = grant_of (record, holder) - (used - budget->settling);
   budget->issued -= budget->recording;
   budget->recording = 0;
@@ -190,7 +188,7 @@
 }
 
 static void
-bound_reserved (struct mq_budget *budget)
+cap_reserved (struct mq_budget *budget)
 {
   if (budget->reserved > budget->held + budget->ungranted)
     budget->reserved = budget->held + budget->ungranted;
@@ -209,17 +207,16 @@
     memset (&budget->record, 0, sizeof budget->record);
   else
     budget->record = *record;
-  /* A grant that we asked for and gave up on may have come about since; its
-     tokens were never handed out.  One that is gone was taken away.  */
+  /* A larger grant comes from a write that timed out but was applied; its
+     tokens are unused.  A smaller one was counted as spent by another host. */
   if (theirs >= ours)
     budget->held += theirs - ours;
   else if (budget->held > theirs)
     budget->held = theirs;
-  bound_reserved (budget);
+  cap_reserved (budget);
 }
 
-/* Tokens beside the grant go first: they can't be kept for the next turn
-   without a cost to another host.  */
+/* Uses tokens outside the grant first, as other hosts may need them.  */
 void
 mq_budget_settle (struct mq_budget *budget, uint64_t granted, uint64_t used)
 {
@@ -229,13 +226,13 @@
   budget->reserved -= granted < budget->reserved ? granted : budget->reserved;
   budget->ungranted -= ungranted;
   budget->held -= rest < budget->held ? rest : budget->held;
-  bound_reserved (budget);
+  cap_reserved (budget);
 }
 
 uint64_t
 mq_budget_lend (struct mq_budget *budget, uint64_t want)
 {
-  uint64_t free = at_hand (budget);
+  uint64_t free = available (budget);
   uint64_t given = want < free ? want : free;
   uint64_t ungranted = given < budget->ungranted ? given : budget->ungranted;
 
@@ -254,7 +251,7 @@
 uint64_t
 mq_budget_return_loan (struct mq_budget *budget)
 {
-  uint64_t free = at_hand (budget);
+  uint64_t free = available (budget);
   uint64_t given = free < budget->ungranted ? free : budget->ungranted;
 
   budget->ungranted -= given;
@@ -273,13 +270,13 @@
 bool
 mq_budget_is_overdrawn (const struct mq_budget *budget, uint64_t limit)
 {
-  return budget->known && counted (&budget->record) > limit;
+  return budget->known && recorded_total (&budget->record) > limit;
 }
 
 bool
 mq_budget_can_reserve (const struct mq_budget *budget, uint64_t most)
 {
-  return at_hand (budget) >= most;
+  return available (budget) >= most;
 }
 
 bool
@@ -310,9 +307,9 @@
   uint64_t granted = grant_of (&budget->record, holder);
 
   if (budget->reserved > 0 || budget->held == 0 || granted == 0
-      || room (budget, limit) >= most)
+      || grantable (budget, limit) >= most)
     return false;
-  make_next (budget, holder, limit, 0, next);
+  build_next (budget, holder, limit, 0, next);
   set_grant (next, holder, 0);
   budget->held = 0;
   budget->settling = granted;
@@ -326,7 +323,7 @@
   cancel_issued (budget);
   if (budget->issued == 0)
     return false;
-  make_next (budget, holder, limit, 0, next);
+  build_next (budget, holder, limit, 0, next);
   return true;
 }
 
--- a/src/core/router/budget.h
+++ b/src/core/router/budget.h
@@ -1,17 +1,16 @@
-/* budget.h - what a program may still generate, agreed among entry hosts.
+/* budget.h - token budgets of programs, enforced across entry hosts.
 
-   A program has one record in the platform's table, changed only under a
-   condition on its version.  It holds what has been settled and one grant
-   for each host that serves its turns: tokens that the host may hand out
-   without asking again.  Settled tokens and grants never exceed the limit, so
-   that no two hosts can overspend together; a host that dies leaves its grant
-   spent.
+   Each program has one record in the platform's table, updated by
+   compare-and-set on its version.  It holds the tokens spent and one grant for
+   each host that serves the program: tokens that the host may generate without
+   another write.  Spent tokens and grants never exceed the limit.  The grant
+   of a host that fails counts as spent.
 
-   The bound on what a program hands out is its limit and the most of one
-   turn.  That one turn is kept for a table that is away: one host, which holds
-   the lease on the program (reserve.h), may then issue so many tokens that no
-   record counts yet.  Hosts lend each other what they hold and don't use; a
-   loan leaves one host before it arrives at another, so a lost one is spent.
+   A program generates at most its limit plus the maximum of one turn.  The
+   extra turn covers table outages: the host that holds the program's lease
+   (reserve.h) may issue that many tokens before a record counts them.  Hosts
+   lend each other unused tokens.  The lender deducts a loan before it sends
+   it, so a lost loan counts as spent.
    Pure.
    Needs: types.h, store.h.  */
 
@@ -20,20 +19,17 @@
 
 #include "../store.h"
 
-/* Hosts whose grants a record holds; the grants of more are settled as spent.
- */
+/* Maximum number of grants in a record; a further one replaces the first,
+   which then counts as spent.  */
 #define MQ_BUDGET_HOLDERS_MAX 16U
-/* Turns at their most that a host asks for at a time.  Most turns take a part
-   of it, so that one write serves several.  */
+/* Size of a grant in maximum turns.  Most turns use less than their maximum,
+   so one write serves several turns.  */
 #define MQ_BUDGET_GRANT_TURNS 2U
-/* But no more than this part of what is left, or one turn.  Failure: two hosts
-   take two turns each of a program whose limit holds four, both are lost, and
-   its next turn is told that the budget is spent.  */
+/* A grant takes at most the remaining budget divided by this, but at least one
+   turn.  Guards against a few failed hosts exhausting a small budget.  */
 #define MQ_BUDGET_GRANT_DIVISOR 3U
-/* Without the table a turn begins with this part of its most, where there is
-   no more, and breaks off when it needs more than that.  Most turns
-   need less than that; with a larger part a caller's third try in an outage
-   finds too little left.  */
+/* During a table outage a turn may begin with its maximum divided by this, and
+   is aborted if it needs more than it was granted.  */
 #define MQ_BUDGET_MIN_GRANT_DIVISOR 4U
 
 struct mq_budget_grant
@@ -43,13 +39,12 @@
 };
 
 /**
- * struct mq_budget_record - the record of one program
+ * struct mq_budget_record - budget record of one program
  * @limit: tokens that all its turns may generate
- * @spent: tokens that are settled
- * @grants: tokens that hosts may hand out
- * @grant_count: how many
- * @until_s: the record is kept until then by the table's clock, 0: not told
- * @home: names the worker that has the program's cache (fleet.h), 0: not told
+ * @spent: tokens counted as generated
+ * @grants: tokens that hosts may generate
+ * @until_s: expiry of the record by the table's clock, 0 if unknown
+ * @home: worker with the program's cache (mq_fleet_choose_home), 0 if unknown
  */
 struct mq_budget_record
 {
@@ -62,17 +57,17 @@
 };
 
 /**
- * struct mq_budget - what one host knows of a program
- * @record: as of @version
- * @version: of the record in the table, 0: no record as far as is known
- * @known: the record was read or written by this host
- * @held: tokens of our grant that are not yet used up
- * @ungranted: tokens at hand beside the grant: borrowed, issued or come back
- * @reserved: of @held and @ungranted, kept for turns that run
- * @lent: tokens at other hosts that may come back
- * @issued: tokens that no record counts yet
- * @settling: tokens of our grant that the record made last has as spent
- * @recording: of @issued, in that record
+ * struct mq_budget - a host's state of a program's budget
+ * @record: last known record
+ * @version: version of @record in the table, 0 if there is none
+ * @known: this host has read or written the record
+ * @held: unused tokens of this host's grant
+ * @ungranted: available tokens outside the grant: borrowed, issued or returned
+ * @reserved: tokens of @held and @ungranted reserved for running turns
+ * @lent: tokens lent to other hosts
+ * @issued: tokens issued that no record counts yet
+ * @settling: tokens of the grant counted as spent in the pending record
+ * @recording: tokens of @issued counted in the pending record
  */
 struct mq_budget
 {
@@ -90,73 +85,73 @@
 
 enum mq_budget_decision
 {
-  MQ_BUDGET_RESERVED,  /* the turn's tokens are reserved */
-  MQ_BUDGET_WRITE,     /* write the record that was made, then ask again */
-  MQ_BUDGET_READ,      /* read the record, then ask again */
-  MQ_BUDGET_UNCERTAIN, /* no room as far as we know: others may give some back
-                        */
-  MQ_BUDGET_EXHAUSTED  /* tokens that were handed out fill the budget for good
-                        */
+  MQ_BUDGET_RESERVED,  /* tokens are reserved, the turn may begin */
+  MQ_BUDGET_WRITE,     /* write the new record, then retry */
+  MQ_BUDGET_READ,      /* read the record, then retry */
+  MQ_BUDGET_UNCERTAIN, /* no tokens left, but others may return some */
+  MQ_BUDGET_EXHAUSTED  /* the budget is spent */
 };
 
-/* A host's grant is named by a number of its own for each time that it begins
-   to serve a program: a grant that it has forgotten stays spent.
+/* Reserves MOST tokens for a turn of a program with LIMIT.  With
+   MQ_BUDGET_WRITE, *NEXT is the record to write if the table still has
+   BUDGET's version.
 
-   Asks for a turn of MOST tokens of a program with LIMIT.  With READY,
-   *GRANTED are reserved, which may be less than MOST; with WRITE, *NEXT is the
-   record to be written under the condition of BUDGET's version.  */
+   HOLDER identifies the host's grant.  It is new each time the host starts to
+   serve a program, so that a grant it has lost track of stays spent.  */
 enum mq_budget_decision mq_budget_reserve (struct mq_budget *budget,
                                            uint64_t holder, uint64_t limit,
                                            uint64_t most,
                                            struct mq_budget_record *next);
-/* The same without the table: what is at hand, MOST at the most, is reserved
-   and returned; 0 when it is too little.  */
+/* Reserves up to MOST available tokens without the table.  Returns the number
+   reserved, 0 if fewer than MOST / MQ_BUDGET_MIN_GRANT_DIVISOR are available.
+ */
 uint64_t mq_budget_reserve_local (struct mq_budget *budget, uint64_t most);
-/* The record was written as version VERSION.  */
+/* Records that the table accepted RECORD as VERSION.  */
 void mq_budget_record_written (struct mq_budget *budget, uint64_t holder,
                                const struct mq_budget_record *record,
                                uint64_t version);
-/* The record was read; VERSION 0: there is none.  */
+/* Records the row read from the table; VERSION is 0 if there is none.  */
 void mq_budget_record_read (struct mq_budget *budget, uint64_t holder,
                             const struct mq_budget_record *record,
                             uint64_t version);
-/* A turn with GRANTED tokens has ended and handed out USED.  */
+/* Ends a turn that had GRANTED tokens reserved and generated USED.  */
 void mq_budget_settle (struct mq_budget *budget, uint64_t granted,
                        uint64_t used);
 
-/* Loans.  Another host asks for WANT tokens: what it gets, 0 for none.  */
+/* Loans between hosts.  Returns how many of the WANT tokens are lent.  */
 uint64_t mq_budget_lend (struct mq_budget *budget, uint64_t want);
-/* A loan has arrived.  */
+/* Adds a loan received from another host.  */
 void mq_budget_receive_loan (struct mq_budget *budget, uint64_t tokens);
-/* What goes back to the lender, 0: nothing.  */
+/* Returns the number of unused tokens to send back to the lender.  */
 uint64_t mq_budget_return_loan (struct mq_budget *budget);
-/* It has come back.  */
+/* Adds tokens that a borrower sent back.  */
 void mq_budget_reclaim_loan (struct mq_budget *budget, uint64_t tokens);
-/* Issued tokens have been recorded beyond the limit: no more may be issued. */
+/* Whether the record exceeds the limit, so that no more tokens may be issued.
+ */
 bool mq_budget_is_overdrawn (const struct mq_budget *budget, uint64_t limit);
-/* A turn of MOST could begin with what is at hand.  */
+/* Whether MOST tokens are available for a turn.  */
 bool mq_budget_can_reserve (const struct mq_budget *budget, uint64_t most);
-/* Other hosts have grants, which they may not need any more.  */
+/* Whether other hosts have grants.  */
 bool mq_budget_has_other_grants (const struct mq_budget *budget,
                                  uint64_t holder);
-/* Issues tokens that no record counts, up to MOST with those that were issued
-   before; only the host that holds the lease on the program may.  Nothing
-   happens where the record is known to count more than the limit.  */
+/* Issues tokens that no record counts, up to a total of MOST.  The host must
+   hold the program's lease.  Does nothing if mq_budget_is_overdrawn.  */
 void mq_budget_issue_unrecorded (struct mq_budget *budget, uint64_t limit,
                                  uint64_t most);
-/* The record has no room for a turn of MOST but for our grant, which no turn
-   uses: *NEXT is the record without it, to be written at once.  Should that
-   fail, the tokens are lost.  */
+/* Releases this host's unused grant if the budget has no room for a turn of
+   MOST otherwise.  Returns true if *NEXT is to be written at once; if the
+   write fails, the tokens are lost.  */
 bool mq_budget_release (struct mq_budget *budget, uint64_t holder,
                         uint64_t limit, uint64_t most,
                         struct mq_budget_record *next);
-/* Tokens were issued that the record must count: *NEXT is that record.  */
+/* Returns true if issued tokens are not recorded yet; *NEXT is the record to
+   write.  */
 bool mq_budget_record_issued (struct mq_budget *budget, uint64_t holder,
                               uint64_t limit, struct mq_budget_record *next);
-/* Bytes of a record, below CTX; data is NULL when memory is out.  */
+/* Serializes RECORD, allocated under CTX; data is NULL if out of memory.  */
 struct mq_bytes mq_budget_pack (TALLOC_CTX *ctx,
                                 const struct mq_budget_record *record);
-/* False when the bytes are not a record.  */
+/* Returns false if BYTES is not a valid record.  */
 bool mq_budget_unpack (struct mq_bytes bytes, struct mq_budget_record *record);
 
 #endif
--- a/src/core/router/fleet.c
+++ b/src/core/router/fleet.c
@@ -1,5 +1,4 @@
-/* fleet.c - the table of workers: who is listed, since when, under which
-   handle.
+/* fleet.c - table of workers.
 
    Needs: fleet_state.h, id.h.  */
 
@@ -7,7 +6,7 @@
 #include "../id.h"
 #include <string.h>
 
-#define FIRST_SLOTS ((size_t)32)
+#define GROW_ENTRIES ((size_t)32)
 
 struct mq_fleet *
 mq_fleet_create (TALLOC_CTX *ctx)
@@ -32,10 +31,10 @@
 static struct fleet_entry *
 find_entry (const struct mq_fleet *fleet, const char *id)
 {
-  uintptr_t place = (uintptr_t)mq_idmap_find (
+  uintptr_t position = (uintptr_t)mq_idmap_find (
       fleet->by_id, mq_id_text_hash (id), FLEET_BY_ID);
 
-  return place == 0 ? NULL : &fleet->entries[place - 1];
+  return position == 0 ? NULL : &fleet->entries[position - 1];
 }
 
 static struct mq_id
@@ -47,10 +46,10 @@
 struct fleet_entry *
 fleet_find_hash (const struct mq_fleet *fleet, uint64_t hash)
 {
-  uintptr_t place = (uintptr_t)mq_idmap_find (fleet->by_id, hash_key (hash),
-                                              FLEET_BY_HASH);
+  uintptr_t position = (uintptr_t)mq_idmap_find (fleet->by_id, hash_key (hash),
+                                                 FLEET_BY_HASH);
 
-  return place == 0 ? NULL : &fleet->entries[place - 1];
+  return position == 0 ? NULL : &fleet->entries[position - 1];
 }
 
 static struct fleet_entry *
@@ -63,12 +62,12 @@
     if (!fleet->entries[fleet->free_from].used)
       return &fleet->entries[fleet->free_from];
   grown = talloc_realloc (fleet, fleet->entries, struct fleet_entry,
-                          count + FIRST_SLOTS);
+                          count + GROW_ENTRIES);
   if (grown == NULL)
     return NULL;
-  memset (grown + count, 0, FIRST_SLOTS * sizeof *grown);
+  memset (grown + count, 0, GROW_ENTRIES * sizeof *grown);
   fleet->entries = grown;
-  fleet->count = count + FIRST_SLOTS;
+  fleet->count = count + GROW_ENTRIES;
   return &fleet->entries[count];
 }
 
@@ -107,9 +106,9 @@
   return mq_hash_bytes (text, strlen (text), seed);
 }
 
-/* The same number for the same start of the same worker.  */
+/* Digest that identifies one start of a worker.  */
 static uint64_t
-start_digest (const struct mq_fleet_member *member)
+instance_digest (const struct mq_fleet_member *member)
 {
   uint64_t digest = text_digest (member->id, 0);
 
@@ -123,7 +122,7 @@
 add_entry (struct mq_fleet *fleet, const struct mq_fleet_member *member)
 {
   struct fleet_entry *entry = free_entry (fleet);
-  void *place;
+  void *position;
 
   if (entry == NULL)
     return false;
@@ -131,21 +130,21 @@
   if (!copy_member (fleet, &entry->member, member))
     return false;
   entry->hash = text_digest (member->id, 0);
-  entry->stamp = start_digest (member);
+  entry->instance = instance_digest (member);
   entry->used = true;
   entry->listed = true;
   entry->seen = true;
-  place = (void *)(uintptr_t)(entry - fleet->entries + 1);
+  position = (void *)(uintptr_t)(entry - fleet->entries + 1);
   mq_idmap_put (fleet->by_id, mq_id_text_hash (member->id), FLEET_BY_ID,
-                place);
-  mq_idmap_put (fleet->by_id, hash_key (entry->hash), FLEET_BY_HASH, place);
+                position);
+  mq_idmap_put (fleet->by_id, hash_key (entry->hash), FLEET_BY_HASH, position);
   return true;
 }
 
 void
 fleet_free_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry)
 {
-  size_t place = (size_t)(entry - fleet->entries);
+  size_t position = (size_t)(entry - fleet->entries);
 
   if (entry->listed || entry->own > 0)
     return;
@@ -157,11 +156,11 @@
     }
   free_strings (&entry->member);
   *entry = (struct fleet_entry){ .used = false };
-  if (place < fleet->free_from)
-    fleet->free_from = place;
+  if (position < fleet->free_from)
+    fleet->free_from = position;
 }
 
-/* What is told of a worker, beside what is known of it.  */
+/* Start of a received entry, compared with the known one.  */
 enum start
 {
   START_SAME,
@@ -171,15 +170,16 @@
 
 static enum start
 compare_start (const struct fleet_entry *entry,
-               const struct mq_fleet_member *told)
+               const struct mq_fleet_member *received)
 {
-  if (told->born_ms < entry->member.born_ms)
+  if (received->born_ms < entry->member.born_ms)
     return START_EARLIER;
-  return start_digest (told) == entry->stamp ? START_SAME : START_LATER;
+  return instance_digest (received) == entry->instance ? START_SAME
+                                                       : START_LATER;
 }
 
 static void
-take_changes (struct fleet_entry *entry, const struct mq_fleet_member *member)
+update_entry (struct fleet_entry *entry, const struct mq_fleet_member *member)
 {
   entry->member.leaving = member->leaving;
   entry->member.slots = member->slots;
@@ -188,7 +188,7 @@
   entry->removal_ms = 0;
 }
 
-/* Requests under way keep the handle of the former start until they end.  */
+/* Requests in progress keep the handle of the previous start.  */
 static bool
 replace_entry (struct mq_fleet *fleet, struct fleet_entry *entry,
                const struct mq_fleet_member *member)
@@ -220,7 +220,7 @@
   else if (start == START_LATER)
     known = replace_entry (fleet, entry, member);
   else if (start == START_SAME)
-    take_changes (entry, member);
+    update_entry (entry, member);
   else
     {
       entry->seen = true;
@@ -240,7 +240,8 @@
 }
 
 static void
-lapse (struct mq_fleet *fleet, struct fleet_entry *entry, uint64_t until_ms)
+schedule_removal (struct mq_fleet *fleet, struct fleet_entry *entry,
+                  uint64_t until_ms)
 {
   if (until_ms == 0)
     {
@@ -258,7 +259,7 @@
 
   if (entry == NULL || !entry->listed)
     return false;
-  lapse (fleet, entry, until_ms);
+  schedule_removal (fleet, entry, until_ms);
   return true;
 }
 
@@ -270,7 +271,7 @@
       struct fleet_entry *entry = &fleet->entries[i];
 
       if (entry->used && entry->removal_ms != 0 && entry->removal_ms <= now_ms)
-        lapse (fleet, entry, 0);
+        schedule_removal (fleet, entry, 0);
     }
 }
 
@@ -289,7 +290,7 @@
       struct fleet_entry *entry = &fleet->entries[i];
 
       if (entry->used && !entry->seen && entry->listed)
-        lapse (fleet, entry, until_ms);
+        schedule_removal (fleet, entry, until_ms);
     }
 }
 
@@ -309,7 +310,7 @@
 static uint64_t
 member_digest (const struct mq_fleet_member *member)
 {
-  uint64_t digest = start_digest (member);
+  uint64_t digest = instance_digest (member);
 
   digest = mq_hash_bytes (&member->slots, sizeof member->slots, digest);
   return mq_hash_bytes (&member->leaving, sizeof member->leaving, digest);
@@ -329,7 +330,7 @@
 fleet_is_available (const struct fleet_entry *entry)
 {
   return entry->used && entry->listed && !entry->member.leaving
-         && !entry->refused;
+         && !entry->draining;
 }
 
 bool
@@ -348,7 +349,7 @@
 uint64_t
 mq_fleet_instance_digest (const struct mq_fleet *fleet, uint32_t worker)
 {
-  return fleet->entries[worker].stamp;
+  return fleet->entries[worker].instance;
 }
 
 bool
--- a/src/core/router/fleet.h
+++ b/src/core/router/fleet.h
@@ -1,9 +1,9 @@
-/* fleet.h - the workers that are known, their load, and which one is next.
+/* fleet.h - known workers, their load and health, and worker selection.
 
-   What the registry says is a hint; what this host saw itself (refused
-   connections, failures, load told by answers) goes before it.  A worker is
-   named by a handle into a table; a handle is never used for another worker
-   while someone holds it.  Pure: time and randomness are given.
+   The host's own observations (refused connections, failures, load reported in
+   responses) take precedence over the registry.  Workers are addressed by
+   handles; a handle is not reused while a request holds it.  Pure: callers
+   pass time and random numbers.
    Needs: types.h, id.h.  */
 
 #ifndef MQ_FLEET_H
@@ -15,54 +15,45 @@
 
 #define MQ_WORKER_NONE UINT32_MAX
 
-/* A worker whose figures are older than this counts as idle but for our own
-   requests.  */
+/* Reported load is ignored after this time.  */
 #define MQ_FLEET_LOAD_TTL_MS 1000U
-/* Failures in a row after which a worker gets no requests for a while.  One
-   alone is common (a lost answer); two by chance are rare.  */
+/* Consecutive failures after which a worker is ejected.  */
 #define MQ_FLEET_CONSECUTIVE_FAILURES_MAX 2U
-/* Share of failures, in thousandths, at which a worker gets no requests for a
-   while though it serves others: each request counts an eighth, so that three
-   failures of eight reach it and one in twenty does not.  */
+/* Failure rate at which a worker is ejected, in thousandths.  The rate is a
+   moving average in which each request has a weight of
+   1 / MQ_FLEET_FAILURE_RATE_WEIGHT.  */
 #define MQ_FLEET_EJECT_FAILURE_RATE 300U
 #define MQ_FLEET_FAILURE_RATE_WEIGHT 8U
-/* What a worker that comes back starts with: one more failure leaves it out
-   again, for longer.  */
+/* Failure rate of a worker that returns from ejection: one more failure ejects
+   it again.  */
 #define MQ_FLEET_RETURN_FAILURE_RATE 230U
-/* A worker below this counts as sound, and its next pause is the first one. */
+/* Failure rate below which the ejection backoff is reset.  */
 #define MQ_FLEET_HEALTHY_FAILURE_RATE 100U
-/* First pause of a worker that fails, doubled each time up to the most.  The
-   first is about the time a crashed worker takes to be back.  */
+/* Duration of the first ejection; doubled for each further one up to the
+   maximum.  */
 #define MQ_FLEET_EJECT_MS 1000U
 #define MQ_FLEET_EJECT_MAX_MS 8000U
-/* Share of a service's workers, in percent, that may be out for failures at
-   the same time: more than that is no longer the workers' fault.  */
+/* Percentage of a service's workers above which ejections are ignored, as the
+   cause is then likely not the workers.  */
 #define MQ_FLEET_EJECT_MAX_PERCENT 50U
-/* Requests above the mean of its service that a worker may have before a
-   program is sent away from the worker that has its cache, so that its history
-   is not read again.  */
+/* Requests above the mean of its service at which a worker loses affinity
+   requests to other workers.  */
 #define MQ_FLEET_AFFINITY_EXCESS_MAX 30U
-/* Requests that a worker may have above the mean of its service, in percent of
-   its slots, before it counts as full for a request with a key, once the mean
-   alone fills the slots.
-
-   The load: a burst fills the slots of all engines.  A request that then goes
-   to whichever engine has the fewest takes its program's history there; it is
-   read again, the engines' memory holds each history several times, the
-   reading slows all of them down, and the slots stay full long after the
-   burst.  Moving gains nothing while all wait alike.  With more than this a
-   worker that is loaded beyond the others is kept too long.  */
+/* Requests above the mean of its service, in percent of its slots, at which a
+   worker is full for affinity requests when the mean load fills the slots.
+
+   Guards against moving programs while all workers have queues: the target
+   must process the prompt again, which slows it and duplicates cache
+   contents, without a shorter wait.  */
 #define MQ_FLEET_AFFINITY_QUEUE_PERCENT 50U
 
 /**
- * struct mq_fleet_member - what the registry says of one worker
- * @id: names the worker; a later start may bear it again
- * @service: which one it serves
+ * struct mq_fleet_member - registry entry of a worker
+ * @id: worker id, kept across restarts
  * @address: "IP:PORT"
- * @data_centre: where it stands
- * @slots: requests that it runs side by side
- * @leaving: takes no new work
- * @born_ms: its start by its own clock, Unix milliseconds; 0: not told
+ * @slots: requests that it runs concurrently
+ * @leaving: accepts no new requests
+ * @born_ms: start time by the worker's clock, Unix milliseconds, 0 if unknown
  */
 struct mq_fleet_member
 {
@@ -75,35 +66,34 @@
   uint64_t born_ms;
 };
 
-/* How a request to a worker ended, for the choice of the next ones.  */
+/* Result of a request to a worker, for health tracking.  */
 enum mq_fleet_outcome
 {
-  MQ_OUTCOME_SUCCEEDED,   /* a whole answer */
-  MQ_OUTCOME_FULL,        /* refused for want of room */
-  MQ_OUTCOME_FAILED,      /* broke off, was damaged or answered an error */
-  MQ_OUTCOME_UNREACHABLE, /* no connection, or closed before any byte */
-  MQ_OUTCOME_LEAVING,     /* refused since it is leaving or is another one */
-  MQ_OUTCOME_CANCELLED    /* ended by us or the caller: says nothing */
+  MQ_OUTCOME_SUCCEEDED,   /* complete response */
+  MQ_OUTCOME_FULL,        /* rejected, no free slot */
+  MQ_OUTCOME_FAILED,      /* response truncated, malformed or an error */
+  MQ_OUTCOME_UNREACHABLE, /* no connection, or closed before any data */
+  MQ_OUTCOME_LEAVING,     /* rejected, worker is leaving or was replaced */
+  MQ_OUTCOME_CANCELLED    /* cancelled by this host or the caller */
 };
 
-/* Load of a worker whose slots are all taken, with nothing waiting.  */
+/* Load of a worker with all slots in use and no queue.  */
 #define MQ_FLEET_LOAD_FULL 1000U
-/* Part of the objective, in percent, after which answers of such workers
-   begin: what is left is for the spread around the mean.  */
+/* Mean response delay, in percent of the objective, that corresponds to
+   MQ_FLEET_LOAD_FULL.  The rest allows for variance.  */
 #define MQ_FLEET_DELAY_FULL_PERCENT 60U
 
 /**
- * struct mq_fleet_query - what a request needs
- * @service: workers of this one
- * @data_centre: of this host, preferred among equals
- * @key: requests with the same key go to the same worker where there is room
- * @has_key: false: the least loaded worker
- * @home: worker that has the cache of the request's program, as
- * mq_fleet_choose_home named it; goes before @key; 0: none
- * @tried: workers that this request has been sent to
- * @tried_count: how many
- * @now_ms: steady clock
- * @random: any number
+ * struct mq_fleet_query - criteria for worker selection
+ * @data_centre: data centre of this host, preferred at equal load
+ * @key: affinity key; requests with equal keys go to the same worker unless it
+ *       is full
+ * @has_key: false to choose the least loaded worker
+ * @home: worker with the program's cache, from mq_fleet_choose_home; takes
+ *        precedence over @key; 0 if none
+ * @tried: workers that the request was already sent to
+ * @now_ms: monotonic clock
+ * @random: random number for tie-breaking
  */
 struct mq_fleet_query
 {
@@ -121,98 +111,93 @@
 struct mq_fleet *mq_fleet_create (TALLOC_CTX *ctx);
 void mq_fleet_destroy (struct mq_fleet *fleet);
 
-/* Adds or changes a worker; false when memory is out.  *CHANGED tells whether
-   anything that matters is new; may be NULL.
+/* Adds or updates a worker.  Returns false if out of memory.  *CHANGED, unless
+   NULL, is set if the entry changed.
 
-   Failure: a worker starts again under its id; requests go to its former
-   address and service, connections of the former start are used again, and
-   failures of the former start are held against it.  So a later start is
-   another worker under another handle.  What an earlier start, or one that
-   tells no start beside one that does, said is older and changes nothing.  */
+   A restarted worker gets a new handle, so that it does not inherit the
+   address, connections and failures of the previous start.  Entries of an
+   earlier start, or without a start time if one is known, are ignored.  */
 bool mq_fleet_put (struct mq_fleet *fleet,
                    const struct mq_fleet_member *member, bool *changed);
-/* The worker has left the registry: no new requests from UNTIL_MS on, 0: at
-   once, unless it is put again before.  Its handle stays until the last
-   request has ended.  False when it was not known.  */
+/* Removes a worker that left the registry at UNTIL_MS, 0 for now, unless
+   mq_fleet_put adds it again.  Its handle is valid until the last request
+   ends.  Returns false if the worker is unknown.  */
 bool mq_fleet_remove (struct mq_fleet *fleet, const char *id,
                       uint64_t until_ms);
-/* Between begin and end of a full list: workers that were not put since
-   begin are removed by end, as by mq_fleet_remove.  */
+/* Bracket a full list: mq_fleet_list_end removes workers that were not put
+   since mq_fleet_list_begin, as mq_fleet_remove does.  */
 void mq_fleet_list_begin (struct mq_fleet *fleet);
 void mq_fleet_list_end (struct mq_fleet *fleet, uint64_t until_ms);
-/* Ends the workers whose time has come.  */
+/* Removes workers whose removal time has passed.  */
 void mq_fleet_expire (struct mq_fleet *fleet, uint64_t now_ms);
 
-/* Start of the worker that is listed under ID, 0: not told or not known.  */
+/* Start time of the worker ID, 0 if unknown.  */
 uint64_t mq_fleet_start_time_ms (const struct mq_fleet *fleet, const char *id);
-/* All that are listed, below CTX; their strings live as long as they are
-   listed.  NULL when memory is out.  */
+/* Returns all listed workers, allocated under CTX, or NULL if out of memory.
+   Their strings belong to FLEET.  */
 struct mq_fleet_member *mq_fleet_list (const struct mq_fleet *fleet,
                                        TALLOC_CTX *ctx, size_t *count);
-/* The same number for the same workers, in whatever order they are; another
-   one, but for one case in 2^64, when any of them differs in anything.  */
+/* Order-independent digest of a list of workers.  */
 uint64_t mq_fleet_digest (const struct mq_fleet_member *list, size_t count);
-/* Handle of the worker to send to, MQ_WORKER_NONE when there is none.  */
+/* Returns the worker for a request, or MQ_WORKER_NONE.  */
 uint32_t mq_fleet_choose (struct mq_fleet *fleet,
                           const struct mq_fleet_query *query);
 /**
- * mq_fleet_choose_home - where a program that begins is to stay
+ * mq_fleet_choose_home - choose the home of a new program
  * @fleet: the fleet
- * @query: what it needs; its key is not looked at
+ * @query: selection criteria; the key is ignored
  *
- * The worker with the least load, as far as answers told this host lately.
- * Each answer comes to one host, so that hosts which begin programs at the
- * same time choose different workers; all turns of the program follow it, at
- * whichever host they arrive.
+ * Chooses the least loaded worker by recently reported load.  Each report
+ * reaches only one host, so hosts that start programs at the same time tend to
+ * choose different workers.  Every host sends the program's turns to its home.
  *
- * Return: a name for the worker that is the same at all hosts, 0: there is
+ * Return: hash of the worker's id, the same at all hosts, or 0 if there is
  * none.
  */
 uint64_t mq_fleet_choose_home (const struct mq_fleet *fleet,
                                const struct mq_fleet_query *query);
-/* Load of SERVICE's workers as answers told lately, what waits included, in
-   thousandths of their slots; 0: not known.  */
+/* Mean recently reported load of SERVICE's workers, queued requests included,
+   in thousandths of their slots; 0 if unknown.  */
 uint32_t mq_fleet_service_load (const struct mq_fleet *fleet,
                                 const char *service, uint64_t now_ms);
-/* The same, but no more than how late answers begin: a load that makes nobody
-   wait too long is not too much.  MQ_FLEET_LOAD_FULL where they begin after
-   MQ_FLEET_DELAY_FULL_PERCENT of their objective.  */
+/* Like mq_fleet_service_load, but bounded by the mean response delay, so that
+   high load without delay does not count.  A delay of
+   MQ_FLEET_DELAY_FULL_PERCENT of the objective is MQ_FLEET_LOAD_FULL.  */
 uint32_t mq_fleet_service_pressure (const struct mq_fleet *fleet,
                                     const char *service, uint64_t now_ms);
-/* An answer of WORKER began after WAIT_MS, where its route's objective is
-   OBJECTIVE_MS.  */
+/* Records that a response of WORKER began after WAIT_MS on a route with the
+   objective OBJECTIVE_MS.  */
 void mq_fleet_record_delay (struct mq_fleet *fleet, uint32_t worker,
                             uint32_t wait_ms, uint32_t objective_ms,
                             uint64_t now_ms);
-/* Values live as long as the handle is held or the worker is listed.  */
+/* Valid while a request holds the handle or the worker is listed.  */
 const struct mq_fleet_member *mq_fleet_member (const struct mq_fleet *fleet,
                                                uint32_t worker);
-/* Number that differs between two workers which had the same handle one after
-   the other.  */
+/* Digest that distinguishes successive workers with the same handle.  */
 uint64_t mq_fleet_instance_digest (const struct mq_fleet *fleet,
                                    uint32_t worker);
-/* It may be sent to: listed, not leaving.  */
+/* Whether WORKER is listed and not leaving.  */
 bool mq_fleet_is_available (const struct mq_fleet *fleet, uint32_t worker);
-/* As far as is known, requests wait at WORKER for a slot.  */
+/* Whether the known load of WORKER exceeds its slots.  */
 bool mq_fleet_has_queue (const struct mq_fleet *fleet, uint32_t worker,
                          uint64_t now_ms);
-/* A request begins and ends at WORKER; each start is followed by one end.  */
+/* Record the start and end of a request at WORKER, in pairs.  */
 void mq_fleet_request_started (struct mq_fleet *fleet, uint32_t worker);
 void mq_fleet_request_ended (struct mq_fleet *fleet, uint32_t worker,
                              enum mq_fleet_outcome outcome, uint64_t now_ms);
-/* Bytes came from WORKER, for whatever request.  */
+/* Records data received from WORKER.  */
 void mq_fleet_record_activity (struct mq_fleet *fleet, uint32_t worker,
                                uint64_t now_ms);
-/* When bytes last came from WORKER, 0: never.  */
+/* Time at which data last arrived from WORKER, 0 if never.  */
 uint64_t mq_fleet_last_activity_ms (const struct mq_fleet *fleet,
                                     uint32_t worker);
-/* What an answer told of the worker's load.  */
+/* Records the load that WORKER reported in a response.  */
 void mq_fleet_record_load (struct mq_fleet *fleet, uint32_t worker,
                            uint32_t running, uint32_t waiting,
                            uint64_t now_ms);
-/* Workers of SERVICE that may be sent to.  */
+/* Number of available workers of SERVICE.  */
 size_t mq_fleet_count (const struct mq_fleet *fleet, const char *service);
-/* Pause after which a worker of SERVICE may have room, for a refusal.  */
+/* Retry delay for callers when no worker of SERVICE has a free slot.  */
 uint32_t mq_fleet_retry_ms (const struct mq_fleet *fleet, const char *service);
 
 #endif
--- a/src/core/router/fleet_health.c
+++ b/src/core/router/fleet_health.c
@@ -1,42 +1,43 @@
-/* fleet_evidence.c - how requests ended at a worker, and for how long it is
-   left out for that.
+/* fleet_health.c - failure tracking and ejection of workers.
 
    Needs: fleet_state.h.  */
 
 #include "fleet_state.h"
 
 static void
-leave_out (struct fleet_entry *entry, uint64_t now_ms)
+eject (struct fleet_entry *entry, uint64_t now_ms)
 {
   uint64_t pause = MQ_FLEET_EJECT_MS;
 
   if (entry->ejected_until_ms > now_ms)
     return;
-  for (uint32_t i = 0; i < entry->outs && pause < MQ_FLEET_EJECT_MAX_MS; i++)
+  for (uint32_t i = 0; i < entry->ejections && pause < MQ_FLEET_EJECT_MAX_MS;
+       i++)
     pause *= 2;
-  entry->outs++;
-  entry->rate = MQ_FLEET_RETURN_FAILURE_RATE;
+  entry->ejections++;
+  entry->failure_rate = MQ_FLEET_RETURN_FAILURE_RATE;
   entry->failures = 0;
   entry->ejected_until_ms = now_ms + pause;
 }
 
 static void
-note_failure (struct fleet_entry *entry, bool certain, uint64_t now_ms)
+record_failure (struct fleet_entry *entry, bool unreachable, uint64_t now_ms)
 {
   entry->failures++;
-  entry->rate += (1000U - entry->rate) / MQ_FLEET_FAILURE_RATE_WEIGHT;
-  if (certain || entry->failures >= MQ_FLEET_CONSECUTIVE_FAILURES_MAX
-      || entry->rate >= MQ_FLEET_EJECT_FAILURE_RATE)
-    leave_out (entry, now_ms);
+  entry->failure_rate
+      += (1000U - entry->failure_rate) / MQ_FLEET_FAILURE_RATE_WEIGHT;
+  if (unreachable || entry->failures >= MQ_FLEET_CONSECUTIVE_FAILURES_MAX
+      || entry->failure_rate >= MQ_FLEET_EJECT_FAILURE_RATE)
+    eject (entry, now_ms);
 }
 
 static void
-note_success (struct fleet_entry *entry)
+record_success (struct fleet_entry *entry)
 {
   entry->failures = 0;
-  entry->rate -= entry->rate / MQ_FLEET_FAILURE_RATE_WEIGHT;
-  if (entry->rate < MQ_FLEET_HEALTHY_FAILURE_RATE)
-    entry->outs = 0;
+  entry->failure_rate -= entry->failure_rate / MQ_FLEET_FAILURE_RATE_WEIGHT;
+  if (entry->failure_rate < MQ_FLEET_HEALTHY_FAILURE_RATE)
+    entry->ejections = 0;
 }
 
 void
@@ -49,16 +50,16 @@
   switch (outcome)
     {
     case MQ_OUTCOME_SUCCEEDED:
-      note_success (entry);
+      record_success (entry);
       break;
     case MQ_OUTCOME_FAILED:
-      note_failure (entry, false, now_ms);
+      record_failure (entry, false, now_ms);
       break;
     case MQ_OUTCOME_UNREACHABLE:
-      note_failure (entry, true, now_ms);
+      record_failure (entry, true, now_ms);
       break;
     case MQ_OUTCOME_LEAVING:
-      entry->refused = true;
+      entry->draining = true;
       break;
     case MQ_OUTCOME_FULL:
       fleet_mark_full (entry, now_ms);
--- a/src/core/router/fleet_load.c
+++ b/src/core/router/fleet_load.c
@@ -1,5 +1,4 @@
-/* fleet_load.c - requests at each worker: those of this host, and those that
-   answers told.
+/* fleet_load.c - load of workers: requests of this host and reported load.
 
    Needs: fleet_state.h.  */
 
@@ -10,10 +9,10 @@
 uint64_t
 fleet_decayed_load (const struct fleet_entry *entry, uint64_t now_ms)
 {
-  uint64_t age = now_ms - entry->told_ms;
+  uint64_t age = now_ms - entry->reported_ms;
   uint64_t load = (uint64_t)entry->own * LOAD_UNIT;
 
-  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
+  if (entry->reported_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
     load += (uint64_t)entry->others * LOAD_UNIT * (MQ_FLEET_LOAD_TTL_MS - age)
             / MQ_FLEET_LOAD_TTL_MS;
   return load;
@@ -23,21 +22,21 @@
 fleet_estimate_load (const struct fleet_entry *entry, uint64_t mean,
                      uint64_t now_ms)
 {
-  uint64_t age = now_ms - entry->told_ms;
+  uint64_t age = now_ms - entry->reported_ms;
   uint64_t own = (uint64_t)entry->own * LOAD_UNIT;
-  uint64_t told = own + (uint64_t)entry->others * LOAD_UNIT;
-  uint64_t guess = mean;
+  uint64_t reported = own + (uint64_t)entry->others * LOAD_UNIT;
+  uint64_t estimate = mean;
 
   if (mean == 0)
     return fleet_decayed_load (entry, now_ms);
-  if (entry->told_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
-    guess = (mean * age + told * (MQ_FLEET_LOAD_TTL_MS - age))
-            / MQ_FLEET_LOAD_TTL_MS;
-  return guess > own ? guess : own;
+  if (entry->reported_ms != 0 && age < MQ_FLEET_LOAD_TTL_MS)
+    estimate = (mean * age + reported * (MQ_FLEET_LOAD_TTL_MS - age))
+               / MQ_FLEET_LOAD_TTL_MS;
+  return estimate > own ? estimate : own;
 }
 
 static struct fleet_service *
-service_row (struct mq_fleet *fleet, const char *service)
+get_service (struct mq_fleet *fleet, const char *service)
 {
   struct mq_id id = mq_id_text_hash (service);
   struct fleet_service *row = mq_idmap_find (fleet->services, id, 0);
@@ -91,7 +90,7 @@
 
   if (objective_ms == 0)
     return;
-  row = service_row (fleet, entry->member.service);
+  row = get_service (fleet, entry->member.service);
   mq_recent_add (
       &row->waits, worker,
       (uint32_t)((uint64_t)wait_ms * MQ_FLEET_LOAD_FULL / objective_ms),
@@ -135,9 +134,9 @@
   uint32_t total = running + waiting;
 
   entry->others = total > entry->own ? total - entry->own : 0;
-  entry->told_ms = now_ms;
+  entry->reported_ms = now_ms;
   if (entry->member.slots > 0)
-    mq_recent_add (&service_row (fleet, entry->member.service)->loads, worker,
+    mq_recent_add (&get_service (fleet, entry->member.service)->loads, worker,
                    total * MQ_FLEET_LOAD_FULL / entry->member.slots, now_ms);
 }
 
@@ -145,5 +144,5 @@
 fleet_mark_full (struct fleet_entry *entry, uint64_t now_ms)
 {
   entry->others = entry->member.slots;
-  entry->told_ms = now_ms;
+  entry->reported_ms = now_ms;
 }
--- a/src/core/router/fleet_state.h
+++ b/src/core/router/fleet_state.h
@@ -1,8 +1,8 @@
-/* fleet_state.h - what the parts of the fleet share.
+/* fleet_state.h - internal state of the fleet.
 
-   fleet.c has the table; above it fleet_load.c (requests at each worker and
-   service) and fleet_evidence.c (how requests ended); fleet_choice.c (which
-   worker is next) is on top and asks the table and the load.
+   fleet.c owns the table of workers, fleet_load.c their load and
+   fleet_health.c failures and ejection.  fleet_choice.c selects workers and
+   depends on the table and the load.
    Needs: fleet.h, idmap.h, recent.h.  */
 
 #ifndef MQ_FLEET_STATE_H
@@ -12,59 +12,59 @@
 #include "../idmap.h"
 #include "recent.h"
 
-/* Load in thousandths of a request, so that aged figures need no fractions. */
+/* Loads are in thousandths of a request.  */
 #define LOAD_UNIT 1000U
 
 /**
  * struct fleet_entry - one worker
- * @member: strings below the fleet
- * @hash: of its id
- * @stamp: of its id, start, service and address
- * @replaced: a later start has its id; it stays for the requests under way
- * @used: the slot of the table is taken
- * @listed: the registry has it
- * @seen: the list under way has it
- * @removal_ms: the registry has it no more; it is taken as gone from then on,
- *             0: it has it
- * @refused: it said itself that it takes no more work
- * @own: requests of this host at it
- * @others: requests that it told beyond those of this host
- * @told_ms: when it told so, 0: never
- * @heard_ms: when bytes last came from it
- * @failures: in a row
- * @rate: share of failures among the last requests, thousandths, smoothed
- * @outs: times that it was left out in a row
- * @ejected_until_ms: no requests before this time
+ * @member: registry entry; the fleet owns its strings
+ * @hash: hash of the id
+ * @instance: digest of id, start time, service, address and data centre
+ * @used: the table entry is in use
+ * @replaced: a later start has the same id; kept for requests in progress
+ * @listed: the worker is in the registry or within its removal delay
+ * @seen: the worker is in the full list being processed
+ * @removal_ms: time at which it is removed after it left the registry, 0 if it
+ *              has not left
+ * @draining: the worker reported that it accepts no more requests
+ * @own: requests of this host in progress
+ * @others: reported requests of other hosts
+ * @reported_ms: time of the last load report, 0 if none
+ * @heard_ms: time at which data last arrived
+ * @failures: consecutive failures
+ * @failure_rate: moving average, thousandths
+ * @ejections: consecutive ejections
+ * @ejected_until_ms: end of the current ejection
  */
 struct fleet_entry
 {
   struct mq_fleet_member member;
   uint64_t hash;
-  uint64_t stamp;
+  uint64_t instance;
   bool used;
   bool replaced;
   bool listed;
   bool seen;
   uint64_t removal_ms;
-  bool refused;
+  bool draining;
   uint32_t own;
   uint32_t others;
-  uint64_t told_ms;
+  uint64_t reported_ms;
   uint64_t heard_ms;
   uint32_t failures;
-  uint32_t rate;
-  uint32_t outs;
+  uint32_t failure_rate;
+  uint32_t ejections;
   uint64_t ejected_until_ms;
 };
 
-/* Numbers in the map of workers.  */
+/* Key spaces of mq_fleet.by_id.  */
 #define FLEET_BY_ID 0U
 #define FLEET_BY_HASH 1U
 
 /**
- * struct fleet_service - the answers of a service's workers
- * @loads: of their worker's slots
- * @waits: until they began, of their route's objective
+ * struct fleet_service - recent responses of a service's workers
+ * @loads: reported load, thousandths of the worker's slots
+ * @waits: delay until the response began, thousandths of the objective
  */
 struct fleet_service
 {
@@ -73,11 +73,10 @@
 };
 
 /**
- * struct mq_fleet - the table of workers
- * @by_id: position of the worker's entry, plus one, as a pointer; under its id
- *         and, with FLEET_BY_HASH, under the hash that names it to other hosts
- * @services: by name, struct fleet_service
- * @free_from: no entry before it is free
+ * struct mq_fleet - table of workers
+ * @by_id: index of the entry plus one, as a pointer, by id and by hash
+ * @services: struct fleet_service by name
+ * @free_from: all entries before this index are in use
  */
 struct mq_fleet
 {
@@ -88,34 +87,31 @@
   size_t free_from;
 };
 
-/* It may be sent to.  */
+/* Whether the worker accepts requests.  */
 bool fleet_is_available (const struct fleet_entry *entry);
 bool fleet_is_candidate (const struct fleet_entry *entry, const char *service);
-/* Frees the entry of a worker that is gone once no request is there.  */
+/* Frees the entry if the worker is not listed and has no requests.  */
 void fleet_free_if_idle (struct mq_fleet *fleet, struct fleet_entry *entry);
 
-/* The listed worker of which HASH is the hash, NULL: there is none.  */
+/* Returns the listed worker with the id hash HASH, or NULL.  */
 struct fleet_entry *fleet_find_hash (const struct mq_fleet *fleet,
                                      uint64_t hash);
 
 /* fleet_load.c */
 
-/* What answers of SERVICE's workers told lately, NULL: nothing ever.  */
+/* Returns NULL if no worker of SERVICE has reported.  */
 const struct fleet_service *fleet_find_service (const struct mq_fleet *fleet,
                                                 const char *service);
 
-/* Requests at the worker in LOAD_UNITs: our own, and those of other hosts as
-   last told, which count less the older the figure is.  */
+/* Load of the worker in LOAD_UNITs: requests of this host plus reported
+   requests of other hosts, decayed linearly by age.  */
 uint64_t fleet_decayed_load (const struct fleet_entry *entry, uint64_t now_ms);
-/* The same where MEAN requests are at a worker of the service, 0: not known.
-   A worker of which nothing was told lately counts as one of them.
-
-   Failure: such a worker counts as idle, so that one which just told of a
-   short queue seems full beside the others; its programs go elsewhere and
-   their histories are read again, while all workers wait alike.  */
+/* Like fleet_decayed_load, but decays towards the service's MEAN load, 0 if
+   unknown.  Guards against treating workers without a recent report as idle,
+   which would move programs to them and lose their caches.  */
 uint64_t fleet_estimate_load (const struct fleet_entry *entry, uint64_t mean,
                               uint64_t now_ms);
-/* It had no room for a request of ours.  */
+/* Records that the worker rejected a request for lack of a free slot.  */
 void fleet_mark_full (struct fleet_entry *entry, uint64_t now_ms);
 
 #endif
--- a/src/core/router/reserve.c
+++ b/src/core/router/reserve.c
@@ -1,4 +1,4 @@
-/* reserve.c - which host may let programs begin while the table is away.
+/* reserve.c - slot leases.
 
    Needs: reserve.h, id.h.  */
 
@@ -7,9 +7,9 @@
 #include <string.h>
 
 /**
- * struct slot - what is known of a slot
- * @version: of its row, 0: there is none
- * @own: until_ms 0: the lease is another one's
+ * struct slot - last known row of a slot
+ * @version: version of the row, 0 if there is none
+ * @own: this host's lease
  */
 struct slot
 {
@@ -55,8 +55,10 @@
                     % MQ_RESERVE_SLOTS);
 }
 
-/* A run of a host ends before the next one begins, so it may take over at
-   once what an earlier one had; what that one gave away it does not know.  */
+/* Whether an earlier run of this host holds the lease.  Runs do not overlap,
+   so the lease can be taken over at once; grants of the earlier run are
+   unknown.
+ */
 static bool
 is_earlier_run (const struct mq_reserve *reserve,
                 const struct mq_reserve_lease *lease)
@@ -67,33 +69,33 @@
 }
 
 static void
-begin_own (const struct mq_reserve *reserve, struct slot *at,
-           struct mq_reserve_clock_sample moment)
+start_lease (const struct mq_reserve *reserve, struct slot *at,
+             struct mq_reserve_clock_sample sample)
 {
   uint64_t earlier = at->lease.until_ms + MQ_RESERVE_GRACE_MS;
 
-  at->own.since_ms = moment.asked_ms;
+  at->own.since_ms = sample.asked_ms;
   at->own.inherited_ms = 0;
-  if (is_earlier_run (reserve, &at->lease) && earlier > moment.table_ms)
-    at->own.inherited_ms = moment.asked_ms + earlier - moment.table_ms;
+  if (is_earlier_run (reserve, &at->lease) && earlier > sample.table_ms)
+    at->own.inherited_ms = sample.asked_ms + earlier - sample.table_ms;
 }
 
 void
 mq_reserve_record_row (struct mq_reserve *reserve, uint32_t slot,
                        struct mq_reserve_lease lease, uint64_t version,
-                       struct mq_reserve_clock_sample moment)
+                       struct mq_reserve_clock_sample sample)
 {
   struct slot *at = &reserve->slots[slot];
-  uint64_t left = lease.until_ms > moment.table_ms
-                      ? lease.until_ms - moment.table_ms
+  uint64_t left = lease.until_ms > sample.table_ms
+                      ? lease.until_ms - sample.table_ms
                       : 0;
 
   if (lease.holder != reserve->holder)
     at->own = (struct mq_reserve_own_lease){ 0, 0, 0 };
-  else if (at->own.until_ms == 0 || at->own.until_ms < moment.asked_ms)
-    begin_own (reserve, at, moment);
+  else if (at->own.until_ms == 0 || at->own.until_ms < sample.asked_ms)
+    start_lease (reserve, at, sample);
   if (lease.holder == reserve->holder)
-    at->own.until_ms = moment.asked_ms + left;
+    at->own.until_ms = sample.asked_ms + left;
   at->lease = lease;
   at->version = version;
 }
@@ -111,14 +113,14 @@
 }
 
 static bool
-is_free (const struct mq_reserve *reserve, const struct slot *slot,
-         uint64_t table_ms)
+is_claimable (const struct mq_reserve *reserve, const struct slot *slot,
+              uint64_t table_ms)
 {
   return slot->lease.holder == 0 || is_earlier_run (reserve, &slot->lease)
          || slot->lease.until_ms + MQ_RESERVE_GRACE_MS < table_ms;
 }
 
-/* Slots that one of HOSTS hosts takes at most.  */
+/* Maximum number of slots per host.  */
 static uint32_t
 share_of (size_t hosts)
 {
@@ -129,7 +131,7 @@
 
 uint32_t
 mq_reserve_claimable (const struct mq_reserve *reserve,
-                      struct mq_reserve_clock_sample moment, size_t hosts,
+                      struct mq_reserve_clock_sample sample, size_t hosts,
                       uint64_t random, uint32_t slots[MQ_RESERVE_SLOTS])
 {
   uint32_t own[MQ_RESERVE_SLOTS];
@@ -149,7 +151,7 @@
       if (count == MQ_RESERVE_CLAIM_MAX || owned + count >= share)
         break;
       if (reserve->slots[at].lease.holder != reserve->holder
-          && is_free (reserve, &reserve->slots[at], moment.table_ms))
+          && is_claimable (reserve, &reserve->slots[at], sample.table_ms))
         slots[count++] = at;
     }
   return count;
@@ -157,10 +159,10 @@
 
 struct mq_reserve_lease
 mq_reserve_renewed_lease (const struct mq_reserve *reserve,
-                          struct mq_reserve_clock_sample moment)
+                          struct mq_reserve_clock_sample sample)
 {
   struct mq_reserve_lease lease
-      = { reserve->holder, moment.table_ms + MQ_RESERVE_LEASE_MS, "" };
+      = { reserve->holder, sample.table_ms + MQ_RESERVE_LEASE_MS, "" };
 
   copy_address (lease.address, reserve->address);
   return lease;
--- a/src/core/router/reserve.h
+++ b/src/core/router/reserve.h
@@ -1,49 +1,47 @@
-/* reserve.h - which host may let programs begin while the table is away.
+/* reserve.h - slot leases, which decide the host that may start programs
+   during a table outage.
 
-   Programs are spread over a few slots by a hash of their id.  A slot is
-   leased to one host by a conditional write to the platform's table; while the
-   table is away, that host alone may issue tokens for the slot's programs that
-   no record counts yet (budget.h).  A lease that was not renewed may be taken
-   over once it has run out by the table's clock; its holder counts from before
-   it asked for it, on a clock that goes on while the host is suspended, and
-   stops earlier.  Pure: clocks and randomness are given. Needs: types.h.  */
+   Programs are mapped to slots by a hash of their id.  A host leases a slot by
+   a conditional write to the platform's table.  During a table outage only the
+   holder may issue unrecorded tokens for the slot's programs (budget.h).
+
+   An expired lease may be taken over after a grace period by the table's
+   clock.  The holder measures the lease from before its request, on a clock
+   that continues while the host is suspended, and so stops using it earlier.
+   Pure: callers pass clocks and random numbers.
+   Needs: types.h.  */
 
 #ifndef MQ_RESERVE_H
 #define MQ_RESERVE_H
 
 #include "../types.h"
 
-/* Slots of a site: enough that the loss of one host of seven takes a seventh
-   of them; a holder at the planned size, 1,100 hosts, answers some hundred
-   questions a second while the table is away.  */
+/* Number of slots that share one table.  */
 #define MQ_RESERVE_SLOTS 32U
-/* How long a lease lasts from the moment at which it was asked for.  A caller
-   tries for some nine seconds at most, so nothing is gained by a longer one;
-   a lost host's slots are free again after it.  */
+/* Lease duration, counted from the request.  */
 #define MQ_RESERVE_LEASE_MS 12000U
-/* A lease is renewed this often: a table that goes away at any moment leaves
-   it for nine seconds or more.  */
+/* Renewal interval.  */
 #define MQ_RESERVE_RENEW_MS 3000U
-/* A lease that has run out is taken over so much later, for clocks that don't
-   run equally fast: 500 ms in 12 s are four in a hundred.  */
+/* Grace period after expiry before a lease may be taken over; covers clock
+   drift.  */
 #define MQ_RESERVE_GRACE_MS 500U
-/* Hosts over which the slots are spread where there are as many: the loss of
-   one then takes no more than a quarter of them.  */
+/* Minimum number of hosts that share the slots, if there are as many; limits
+   the slots lost with one host.  */
 #define MQ_RESERVE_HOLDERS 4U
-/* Slots that a host tries to take at a time, so that hosts which start
-   together share them out within the first seconds.  */
+/* Slots that a host claims at a time, so that hosts that start together share
+   them.  */
 #define MQ_RESERVE_CLAIM_MAX 4U
 
 struct mq_reserve;
 
-/* Bytes of "IP:PORT", terminator included.  */
+/* Size of "IP:PORT" including the terminator.  */
 #define MQ_RESERVE_ADDRESS_MAX 32U
 
 /**
- * struct mq_reserve_lease - a slot's row
- * @holder: number of the host's run that has it, 0: none
- * @until_ms: by the table's clock
- * @address: where other hosts reach the holder, "": not told
+ * struct mq_reserve_lease - row of a slot
+ * @holder: run of the host that holds the lease, 0 if none
+ * @until_ms: expiry by the table's clock
+ * @address: address of the holder for other hosts, "" if unknown
  */
 struct mq_reserve_lease
 {
@@ -53,12 +51,11 @@
 };
 
 /**
- * struct mq_reserve_own_lease - a slot's lease that this host has, by its own
- * clock
- * @since_ms: it has it since then
- * @until_ms: and until then
- * @inherited_ms: until then an earlier run of this host would have had it, 0:
- *                none had
+ * struct mq_reserve_own_lease - lease held by this host, host's clock
+ * @since_ms: start of the lease
+ * @until_ms: expiry, 0 if not held
+ * @inherited_ms: expiry of the lease of an earlier run of this host, 0 if
+ *                there was none
  */
 struct mq_reserve_own_lease
 {
@@ -68,9 +65,9 @@
 };
 
 /**
- * struct mq_reserve_clock_sample - one moment on both clocks
- * @asked_ms: by this host's clock, before the table was asked
- * @table_ms: by the table's clock, when it answered
+ * struct mq_reserve_clock_sample - readings of both clocks for one request
+ * @asked_ms: host's clock before the request to the table
+ * @table_ms: table's clock in its reply
  */
 struct mq_reserve_clock_sample
 {
@@ -78,42 +75,44 @@
   uint64_t table_ms;
 };
 
-/* HOLDER names this run of the host, never 0; ADDRESS is where other hosts
-   reach it.  */
+/* HOLDER identifies this run of the host and is not 0.  ADDRESS is its address
+   for other hosts.  */
 struct mq_reserve *mq_reserve_create (TALLOC_CTX *ctx, uint64_t holder,
                                       const char *address);
 
-/* Slot of a program, or of an organisation.  */
+/* Returns the slot of a program or organisation.  */
 uint32_t mq_reserve_slot (const char *program);
-/* The row of SLOT as of VERSION, read at MOMENT; no row: a holder of 0.  */
+/* Records the row of SLOT, read at SAMPLE; the holder is 0 if there is none.
+ */
 void mq_reserve_record_row (struct mq_reserve *reserve, uint32_t slot,
                             struct mq_reserve_lease lease, uint64_t version,
-                            struct mq_reserve_clock_sample moment);
-/* Slots of this host, into SLOTS; returns how many.  */
+                            struct mq_reserve_clock_sample sample);
+/* Stores the slots held by this host in SLOTS and returns their number.  */
 uint32_t mq_reserve_owned (const struct mq_reserve *reserve,
                            uint32_t slots[MQ_RESERVE_SLOTS]);
-/* Slots that this host, one of HOSTS, may take at MOMENT, chosen by RANDOM,
-   into SLOTS; returns how many: none when it has its share, but all that an
-   earlier run of this host had.  */
+/* Stores the slots that this host, one of HOSTS, may claim at SAMPLE in SLOTS
+   and returns their number.  Slots of an earlier run of this host are all
+   claimable; others, chosen by RANDOM, only up to the host's share.  */
 uint32_t mq_reserve_claimable (const struct mq_reserve *reserve,
-                               struct mq_reserve_clock_sample moment,
+                               struct mq_reserve_clock_sample sample,
                                size_t hosts, uint64_t random,
                                uint32_t slots[MQ_RESERVE_SLOTS]);
-/* The lease to write for a slot that this host has or takes.  */
+/* Returns the lease to write to claim or renew a slot.  */
 struct mq_reserve_lease
 mq_reserve_renewed_lease (const struct mq_reserve *reserve,
-                          struct mq_reserve_clock_sample moment);
-/* Version of the slot's row as last seen, 0: there is none.  */
+                          struct mq_reserve_clock_sample sample);
+/* Last known version of the slot's row, 0 if there is none.  */
 uint64_t mq_reserve_version (const struct mq_reserve *reserve, uint32_t slot);
-/* Whose lease the slot was when its row was last seen.  */
+/* Last known lease of the slot.  */
 const struct mq_reserve_lease *
 mq_reserve_lease_of (const struct mq_reserve *reserve, uint32_t slot);
-/* This host has the slot's lease at NOW_MS, by its own clock; fills OWN.  */
+/* Whether this host holds the slot's lease at NOW_MS, host's clock; fills OWN.
+ */
 bool mq_reserve_has_lease (const struct mq_reserve *reserve, uint32_t slot,
                            uint64_t now_ms, struct mq_reserve_own_lease *own);
-/* This host may issue tokens for the slot's programs at NOW_MS, by its own
-   clock.  It has the lease, and what an earlier run of it may have issued is
-   as long ago as if another host had taken the lease over.  */
+/* Whether this host may issue unrecorded tokens for the slot's programs at
+   NOW_MS, host's clock: it holds the lease, and the lease of any earlier run
+   has expired.  */
 bool mq_reserve_can_issue (const struct mq_reserve *reserve, uint32_t slot,
                            uint64_t now_ms);
 
