--- a/src/core/router/attempt.c
+++ b/src/core/router/attempt.c
@@ -1,13 +1,13 @@
-/* attempt.c - what a worker's answer is worth, and what to do without one.
+/* attempt.c - classification of worker responses and the decision to retry.
 
    Needs: attempt.h.  */
 
 #include "attempt.h"
 
-/* 408, 421, 429 and 503 promise a caller that a request has not run.  A
-   worker that gives one of them without stating so promises nothing.  */
+/* Callers take these statuses to mean that the request did not run.  A worker
+   that sends one without stating so may have run it.  */
 static bool
-promises_not_run (int status)
+implies_not_run (int status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -19,7 +19,7 @@
     return MQ_ATTEMPT_BROKEN;
   if (answer->not_run)
     return MQ_ATTEMPT_NOT_RUN;
-  if (promises_not_run (answer->status) && !answer->repeatable)
+  if (implies_not_run (answer->status) && !answer->repeatable)
     return MQ_ATTEMPT_BROKEN;
   if (answer->status >= 500 && answer->repeatable)
     return MQ_ATTEMPT_ERROR;
@@ -29,7 +29,7 @@
 }
 
 static bool
-may_try_again (const struct mq_attempt *attempt)
+may_retry (const struct mq_attempt *attempt)
 {
   if (attempt->remaining_ms < MQ_ATTEMPT_MIN_REMAINING_MS)
     return false;
@@ -52,12 +52,12 @@
   return false;
 }
 
-/* A refusal promises that the request has not run.  For one that may run
-   again the promise costs nothing and tells the caller to come back.  */
+/* MQ_NEXT_REFUSE states that the request did not run.  A repeatable request is
+   also refused, as running it again is harmless.  */
 enum mq_attempt_next
 mq_attempt_decide (const struct mq_attempt *attempt)
 {
-  if (may_try_again (attempt))
+  if (may_retry (attempt))
     return MQ_NEXT_RETRY;
   if (attempt->begun)
     return MQ_NEXT_ABORT;
--- a/src/core/router/attempt.h
+++ b/src/core/router/attempt.h
@@ -1,7 +1,5 @@
-/* attempt.h - what a worker's answer is worth, and what to do without one.
-
-   Two decisions for every kind of request, on plain values.  Pure.
-   Needs: route.h.  */
+/* attempt.h - classification of worker responses and the decision to retry.
+   Pure. Needs: route.h.  */
 
 #ifndef MQ_ATTEMPT_H
 #define MQ_ATTEMPT_H
@@ -9,12 +7,12 @@
 #include "route.h"
 
 /**
- * struct mq_attempt_response - a worker's answer that has come to its end
- * @status: of HTTP
- * @not_run: it states that the request was not run
- * @truncated: it ends within an event
- * @stream: it is a stream, its events were passed on
- * @begun: some of an answer was passed on to the caller
+ * struct mq_attempt_response - a worker's response after its end
+ * @status: HTTP status
+ * @not_run: the worker states that it did not run the request
+ * @truncated: the response ends within an event
+ * @stream: event stream whose events were forwarded
+ * @begun: part of a response was forwarded to the caller
  * @repeatable: the request may run more than once
  */
 struct mq_attempt_response
@@ -27,36 +25,35 @@
   bool repeatable;
 };
 
-/* How a try at one worker ended.  */
+/* Result of one attempt at a worker.  */
 enum mq_attempt_end
 {
-  MQ_ATTEMPT_STREAMED,    /* whole; its events were passed on */
-  MQ_ATTEMPT_ANSWERED,    /* whole; goes to the caller as it is */
-  MQ_ATTEMPT_UNREACHABLE, /* no byte of the request was sent */
-  MQ_ATTEMPT_NOT_RUN,     /* the worker states that it did not run it */
-  MQ_ATTEMPT_BROKEN,      /* sent; the answer is missing, cut off or damaged */
-  MQ_ATTEMPT_ERROR        /* a whole answer that reports a failure */
+  MQ_ATTEMPT_STREAMED,    /* complete stream, events were forwarded */
+  MQ_ATTEMPT_ANSWERED,    /* complete response, to be forwarded */
+  MQ_ATTEMPT_UNREACHABLE, /* nothing of the request was sent */
+  MQ_ATTEMPT_NOT_RUN,     /* the worker states that it did not run */
+  MQ_ATTEMPT_BROKEN,      /* sent; response missing, truncated or bad */
+  MQ_ATTEMPT_ERROR        /* complete response that reports an error */
 };
 
 enum mq_attempt_end
 mq_attempt_classify (const struct mq_attempt_response *answer);
 
-/* Tries that did not reach a worker; each takes up to a connection's time.  */
+/* Maximum number of attempts that reach no worker.  */
 #define MQ_ATTEMPT_UNREACHABLE_MAX 4U
-/* Time that must be left for another worker to be worth a try: the median of
-   a plain service's work.  */
+/* Remaining time below which no further attempt is made.  */
 #define MQ_ATTEMPT_MIN_REMAINING_MS 30U
 
 /**
- * struct mq_attempt - a request after a try
- * @end: how the try ended
+ * struct mq_attempt - a request after an attempt
+ * @end: result of the attempt
  * @repeatable: the request may run more than once
- * @begun: some of an answer was passed on to the caller
- * @sent: workers that the request was sent to
- * @sent_max: workers that it may be sent to
- * @unreachable: tries that reached no worker
- * @remaining_ms: time that is left
- * @may_have_run: an earlier try may have run
+ * @begun: part of a response was forwarded to the caller
+ * @sent: number of workers that the request was sent to
+ * @sent_max: maximum of @sent
+ * @unreachable: number of attempts that reached no worker
+ * @remaining_ms: time until the deadline
+ * @may_have_run: an earlier attempt may have run the request
  */
 struct mq_attempt
 {
@@ -72,17 +69,17 @@
 
 enum mq_attempt_next
 {
-  MQ_NEXT_RETRY,   /* another worker */
-  MQ_NEXT_REFUSE,  /* final: not run, come back later */
-  MQ_NEXT_FAIL,    /* final: it may have run */
-  MQ_NEXT_FORWARD, /* final: the worker's own answer */
-  MQ_NEXT_ABORT    /* final: the answer that has begun breaks off */
+  MQ_NEXT_RETRY,   /* try another worker */
+  MQ_NEXT_REFUSE,  /* final: reject as not run, may be retried */
+  MQ_NEXT_FAIL,    /* final: fail, it may have run */
+  MQ_NEXT_FORWARD, /* final: forward the worker's response */
+  MQ_NEXT_ABORT    /* final: abort the response in progress */
 };
 
-/* After a try that ended with neither STREAMED nor ANSWERED.  */
+/* For attempts other than MQ_ATTEMPT_STREAMED and MQ_ATTEMPT_ANSWERED.  */
 enum mq_attempt_next mq_attempt_decide (const struct mq_attempt *attempt);
 
-/* As the log has them.  */
+/* Names in log lines.  */
 const char *mq_attempt_end_name (enum mq_attempt_end end);
 const char *mq_attempt_next_name (enum mq_attempt_next next);
 
--- a/src/core/router/chain.c
+++ b/src/core/router/chain.c
@@ -1,4 +1,4 @@
-/* chain.c - what was said up to a turn, so that a later turn can continue.
+/* chain.c - conversation history of a turn.
 
    Needs: chain.h, proto/turn.pb-c.h.  */
 
@@ -8,7 +8,7 @@
 #include "../idmap.h"
 #include <string.h>
 
-/* Bytes that a cached chain takes beside its text.  */
+/* Memory that a cached chain takes in addition to its text.  */
 #define ENTRY_BYTES ((size_t)512)
 
 static void
@@ -104,7 +104,7 @@
   return copy;
 }
 
-/* Row with the text from FROM on, which follows that of turn BASE.  */
+/* Serializes a row with the text from FROM on, which follows that of BASE.  */
 static struct mq_bytes
 pack_from (TALLOC_CTX *ctx, const struct mq_chain *chain, const char *base,
            size_t from)
@@ -144,7 +144,7 @@
 
   if (row == NULL)
     return NULL;
-  /* Cut short, an id would name another turn.  */
+  /* A truncated id could match another turn.  */
   if (strlen (row->before) < MQ_TURN_ID_MAX)
     chain = make_chain (ctx, id, row->tail.len);
   if (chain != NULL)
@@ -187,7 +187,7 @@
   return true;
 }
 
-/* One cached chain; the list is in order of use, newest first.  */
+/* Cached chain in a list ordered by last use.  */
 struct cached
 {
   struct mq_chain *chain;
@@ -255,7 +255,7 @@
 }
 
 static void
-drop_cached (struct mq_chain_cache *cache, struct cached *cached)
+evict_cached (struct mq_chain_cache *cache, struct cached *cached)
 {
   unlink_cached (cache, cached);
   mq_idmap_remove (cache->map, cached->key, 0);
@@ -271,7 +271,7 @@
   struct cached *cached = talloc_zero (cache, struct cached);
 
   if (old != NULL)
-    drop_cached (cache, old);
+    evict_cached (cache, old);
   if (cached == NULL)
     {
       talloc_free (chain);
@@ -283,7 +283,7 @@
   link_newest (cache, cached);
   cache->bytes += cost_of (chain);
   while (cache->bytes > cache->max_bytes && cache->oldest != cached)
-    drop_cached (cache, cache->oldest);
+    evict_cached (cache, cache->oldest);
 }
 
 const struct mq_chain *
--- a/src/core/router/chain.h
+++ b/src/core/router/chain.h
@@ -1,30 +1,31 @@
-/* chain.h - what was said up to a turn, so that a later turn can continue.
+/* chain.h - conversation history of a turn, so that a later turn can continue
+   it.
 
-   The text of a turn is that of the turn before it, then its own input, then
-   the data of each of its events with a line feed.  Each turn has a row of
-   its own, under its id alone, that one read finds from any host: the row
-   holds the whole text, or, once that grows beyond a row, its end and the
-   turn whose row holds what comes before.  Recent chains stay in memory.
-   Needs: types.h, store.h, idmap.h.  */
+   The text of a turn is that of the previous turn, followed by its input and
+   the data of each of its events, each with a line feed.  Each turn has its
+   own row, keyed by its id and readable from any host.  A row holds the full
+   text or, if that exceeds the row size, the end of the text and the id of the
+   turn whose row precedes it.  Recent chains are cached in memory. Needs:
+   types.h, store.h, idmap.h.  */
 
 #ifndef MQ_CHAIN_H
 #define MQ_CHAIN_H
 
 #include "../store.h"
 
-/* Text in one row.  A row holds 64 KiB at most; the rest is room for ids.  */
+/* Maximum text in one row; the rest of the 64 KiB is for ids.  */
 #define MQ_CHAIN_ROW_BYTES ((size_t)48 << 10)
 #define MQ_TURN_ID_MAX 160U
-/* Text of the longest chain: 120,000 tokens at 4 bytes and some more.  */
+/* Maximum text of a chain.  */
 #define MQ_CHAIN_MAX_BYTES ((size_t)1 << 20)
 
 /**
- * struct mq_chain - a turn and all before it
- * @id: of the turn
+ * struct mq_chain - history of a turn
+ * @id: id of the turn
  * @base: turn whose row holds the text before @tail_at, "" for none
- * @tail_at: where the text of the turn's own row begins in @text
+ * @tail_at: offset in @text at which the text of the turn's own row begins
  * @text: all inputs and outputs, oldest first
- * @until_s: the row is kept until then by the table's clock, 0: not told
+ * @until_s: expiry of the row by the table's clock, 0 if unknown
  */
 struct mq_chain
 {
@@ -35,43 +36,45 @@
   uint64_t until_s;
 };
 
-/* The chain of turn ID that follows BEFORE (NULL: the first one) with its
-   input and output, below CTX; NULL when memory is out or it is too long.  */
+/* Returns the chain of turn ID with its input and output, which follows
+   BEFORE, NULL for a first turn.  Allocated under CTX; NULL if out of memory
+   or longer than MQ_CHAIN_MAX_BYTES.  */
 struct mq_chain *mq_chain_extend (TALLOC_CTX *ctx,
                                   const struct mq_chain *before,
                                   const char *id, struct mq_bytes input,
                                   struct mq_bytes output);
-/* All that was said up to BEFORE and then INPUT, below CTX; data is NULL when
-   memory is out.  */
+/* Returns the text of BEFORE followed by INPUT, allocated under CTX; data is
+   NULL if out of memory.  */
 struct mq_bytes mq_chain_append_input (TALLOC_CTX *ctx,
                                        const struct mq_chain *before,
                                        struct mq_bytes input);
 struct mq_chain *mq_chain_copy (TALLOC_CTX *ctx, const struct mq_chain *chain);
-/* Row of the turn, below CTX; data is NULL when memory is out.  */
+/* Serializes the turn's row, allocated under CTX; data is NULL if out of
+   memory.  */
 struct mq_bytes mq_chain_pack (TALLOC_CTX *ctx, const struct mq_chain *chain);
-/* The same with the whole text, whatever rows it lies in.  */
+/* Like mq_chain_pack, but the row holds the full text.  */
 struct mq_bytes mq_chain_pack_full (TALLOC_CTX *ctx,
                                     const struct mq_chain *chain);
-/* Chain of turn ID from its row, below CTX; NULL when the bytes are no row.
-   When base is not empty, the text before it is missing and is added by
-   mq_chain_prepend.  */
+/* Returns the chain of turn ID from its row, allocated under CTX, or NULL if
+   the row is invalid.  If its base is not empty, the caller adds the preceding
+   text with mq_chain_prepend.  */
 struct mq_chain *mq_chain_unpack (TALLOC_CTX *ctx, const char *id,
                                   struct mq_bytes row);
-/* Puts the text of BEFORE in front of all that CHAIN has.  */
+/* Prepends the text of BEFORE to CHAIN.  Returns false if out of memory.  */
 bool mq_chain_prepend (struct mq_chain *chain, const struct mq_chain *before);
 
-/* Time until which the row of a turn is kept, 0: not told.  */
+/* Returns the expiry of a turn's row, 0 if unknown.  */
 uint64_t mq_chain_row_expiry_s (struct mq_bytes row);
 
 struct mq_chain_cache;
 
-/* Keeps up to MAX_BYTES of text; the chains used longest ago go first.  */
+/* Creates an LRU cache of up to MAX_BYTES.  */
 struct mq_chain_cache *mq_chain_cache_create (TALLOC_CTX *ctx,
                                               size_t max_bytes);
 void mq_chain_cache_destroy (struct mq_chain_cache *cache);
-/* Takes CHAIN over.  */
+/* Takes ownership of CHAIN.  */
 void mq_chain_cache_put (struct mq_chain_cache *cache, struct mq_chain *chain);
-/* Valid until the next put; NULL when it is not there.  */
+/* Returns the cached chain, valid until the next put, or NULL.  */
 const struct mq_chain *mq_chain_cache_find (struct mq_chain_cache *cache,
                                             const char *id);
 
--- a/src/core/router/event_stream.c
+++ b/src/core/router/event_stream.c
@@ -1,30 +1,30 @@
-/* event_stream.c - a stream of events cut into whole events.
+/* event_stream.c - parser of server-sent events.
 
    Needs: event_stream.h.  */
 
 #include "event_stream.h"
 #include <string.h>
 
-#define FIRST_BYTES ((size_t)2048)
+#define INITIAL_BYTES ((size_t)2048)
 
 /**
- * struct mq_event_stream - bytes that have not been given out
- * @bytes: memory of @room bytes
- * @at: where the next event begins
- * @end: where the bytes end
- * @seen: up to here no end of an event was found
- * @data: joined data lines of the event that was given out last
- * @data_room: bytes allocated for it
+ * struct mq_event_stream - buffered data
+ * @bytes: buffer of @capacity bytes
+ * @at: offset of the next event
+ * @end: end of the data
+ * @scanned: offset up to which no end of an event was found
+ * @data: joined data lines of the last event
+ * @data_capacity: size of @data
  */
 struct mq_event_stream
 {
   char *bytes;
   size_t at;
   size_t end;
-  size_t room;
-  size_t seen;
+  size_t capacity;
+  size_t scanned;
   char *data;
-  size_t data_room;
+  size_t data_capacity;
 };
 
 struct mq_event_stream *
@@ -40,13 +40,13 @@
 }
 
 static void
-move_to_front (struct mq_event_stream *stream)
+compact (struct mq_event_stream *stream)
 {
   if (stream->at == 0)
     return;
   memmove (stream->bytes, stream->bytes + stream->at,
            stream->end - stream->at);
-  stream->seen -= stream->at;
+  stream->scanned -= stream->at;
   stream->end -= stream->at;
   stream->at = 0;
 }
@@ -57,29 +57,30 @@
 {
   if (len == 0)
     return true;
-  move_to_front (stream);
+  compact (stream);
   if (stream->end + len > MQ_EVENT_MAX_BYTES)
     return false;
-  if (stream->end + len > stream->room)
+  if (stream->end + len > stream->capacity)
     {
-      size_t room = stream->room == 0 ? FIRST_BYTES : stream->room;
+      size_t capacity
+          = stream->capacity == 0 ? INITIAL_BYTES : stream->capacity;
       char *grown;
 
-      while (room < stream->end + len)
-        room *= 2;
-      grown = talloc_realloc (stream, stream->bytes, char, room);
+      while (capacity < stream->end + len)
+        capacity *= 2;
+      grown = talloc_realloc (stream, stream->bytes, char, capacity);
       if (grown == NULL)
         return false;
       stream->bytes = grown;
-      stream->room = room;
+      stream->capacity = capacity;
     }
   memcpy (stream->bytes + stream->end, data, len);
   stream->end += len;
   return true;
 }
 
-/* Length of the line at FROM without its end; *NEXT is where the next line
-   begins.  False when the line has not ended.  */
+/* Finds the line at FROM: *LEN is its length without the line ending, *NEXT
+   the offset of the next line.  Returns false if the line is incomplete.  */
 static bool
 read_line (const struct mq_event_stream *stream, size_t from, size_t *len,
            size_t *next)
@@ -98,11 +99,11 @@
   return true;
 }
 
-/* Where the event at the front ends, 0 when it is not whole.  */
+/* Returns the end of the first event, 0 if it is incomplete.  */
 static size_t
 find_end (struct mq_event_stream *stream)
 {
-  size_t from = stream->seen;
+  size_t from = stream->scanned;
   size_t len;
   size_t next;
 
@@ -111,12 +112,12 @@
       if (len == 0)
         return next;
       from = next;
-      stream->seen = from;
+      stream->scanned = from;
     }
   return 0;
 }
 
-/* Value of a "NAME: value" line; false when the line has another name.  */
+/* Parses a "NAME: value" line.  Returns false if the line has another name. */
 static bool
 field_value (const char *line, size_t len, const char *name,
              const char **value, size_t *value_len)
@@ -181,17 +182,17 @@
 
 /* Joined data is never longer than the event itself.  */
 static bool
-make_data_room (struct mq_event_stream *stream, size_t need)
+reserve_data (struct mq_event_stream *stream, size_t need)
 {
   char *grown;
 
-  if (need <= stream->data_room)
+  if (need <= stream->data_capacity)
     return true;
   grown = talloc_realloc (stream, stream->data, char, need);
   if (grown == NULL)
     return false;
   stream->data = grown;
-  stream->data_room = need;
+  stream->data_capacity = need;
   return true;
 }
 
@@ -200,7 +201,7 @@
 {
   size_t end = find_end (stream);
 
-  if (end == 0 || !make_data_room (stream, end - stream->at))
+  if (end == 0 || !reserve_data (stream, end - stream->at))
     return false;
   *event = (struct mq_event){
     .text = stream->bytes + stream->at,
@@ -210,7 +211,7 @@
   };
   read_fields (stream, end, event);
   stream->at = end;
-  stream->seen = end;
+  stream->scanned = end;
   return true;
 }
 
@@ -219,7 +220,7 @@
 {
   stream->at = 0;
   stream->end = 0;
-  stream->seen = 0;
+  stream->scanned = 0;
 }
 
 bool
--- a/src/core/router/event_stream.h
+++ b/src/core/router/event_stream.h
@@ -1,8 +1,8 @@
-/* event_stream.h - a stream of events cut into whole events.
+/* event_stream.h - parser of server-sent events.
 
-   Bytes come in as they arrive; whole events go out.  What is left of an
-   event that broke off stays behind and is never passed on, so that a stream
-   can go on at another worker after the last whole event.  Pure.
+   Only complete events are returned.  A partial event is never forwarded, so
+   that another worker can continue the stream after the last complete event.
+   Pure.
    Needs: types.h.  */
 
 #ifndef MQ_EVENT_STREAM_H
@@ -10,20 +10,17 @@
 
 #include "../types.h"
 
-/* An event that is longer than this is taken as damage.  */
+/* A longer event is an error.  */
 #define MQ_EVENT_MAX_BYTES ((size_t)1 << 20)
 
 struct mq_event_stream;
 
 /**
- * struct mq_event - one whole event, valid until the next call
- * @text: its bytes, the empty line at its end included
- * @len: how many
- * @id: value of its id line, without a terminator; empty when it has none
- * @id_len: how many bytes
- * @data: its data lines joined by line feeds
- * @data_len: how many bytes
- * @has_data: it has a data line; a comment or a bare id has none
+ * struct mq_event - a complete event, valid until the next call
+ * @text: raw event including the empty line at its end
+ * @id: value of the id field, not terminated; empty if there is none
+ * @data: data lines joined by line feeds
+ * @has_data: false for events without a data line, such as comments
  */
 struct mq_event
 {
@@ -38,16 +35,16 @@
 
 struct mq_event_stream *mq_event_stream_create (TALLOC_CTX *ctx);
 void mq_event_stream_destroy (struct mq_event_stream *stream);
-/* Takes in bytes.  False when an event is longer than the bound or memory is
-   out: the stream is to be given up.  */
+/* Adds received data.  Returns false if an event exceeds MQ_EVENT_MAX_BYTES or
+   memory is out; the stream must then be closed.  */
 bool mq_event_stream_feed (struct mq_event_stream *stream, const char *data,
                            size_t len);
-/* Next whole event; false when there is none yet.  */
+/* Returns the next complete event in *EVENT, or false if there is none.  */
 bool mq_event_stream_next (struct mq_event_stream *stream,
                            struct mq_event *event);
-/* Forgets the part of an event that has come in: another worker goes on.  */
+/* Discards a partial event before another worker continues the stream.  */
 void mq_event_stream_reset (struct mq_event_stream *stream);
-/* Bytes of an event that is not whole are waiting.  */
+/* Whether a partial event is buffered.  */
 bool mq_event_stream_has_partial (const struct mq_event_stream *stream);
 
 #endif
--- a/src/core/router/outage.c
+++ b/src/core/router/outage.c
@@ -1,4 +1,4 @@
-/* outage.c - whether a turn begins while the platform's table is away.
+/* outage.c - whether a turn may begin during a table outage.
 
    Needs: outage.h.  */
 
--- a/src/core/router/recent.c
+++ b/src/core/router/recent.c
@@ -1,4 +1,4 @@
-/* recent.c - the mean of what was seen lately.
+/* recent.c - mean of recent samples.
 
    Needs: recent.h.  */
 
--- a/src/core/router/recent.h
+++ b/src/core/router/recent.h
@@ -1,6 +1,6 @@
-/* recent.h - the mean of what was seen lately.
+/* recent.h - mean of recent samples.
 
-   A ring of values with their times.  Pure: time is given.
+   Ring buffer of timestamped samples.  Pure: callers pass the time.
    Needs: types.h.  */
 
 #ifndef MQ_RECENT_H
@@ -9,18 +9,16 @@
 #include "../types.h"
 
 #define MQ_RECENT_SAMPLES 64U
-/* What was seen counts for so long: long enough for a host with few requests
-   to have seen several.  */
+/* Older samples are ignored.  */
 #define MQ_RECENT_WINDOW_MS 1000U
-/* Values that are needed to tell the mean; each that is missing counts as 0,
-   since a host that saw little knows little.  */
+/* Minimum number of samples; each missing one counts as 0, so that few samples
+   give a low mean.  */
 #define MQ_RECENT_MIN_SAMPLES 8U
 
 /**
- * struct mq_recent_sample - one value
- * @sampled_ms: when, 0: never
- * @value: what
- * @worker: whose it is, where that matters
+ * struct mq_recent_sample - one sample
+ * @sampled_ms: time of the sample, 0 if the entry is unused
+ * @worker: worker that the value belongs to
  */
 struct mq_recent_sample
 {
@@ -30,9 +28,8 @@
 };
 
 /**
- * struct mq_recent - the last values; all zero: none yet
- * @values: a ring
- * @next: the oldest of them
+ * struct mq_recent - ring buffer, empty if all zero
+ * @next: index of the oldest sample
  */
 struct mq_recent
 {
@@ -42,7 +39,7 @@
 
 void mq_recent_add (struct mq_recent *recent, uint32_t worker, uint32_t value,
                     uint64_t now_ms);
-/* 0 when nothing was seen lately.  */
+/* Returns 0 if there are no recent samples.  */
 uint32_t mq_recent_mean (const struct mq_recent *recent, uint64_t now_ms);
 
 #endif
--- a/src/core/router/route.c
+++ b/src/core/router/route.c
@@ -1,4 +1,4 @@
-/* route.c - which service serves a request, by host and longest prefix.
+/* route.c - routing table.
 
    Needs: route.h.  */
 
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* By host; then the longer prefix first, so that the first one that fits is
-   the one to take.  */
+/* Orders by host, then longer prefixes first, so that the first match is the
+   longest.  */
 static int
 compare_routes (const void *left, const void *right)
 {
@@ -33,7 +33,7 @@
            compare_routes);
 }
 
-/* Order of a route's host and the first HOST_LEN bytes of HOST.  */
+/* Compares a route's host with the first HOST_LEN bytes of HOST.  */
 static int
 compare_host (const struct mq_path_route *route, const char *host,
               size_t host_len)
@@ -45,7 +45,7 @@
   return route->host[host_len] == '\0' ? 0 : 1;
 }
 
-/* Index of the first route of the host, route_count when there is none.  */
+/* Index of the first route whose host is not less than HOST.  */
 static size_t
 first_of_host (const struct mq_route_table *table, const char *host,
                size_t host_len)
--- a/src/core/router/route.h
+++ b/src/core/router/route.h
@@ -1,7 +1,8 @@
-/* route.h - which service serves a request, by host and longest prefix.
+/* route.h - routing table: maps requests to services by host and longest
+   prefix.
 
-   A table is built whole from one version of the configuration and never
-   changes; a newer version replaces it.  Pure.
+   A table is built from one configuration version and is immutable; a newer
+   version replaces it.  Pure.
    Needs: types.h, id.h, orgs.h.  */
 
 #ifndef MQ_ROUTE_H
@@ -10,17 +11,17 @@
 #include "../organisation/orgs.h"
 #include "../types.h"
 
-/* What may be done with a request whose outcome is not known.  */
+/* Whether a request with an unknown outcome may be repeated.  */
 enum mq_route_kind
 {
-  MQ_ROUTE_IDEMPOTENT,   /* it may run again at another worker */
-  MQ_ROUTE_AT_MOST_ONCE, /* it runs once at most */
-  MQ_ROUTE_STREAM        /* events; once, unless the route is resumable */
+  MQ_ROUTE_IDEMPOTENT,   /* may run again at another worker */
+  MQ_ROUTE_AT_MOST_ONCE, /* runs at most once */
+  MQ_ROUTE_STREAM        /* event stream, at most once unless resumable */
 };
 
 #define MQ_ROUTE_KINDS 3
 
-/* One of the services among which a route divides its requests.  */
+/* Weighted service of a route.  */
 struct mq_route_backend
 {
   const char *service;
@@ -28,20 +29,19 @@
 };
 
 /**
- * struct mq_path_route - where the requests of one host and prefix go
- * @name: the operators' name of it
- * @host: value of the Host field, without a port
- * @prefix: begins and ends with a slash
- * @kind: what may be repeated
- * @resumable: a stream may go on at another worker after its last event
- * @retains: turns are kept so that later turns may continue from them
- * @retain_s: how long, seconds
+ * struct mq_path_route - route for one host and path prefix
+ * @name: configured name
+ * @host: value of the Host field without the port
+ * @prefix: path prefix that begins and ends with a slash
+ * @resumable: another worker may continue a stream after its last event
+ * @retains: turns are stored so that later turns can continue them
+ * @retain_s: retention period of turns
  * @sticky: requests for the same object go to the same worker
- * @timeout_ms: longest time that a request is kept waiting
- * @objective_ms: time within which an answer is on time
- * @gap_ms: longest pause between events of a stream that is on time
- * @attempts: workers that one request may be sent to
- * @priority: 0 is the most urgent
+ * @timeout_ms: maximum duration of a request
+ * @objective_ms: target response time
+ * @gap_ms: target for the longest gap between events of a stream
+ * @attempts: maximum number of workers that a request is sent to
+ * @priority: 0 is the highest
  * @is_public: callers need no key
  * @backends: at least one
  */
@@ -66,14 +66,14 @@
 };
 
 /**
- * struct mq_route_service - what all workers of one service share
- * @name: the operators' name of it
- * @connections_max: connections that one worker takes from all hosts
- * @engine: its workers are model engines
- * @slots: requests that an engine runs side by side, 0: not told
- * @cache_tokens: memory of an engine, in tokens
- * @tokens_per_event: tokens that each event of a stream stands for
- * @pin_max_ms: longest time that a worker keeps a prompt in memory on request
+ * struct mq_route_service - settings of a service
+ * @name: configured name
+ * @connections_max: maximum connections to one worker from all hosts
+ * @engine: the workers are model engines
+ * @slots: requests that an engine runs concurrently, 0 if unknown
+ * @cache_tokens: cache size of an engine in tokens
+ * @tokens_per_event: tokens per event of a stream
+ * @pin_max_ms: maximum time that a worker pins a prompt in its cache
  */
 struct mq_route_service
 {
@@ -86,7 +86,7 @@
   uint32_t pin_max_ms;
 };
 
-/* Bounds on what a caller sends and how long it may take.  */
+/* Size and time limits of requests.  */
 struct mq_route_limits
 {
   uint32_t header_bytes;
@@ -96,10 +96,10 @@
 };
 
 /**
- * struct mq_route_table - one version of the configuration
- * @version: only rises
+ * struct mq_route_table - routing configuration
+ * @version: increases monotonically
  * @routes: sorted by mq_route_table_sort
- * @orgs: organisations whose keys callers must have, NULL: none is asked for
+ * @orgs: organisations whose keys are accepted, NULL if no key is required
  */
 struct mq_route_table
 {
@@ -112,29 +112,28 @@
   struct mq_orgs *orgs;
 };
 
-/* Puts the routes in the order that mq_route_find needs.  */
+/* Sorts the routes as mq_route_find requires.  */
 void mq_route_table_sort (struct mq_route_table *table);
-/* Route of HOST, whose port is ignored, with the longest prefix that begins
-   PATH; NULL when there is none.  */
+/* Returns the route of HOST, ignoring its port, with the longest prefix of
+   PATH, or NULL.  */
 const struct mq_path_route *mq_route_find (const struct mq_route_table *table,
                                            const char *host, const char *path);
-/* Service of ROUTE for KEY, by weight: the same key gives the same service
-   as long as the weights stay.  */
+/* Returns the service of ROUTE for KEY, by weight.  Equal keys give the same
+   service while the weights are unchanged.  */
 const char *mq_route_service (const struct mq_path_route *route, uint64_t key);
 const struct mq_route_service *
 mq_route_service_find (const struct mq_route_table *table, const char *name);
-/* TOKENS in whole events of SERVICE, NULL: not known, rounded up.  */
+/* Rounds TOKENS up to whole events of SERVICE, NULL if unknown.  */
 uint64_t mq_route_round_to_events (const struct mq_route_service *service,
                                    uint64_t tokens);
-/* Key by which all hosts choose the same worker without asking each other, for
-   requests that gain from one worker's cache: those of one PROGRAM on
-   engines, those on one OBJECT elsewhere, when the route asks for it.  False
-   when there is none.  */
+/* Computes the affinity key, by which all hosts choose the same worker without
+   coordination: from PROGRAM on engines, from OBJECT on other services if the
+   route is sticky.  Returns false if the request has none.  */
 bool mq_route_affinity_key (const struct mq_path_route *route,
                             const struct mq_route_service *service,
                             const char *program, const char *object,
                             uint64_t *key);
-/* A request of ROUTE may run more than once.  */
+/* Whether a request of ROUTE may run more than once.  */
 bool mq_route_repeatable (const struct mq_path_route *route);
 
 #endif
