--- a/bench/bench_replay.c
+++ b/bench/bench_replay.c
@@ -53,7 +53,7 @@
       settings->load.engines = read_count (state, text, REPLAY_ENGINES_MAX);
       return 0;
     case 'r':
-      settings->load.usual_per_s = read_count (state, text, 1000);
+      settings->load.base_per_s = read_count (state, text, 1000);
       return 0;
     case 's':
       settings->load.seed = read_count (state, text, UINT32_MAX);
@@ -77,9 +77,9 @@
 
 static void
 draw_line (FILE *file, const struct replay_result *result, uint32_t seconds,
-           double most, enum replay_way way)
+           double most, enum replay_policy way)
 {
-  static const char *const colours[REPLAY_WAYS]
+  static const char *const colours[REPLAY_POLICIES]
       = { "#1b7f3b", "#2a62b8", "#b8860b", "#b02a2a", "#777777" };
   double x_step = (double)(SVG_WIDTH - 2 * SVG_MARGIN) / seconds;
 
@@ -87,19 +87,19 @@
   for (uint32_t i = 0; i < seconds; i++)
     fprintf (file, "%.1f,%.1f ", SVG_MARGIN + i * x_step,
              SVG_HEIGHT - SVG_MARGIN
-                 - result->seconds[i].in_aim / most
+                 - result->seconds[i].met_deadline / most
                        * (SVG_HEIGHT - 2 * SVG_MARGIN));
   fprintf (file, "'/><text x='%d' y='%d' fill='%s'>%s</text>\n",
            SVG_WIDTH - 4 * SVG_MARGIN, SVG_MARGIN + 16 * (int)way,
-           colours[way], replay_way_name (way));
+           colours[way], replay_policy_name (way));
 }
 
 static void
 draw (const char *path, const struct replay_options *load,
-      const struct replay_result results[REPLAY_WAYS])
+      const struct replay_result results[REPLAY_POLICIES])
 {
   FILE *file = fopen (path, "w");
-  double most = load->usual_per_s * load->burst;
+  double most = load->base_per_s * load->burst;
 
   if (file == NULL)
     {
@@ -114,9 +114,9 @@
            "</text>\n",
            SVG_WIDTH, SVG_HEIGHT, SVG_MARGIN, load->burst, load->burst_from_s,
            load->burst_s, most);
-  for (int way = 0; way < REPLAY_WAYS; way++)
+  for (int way = 0; way < REPLAY_POLICIES; way++)
     draw_line (file, &results[way], load->length_s, most,
-               (enum replay_way)way);
+               (enum replay_policy)way);
   fprintf (file, "</svg>\n");
   fclose (file);
 }
@@ -131,11 +131,11 @@
   uint32_t until = from + load->burst_s;
 
   printf ("| %.1f | %s | %.1f | %.1f |", load->burst,
-          replay_way_name (load->way), replay_goodput (result, from, until),
+          replay_policy_name (load->way), replay_goodput (result, from, until),
           replay_goodput (result, until, until + 4));
   for (int i = 0; i < REPLAY_CLASSES; i++)
     printf (" %u %u %u %u %u |", result->classes[i].asked,
-            result->classes[i].in_aim, result->classes[i].late,
+            result->classes[i].met_deadline, result->classes[i].late,
             result->classes[i].refused, result->classes[i].failed);
   printf (" %.1f | %lu |\n", (double)result->prefill_tokens / 1e6,
           (unsigned long)result->preempted);
@@ -147,12 +147,13 @@
   static const double bursts[] = { 1.0, 2.0, 2.5, 3.0, 4.5 };
   static const struct argp argp
       = { argp_options, parse_option, NULL, doc, NULL, NULL, NULL };
-  struct settings settings = { .load = replay_usual (REPLAY_AS_IS, 1.0, 1) };
-  static struct replay_result results[REPLAY_WAYS];
+  struct settings settings
+      = { .load = replay_default_options (REPLAY_ALL_DECISIONS, 1.0, 1) };
+  static struct replay_result results[REPLAY_POLICIES];
 
   settings.load.hosts = 84;
   settings.load.engines = 62;
-  settings.load.usual_per_s = 104.0;
+  settings.load.base_per_s = 104.0;
   argp_parse (&argp, argc, argv, 0, NULL, &settings);
   printf (
       "| load | way | in aim a second in the burst | in the 4 s after | "
@@ -161,9 +162,9 @@
   for (size_t i = 0; i < sizeof bursts / sizeof bursts[0]; i++)
     {
       settings.load.burst = bursts[i];
-      for (int way = 0; way < REPLAY_WAYS; way++)
+      for (int way = 0; way < REPLAY_POLICIES; way++)
         {
-          settings.load.way = (enum replay_way)way;
+          settings.load.way = (enum replay_policy)way;
           replay_run (&settings.load, &results[way]);
           print_row (&settings.load, &results[way]);
           fflush (stdout);
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -254,7 +254,7 @@
       if (counts[i] == NULL)
         continue;
       if (whole && took <= program->aim_ms)
-        counts[i]->in_aim++;
+        counts[i]->met_deadline++;
       else if (whole && took <= 2 * program->aim_ms)
         counts[i]->late++;
       else if (!program->begun)
@@ -302,7 +302,7 @@
   struct mq_engine_request request = {
     .tag = program->number,
     .program = { .lo = program->number },
-    .priority = self->options->way == REPLAY_RANKED && program->kind == 0
+    .priority = self->options->way == REPLAY_PREEMPTIVE && program->kind == 0
                     ? MQ_PRIORITY_URGENT
                     : MQ_PRIORITY_INTERACTIVE,
     .prompt_tokens = prompt,
@@ -376,7 +376,7 @@
 
   if (program->begun)
     return true;
-  if (self->options->way == REPLAY_AS_IS
+  if (self->options->way == REPLAY_ALL_DECISIONS
       && mq_admission_decide (host->admission, &ask, retry_ms)
              != MQ_ADMISSION_ACCEPTED)
     return false;
@@ -538,7 +538,7 @@
   bool burst = second >= options->burst_from_s
                && second < options->burst_from_s + options->burst_s;
   double expected
-      = options->usual_per_s * (burst ? options->burst : 1.0) / MS_PER_S;
+      = options->base_per_s * (burst ? options->burst : 1.0) / MS_PER_S;
   struct program *program;
 
   if (second >= options->length_s || fraction (self) >= expected)
@@ -615,14 +615,14 @@
 }
 
 struct replay_options
-replay_usual (enum replay_way way, double burst, uint64_t seed)
+replay_default_options (enum replay_policy way, double burst, uint64_t seed)
 {
   return (struct replay_options){
     .way = way,
     .seed = seed,
     .hosts = 12,
     .engines = 12,
-    .usual_per_s = 20.0,
+    .base_per_s = 20.0,
     .burst = burst,
     .burst_from_s = 5,
     .burst_s = 10,
@@ -631,13 +631,13 @@
 }
 
 const char *
-replay_way_name (enum replay_way way)
+replay_policy_name (enum replay_policy way)
 {
-  static const char *const names[REPLAY_WAYS] = {
-    [REPLAY_AS_IS] = "as is",
+  static const char *const names[REPLAY_POLICIES] = {
+    [REPLAY_ALL_DECISIONS] = "as is",
     [REPLAY_ALL_ADMITTED] = "all admitted",
     [REPLAY_HASHED] = "spread by hash",
-    [REPLAY_RANKED] = "ranked at engines",
+    [REPLAY_PREEMPTIVE] = "ranked at engines",
     [REPLAY_LEAST_LOADED] = "least loaded",
   };
 
@@ -651,6 +651,6 @@
   uint32_t sum = 0;
 
   for (uint32_t i = from; i < until && i < REPLAY_SECONDS; i++)
-    sum += result->seconds[i].in_aim;
+    sum += result->seconds[i].met_deadline;
   return until > from ? (double)sum / (until - from) : 0.0;
 }
--- a/tests/replay.h
+++ b/tests/replay.h
@@ -14,14 +14,14 @@
 #include "core/router/fleet.h"
 
 /* Which decisions are on.  */
-enum replay_way
+enum replay_policy
 {
-  REPLAY_AS_IS,        /* all, as in the product */
-  REPLAY_ALL_ADMITTED, /* no program is refused */
-  REPLAY_HASHED,       /* nor are programs spread by load */
-  REPLAY_RANKED,       /* nor is a begun run safe from a more urgent one */
-  REPLAY_LEAST_LOADED, /* each turn goes to the least loaded engine */
-  REPLAY_WAYS
+  REPLAY_ALL_DECISIONS, /* all, as in the product */
+  REPLAY_ALL_ADMITTED,  /* no program is refused */
+  REPLAY_HASHED,        /* nor are programs spread by load */
+  REPLAY_PREEMPTIVE,    /* nor is a begun run safe from a more urgent one */
+  REPLAY_LEAST_LOADED,  /* each turn goes to the least loaded engine */
+  REPLAY_POLICIES
 };
 
 enum
@@ -38,7 +38,7 @@
  * @seed: of everything left to chance
  * @hosts: entry hosts
  * @engines: of one service
- * @usual_per_s: programs that begin a second
+ * @base_per_s: programs that begin a second
  * @burst: how many times as many begin in the burst
  * @burst_from_s: when it begins
  * @burst_s: how long it lasts
@@ -46,11 +46,11 @@
  */
 struct replay_options
 {
-  enum replay_way way;
+  enum replay_policy way;
   uint64_t seed;
   uint32_t hosts;
   uint32_t engines;
-  double usual_per_s;
+  double base_per_s;
   double burst;
   uint32_t burst_from_s;
   uint32_t burst_s;
@@ -60,7 +60,7 @@
 /**
  * struct replay_count - what became of programs
  * @asked: that began
- * @in_aim: ended within their time
+ * @met_deadline: ended within their time
  * @late: within twice that time
  * @refused: never taken on
  * @failed: broke off, or ended later
@@ -68,7 +68,7 @@
 struct replay_count
 {
   uint32_t asked;
-  uint32_t in_aim;
+  uint32_t met_deadline;
   uint32_t late;
   uint32_t refused;
   uint32_t failed;
@@ -93,11 +93,11 @@
 
 /* The load of the tests: 12 hosts, 12 engines, a burst of BURST times the
    usual load for 10 s.  */
-struct replay_options replay_usual (enum replay_way way, double burst,
-                                    uint64_t seed);
+struct replay_options replay_default_options (enum replay_policy way,
+                                              double burst, uint64_t seed);
 void replay_run (const struct replay_options *options,
                  struct replay_result *result);
-const char *replay_way_name (enum replay_way way);
+const char *replay_policy_name (enum replay_policy way);
 /* Programs in aim a second, of those that began between FROM and UNTIL.  */
 double replay_goodput (const struct replay_result *result, uint32_t from,
                        uint32_t until);
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -11,7 +11,7 @@
 
 /* Programs in aim a second in the burst, over a few seeds.  */
 static double
-goodput (enum replay_way way, double burst, struct replay_result *sum)
+goodput (enum replay_policy way, double burst, struct replay_result *sum)
 {
   double all = 0.0;
 
@@ -19,7 +19,8 @@
     *sum = (struct replay_result){ 0 };
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      struct replay_options options = replay_usual (way, burst, seed);
+      struct replay_options options
+          = replay_default_options (way, burst, seed);
       struct replay_result result;
 
       replay_run (&options, &result);
@@ -28,7 +29,7 @@
       for (int i = 0; sum != NULL && i < REPLAY_CLASSES; i++)
         {
           sum->classes[i].asked += result.classes[i].asked;
-          sum->classes[i].in_aim += result.classes[i].in_aim;
+          sum->classes[i].met_deadline += result.classes[i].met_deadline;
           sum->classes[i].refused += result.classes[i].refused;
         }
       if (sum != NULL)
@@ -45,8 +46,8 @@
    program waited for all others, and prompts were read again and again.  */
 Test (replay, goodput_holds_in_a_burst)
 {
-  double twice = goodput (REPLAY_AS_IS, 2.0, NULL);
-  double as_is = goodput (REPLAY_AS_IS, 2.5, NULL);
+  double twice = goodput (REPLAY_ALL_DECISIONS, 2.0, NULL);
+  double as_is = goodput (REPLAY_ALL_DECISIONS, 2.5, NULL);
 
   cr_expect_geq (as_is, twice * GOODPUT_LEAST, "%.1f of %.1f", as_is, twice);
 }
@@ -54,8 +55,8 @@
 /* The same at three times the load.  */
 Test (replay, goodput_holds_at_three_times_the_load)
 {
-  double twice = goodput (REPLAY_AS_IS, 2.0, NULL);
-  double as_is = goodput (REPLAY_AS_IS, 3.0, NULL);
+  double twice = goodput (REPLAY_ALL_DECISIONS, 2.0, NULL);
+  double as_is = goodput (REPLAY_ALL_DECISIONS, 3.0, NULL);
 
   cr_expect_geq (as_is, twice * GOODPUT_LEAST, "%.1f of %.1f", as_is, twice);
 }
@@ -68,8 +69,8 @@
 
   for (size_t i = 0; i < ROWS (bursts); i++)
     {
-      double as_is = goodput (REPLAY_AS_IS, bursts[i], NULL);
-      double before = goodput (REPLAY_RANKED, bursts[i], NULL);
+      double as_is = goodput (REPLAY_ALL_DECISIONS, bursts[i], NULL);
+      double before = goodput (REPLAY_PREEMPTIVE, bursts[i], NULL);
 
       cr_expect_gt (as_is, before, "%.1f: %.1f, without %.1f", bursts[i],
                     as_is, before);
@@ -85,15 +86,15 @@
     {
       struct replay_result result;
 
-      goodput (REPLAY_AS_IS, bursts[i], &result);
+      goodput (REPLAY_ALL_DECISIONS, bursts[i], &result);
       for (int k = 0; k < REPLAY_CLASSES; k++)
         {
           const struct replay_count *count = &result.classes[k];
 
           cr_expect_leq (count->refused * 100, count->asked, "%.1f: %u of %u",
                          bursts[i], count->refused, count->asked);
-          cr_expect_geq (count->in_aim * 100, count->asked * 90,
-                         "%.1f: %u of %u", bursts[i], count->in_aim,
+          cr_expect_geq (count->met_deadline * 100, count->asked * 90,
+                         "%.1f: %u of %u", bursts[i], count->met_deadline,
                          count->asked);
         }
     }
@@ -105,9 +106,9 @@
 {
   struct replay_result result;
 
-  goodput (REPLAY_RANKED, 3.0, &result);
+  goodput (REPLAY_PREEMPTIVE, 3.0, &result);
   cr_expect_gt (result.preempted, 0);
-  goodput (REPLAY_AS_IS, 3.0, &result);
+  goodput (REPLAY_ALL_DECISIONS, 3.0, &result);
   cr_expect_eq (result.preempted, 0, "%lu", (unsigned long)result.preempted);
 }
 
@@ -126,9 +127,9 @@
 {
   struct replay_result result;
 
-  goodput (REPLAY_AS_IS, 4.5, &result);
+  goodput (REPLAY_ALL_DECISIONS, 4.5, &result);
   for (int k = 0; k < REPLAY_CLASSES; k++)
-    cr_expect_geq (result.classes[k].in_aim * 4, result.classes[k].asked,
-                   "class %d: %u of %u", k, result.classes[k].in_aim,
+    cr_expect_geq (result.classes[k].met_deadline * 4, result.classes[k].asked,
+                   "class %d: %u of %u", k, result.classes[k].met_deadline,
                    result.classes[k].asked);
 }
