--- a/bench/bench_replay.c
+++ b/bench/bench_replay.c
@@ -131,7 +131,8 @@
   uint32_t until = from + load->burst_s;
 
   printf ("| %.1f | %s | %.1f | %.1f |", load->burst,
-          replay_policy_name (load->way), replay_goodput (result, from, until),
+          replay_policy_name (load->policy),
+          replay_goodput (result, from, until),
           replay_goodput (result, until, until + 4));
   for (int i = 0; i < REPLAY_CLASSES; i++)
     printf (" %u %u %u %u %u |", result->classes[i].asked,
@@ -164,7 +165,7 @@
       settings.load.burst = bursts[i];
       for (int way = 0; way < REPLAY_POLICIES; way++)
         {
-          settings.load.way = (enum replay_policy)way;
+          settings.load.policy = (enum replay_policy)way;
           replay_run (&settings.load, &results[way]);
           print_row (&settings.load, &results[way]);
           fflush (stdout);
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -302,9 +302,10 @@
   struct mq_engine_request request = {
     .tag = program->number,
     .program = { .lo = program->number },
-    .priority = self->options->way == REPLAY_PREEMPTIVE && program->kind == 0
-                    ? MQ_PRIORITY_URGENT
-                    : MQ_PRIORITY_INTERACTIVE,
+    .priority
+    = self->options->policy == REPLAY_PREEMPTIVE && program->kind == 0
+          ? MQ_PRIORITY_URGENT
+          : MQ_PRIORITY_INTERACTIVE,
     .prompt_tokens = prompt,
     .shared_tokens = program->shared_tokens,
     .output_tokens = turn->output,
@@ -324,7 +325,7 @@
   return (struct mq_fleet_query){
     .service = service_name,
     .data_centre = "",
-    .has_key = self->options->way != REPLAY_LEAST_LOADED,
+    .has_key = self->options->policy != REPLAY_LEAST_LOADED,
     .home = program->home,
     .key = program_hash (program, 1),
     .now_ms = self->now_ms,
@@ -376,12 +377,12 @@
 
   if (program->begun)
     return true;
-  if (self->options->way == REPLAY_ALL_DECISIONS
+  if (self->options->policy == REPLAY_ALL_DECISIONS
       && mq_admission_decide (host->admission, &ask, retry_ms)
              != MQ_ADMISSION_ACCEPTED)
     return false;
   program->begun = true;
-  if (self->options->way <= REPLAY_ALL_ADMITTED)
+  if (self->options->policy <= REPLAY_ALL_ADMITTED)
     program->home = mq_fleet_choose_home (host->fleet, &query);
   return true;
 }
@@ -615,10 +616,10 @@
 }
 
 struct replay_options
-replay_default_options (enum replay_policy way, double burst, uint64_t seed)
+replay_default_options (enum replay_policy policy, double burst, uint64_t seed)
 {
   return (struct replay_options){
-    .way = way,
+    .policy = policy,
     .seed = seed,
     .hosts = 12,
     .engines = 12,
@@ -631,7 +632,7 @@
 }
 
 const char *
-replay_policy_name (enum replay_policy way)
+replay_policy_name (enum replay_policy policy)
 {
   static const char *const names[REPLAY_POLICIES] = {
     [REPLAY_ALL_DECISIONS] = "as is",
@@ -641,7 +642,7 @@
     [REPLAY_LEAST_LOADED] = "least loaded",
   };
 
-  return names[way];
+  return names[policy];
 }
 
 double
--- a/tests/replay.h
+++ b/tests/replay.h
@@ -34,7 +34,7 @@
 
 /**
  * struct replay_options - a load and who serves it
- * @way: decisions that are on
+ * @policy: decisions that are on
  * @seed: of everything left to chance
  * @hosts: entry hosts
  * @engines: of one service
@@ -46,7 +46,7 @@
  */
 struct replay_options
 {
-  enum replay_policy way;
+  enum replay_policy policy;
   uint64_t seed;
   uint32_t hosts;
   uint32_t engines;
@@ -93,11 +93,11 @@
 
 /* The load of the tests: 12 hosts, 12 engines, a burst of BURST times the
    usual load for 10 s.  */
-struct replay_options replay_default_options (enum replay_policy way,
+struct replay_options replay_default_options (enum replay_policy policy,
                                               double burst, uint64_t seed);
 void replay_run (const struct replay_options *options,
                  struct replay_result *result);
-const char *replay_policy_name (enum replay_policy way);
+const char *replay_policy_name (enum replay_policy policy);
 /* Programs in aim a second, of those that began between FROM and UNTIL.  */
 double replay_goodput (const struct replay_result *result, uint32_t from,
                        uint32_t until);
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -11,7 +11,7 @@
 
 /* Programs in aim a second in the burst, over a few seeds.  */
 static double
-goodput (enum replay_policy way, double burst, struct replay_result *sum)
+goodput (enum replay_policy policy, double burst, struct replay_result *sum)
 {
   double all = 0.0;
 
@@ -20,7 +20,7 @@
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
       struct replay_options options
-          = replay_default_options (way, burst, seed);
+          = replay_default_options (policy, burst, seed);
       struct replay_result result;
 
       replay_run (&options, &result);
