--- a/tests/fuzz/fuzz_record.c
+++ b/tests/fuzz/fuzz_record.c
@@ -1,7 +1,7 @@
-/* fuzz_record.c - records of programs and turns (budget.c, chain.c).
+/* fuzz_record.c - fuzzer for budget and turn records (budget.c, chain.c).
 
-   Input: 'B' and the record of a program, or 'T' and that of a turn, as the
-   platform's table gives them back.
+   Input: 'B' and a budget record, or 'T' and a turn record, as stored in the
+   platform's table.
    Needs: fuzz.h, budget.h, chain.h.  */
 
 #include "core/router/budget.h"
@@ -32,17 +32,17 @@
   return true;
 }
 
-/* A record that counts less as spent than it holds would overspend.  */
+/* Guards against a reservation from a record that is already spent.  */
 static void
-check_ask (const struct mq_budget_record *record)
+check_reserve (const struct mq_budget_record *record)
 {
   struct mq_budget budget = { .known = false };
   struct mq_budget_record next;
-  enum mq_budget_decision answer;
+  enum mq_budget_decision decision;
 
   mq_budget_record_read (&budget, 1, record, 5);
-  answer = mq_budget_reserve (&budget, 1, 100, 10, &next);
-  if (answer == MQ_BUDGET_RESERVED)
+  decision = mq_budget_reserve (&budget, 1, 100, 10, &next);
+  if (decision == MQ_BUDGET_RESERVED)
     FUZZ_CHECK (record->spent < 100);
 }
 
@@ -80,7 +80,7 @@
   else if (len > 0 && data[0] == 'T')
     accepted = read_turn (ctx, bytes);
   if (accepted && data[0] == 'B' && mq_budget_unpack (bytes, &record))
-    check_ask (&record);
+    check_reserve (&record);
   talloc_free (ctx);
   return accepted;
 }
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -1,7 +1,6 @@
-/* replay.c - programs at engines through many hosts, in virtual time.
+/* replay.c - discrete-time simulation of hosts and engines.
 
-   Time goes in steps of a millisecond.  What is to happen waits in a list for
-   its millisecond.
+   Time advances in steps of a millisecond; each step has a list of due turns.
    Needs: replay.h, libm.  */
 
 #include "replay.h"
@@ -16,45 +15,45 @@
   TURNS_MAX = 24,
   MS_PER_S = 1000,
   US_PER_MS = 1000,
-  /* Programs go on for so long after the last has begun.  */
+  /* Time to finish after the last program has started.  */
   TAIL_MS = 20000,
   SHARED_PROMPTS = 3,
   SHARED_TOKENS = 2560,
   SHARED_SPREAD = 512,
   OUTPUT_TOKENS_MAX = 136,
-  /* Of one turn, at its caller.  */
+  /* Caller's deadline for one turn.  */
   TURN_DEADLINE_MS = 4000,
-  TRIES_A_SEND = 2,
+  TRIES_PER_SEND = 2,
   SENDS = 3,
-  AGAIN_MS = 250,
-  /* The way of a turn, and the tools after it.  */
-  WAY_MS = 22,
+  RETRY_MS = 250,
+  /* Network latency of a turn and mean time of tool calls after it.  */
+  LATENCY_MS = 22,
   TOOLS_MS = 90,
-  AIM_SLACK_MS = 200,
-  /* Of a turn, until its first token.  */
+  DEADLINE_SLACK_MS = 200,
+  /* Objective for the first token of a turn.  */
   OBJECTIVE_MS = 200,
-  /* One turn in so many comes to another host than the one before it.  */
-  MOVES_IN = 8,
+  /* One turn in this many arrives at a different host.  */
+  TURNS_PER_MOVE = 8,
   BUDGET_BASE = 100,
-  BUDGET_A_TURN = 200,
+  BUDGET_PER_TURN = 200,
   ADMISSION_SEED = 2
 };
 
 static const char service_name[] = "models";
 
 /**
- * struct class_kind - programs of a class
- * @share: of all programs
- * @turns: on average
- * @input_tokens: of a turn, on average
- * @aim: time allowed, times that on idle engines
+ * struct class_kind - class of programs
+ * @share: fraction of all programs
+ * @turns: mean number of turns
+ * @input_tokens: mean input of a turn
+ * @slowdown: deadline relative to the time on idle engines
  */
 struct class_kind
 {
   double share;
   double turns;
   double input_tokens;
-  double aim;
+  double slowdown;
   const char *route;
 };
 
@@ -71,14 +70,16 @@
 
 /**
  * struct program - one program
- * @next: in the list of its millisecond
- * @at: turn that is next or under way
- * @history: tokens of its line before that turn
- * @engine: where the turn runs, UINT32_MAX: nowhere
- * @sent_ms: when the turn's send began, @tries of it and @sends of the turn
- * @placed_ms: when it went to its engine
- * @home: worker named in its record, 0: none
- * @begun: a host has taken it on
+ * @next: next program that is due in the same millisecond
+ * @at: index of the current turn
+ * @history: tokens of all earlier turns
+ * @engine: engine that runs the turn, UINT32_MAX if none
+ * @sent_ms: start of the current send of the turn
+ * @placed_ms: time at which the turn was sent to its engine
+ * @tries: tries in the current send
+ * @sends: sends of the current turn
+ * @home: worker in the program's record, 0 if none
+ * @begun: the program was admitted
  */
 struct program
 {
@@ -93,7 +94,7 @@
   uint32_t shared_tokens;
   uint32_t history;
   uint64_t began_ms;
-  uint64_t aim_ms;
+  uint64_t deadline_ms;
   uint32_t engine;
   uint64_t sequence;
   uint64_t sent_ms;
@@ -121,39 +122,39 @@
   struct program **due;
   uint64_t end_ms;
   uint64_t now_ms;
-  unsigned short chance[3];
+  unsigned short random_state[3];
 };
 
-/* ---- Chance ---- */
+/* ---- Random numbers ---- */
 
 static double
-fraction (struct replay *self)
+random_fraction (struct replay *self)
 {
-  return erand48 (self->chance);
+  return erand48 (self->random_state);
 }
 
 static uint64_t
-number (struct replay *self)
+random_number (struct replay *self)
 {
-  return (uint64_t)nrand48 (self->chance) << 31
-         | (uint64_t)nrand48 (self->chance);
+  return (uint64_t)nrand48 (self->random_state) << 31
+         | (uint64_t)nrand48 (self->random_state);
 }
 
-/* Log-normal around MEAN.  */
+/* Log-normal sample with mean MEAN.  */
 static double
-spread (struct replay *self, double mean, double sigma)
+random_lognormal (struct replay *self, double mean, double sigma)
 {
-  double a = fraction (self);
-  double b = fraction (self);
+  double a = random_fraction (self);
+  double b = random_fraction (self);
   double normal = sqrt (-2.0 * log (1.0 - a)) * cos (2.0 * M_PI * b);
 
   return mean * exp (sigma * normal - sigma * sigma / 2.0);
 }
 
 static uint32_t
-spread_count (struct replay *self, double mean, double sigma, uint32_t most)
+random_count (struct replay *self, double mean, double sigma, uint32_t most)
 {
-  double value = spread (self, mean, sigma);
+  double value = random_lognormal (self, mean, sigma);
 
   if (value < 1.0)
     return 1;
@@ -163,7 +164,7 @@
 /* ---- Time ---- */
 
 static void
-later (struct replay *self, struct program *program, uint64_t wait_ms)
+schedule (struct replay *self, struct program *program, uint64_t wait_ms)
 {
   uint64_t at = self->now_ms + (wait_ms > 0 ? wait_ms : 1);
 
@@ -175,12 +176,12 @@
 
 /* ---- Programs ---- */
 
-/* Time of a turn alone on an engine that has its history.  */
+/* Duration of a turn on an idle engine that has its history cached.  */
 static double
 idle_ms (const struct mq_engine_params *params, const struct turn *turn)
 {
   return (double)turn->input * params->prefill_us_per_token / US_PER_MS
-         + (double)turn->output * params->base_us / US_PER_MS + WAY_MS;
+         + (double)turn->output * params->base_us / US_PER_MS + LATENCY_MS;
 }
 
 static void
@@ -208,24 +209,24 @@
 
   make_params (&params);
   program->number = ++self->program_count;
-  program->kind = fraction (self) < kinds[0].share ? 0 : 1;
+  program->kind = random_fraction (self) < kinds[0].share ? 0 : 1;
   kind = &kinds[program->kind];
-  program->host = (uint32_t)(number (self) % self->options->hosts);
-  program->shared = (uint32_t)(number (self) % SHARED_PROMPTS);
+  program->host = (uint32_t)(random_number (self) % self->options->hosts);
+  program->shared = (uint32_t)(random_number (self) % SHARED_PROMPTS);
   program->shared_tokens = SHARED_TOKENS + program->shared * SHARED_SPREAD;
-  program->turn_count = spread_count (self, kind->turns, 0.4, TURNS_MAX);
+  program->turn_count = random_count (self, kind->turns, 0.4, TURNS_MAX);
   for (uint32_t i = 0; i < program->turn_count; i++)
     {
       struct turn *turn = &program->turns[i];
 
-      turn->input = spread_count (self, kind->input_tokens, 0.7, 4000);
-      turn->output = 4U * spread_count (self, 8.5, 0.8, 34);
-      turn->pause_ms = spread_count (self, TOOLS_MS, 0.6, 600);
+      turn->input = random_count (self, kind->input_tokens, 0.7, 4000);
+      turn->output = 4U * random_count (self, 8.5, 0.8, 34);
+      turn->pause_ms = random_count (self, TOOLS_MS, 0.6, 600);
       idle += idle_ms (&params, turn) + turn->pause_ms;
     }
   program->engine = UINT32_MAX;
   program->began_ms = self->now_ms;
-  program->aim_ms = (uint64_t)(idle * kind->aim) + AIM_SLACK_MS;
+  program->deadline_ms = (uint64_t)(idle * kind->slowdown) + DEADLINE_SLACK_MS;
   return program;
 }
 
@@ -253,9 +254,9 @@
     {
       if (counts[i] == NULL)
         continue;
-      if (whole && took <= program->aim_ms)
+      if (whole && took <= program->deadline_ms)
         counts[i]->met_deadline++;
-      else if (whole && took <= 2 * program->aim_ms)
+      else if (whole && took <= 2 * program->deadline_ms)
         counts[i]->late++;
       else if (!program->begun)
         counts[i]->refused++;
@@ -272,7 +273,8 @@
   return mq_hash_bytes (&program->number, sizeof program->number, seed);
 }
 
-/* Hashes of the blocks of the shared prompt, then of the program's own.  */
+/* Hashes of the prompt blocks: the shared prompt, then the program's own text.
+ */
 static uint64_t *
 prompt_hashes (struct replay *self, const struct program *program,
                size_t count)
@@ -329,38 +331,38 @@
     .home = program->home,
     .key = program_hash (program, 1),
     .now_ms = self->now_ms,
-    .random = number (self),
+    .random = random_number (self),
   };
 }
 
-/* The caller hears that the turn was not run, or nothing: tries again as long
-   as callers do.  */
+/* Retries a turn that was rejected or timed out, up to the limits of callers.
+ */
 static void
-try_again (struct replay *self, struct program *program, uint64_t wait_ms)
+retry_turn (struct replay *self, struct program *program, uint64_t wait_ms)
 {
   uint64_t left = program->sent_ms + TURN_DEADLINE_MS > self->now_ms
                       ? program->sent_ms + TURN_DEADLINE_MS - self->now_ms
                       : 0;
 
-  if (++program->tries < TRIES_A_SEND && left > 0)
+  if (++program->tries < TRIES_PER_SEND && left > 0)
     {
-      later (self, program, wait_ms < left / 3 ? wait_ms : left / 3);
+      schedule (self, program, wait_ms < left / 3 ? wait_ms : left / 3);
       return;
     }
   program->tries = 0;
   if (++program->sends < SENDS)
-    later (self, program, AGAIN_MS);
+    schedule (self, program, RETRY_MS);
   else
     end_program (self, program, false);
 }
 
-/* True: the program goes on, or begins.  */
+/* Returns true if the program has begun or is admitted.  */
 static bool
 admit (struct replay *self, struct program *program, uint32_t *retry_ms)
 {
   struct host *host = &self->hosts[program->host];
   uint64_t spent = self->now_ms - program->began_ms;
-  struct mq_admission_request ask = {
+  struct mq_admission_request request = {
     .service = service_name,
     .route = kinds[program->kind].route,
     .priority = program->kind,
@@ -369,8 +371,9 @@
     = mq_fleet_service_pressure (host->fleet, service_name, self->now_ms),
     .has_remaining = true,
     .remaining_ms
-    = (uint32_t)(program->aim_ms > spent ? program->aim_ms - spent : 0),
-    .budget = BUDGET_BASE + (uint64_t)BUDGET_A_TURN * program->turn_count,
+    = (uint32_t)(program->deadline_ms > spent ? program->deadline_ms - spent
+                                              : 0),
+    .budget = BUDGET_BASE + (uint64_t)BUDGET_PER_TURN * program->turn_count,
     .now_ms = self->now_ms,
   };
   struct mq_fleet_query query = query_of (self, program);
@@ -378,7 +381,7 @@
   if (program->begun)
     return true;
   if (self->options->policy == REPLAY_ALL_DECISIONS
-      && mq_admission_decide (host->admission, &ask, retry_ms)
+      && mq_admission_decide (host->admission, &request, retry_ms)
              != MQ_ADMISSION_ACCEPTED)
     return false;
   program->begun = true;
@@ -398,7 +401,7 @@
     program->sent_ms = self->now_ms;
   if (!admit (self, program, &retry_ms))
     {
-      try_again (self, program, retry_ms);
+      retry_turn (self, program, retry_ms);
       return;
     }
   query = query_of (self, program);
@@ -410,7 +413,7 @@
   mq_fleet_request_ended (fleet, program->engine, MQ_OUTCOME_FULL,
                           self->now_ms);
   program->engine = UINT32_MAX;
-  try_again (self, program, AGAIN_MS);
+  retry_turn (self, program, RETRY_MS);
 }
 
 static void
@@ -434,14 +437,14 @@
       end_program (self, program, true);
       return;
     }
-  if (number (self) % MOVES_IN == 0)
-    program->host = (uint32_t)(number (self) % self->options->hosts);
-  later (self, program, WAY_MS + turn->pause_ms);
+  if (random_number (self) % TURNS_PER_MOVE == 0)
+    program->host = (uint32_t)(random_number (self) % self->options->hosts);
+  schedule (self, program, LATENCY_MS + turn->pause_ms);
 }
 
-/* Its deadline is over while it is at an engine: the caller leaves.  */
+/* Cancels a turn whose deadline has passed while it is at an engine.  */
 static void
-look_at_deadline (struct replay *self, struct program *program)
+check_deadline (struct replay *self, struct program *program)
 {
   uint32_t generated = 0;
 
@@ -453,11 +456,11 @@
   mq_fleet_request_ended (self->hosts[program->host].fleet, program->engine,
                           MQ_OUTCOME_CANCELLED, self->now_ms);
   program->engine = UINT32_MAX;
-  program->tries = TRIES_A_SEND;
-  try_again (self, program, 0);
+  program->tries = TRIES_PER_SEND;
+  retry_turn (self, program, 0);
 }
 
-/* ---- The world ---- */
+/* ---- Simulation ---- */
 
 static void
 make_hosts (struct replay *self)
@@ -494,9 +497,9 @@
     }
 }
 
-/* The first token of a turn.  */
+/* Records the delay of the first token of a turn.  */
 static void
-note_wait (struct replay *self, const struct program *program)
+record_delay (struct replay *self, const struct program *program)
 {
   if (program->engine != UINT32_MAX)
     mq_fleet_record_delay (self->hosts[program->host].fleet, program->engine,
@@ -505,13 +508,13 @@
 }
 
 static void
-take_events (struct replay *self, struct mq_engine *engine)
+handle_events (struct replay *self, struct mq_engine *engine)
 {
   struct mq_engine_event event;
 
   while (mq_engine_next_event (engine, &event))
     if (event.type == MQ_ENGINE_TOKEN && event.generated == 1)
-      note_wait (self, self->programs[event.tag]);
+      record_delay (self, self->programs[event.tag]);
     else if (event.type == MQ_ENGINE_DONE
              && self->programs[event.tag]->engine != UINT32_MAX)
       end_turn (self, self->programs[event.tag]);
@@ -527,7 +530,7 @@
       if (mq_engine_next_us (self->engines[i]) > now_us)
         continue;
       mq_engine_advance (self->engines[i], now_us);
-      take_events (self, self->engines[i]);
+      handle_events (self, self->engines[i]);
     }
 }
 
@@ -542,7 +545,7 @@
       = options->base_per_s * (burst ? options->burst : 1.0) / MS_PER_S;
   struct program *program;
 
-  if (second >= options->length_s || fraction (self) >= expected)
+  if (second >= options->length_s || random_fraction (self) >= expected)
     return;
   program = make_program (self);
   self->programs = mq_must (talloc_realloc (
@@ -551,7 +554,7 @@
   self->result->classes[program->kind].asked++;
   if (is_counted (program))
     second_of (self, program)->asked++;
-  later (self, program, WAY_MS);
+  schedule (self, program, LATENCY_MS);
 }
 
 static void
@@ -569,7 +572,7 @@
 }
 
 static void
-look_at_deadlines (struct replay *self)
+check_deadlines (struct replay *self)
 {
   enum
   {
@@ -578,7 +581,7 @@
 
   for (uint32_t i = 1;
        self->now_ms % EVERY_MS == 0 && i <= self->program_count; i++)
-    look_at_deadline (self, self->programs[i]);
+    check_deadline (self, self->programs[i]);
 }
 
 void
@@ -589,20 +592,20 @@
   *result = (struct replay_result){ 0 };
   self->options = options;
   self->result = result;
-  self->chance[0] = (unsigned short)options->seed;
-  self->chance[1] = (unsigned short)(options->seed >> 16);
+  self->random_state[0] = (unsigned short)options->seed;
+  self->random_state[1] = (unsigned short)(options->seed >> 16);
   self->end_ms = (uint64_t)options->length_s * MS_PER_S + TAIL_MS;
   self->due
       = mq_must (talloc_zero_array (self, struct program *, self->end_ms));
   make_hosts (self);
   make_engines (self);
-  /* Zero is no time at all to the fleet.  */
+  /* The fleet treats time 0 as unset.  */
   for (self->now_ms = 1; self->now_ms < self->end_ms; self->now_ms++)
     {
       begin_programs (self);
       run_due (self);
       run_engines (self);
-      look_at_deadlines (self);
+      check_deadlines (self);
     }
   for (uint32_t i = 0; i < options->engines; i++)
     {
--- a/tests/replay.h
+++ b/tests/replay.h
@@ -1,9 +1,9 @@
-/* replay.h - programs at engines through many hosts, in virtual time.
+/* replay.h - discrete-time simulation of hosts and engines.
 
-   The hosts run the real decisions (fleet, admission) on what each of them has
-   seen; the engines are the model of standins/engine_model.h; programs have
-   turns, pauses and callers that come back as refused ones do.  The same seed
-   gives the same figures.
+   Hosts make the real decisions (fleet, admission) on their own observations.
+   Engines are modelled by standins/engine_model.h.  Programs have turns and
+   pauses, and their callers retry rejected turns.  Runs with equal seeds give
+   equal results.
    Needs: fleet.h, admission.h, engine_model.h.  */
 
 #ifndef REPLAY_H
@@ -13,13 +13,13 @@
 #include "core/router/admission.h"
 #include "core/router/fleet.h"
 
-/* Which decisions are on.  */
+/* Routing decisions that are active.  */
 enum replay_policy
 {
-  REPLAY_ALL_DECISIONS, /* all, as in the product */
-  REPLAY_ALL_ADMITTED,  /* no program is refused */
-  REPLAY_HASHED,        /* nor are programs spread by load */
-  REPLAY_PREEMPTIVE,    /* nor is a begun run safe from a more urgent one */
+  REPLAY_ALL_DECISIONS, /* all */
+  REPLAY_ALL_ADMITTED,  /* without admission control */
+  REPLAY_HASHED,        /* nor placement by load */
+  REPLAY_PREEMPTIVE,    /* and urgent runs preempt others */
   REPLAY_LEAST_LOADED,  /* each turn goes to the least loaded engine */
   REPLAY_POLICIES
 };
@@ -27,22 +27,20 @@
 enum
 {
   REPLAY_CLASSES = 2,  /* 0 is the more urgent */
-  REPLAY_SECONDS = 60, /* that are counted */
+  REPLAY_SECONDS = 60, /* length of the statistics */
   REPLAY_HOSTS_MAX = 256,
   REPLAY_ENGINES_MAX = 256
 };
 
 /**
- * struct replay_options - a load and who serves it
- * @policy: decisions that are on
- * @seed: of everything left to chance
- * @hosts: entry hosts
- * @engines: of one service
- * @base_per_s: programs that begin a second
- * @burst: how many times as many begin in the burst
- * @burst_from_s: when it begins
- * @burst_s: how long it lasts
- * @length_s: how long programs begin
+ * struct replay_options - workload and topology
+ * @hosts: number of entry hosts
+ * @engines: number of engines
+ * @base_per_s: programs started per second outside the burst
+ * @burst: load factor during the burst
+ * @burst_from_s: start of the burst
+ * @burst_s: duration of the burst
+ * @length_s: time during which programs start
  */
 struct replay_options
 {
@@ -58,12 +56,12 @@
 };
 
 /**
- * struct replay_count - what became of programs
- * @asked: that began
- * @met_deadline: ended within their time
- * @late: within twice that time
- * @refused: never taken on
- * @failed: broke off, or ended later
+ * struct replay_count - programs by result
+ * @asked: all programs
+ * @met_deadline: finished within their deadline
+ * @late: finished within twice their deadline
+ * @refused: never admitted
+ * @failed: aborted, or finished later
  */
 struct replay_count
 {
@@ -75,12 +73,12 @@
 };
 
 /**
- * struct replay_result - a day
- * @classes: by class
- * @seconds: by the second in which programs began
- * @turns: that were served
- * @prefill_tokens: prompt tokens that the engines read
- * @preempted: runs that lost their memory
+ * struct replay_result - results of a run
+ * @classes: counts by class
+ * @seconds: counts by the second in which programs started
+ * @turns: completed turns
+ * @prefill_tokens: prompt tokens that the engines processed
+ * @preempted: runs that were preempted
  */
 struct replay_result
 {
@@ -91,14 +89,15 @@
   uint64_t preempted;
 };
 
-/* The load of the tests: 12 hosts, 12 engines, a burst of BURST times the
-   usual load for 10 s.  */
+/* Options of the tests: 12 hosts, 12 engines and a burst of BURST times the
+   base load for 10 s.  */
 struct replay_options replay_default_options (enum replay_policy policy,
                                               double burst, uint64_t seed);
 void replay_run (const struct replay_options *options,
                  struct replay_result *result);
 const char *replay_policy_name (enum replay_policy policy);
-/* Programs in aim a second, of those that began between FROM and UNTIL.  */
+/* Programs per second that met their deadline, of those started in seconds
+   FROM to UNTIL - 1.  */
 double replay_goodput (const struct replay_result *result, uint32_t from,
                        uint32_t until);
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,4 +1,4 @@
-/* test_admission.c - which programs are taken on, on plain values.
+/* test_admission.c - unit tests of admission control.
 
    Needs: Criterion, admission.h.  */
 
@@ -25,7 +25,8 @@
 TestSuite (admission, .init = set_up, .fini = tear_down);
 
 static struct mq_admission_request
-ask_of (uint64_t program, uint32_t priority, uint32_t load, uint64_t now_ms)
+make_request (uint64_t program, uint32_t priority, uint32_t load,
+              uint64_t now_ms)
 {
   return (struct mq_admission_request){
     .service = "models",
@@ -40,7 +41,7 @@
   };
 }
 
-/* How many of PROGRAMS are taken on.  */
+/* Number of PROGRAMS that are admitted.  */
 static uint32_t
 admitted (uint32_t priority, uint32_t load, uint64_t now_ms)
 {
@@ -49,10 +50,10 @@
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_request ask
-          = ask_of (program, priority, load, now_ms);
+      struct mq_admission_request request
+          = make_request (program, priority, load, now_ms);
 
-      if (mq_admission_decide (admission, &ask, &retry_ms)
+      if (mq_admission_decide (admission, &request, &retry_ms)
           == MQ_ADMISSION_ACCEPTED)
         count++;
     }
@@ -63,13 +64,12 @@
 {
   uint32_t priority;
   uint32_t load;
-  uint32_t least;
-  uint32_t most;
+  uint32_t min;
+  uint32_t max;
 };
 
-/* The more the workers have, the fewer programs begin, and of the less urgent
-   ones first.  None is refused while slots are free, or where no load is
-   known.  */
+/* Fewer programs are admitted as the load rises, lower priorities first.  None
+   is rejected while slots are free or the load is unknown.  */
 Test (admission, share_falls_with_load)
 {
   static const struct share_case cases[] = {
@@ -93,13 +93,12 @@
       tear_down ();
       set_up ();
       count = admitted (row->priority, row->load, 1);
-      cr_expect (count >= row->least && count <= row->most,
+      cr_expect (count >= row->min && count <= row->max,
                  "priority %u, load %u: %u", row->priority, row->load, count);
     }
 }
 
-/* Hosts that see the same load refuse the same programs, without asking each
-   other: one that was refused here is not taken on there.  */
+/* Hosts with the same load reject the same programs.  */
 Test (admission, hosts_agree)
 {
   struct mq_admission *other = mq_admission_create (NULL);
@@ -107,19 +106,17 @@
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_request ask = ask_of (program, 1, 1300, 1);
+      struct mq_admission_request request = make_request (program, 1, 1300, 1);
       enum mq_admission_decision here
-          = mq_admission_decide (admission, &ask, &retry_ms);
+          = mq_admission_decide (admission, &request, &retry_ms);
 
-      cr_assert_eq (mq_admission_decide (other, &ask, &retry_ms), here);
+      cr_assert_eq (mq_admission_decide (other, &request, &retry_ms), here);
     }
   mq_admission_destroy (other);
 }
 
-/* In a moment with less load a program that was refused got in late, in place
-   of one that could still be in time: load is believed at once when it rises,
-   and slowly when it falls.  When the load is gone all are taken on within
-   seconds.  */
+/* Guards against admitting late retries during a short dip in load: the
+   smoothed load rises at once and falls slowly.  */
 Test (admission, load_falls_slowly)
 {
   uint32_t before = admitted (1, 1400, 1000);
@@ -130,8 +127,8 @@
   cr_expect_eq (admitted (1, 600, 12000), PROGRAMS);
 }
 
-/* A host at which a program begins each millisecond took the load for as high
-   as it had ever been: the fall in so short a time was rounded to nothing.  */
+/* Guards against rounding the fall of the load to zero when programs begin
+   every millisecond.  */
 Test (admission, load_falls_at_a_busy_host)
 {
   uint32_t retry_ms;
@@ -139,31 +136,30 @@
   cr_assert_eq (admitted (1, 3000, 1), 0);
   for (uint64_t now = 2; now < 40000; now++)
     {
-      struct mq_admission_request ask = ask_of (now, 1, 600, now);
+      struct mq_admission_request request = make_request (now, 1, 600, now);
 
-      mq_admission_decide (admission, &ask, &retry_ms);
+      mq_admission_decide (admission, &request, &retry_ms);
     }
   cr_expect_eq (admitted (1, 600, 40000), PROGRAMS);
 }
 
-/* Ends of turns waited for half a second for their records, while the engines
-   had room, and programs went on beginning.  A table that is slow refuses them
-   too; unlike a queue at the engines that is over when it is over.  */
-Test (admission, table_behind)
+/* A slow table rejects programs even if engines have free slots.  Its load is
+   not smoothed.  */
+Test (admission, slow_table_rejects)
 {
-  struct mq_admission_request ask = ask_of (1, 0, 500, 1);
+  struct mq_admission_request request = make_request (1, 0, 500, 1);
   uint32_t retry_ms;
 
-  ask.record_load = 3000;
-  cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
+  request.record_load = 3000;
+  cr_expect_eq (mq_admission_decide (admission, &request, &retry_ms),
                 MQ_ADMISSION_OVERLOADED);
   cr_expect_geq (retry_ms, 300);
-  ask.record_load = 0;
-  cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
+  request.record_load = 0;
+  cr_expect_eq (mq_admission_decide (admission, &request, &retry_ms),
                 MQ_ADMISSION_ACCEPTED);
 }
 
-/* However high the load was, all are taken on again within seconds.  */
+/* A spike in load does not prolong rejections.  */
 Test (admission, load_is_bounded)
 {
   cr_assert_eq (admitted (0, 30000, 1), 0);
@@ -180,46 +176,46 @@
   enum mq_admission_decision answer;
 };
 
-/* A program that comes back after a refusal has lost much of the time that
-   others of its length begin with.  Taken on, it was late, and so was one more
-   that it took the slot of.  What is not told counts for nothing.  */
-Test (admission, late_programs_wait_for_room)
+/* A program that is short of time is rejected at full load.  Unknown deadlines
+   and budgets are ignored.  */
+Test (admission, programs_short_of_time_wait_for_slots)
 {
   static const struct late_case cases[] = {
-    { "all its time", 3000, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "full time", 3000, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
     { "a long program", 9000, 3000, true, 1010, MQ_ADMISSION_ACCEPTED },
-    { "most of its time", 2500, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
-    { "half of its time", 1500, 1000, true, 1010, MQ_ADMISSION_TOO_LATE },
-    { "a long one, half", 4500, 3000, true, 1010, MQ_ADMISSION_TOO_LATE },
+    { "most of the time", 2500, 1000, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "half of the time", 1500, 1000, true, 1010, MQ_ADMISSION_TOO_LATE },
+    { "a long program, half of the time", 4500, 3000, true, 1010,
+      MQ_ADMISSION_TOO_LATE },
     { "no time", 0, 1000, true, 1010, MQ_ADMISSION_TOO_LATE },
-    { "no time, room", 0, 1000, true, 700, MQ_ADMISSION_ACCEPTED },
-    { "time not told", 0, 1000, false, 1010, MQ_ADMISSION_ACCEPTED },
-    { "length not told", 100, 0, true, 1010, MQ_ADMISSION_ACCEPTED },
+    { "no time, free slots", 0, 1000, true, 700, MQ_ADMISSION_ACCEPTED },
+    { "time unknown", 0, 1000, false, 1010, MQ_ADMISSION_ACCEPTED },
+    { "budget unknown", 100, 0, true, 1010, MQ_ADMISSION_ACCEPTED },
   };
   uint32_t retry_ms;
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
-      struct mq_admission_request ask;
+      struct mq_admission_request request;
 
       tear_down ();
       set_up ();
       cr_assert_eq (admitted (0, 0, 1), PROGRAMS);
-      ask = ask_of (PROGRAMS - 1, 0, cases[i].load, 1000);
-      ask.has_remaining = cases[i].has_left;
-      ask.remaining_ms = cases[i].left_ms;
-      ask.budget = cases[i].budget;
-      cr_expect_eq (mq_admission_decide (admission, &ask, &retry_ms),
+      request = make_request (PROGRAMS - 1, 0, cases[i].load, 1000);
+      request.has_remaining = cases[i].has_left;
+      request.remaining_ms = cases[i].left_ms;
+      request.budget = cases[i].budget;
+      cr_expect_eq (mq_admission_decide (admission, &request, &retry_ms),
                     cases[i].answer, "%s", cases[i].name);
     }
 }
 
-/* Programs that loop have a tiny budget for the time they have; the first of
-   them must not make all that follow look late.  */
-Test (admission, odd_programs_do_not_set_the_measure)
+/* A program with a tiny budget for its time must not make later programs look
+   short of time.  */
+Test (admission, outliers_do_not_skew_the_mean)
 {
-  struct mq_admission_request odd = ask_of (1, 0, 0, 1);
-  struct mq_admission_request usual = ask_of (1, 0, 1010, 2000);
+  struct mq_admission_request odd = make_request (1, 0, 0, 1);
+  struct mq_admission_request usual = make_request (1, 0, 1010, 2000);
   uint32_t retry_ms;
 
   odd.remaining_ms = 30000;
@@ -231,25 +227,24 @@
                 MQ_ADMISSION_ACCEPTED);
 }
 
-/* The time to come back is when the load may have fallen far enough for just
-   that program, so that those who were refused together don't return
-   together.  */
-Test (admission, returns_are_spread)
+/* Retry delays differ per program, so that programs rejected together do not
+   retry together.  */
+Test (admission, retries_are_spread)
 {
-  uint32_t least = UINT32_MAX;
-  uint32_t most = 0;
+  uint32_t min = UINT32_MAX;
+  uint32_t max = 0;
 
   for (uint64_t program = 0; program < PROGRAMS; program++)
     {
-      struct mq_admission_request ask = ask_of (program, 0, 1700, 1);
+      struct mq_admission_request request = make_request (program, 0, 1700, 1);
       uint32_t retry_ms = 0;
 
-      cr_assert_eq (mq_admission_decide (admission, &ask, &retry_ms),
+      cr_assert_eq (mq_admission_decide (admission, &request, &retry_ms),
                     MQ_ADMISSION_OVERLOADED);
-      least = retry_ms < least ? retry_ms : least;
-      most = retry_ms > most ? retry_ms : most;
+      min = retry_ms < min ? retry_ms : min;
+      max = retry_ms > max ? retry_ms : max;
     }
-  cr_expect_geq (least, 300);
-  cr_expect_leq (most, 4000);
-  cr_expect_gt (most, 3 * least);
+  cr_expect_geq (min, 300);
+  cr_expect_leq (max, 4000);
+  cr_expect_gt (max, 3 * min);
 }
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -1,5 +1,5 @@
-/* test_replay.c - bursts of programs against the model of the engines, with
-   the decisions as they are and without some of them.
+/* test_replay.c - replays bursts of programs on modelled engines, with and
+   without some of the routing decisions.
 
    Needs: Criterion, replay.h.  */
 
@@ -9,7 +9,7 @@
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 #define SEEDS 3
 
-/* Programs in aim a second in the burst, over a few seeds.  */
+/* Mean number of programs per second that meet their deadline in the burst. */
 static double
 goodput (enum replay_policy policy, double burst, struct replay_result *sum)
 {
@@ -38,47 +38,45 @@
   return all / SEEDS;
 }
 
-/* Of what is in aim at twice the load, in a longer burst of more.  */
-#define GOODPUT_LEAST 0.9
+/* Minimum goodput relative to that at twice the load.  */
+#define GOODPUT_MIN 0.9
 
-/* At two and a half and three times the usual load a half and a third of what
-   the engines had brought at twice the load reached anyone in time: each
-   program waited for all others, and prompts were read again and again.  */
+/* Guards against a collapse of goodput under overload, when programs delay
+   each other and evict each other's prompts.  */
 Test (replay, goodput_holds_in_a_burst)
 {
   double twice = goodput (REPLAY_ALL_DECISIONS, 2.0, NULL);
-  double as_is = goodput (REPLAY_ALL_DECISIONS, 2.5, NULL);
+  double actual = goodput (REPLAY_ALL_DECISIONS, 2.5, NULL);
 
-  cr_expect_geq (as_is, twice * GOODPUT_LEAST, "%.1f of %.1f", as_is, twice);
+  cr_expect_geq (actual, twice * GOODPUT_MIN, "%.1f of %.1f", actual, twice);
 }
 
-/* The same at three times the load.  */
 Test (replay, goodput_holds_at_three_times_the_load)
 {
   double twice = goodput (REPLAY_ALL_DECISIONS, 2.0, NULL);
-  double as_is = goodput (REPLAY_ALL_DECISIONS, 3.0, NULL);
+  double actual = goodput (REPLAY_ALL_DECISIONS, 3.0, NULL);
 
-  cr_expect_geq (as_is, twice * GOODPUT_LEAST, "%.1f of %.1f", as_is, twice);
+  cr_expect_geq (actual, twice * GOODPUT_MIN, "%.1f of %.1f", actual, twice);
 }
 
-/* Without the decisions on programs, a more urgent run pushes begun ones out,
-   and everything that is asked for begins.  */
-Test (replay, more_is_in_aim_than_without_the_decisions)
+/* Goodput is higher than with preemption and without admission control.  */
+Test (replay, goodput_exceeds_preemption_without_admission)
 {
   static const double bursts[] = { 2.0, 2.5, 3.0, 4.5 };
 
   for (size_t i = 0; i < ROWS (bursts); i++)
     {
-      double as_is = goodput (REPLAY_ALL_DECISIONS, bursts[i], NULL);
+      double actual = goodput (REPLAY_ALL_DECISIONS, bursts[i], NULL);
       double before = goodput (REPLAY_PREEMPTIVE, bursts[i], NULL);
 
-      cr_expect_gt (as_is, before, "%.1f: %.1f, without %.1f", bursts[i],
-                    as_is, before);
+      cr_expect_gt (actual, before, "%.1f: %.1f, without %.1f", bursts[i],
+                    actual, before);
     }
 }
 
-/* What the engines can do in time is not refused, and nobody is late.  */
-Test (replay, usual_load_is_served)
+/* Load within the engines' capacity is not rejected and meets its deadlines.
+ */
+Test (replay, load_within_capacity_is_served)
 {
   static const double bursts[] = { 1.0, 2.0 };
 
@@ -100,9 +98,9 @@
     }
 }
 
-/* A program of one class made room for another's by losing what it had read:
-   the engines then read it once more.  */
-Test (replay, what_has_begun_is_not_read_again)
+/* Guards against preemption of programs that have begun, whose prompts would
+   be processed again.  */
+Test (replay, begun_programs_are_not_preempted)
 {
   struct replay_result result;
 
@@ -112,17 +110,17 @@
   cr_expect_eq (result.preempted, 0, "%lu", (unsigned long)result.preempted);
 }
 
-/* Programs that are spread by a hash wait at some engines while others have
-   free slots.  */
-Test (replay, programs_are_spread_by_load)
+/* Placement by load gives a higher goodput than placement by hash, which
+   leaves queues at some engines and free slots at others.  */
+Test (replay, placement_by_load_beats_hashing)
 {
-  double as_is = goodput (REPLAY_ALL_ADMITTED, 2.5, NULL);
+  double actual = goodput (REPLAY_ALL_ADMITTED, 2.5, NULL);
   double hashed = goodput (REPLAY_HASHED, 2.5, NULL);
 
-  cr_expect_gt (as_is, hashed, "%.1f, hashed %.1f", as_is, hashed);
+  cr_expect_gt (actual, hashed, "%.1f, hashed %.1f", actual, hashed);
 }
 
-/* No class is starved, however much is asked.  */
+/* No class starves under overload.  */
 Test (replay, both_classes_are_served)
 {
   struct replay_result result;
--- a/tests/test_reserve.c
+++ b/tests/test_reserve.c
@@ -1,5 +1,4 @@
-/* test_reserve.c - leases on programs that may begin while the table is away,
-   on plain values.
+/* test_reserve.c - unit tests of slot leases and of turns during outages.
 
    Needs: Criterion, reserve.h, outage.h.  */
 
@@ -13,18 +12,16 @@
 #define FIRST 11U
 #define SECOND 22U
 
-/* Two hosts let the same program begin, and it spends twice what its budget
-   allows beyond its limit: one of them was cut off, or was suspended, and did
-   not notice that its lease had run out and was taken over.  Whatever lies
-   between the question and the answer, or between the two hosts' clocks, the
-   former holder must stop before the next one may begin.  */
+/* Guards against two holders of a slot, who could both issue tokens for the
+   same program.  A holder must stop using its lease before another host can
+   take it over, whatever the delay of the table's reply.  */
 struct lease_case
 {
   const char *what;
-  uint64_t asked_ms; /* by the holder's clock */
-  uint64_t table_ms; /* by the table's, when it answered */
-  uint64_t now_ms;   /* by the holder's clock */
-  uint64_t other_ms; /* by the table's, when the other one looks */
+  uint64_t asked_ms; /* holder's clock */
+  uint64_t table_ms; /* table's clock in its reply */
+  uint64_t now_ms;   /* holder's clock */
+  uint64_t other_ms; /* table's clock when the other host reads the row */
   bool holds;
   bool taken;
 };
@@ -32,26 +29,26 @@
 Test (reserve, never_two_holders)
 {
   static const struct lease_case cases[] = {
-    { "just taken", 100, 5000, 100, 5000, true, false },
-    { "late in the lease", 100, 5000, 12099, 16999, true, false },
-    { "run out for the holder", 100, 5000, 12100, 17000, false, false },
-    { "within the margin", 100, 5000, 12400, 17300, false, false },
+    { "just acquired", 100, 5000, 100, 5000, true, false },
+    { "just before expiry", 100, 5000, 12099, 16999, true, false },
+    { "expired for the holder", 100, 5000, 12100, 17000, false, false },
+    { "within the grace period", 100, 5000, 12400, 17300, false, false },
     { "taken over", 100, 5000, 12700, 17501, false, true },
-    { "answer took a second", 100, 6000, 12100, 18000, false, false },
+    { "reply took a second", 100, 6000, 12100, 18000, false, false },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       struct mq_reserve *first = mq_reserve_create (NULL, FIRST, "a:1");
       struct mq_reserve *second = mq_reserve_create (NULL, SECOND, "b:1");
-      struct mq_reserve_clock_sample moment
+      struct mq_reserve_clock_sample sample
           = { cases[i].asked_ms, cases[i].table_ms };
       struct mq_reserve_clock_sample look = { 7, cases[i].other_ms };
-      struct mq_reserve_lease lease = mq_reserve_renewed_lease (first, moment);
+      struct mq_reserve_lease lease = mq_reserve_renewed_lease (first, sample);
       uint32_t slots[MQ_RESERVE_SLOTS];
       uint32_t free = 0;
 
-      mq_reserve_record_row (first, 3, lease, 9, moment);
+      mq_reserve_record_row (first, 3, lease, 9, sample);
       cr_expect_eq (mq_reserve_can_issue (first, 3, cases[i].now_ms),
                     cases[i].holds, "%s", cases[i].what);
       for (uint32_t s = 0; s < MQ_RESERVE_SLOTS; s++)
@@ -70,8 +67,7 @@
     }
 }
 
-/* Hosts that start together share the slots; none takes so many that its loss
-   would take the most of them.  */
+/* Each host claims at most its share of the slots.  */
 Test (reserve, shares)
 {
   static const struct
@@ -83,18 +79,18 @@
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       struct mq_reserve *reserve = mq_reserve_create (NULL, FIRST, "a:1");
-      struct mq_reserve_clock_sample moment = { 100, 5000 };
+      struct mq_reserve_clock_sample sample = { 100, 5000 };
       uint32_t slots[MQ_RESERVE_SLOTS];
       uint32_t count;
 
       for (uint64_t step = 0; step < 40; step++)
         {
-          count = mq_reserve_claimable (reserve, moment, cases[i].hosts,
+          count = mq_reserve_claimable (reserve, sample, cases[i].hosts,
                                         step * 13, slots);
           for (uint32_t s = 0; s < count; s++)
             mq_reserve_record_row (reserve, slots[s],
-                                   mq_reserve_renewed_lease (reserve, moment),
-                                   1, moment);
+                                   mq_reserve_renewed_lease (reserve, sample),
+                                   1, sample);
         }
       cr_expect_eq (mq_reserve_owned (reserve, slots), cases[i].share,
                     "%zu hosts", cases[i].hosts);
@@ -102,8 +98,9 @@
     }
 }
 
-/* A caller's first try in an outage is refused, his second one is run.  */
-Test (reserve, which_try_runs_in_an_outage)
+/* During an outage the first try of a caller is rejected and a retry is run.
+ */
+Test (reserve, retries_run_during_an_outage)
 {
   static const struct
   {
