--- a/tests/test_budget_model.c
+++ b/tests/test_budget_model.c
@@ -1,13 +1,11 @@
-/* test_budget_model.c - model check of what a program's hosts may hand out.
+/* test_budget_model.c - randomized model check of token budgets.
 
-   Three hosts, one program, one table.  Turns begin and end at any host; the
-   table goes away and comes back; writes get no answer and are done late or
-   never; hosts lend, return and issue tokens, and each message between them
-   may be lost; hosts lose all they know.  Budgets and leases are those of the
-   router (budget.h, reserve.h).  Each walk is a random one from a seed; the
-   bound is checked after each step.  Planted errors show that the walks go
-   where a fault would be seen.
-   Needs: Criterion, budget.h, reserve.h, id.h.  */
+   Three hosts share one program and one table.  The model covers table
+   outages, writes without a reply that are applied late or never, loans,
+   issued tokens, lost messages and hosts that lose their state.  It runs the
+   real budgets and leases (budget.h, reserve.h) and checks the bound after
+   each step of a seeded random walk.  Injected faults show that the walks can
+   detect violations. Needs: Criterion, budget.h, reserve.h, id.h.  */
 
 #include "core/router/budget.h"
 #include "core/id.h"
@@ -18,46 +16,46 @@
 enum
 {
   HOSTS = 3,
-  MOST = 8,
+  TURN_TOKENS_MAX = 8,
   TURNS = 4,
-  LETTERS = 8,
+  MESSAGES = 8,
   STEPS = 500,
   SEEDS = 20000,
   SLOT = 5
 };
 
-/* Errors that are planted, one at a time.  */
-enum planted
+/* Injected faults, one per walk.  */
+enum fault
 {
-  PLANTED_NONE,
-  PLANTED_LENDS_AND_KEEPS, /* a lender goes on using what it lent */
-  PLANTED_RETURNS_TWICE,   /* unused tokens are returned and kept */
-  PLANTED_NO_LEASE,        /* any host issues tokens */
-  PLANTED_LEASE_UNCHECKED, /* a holder doesn't look whether it has run out */
-  PLANTED_LEASE_AT_ANSWER, /* it counts from the answer, not from the call */
-  PLANTED_NOT_CUT_OFF,     /* a turn goes on beyond what it was granted */
-  PLANTED_OVER_UNHEEDED,   /* tokens are issued beside a record over it */
-  PLANTED_GRANT_FORGOTTEN, /* a grant is used by a host that lost it */
-  PLANTED_COUNT
+  FAULT_NONE,
+  FAULT_LOAN_KEPT,         /* a lender keeps using lent tokens */
+  FAULT_RETURN_KEPT,       /* returned tokens are also kept */
+  FAULT_NO_LEASE,          /* any host issues tokens */
+  FAULT_LEASE_UNCHECKED,   /* a holder ignores the expiry */
+  FAULT_LEASE_FROM_REPLY,  /* lease measured from the reply */
+  FAULT_GRANT_EXCEEDED,    /* a turn exceeds its grant */
+  FAULT_OVERDRAWN_IGNORED, /* tokens issued though overdrawn */
+  FAULT_GRANT_REUSED,      /* a host reuses a grant it lost */
+  FAULT_COUNT
 };
 
-static const char *const planted_names[PLANTED_COUNT] = {
-  "none",        "lends and keeps", "returns and keeps",
-  "no lease",    "lease unchecked", "lease counted from the answer",
-  "not cut off", "over unheeded",   "grant forgotten",
+static const char *const fault_names[FAULT_COUNT] = {
+  "none",           "loan kept",         "return kept",
+  "no lease",       "lease unchecked",   "lease from reply",
+  "grant exceeded", "overdrawn ignored", "grant reused",
 };
 
-enum letter_kind
+enum message_kind
 {
-  LETTER_NONE,
-  LETTER_LOAN,
-  LETTER_BACK
+  MESSAGE_NONE,
+  MESSAGE_LOAN,
+  MESSAGE_RETURN
 };
 
-/* Tokens on their way between two hosts.  */
-struct letter
+/* Tokens in transit between two hosts.  */
+struct message
 {
-  enum letter_kind kind;
+  enum message_kind kind;
   uint32_t to;
   uint64_t tokens;
 };
@@ -67,7 +65,7 @@
   struct mq_budget budget;
   struct mq_reserve *reserve;
   uint64_t holder;
-  uint64_t granted[TURNS]; /* of the turns that run */
+  uint64_t granted[TURNS]; /* of running turns */
   uint32_t running;
   uint32_t lender;
   bool has_issued;
@@ -75,26 +73,26 @@
 
 struct world
 {
-  enum planted planted;
+  enum fault fault;
   struct mq_budget_record record;
   uint64_t version;
   struct mq_reserve_lease lease;
   uint64_t lease_version;
-  struct mq_budget_record late; /* a write that was given up */
+  struct mq_budget_record late; /* timed-out write */
   uint64_t late_expects;
   bool has_late;
-  bool away;
-  uint64_t now_ms; /* both clocks; they run alike */
+  bool table_down;
+  uint64_t now_ms; /* host's and table's clock */
   uint64_t limit;
-  uint64_t handed;
+  uint64_t generated;
   uint64_t state;
   struct host hosts[HOSTS];
-  struct letter letters[LETTERS];
+  struct message messages[MESSAGES];
   uint32_t issuers_lost;
 };
 
 static uint32_t
-below (struct world *world, uint32_t bound)
+draw (struct world *world, uint32_t bound)
 {
   return mq_random_below (&world->state, bound);
 }
@@ -107,13 +105,13 @@
   host->reserve = mq_reserve_create (NULL, host->holder, "");
 }
 
-/* The write of RECORD by HOST, on the condition of its version.  */
+/* Writes NEXT if the table has the version that HOST knows.  */
 static void
 write_record (struct world *world, struct host *host,
               const struct mq_budget_record *next)
 {
   struct mq_budget *budget = &host->budget;
-  uint32_t luck = below (world, 8);
+  uint32_t outcome = draw (world, 8);
 
   if (budget->version != world->version)
     {
@@ -121,9 +119,9 @@
                              world->version);
       return;
     }
-  if (luck == 0)
+  if (outcome == 0)
     {
-      /* Given up: done later if its condition still holds.  */
+      /* Times out; applied later if the version still matches.  */
       world->late = *next;
       world->late_expects = world->version;
       world->has_late = true;
@@ -131,7 +129,7 @@
     }
   world->record = *next;
   world->version++;
-  if (luck == 1)
+  if (outcome == 1)
     {
       mq_budget_record_read (budget, host->holder, &world->record,
                              world->version);
@@ -153,11 +151,11 @@
   struct mq_budget_record next;
 
   for (int i = 0; i < 6 && host->running < TURNS; i++)
-    switch (mq_budget_reserve (&host->budget, host->holder, world->limit, MOST,
-                               &next))
+    switch (mq_budget_reserve (&host->budget, host->holder, world->limit,
+                               TURN_TOKENS_MAX, &next))
       {
       case MQ_BUDGET_RESERVED:
-        begin (world, host, MOST);
+        begin (world, host, TURN_TOKENS_MAX);
         return;
       case MQ_BUDGET_WRITE:
         write_record (world, host, &next);
@@ -175,14 +173,15 @@
 }
 
 static void
-send (struct world *world, enum letter_kind kind, uint32_t to, uint64_t tokens)
+send (struct world *world, enum message_kind kind, uint32_t to,
+      uint64_t tokens)
 {
   if (tokens == 0)
     return;
-  for (uint32_t i = 0; i < LETTERS; i++)
-    if (world->letters[i].kind == LETTER_NONE)
+  for (uint32_t i = 0; i < MESSAGES; i++)
+    if (world->messages[i].kind == MESSAGE_NONE)
       {
-        world->letters[i] = (struct letter){ kind, to, tokens };
+        world->messages[i] = (struct message){ kind, to, tokens };
         return;
       }
 }
@@ -190,32 +189,32 @@
 static void
 deliver (struct world *world)
 {
-  struct letter *letter = &world->letters[below (world, LETTERS)];
-  struct host *to = &world->hosts[letter->to];
-
-  /* One in four is lost.  */
-  if (letter->kind == LETTER_LOAN && below (world, 4) > 0)
-    mq_budget_receive_loan (&to->budget, letter->tokens);
-  else if (letter->kind == LETTER_BACK && below (world, 4) > 0)
-    mq_budget_reclaim_loan (&to->budget, letter->tokens);
-  letter->kind = LETTER_NONE;
+  struct message *message = &world->messages[draw (world, MESSAGES)];
+  struct host *to = &world->hosts[message->to];
+
+  /* One in four messages is lost.  */
+  if (message->kind == MESSAGE_LOAN && draw (world, 4) > 0)
+    mq_budget_receive_loan (&to->budget, message->tokens);
+  else if (message->kind == MESSAGE_RETURN && draw (world, 4) > 0)
+    mq_budget_reclaim_loan (&to->budget, message->tokens);
+  message->kind = MESSAGE_NONE;
 }
 
 static bool
 may_issue (const struct world *world, const struct host *host)
 {
-  if (world->planted == PLANTED_NO_LEASE)
+  if (world->fault == FAULT_NO_LEASE)
     return true;
-  if (world->planted == PLANTED_LEASE_UNCHECKED)
+  if (world->fault == FAULT_LEASE_UNCHECKED)
     return mq_reserve_can_issue (host->reserve, SLOT, 0);
   return mq_reserve_can_issue (host->reserve, SLOT, world->now_ms);
 }
 
-/* Some host knows that issued tokens were recorded beyond the limit, or has
-   issued some under a lease that it holds no more; whoever needs tokens asks
-   all of them before any are issued.  */
+/* Whether a host knows that the record is overdrawn, or has unrecorded tokens
+   issued under an expired lease.  Hosts check with all others before tokens
+   are issued.  */
 static bool
-is_over (const struct world *world)
+is_overdrawn (const struct world *world)
 {
   for (uint32_t i = 0; i < HOSTS; i++)
     {
@@ -223,7 +222,7 @@
 
       if (mq_budget_is_overdrawn (&host->budget, world->limit)
           || (host->budget.issued > 0 && !may_issue (world, host)))
-        return world->planted != PLANTED_OVER_UNHEEDED;
+        return world->fault != FAULT_OVERDRAWN_IGNORED;
     }
   return false;
 }
@@ -234,25 +233,27 @@
   struct host *lender = &world->hosts[from];
   uint64_t given;
 
-  if (may_issue (world, lender) && !is_over (world) && below (world, 2) == 0)
+  if (may_issue (world, lender) && !is_overdrawn (world)
+      && draw (world, 2) == 0)
     {
-      mq_budget_issue_unrecorded (&lender->budget, world->limit, MOST);
+      mq_budget_issue_unrecorded (&lender->budget, world->limit,
+                                  TURN_TOKENS_MAX);
       lender->has_issued = true;
     }
-  given = mq_budget_lend (&lender->budget, MOST);
-  send (world, LETTER_LOAN, to, given);
+  given = mq_budget_lend (&lender->budget, TURN_TOKENS_MAX);
+  send (world, MESSAGE_LOAN, to, given);
   world->hosts[to].lender = from;
-  if (world->planted == PLANTED_LENDS_AND_KEEPS)
+  if (world->fault == FAULT_LOAN_KEPT)
     mq_budget_receive_loan (&lender->budget, given);
 }
 
 static void
-give_back (struct world *world, struct host *host)
+return_loan (struct world *world, struct host *host)
 {
   uint64_t tokens = mq_budget_return_loan (&host->budget);
 
-  send (world, LETTER_BACK, host->lender, tokens);
-  if (world->planted == PLANTED_RETURNS_TWICE)
+  send (world, MESSAGE_RETURN, host->lender, tokens);
+  if (world->fault == FAULT_RETURN_KEPT)
     mq_budget_receive_loan (&host->budget, tokens);
 }
 
@@ -265,16 +266,16 @@
   if (host->running == 0)
     return;
   granted = host->granted[--host->running];
-  used = below (world, MOST + 1);
-  if (used > granted && world->planted != PLANTED_NOT_CUT_OFF)
+  used = draw (world, TURN_TOKENS_MAX + 1);
+  if (used > granted && world->fault != FAULT_GRANT_EXCEEDED)
     used = granted;
-  world->handed += used;
+  world->generated += used;
   mq_budget_settle (&host->budget, granted, used);
-  if (host->running == 0 && below (world, 2) == 0)
-    give_back (world, host);
+  if (host->running == 0 && draw (world, 2) == 0)
+    return_loan (world, host);
 }
 
-/* All that HOST knows is lost; its callers got all their words.  */
+/* HOST loses its state; its running turns count as fully generated.  */
 static void
 lose_host (struct world *world, struct host *host)
 {
@@ -283,42 +284,41 @@
   if (host->has_issued)
     world->issuers_lost++;
   while (host->running > 0)
-    world->handed += host->granted[--host->running];
+    world->generated += host->granted[--host->running];
   start_host (world, host);
-  if (world->planted == PLANTED_GRANT_FORGOTTEN)
+  if (world->fault == FAULT_GRANT_REUSED)
     host->holder = holder;
 }
 
-/* HOST looks at the lease's row and takes or renews it; the answer may take
-   its time, or be lost.  */
+/* HOST claims or renews the lease; the reply may be late or lost.  */
 static void
 claim (struct world *world, struct host *host)
 {
-  struct mq_reserve_clock_sample moment = { world->now_ms, 0 };
+  struct mq_reserve_clock_sample sample = { world->now_ms, 0 };
   uint32_t slots[MQ_RESERVE_SLOTS];
-  uint64_t took = below (world, 3) == 0 ? below (world, 8000) : 5;
+  uint64_t took = draw (world, 3) == 0 ? draw (world, 8000) : 5;
   bool mine = world->lease.holder == host->holder;
 
   world->now_ms += took;
-  moment.table_ms = world->now_ms;
-  if (world->planted == PLANTED_LEASE_AT_ANSWER)
+  sample.table_ms = world->now_ms;
+  if (world->fault == FAULT_LEASE_FROM_REPLY)
     {
       world->now_ms += took;
-      moment.asked_ms = world->now_ms;
+      sample.asked_ms = world->now_ms;
     }
   for (uint32_t i = 0; i < MQ_RESERVE_SLOTS; i++)
     mq_reserve_record_row (host->reserve, i,
                            (struct mq_reserve_lease){ 1, UINT64_MAX / 2, "" },
-                           1, moment);
+                           1, sample);
   mq_reserve_record_row (host->reserve, SLOT, world->lease,
-                         world->lease_version, moment);
-  if (!mine && mq_reserve_claimable (host->reserve, moment, 1, 0, slots) == 0)
+                         world->lease_version, sample);
+  if (!mine && mq_reserve_claimable (host->reserve, sample, 1, 0, slots) == 0)
     return;
-  world->lease = mq_reserve_renewed_lease (host->reserve, moment);
+  world->lease = mq_reserve_renewed_lease (host->reserve, sample);
   world->lease_version++;
-  if (below (world, 6) > 0)
+  if (draw (world, 6) > 0)
     mq_reserve_record_row (host->reserve, SLOT, world->lease,
-                           world->lease_version, moment);
+                           world->lease_version, sample);
 }
 
 static void
@@ -336,13 +336,13 @@
 {
   struct mq_budget_record next;
 
-  if (mq_budget_release (&host->budget, host->holder, world->limit, MOST,
-                         &next))
+  if (mq_budget_release (&host->budget, host->holder, world->limit,
+                         TURN_TOKENS_MAX, &next))
     write_record (world, host, &next);
 }
 
 static void
-do_late (struct world *world)
+apply_late (struct world *world)
 {
   if (world->has_late && world->late_expects == world->version)
     {
@@ -355,22 +355,22 @@
 static void
 step (struct world *world)
 {
-  uint32_t index = below (world, HOSTS);
+  uint32_t index = draw (world, HOSTS);
   struct host *host = &world->hosts[index];
   uint64_t granted;
 
-  world->now_ms += below (world, 300);
-  switch (below (world, 14))
+  world->now_ms += draw (world, 300);
+  switch (draw (world, 14))
     {
     case 0:
-      world->away = !world->away;
+      world->table_down = !world->table_down;
       break;
     case 1:
-      if (below (world, 4) == 0)
+      if (draw (world, 4) == 0)
         lose_host (world, host);
       break;
     case 2:
-      do_late (world);
+      apply_late (world);
       break;
     case 3:
     case 4:
@@ -378,28 +378,28 @@
       break;
     case 5:
     case 6:
-      lend (world, index, (index + 1 + below (world, HOSTS - 1)) % HOSTS);
+      lend (world, index, (index + 1 + draw (world, HOSTS - 1)) % HOSTS);
       break;
     case 7:
-      if (!world->away)
+      if (!world->table_down)
         claim (world, host);
       break;
     case 8:
-      if (!world->away)
+      if (!world->table_down)
         record_issued (world, host);
-      if (!world->away)
+      if (!world->table_down)
         release (world, host);
       break;
     case 9:
     case 10:
       if (host->running == TURNS)
         break;
-      granted = mq_budget_reserve_local (&host->budget, MOST);
+      granted = mq_budget_reserve_local (&host->budget, TURN_TOKENS_MAX);
       if (granted > 0)
         begin (world, host, granted);
       break;
     case 11:
-      if (!world->away)
+      if (!world->table_down)
         ask_table (world, host);
       break;
     default:
@@ -411,18 +411,20 @@
 static bool
 is_bounded (const struct world *world)
 {
-  return world->handed
-         <= world->limit + MOST + (uint64_t)world->issuers_lost * MOST;
+  return world->generated
+         <= world->limit + TURN_TOKENS_MAX
+                + (uint64_t)world->issuers_lost * TURN_TOKENS_MAX;
 }
 
-/* Whether the bound holds through a walk from SEED.  */
+/* Whether the bound holds throughout the walk of SEED.  */
 static bool
-walk (enum planted planted, uint64_t seed, uint64_t *handed)
+walk (enum fault fault, uint64_t seed, uint64_t *generated)
 {
-  struct world world = { .planted = planted, .state = seed, .now_ms = 100000 };
+  struct world world = { .fault = fault, .state = seed, .now_ms = 100000 };
   bool holds = true;
 
-  world.limit = (uint64_t)MOST * (1 + below (&world, 3)) + below (&world, 3);
+  world.limit
+      = (uint64_t)TURN_TOKENS_MAX * (1 + draw (&world, 3)) + draw (&world, 3);
   for (uint32_t i = 0; i < HOSTS; i++)
     start_host (&world, &world.hosts[i]);
   for (uint32_t i = 0; i < STEPS && holds; i++)
@@ -434,41 +436,38 @@
     {
       while (world.hosts[i].running > 0 && holds)
         {
-          world.handed += world.hosts[i].granted[--world.hosts[i].running];
+          world.generated += world.hosts[i].granted[--world.hosts[i].running];
           holds = is_bounded (&world);
         }
       talloc_free (world.hosts[i].reserve);
     }
-  *handed += world.handed;
+  *generated += world.generated;
   return holds;
 }
 
-/* A program spends more than its budget and one turn: hosts lend and issue
-   tokens while the table is away, some of them die, are cut off or disagree
-   about who may.  The bound holds through all of it; a host that is lost after
-   it issued tokens may add the most of one more turn, since nobody can know
-   what became of them.  */
+/* A program generates at most its budget plus one turn.  Each host that is
+   lost after it issued tokens may add one more turn, as its use is unknown. */
 Test (budget_model, bound_holds)
 {
-  uint64_t handed = 0;
+  uint64_t generated = 0;
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    cr_assert (walk (PLANTED_NONE, seed, &handed), "seed %lu",
+    cr_assert (walk (FAULT_NONE, seed, &generated), "seed %lu",
                (unsigned long)seed);
-  /* The walks do hand out tokens: a model that stands still proves nothing. */
-  cr_assert_gt (handed, (uint64_t)SEEDS * 10);
+  /* The walks make progress.  */
+  cr_assert_gt (generated, (uint64_t)SEEDS * 10);
 }
 
-Test (budget_model, planted_errors_are_seen)
+Test (budget_model, injected_faults_are_detected)
 {
-  for (int planted = 1; planted < PLANTED_COUNT; planted++)
+  for (int fault = 1; fault < FAULT_COUNT; fault++)
     {
-      uint64_t handed = 0;
+      uint64_t generated = 0;
       uint64_t seed = 1;
 
-      while (seed <= SEEDS && walk ((enum planted)planted, seed, &handed))
+      while (seed <= SEEDS && walk ((enum fault)fault, seed, &generated))
         seed++;
-      cr_expect_leq (seed, (uint64_t)SEEDS, "%s: not seen",
-                     planted_names[planted]);
+      cr_expect_leq (seed, (uint64_t)SEEDS, "%s: not detected",
+                     fault_names[fault]);
     }
 }
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -1,5 +1,4 @@
-/* test_organisation.c - whose request it is: keys, organisations and what
-   belongs to them.
+/* test_organisation.c - tests of API keys, organisations and their isolation.
 
    Needs: Criterion, router_site.h, orgs.h, router_wire.h.  */
 
@@ -17,9 +16,9 @@
 #define HOST "Host: h.example\r\n"
 #define KEY(key) "X-Key: " key "\r\n"
 
-/* Keys and organisations on plain values */
+/* Unit tests of keys and organisations */
 
-/* Many keys, each found for its owner alone; a second owner is refused.  */
+/* Each key is found for its owner; a second owner is rejected.  */
 Test (key_set, finds_owners)
 {
   struct mq_key_set *set = mq_key_set_create (NULL, 7);
@@ -44,7 +43,7 @@
   mq_key_set_destroy (set);
 }
 
-/* Eight thousand organisations of four keys stay within 4 MB a host.  */
+/* 8000 organisations with four keys each take at most 4 MB.  */
 Test (orgs, memory_at_size)
 {
   struct mq_orgs *orgs = mq_orgs_create (NULL, 8000, 7);
@@ -73,8 +72,8 @@
   mq_orgs_destroy (orgs);
 }
 
-/* What the configuration may say of organisations.  A configuration is taken
-   whole or not at all, and no error shows a key.  */
+/* An invalid organisation rejects the whole configuration.  No error contains
+   a key.  */
 struct orgs_case
 {
   const char *list;
@@ -149,7 +148,7 @@
   talloc_free (table);
 }
 
-/* A router between stand-ins */
+/* A router with simulated workers and table */
 
 #define TWO_ORGS                                                              \
   "[{\"name\":\"acme\",\"apiKeys\":[\"acme-1\",\"acme-2\"],\"priority\":0},"  \
@@ -187,14 +186,14 @@
 
 TestSuite (organisation, .init = set_up, .fini = tear_down, .timeout = 120);
 
-/* Who is let in, and what a worker is told of whose request it runs.  */
+/* Authentication of callers and the organisation passed to workers.  */
 struct caller_case
 {
   const char *name;
   const char *path;
   const char *fields;
   int status;
-  const char *organisation; /* as the worker was told */
+  const char *organisation; /* as received by the worker */
 };
 
 Test (organisation, callers)
@@ -207,21 +206,22 @@
     { "no key", "/call/a", "", 401, NULL },
     { "empty key", "/call/a", "X-Key: \r\n", 401, NULL },
     { "forged key", "/call/a", KEY ("acme-9"), 401, NULL },
-    { "part of a key", "/call/a", KEY ("acme"), 401, NULL },
-    { "name for a key", "/call/a", KEY ("bolt"), 401, NULL },
+    { "prefix of a key", "/call/a", KEY ("acme"), 401, NULL },
+    { "organisation name as key", "/call/a", KEY ("bolt"), 401, NULL },
     { "two keys", "/call/a", KEY ("acme-1") KEY ("bolt-1"), 400, NULL },
     { "the same key twice", "/call/a", KEY ("acme-1") KEY ("acme-1"), 400,
       NULL },
-    { "says who it is", "/call/a", KEY ("acme-1") "X-Tenant: bolt\r\n", 200,
+    { "forged X-Tenant", "/call/a", KEY ("acme-1") "X-Tenant: bolt\r\n", 200,
       "acme" },
-    { "says so oddly", "/call/a",
+    { "forged X-Tenant, odd case, twice", "/call/a",
       KEY ("acme-1") "x-tenant: bolt\r\nX-TENANT: bolt\r\n", 200, "acme" },
-    { "says so without a key", "/call/a", "X-Tenant: acme\r\n", 401, NULL },
+    { "forged X-Tenant without a key", "/call/a", "X-Tenant: acme\r\n", 401,
+      NULL },
     { "public", "/open/a", "", 200, "" },
     { "public, with a key", "/open/a", KEY ("acme-1"), 200, "" },
-    { "public, says who it is", "/open/a", "X-Tenant: acme\r\n", 200, "" },
+    { "public, forged X-Tenant", "/open/a", "X-Tenant: acme\r\n", 200, "" },
     { "no such route", "/none/a", KEY ("acme-1"), 404, NULL },
-    { "no such route nor key", "/none/a", KEY ("acme-9"), 404, NULL },
+    { "no such route, forged key", "/none/a", KEY ("acme-9"), 404, NULL },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -259,7 +259,7 @@
   return edge_ask (site, &call, router, text);
 }
 
-/* An organisation's priority goes before that of the route, 1 here.  */
+/* An organisation's priority overrides that of the route, which is 1.  */
 Test (organisation, priority)
 {
   cr_assert_eq (ask (0, "q1", "acme-1"), 200);
@@ -268,18 +268,18 @@
                 atoi (edge_run_of (site, "q2")->priority));
 }
 
-/* A key was just added, and this host's feed has not told it yet: its caller
-   is not turned away for good.  */
-Test (organisation, new_key_is_asked_for)
+/* A key that was added but has not arrived in the host's feed is looked up in
+   the table.  */
+Test (organisation, new_key_is_looked_up)
 {
   rows_server_fault (site->rows, ROWS_SLOW_FEED);
   configure (NEW_KEY);
   cr_assert_eq (ask (0, "q1", "acme-3"), 200);
 }
 
-/* Whether a key is known can't be told: a promise that it has not run, and not
-   that there is no such key.  */
-Test (organisation, unknown_key_while_the_table_is_away)
+/* During a table outage an unknown key is answered with 503, not 401, as it
+   may be valid.  */
+Test (organisation, unknown_key_during_table_outage)
 {
   rows_server_fault (site->rows, ROWS_REFUSING);
   cr_assert_eq (ask (0, "q1", "acme-9"), 503);
@@ -288,8 +288,7 @@
 
 #define FORGED 20
 
-/* Forged keys in a row must not make the host read the configuration as many
-   times.  */
+/* Guards against one configuration read per forged key.  */
 Test (organisation, forged_keys_cost_few_reads)
 {
   size_t before = rows_server_reads (site->rows);
@@ -304,8 +303,8 @@
   cr_assert_lt (rows_server_reads (site->rows) - before, FORGED / 2);
 }
 
-/* A key is taken away while its caller's connection stays open.  */
-Test (organisation, key_is_taken_away)
+/* A revoked key is rejected on a connection that is already open.  */
+Test (organisation, revoked_key_on_open_connection)
 {
   static const char text[] = "GET /call/a HTTP/1.1\r\n" HOST
                              "X-Request-Id: q1\r\n" KEY ("acme-1") "\r\n";
@@ -322,9 +321,9 @@
   cr_assert_eq (ask (0, "q2", "acme-2"), 200);
 }
 
-/* A request waits for the record of its program while its key is taken away;
-   no worker may run it then.  */
-Test (organisation, key_is_taken_away_from_a_request_that_waits)
+/* A request whose key is revoked while it waits for its program's record must
+   not run.  */
+Test (organisation, key_revoked_while_request_waits)
 {
   static const char text[]
       = "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: w1\r\n" KEY (
@@ -365,8 +364,8 @@
   return edge_ask (site, &call, router, text);
 }
 
-/* A turn that another organisation made is not there, from memory, from the
-   table and from another host; its own continues.  */
+/* A turn of another organisation is not found in memory, in the table or at
+   another host; its own organisation can continue it.  */
 Test (organisation, history_stays_with_its_owner)
 {
   char *none;
@@ -385,8 +384,8 @@
   cr_assert_null (edge_run_of (site, "t3"));
 }
 
-/* Two organisations name a program alike: what one spends the other keeps.
-   A turn takes 8 tokens of 24.  */
+/* Programs of two organisations with equal ids have separate budgets.  A turn
+   takes 8 of 24 tokens.  */
 Test (organisation, budgets_are_not_shared)
 {
   static const char *const keys[] = { "acme-1", "bolt-1" };
@@ -406,9 +405,9 @@
     }
 }
 
-/* A caller without an organisation can't name its way into another's program:
-   ids are kept under a scope in any case.  */
-Test (organisation, scope_of_nobody)
+/* Guards against access to another organisation's program by an id that
+   contains its scope: ids without an organisation are scoped too.  */
+Test (organisation, scope_without_organisation)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_orgs *orgs = mq_orgs_create (ctx, 1, 7);
@@ -429,8 +428,8 @@
   "[{\"name\":\"acme\",\"apiKeys\":[\"acme-1\"],\"ratePerS\":10,"             \
   "\"burst\":10},{\"name\":\"bolt\",\"apiKeys\":[\"bolt-1\"]}]"
 
-/* Asks both routers in turn as fast as they answer, for some time; counts what
-   was served.  */
+/* Sends requests to both routers in turn for MS milliseconds; returns how many
+   were served.  */
 static int
 serve_for (const char *key, uint32_t ms, int *refused)
 {
@@ -453,8 +452,8 @@
   return served;
 }
 
-/* An organisation asks two hosts for far more than its limit of 10 a second
-   and 10 more; the others have no limit.  */
+/* A limit of 10 requests per second with a burst of 10 holds over two hosts.
+   An organisation without a limit is not affected.  */
 Test (organisation, limit_over_two_hosts)
 {
   uint64_t since;
@@ -473,8 +472,8 @@
   cr_expect_eq (refused, 0);
 }
 
-/* The limit is raised, and what was refused is served.  */
-Test (organisation, limit_is_lifted)
+/* Requests are served as soon as the limit is removed.  */
+Test (organisation, limit_is_removed)
 {
   int refused;
 
@@ -489,8 +488,7 @@
   cr_assert_eq (refused, 0);
 }
 
-/* The host that issues permits is lost: the other one goes on at the rate that
-   it was lent.  */
+/* After the issuer is lost the other host continues at its standing rate.  */
 Test (organisation, issuer_is_lost)
 {
   int issuer;
--- a/tests/test_quota_model.c
+++ b/tests/test_quota_model.c
@@ -1,14 +1,12 @@
-/* test_quota_model.c - model check of an organisation's limit over hosts.
-
-   Some hosts, one organisation, a lease that two of the hosts may have.  Each
-   host uses permits as fast as it gets them.  Messages take any time and are
-   lost one way or both; hosts stand still and go on; the issuer is lost and
-   starts again, or another host takes its lease over once it has run out;
-   clocks differ and don't run equally fast; the limit is lowered and raised.
-   Each walk is a random one from a seed.  At each use of a permit, all spans
-   of time that end there are checked against what one token bucket gives.
-   Planted errors show that the walks go where a fault would be seen.
-   Needs: Criterion, quota.h, id.h.  */
+/* test_quota_model.c - randomized model check of an organisation's quota.
+
+   Several hosts share one organisation; two of them can hold its lease.  Each
+   host uses permits as fast as it gets them.  The model covers delayed and
+   lost messages, one-way partitions, suspended hosts, restarts and takeover of
+   the issuer, clock offset and drift, and changes of the limit.  At each use
+   of a permit, all intervals that end there are checked against one token
+   bucket, in seeded random walks.  Injected faults show that the walks can
+   detect violations. Needs: Criterion, quota.h, id.h.  */
 
 #include "core/id.h"
 #include "core/organisation/quota.h"
@@ -19,80 +17,80 @@
 {
   HOSTS = 4,
   ISSUERS = 2, /* hosts 0 and 1 */
-  LETTERS = 64,
+  MESSAGES = 64,
   STEPS = 6000,
   STEP_MS = 10,
   SEEDS = 300,
-  PLANTED_SEEDS = 1500,
+  FAULT_SEEDS = 1500,
   USES = 2048,
-  SPAN_MS = 6000, /* longer ones are not looked at */
+  SPAN_MS = 6000, /* longest interval checked */
   LEASE_MS = 12000,
   RENEW_MS = 3000,
-  MARGIN_MS = 500,
+  GRACE_MS = 500,
   AHEAD = 3
 };
 
 static const struct mq_quota_limit limits[]
     = { { 80000, 40000 }, { 160000, 30000 }, { 40000, 80000 } };
 
-enum planted
+enum fault
 {
-  PLANTED_NONE,
-  PLANTED_UNACKNOWLEDGED,   /* whoever asks counts as heard */
-  PLANTED_NOT_ALONE,        /* a host asks and uses its standing rate too */
-  PLANTED_FORGETFUL_ISSUER, /* a new run of the issuer issues all at once */
-  PLANTED_EARLY_TAKEOVER,   /* a lease is taken before it has run out */
-  PLANTED_FULL_BUCKET,      /* a bucket does not begin empty */
-  PLANTED_LATE_ANSWERS,     /* answers count however late they come */
-  PLANTED_FALSE_SURRENDER,  /* a host surrenders what it never had */
-  PLANTED_ENDLESS_STANDING, /* a standing rate has no end */
-  PLANTED_LEASE_UNCHECKED,  /* an issuer issues after its lease */
-  PLANTED_RECALL_UNHEEDED,  /* hosts that did not answer count as heard */
-  PLANTED_GIVEN_BACK_EARLY, /* a lease is given back while rates are lent */
-  PLANTED_COUNT
+  FAULT_NONE,
+  FAULT_FALSE_ACK,           /* any request acknowledges all replies */
+  FAULT_RATE_BESIDE_PERMITS, /* standing rate used beside permits */
+  FAULT_RATES_FORGOTTEN,     /* a new run ignores earlier standing rates */
+  FAULT_EARLY_TAKEOVER,      /* lease taken over before its expiry */
+  FAULT_FULL_BUCKET,         /* bucket starts with tokens */
+  FAULT_LATE_REPLIES,        /* late replies are used */
+  FAULT_FALSE_SURRENDER,     /* a host surrenders a rate it never had */
+  FAULT_ENDLESS_STANDING,    /* standing rate never expires */
+  FAULT_LEASE_UNCHECKED,     /* an issuer ignores the lease expiry */
+  FAULT_RECALL_IGNORED,      /* silent hosts count as surrendered */
+  FAULT_RELEASED_EARLY,      /* lease released while rates are lent */
+  FAULT_COUNT
 };
 
-static const char *const planted_names[PLANTED_COUNT] = { "none",
-                                                          "unacknowledged",
-                                                          "not alone",
-                                                          "forgetful",
-                                                          "early takeover",
-                                                          "full bucket",
-                                                          "late answers",
-                                                          "false surrender",
-                                                          "endless standing",
-                                                          "lease unchecked",
-                                                          "recall unheeded",
-                                                          "given back early" };
-
-struct letter
+static const char *const fault_names[FAULT_COUNT] = { "none",
+                                                      "false acknowledgement",
+                                                      "rate beside permits",
+                                                      "rates forgotten",
+                                                      "early takeover",
+                                                      "full bucket",
+                                                      "late replies",
+                                                      "false surrender",
+                                                      "endless standing",
+                                                      "lease unchecked",
+                                                      "recall ignored",
+                                                      "released early" };
+
+struct message
 {
   bool used;
-  bool told;
+  bool reply;
   bool recall;
   bool recalled;
   int from;
   int to;
   uint64_t arrives_ms;
-  uint64_t asked_ms; /* by the asker's clock */
+  uint64_t asked_ms; /* sender's clock */
   uint64_t host;
   uint64_t heard_ms;
   uint64_t server;
   uint64_t told_ms;
   struct mq_quota_request want;
-  struct mq_quota_grant gift;
+  struct mq_quota_grant grant;
 };
 
 /**
- * struct host - a host, at times the issuer
- * @offset_ms: its clock is so much ahead
- * @skew: and runs faster by so many thousandths
- * @wakes_ms: it stands still until then
- * @held_ms: what is sent to it arrives then at the earliest
- * @no_table_ms: it can't reach the table until then
- * @leaving: it gives its lease back as soon as it may
- * @believed: whom it takes for the issuer
- * @lender: host that its standing rate came from
+ * struct host - a host, which may also be the issuer
+ * @offset_ms: clock offset
+ * @skew: clock drift in thousandths
+ * @wakes_ms: suspended until this time
+ * @held_ms: earliest arrival of messages to this host
+ * @no_table_ms: the table is unreachable until this time
+ * @leaving: releases its lease as soon as possible
+ * @believed: host that it considers the issuer
+ * @lender: host that lent its standing rate
  * @surrendered: hosts that answered its recall
  */
 struct host
@@ -118,15 +116,15 @@
 
 struct world
 {
-  enum planted planted;
+  enum fault fault;
   uint64_t random;
   uint64_t now_ms;
   struct host hosts[HOSTS];
   bool cut[HOSTS][HOSTS];
-  int holder;              /* whose the lease is in the table */
-  uint64_t holder_run;     /* which run of it */
+  int holder;              /* lease holder in the table */
+  uint64_t holder_run;     /* run of the holder */
   uint64_t lease_until_ms; /* true time */
-  struct letter letters[LETTERS];
+  struct message messages[MESSAGES];
   struct mq_quota_limit limit;
   bool limit_moves;
   struct mq_quota_limit highest;
@@ -141,7 +139,7 @@
   return mq_random_below (&world->random, below);
 }
 
-/* What the clock of HOST shows.  */
+/* Time on HOST's clock.  */
 static uint64_t
 clock_of (const struct world *world, const struct host *host)
 {
@@ -150,10 +148,10 @@
   return (uint64_t)((int64_t)(world->now_ms + host->offset_ms) + drift);
 }
 
-/* A permit was used now: no span that ends here may hold more than one bucket
-   gives, those ahead, those of answers on their way, and the rounding.  */
+/* Records the use of a permit.  No interval that ends now may exceed one
+   bucket plus prefetched permits, permits in late replies and rounding.  */
 static void
-note_use (struct world *world)
+record_use (struct world *world)
 {
   const struct mq_quota_limit *most = &world->highest;
   size_t kept = world->uses < USES ? world->uses : USES - 1;
@@ -170,7 +168,7 @@
 
       if (span > SPAN_MS)
         return;
-      /* Clocks may run faster by some thousandths.  */
+      /* Allowance for clock drift.  */
       allowed += most->rate * span / 1000 / 100;
       if ((i + 2) * 1000 > allowed)
         world->broken = true;
@@ -178,22 +176,22 @@
 }
 
 static void
-post (struct world *world, const struct letter *letter)
+send_message (struct world *world, const struct message *message)
 {
-  if (world->cut[letter->from][letter->to] || draw (world, 40) == 0)
+  if (world->cut[message->from][message->to] || draw (world, 40) == 0)
     return;
-  for (int i = 0; i < LETTERS; i++)
-    if (!world->letters[i].used)
+  for (int i = 0; i < MESSAGES; i++)
+    if (!world->messages[i].used)
       {
-        struct letter *to = &world->letters[i];
+        struct message *to = &world->messages[i];
 
-        *to = *letter;
+        *to = *message;
         to->used = true;
         to->arrives_ms = world->now_ms + draw (world, 4);
         if (draw (world, 20) == 0)
           to->arrives_ms += draw (world, 1500);
-        if (to->arrives_ms < world->hosts[letter->to].held_ms)
-          to->arrives_ms = world->hosts[letter->to].held_ms;
+        if (to->arrives_ms < world->hosts[message->to].held_ms)
+          to->arrives_ms = world->hosts[message->to].held_ms;
         return;
       }
 }
@@ -207,60 +205,59 @@
 
   if (host->lease.until_ms == 0)
     return false;
-  return now < host->lease.until_ms
-         || world->planted == PLANTED_LEASE_UNCHECKED;
+  return now < host->lease.until_ms || world->fault == FAULT_LEASE_UNCHECKED;
 }
 
-/* Other hosts that may live on what an earlier run of AT lent.  */
+/* Hosts that may use a standing rate lent by an earlier run of AT.  */
 static uint64_t
-count_unheard (const struct world *world, int at)
+count_unconfirmed (const struct world *world, int at)
 {
-  uint64_t unheard = 0;
+  uint64_t unconfirmed = 0;
 
-  if (world->planted == PLANTED_RECALL_UNHEEDED)
+  if (world->fault == FAULT_RECALL_IGNORED)
     return 0;
   for (int i = 0; i < HOSTS; i++)
     if (i != at && !world->hosts[at].surrendered[i])
-      unheard++;
-  return unheard;
+      unconfirmed++;
+  return unconfirmed;
 }
 
 static void
 recall (struct world *world, int at)
 {
-  struct letter letter = { .recall = true, .from = at };
+  struct message message = { .recall = true, .from = at };
 
-  letter.server = world->hosts[at].run;
-  for (letter.to = 0; letter.to < HOSTS; letter.to++)
-    if (letter.to != at && !world->hosts[at].surrendered[letter.to])
-      post (world, &letter);
+  message.server = world->hosts[at].run;
+  for (message.to = 0; message.to < HOSTS; message.to++)
+    if (message.to != at && !world->hosts[at].surrendered[message.to])
+      send_message (world, &message);
 }
 
 static void
-answer (struct world *world, int at, const struct letter *ask)
+handle_request (struct world *world, int at, const struct message *ask)
 {
   struct host *host = &world->hosts[at];
   uint64_t now = clock_of (world, host);
-  struct letter told = { .told = true, .from = at, .to = ask->from };
+  struct message reply = { .reply = true, .from = at, .to = ask->from };
   struct mq_quota_bounds bounds = { world->limit, AHEAD, !host->leaving };
   struct mq_quota_request want = ask->want;
 
-  told.asked_ms = ask->asked_ms;
-  told.host = ask->host;
-  told.server = host->run;
-  told.told_ms = now;
-  told.gift.unknown = true;
+  reply.asked_ms = ask->asked_ms;
+  reply.host = ask->host;
+  reply.server = host->run;
+  reply.told_ms = now;
+  reply.grant.unknown = true;
   want.heard_ms = ask->server == host->run ? ask->heard_ms : 0;
-  if (world->planted == PLANTED_UNACKNOWLEDGED)
+  if (world->fault == FAULT_FALSE_ACK)
     want.heard_ms = now;
   if (ask->recalled && ask->server == host->run)
     host->surrendered[ask->from] = true;
-  host->lease.unconfirmed_hosts = count_unheard (world, at);
+  host->lease.unconfirmed_hosts = count_unconfirmed (world, at);
   mq_quota_record_ack (host->issuer, ask->host, want.heard_ms, now);
   if (may_issue (world, host))
-    told.gift = mq_quota_issue (host->issuer, ask->host, &want, &bounds,
-                                &host->lease, now);
-  post (world, &told);
+    reply.grant = mq_quota_issue (host->issuer, ask->host, &want, &bounds,
+                                  &host->lease, now);
+  send_message (world, &reply);
 }
 
 static void
@@ -270,7 +267,7 @@
   uint64_t now = clock_of (world, host);
   bool same = world->holder == at && world->holder_run == host->run;
   uint64_t left = world->lease_until_ms > world->now_ms
-                      ? world->lease_until_ms + MARGIN_MS - world->now_ms
+                      ? world->lease_until_ms + GRACE_MS - world->now_ms
                       : 0;
 
   if (!same || host->lease.until_ms < now)
@@ -278,12 +275,12 @@
       host->lease.since_ms = now;
       host->lease.inherited_ms = 0;
       if (world->holder == at && !same
-          && world->planted != PLANTED_FORGETFUL_ISSUER)
+          && world->fault != FAULT_RATES_FORGOTTEN)
         host->lease.inherited_ms = left == 0 ? 0 : now + left;
-      if (world->planted == PLANTED_FULL_BUCKET)
+      if (world->fault == FAULT_FULL_BUCKET)
         host->lease.since_ms = now > 5000 ? now - 5000 : 0;
     }
-  /* The host's clock may run slower than the table's.  */
+  /* Allowance for drift between the host's and the table's clock.  */
   host->lease.until_ms = now + LEASE_MS - LEASE_MS / 50;
   host->renewed_ms = now;
   world->holder = at;
@@ -291,12 +288,11 @@
   world->lease_until_ms = world->now_ms + LEASE_MS;
 }
 
-/* A host that leaves gives its lease back once nobody lives on what it lent;
-   it comes back as another run later.  */
+/* Releases the lease of a leaving host once no standing rates are lent.  */
 static void
-give_back (struct world *world, struct host *host)
+release_lease (struct world *world, struct host *host)
 {
-  if (world->planted != PLANTED_GIVEN_BACK_EARLY
+  if (world->fault != FAULT_RELEASED_EARLY
       && mq_quota_issuer_has_lent (host->issuer, 0, clock_of (world, host)))
     return;
   memset (&host->lease, 0, sizeof host->lease);
@@ -311,17 +307,17 @@
 {
   struct host *host = &world->hosts[at];
   uint64_t now = clock_of (world, host);
-  uint64_t free_at = world->lease_until_ms + MARGIN_MS;
+  uint64_t free_at = world->lease_until_ms + GRACE_MS;
 
   if (world->now_ms < host->no_table_ms)
     return;
   if (host->leaving && world->holder == at && world->holder_run == host->run)
     {
-      give_back (world, host);
+      release_lease (world, host);
       return;
     }
 
-  if (world->planted == PLANTED_EARLY_TAKEOVER)
+  if (world->fault == FAULT_EARLY_TAKEOVER)
     free_at = world->lease_until_ms - LEASE_MS / 2;
   if (world->holder == at && world->holder_run == host->run)
     {
@@ -335,27 +331,27 @@
 /* Using */
 
 static void
-want_permits (struct world *world, struct host *host)
+use_permits (struct world *world, struct host *host)
 {
   uint64_t now = clock_of (world, host);
   const struct mq_quota_contact *contact = &host->contacts[host->believed];
   static const struct mq_quota_contact none = { 0 };
 
-  if (world->planted == PLANTED_ENDLESS_STANDING)
+  if (world->fault == FAULT_ENDLESS_STANDING)
     host->share.standing_until_ms = UINT64_MAX / 2;
   for (uint32_t i = draw (world, 3); i > 0; i--)
     switch (mq_quota_try_acquire (&host->share, contact, draw (world, 4) == 0,
                                   now))
       {
       case MQ_QUOTA_GRANTED:
-        note_use (world);
+        record_use (world);
         break;
       case MQ_QUOTA_ASK_ISSUER:
         host->waiting++;
-        if (world->planted == PLANTED_NOT_ALONE
+        if (world->fault == FAULT_RATE_BESIDE_PERMITS
             && mq_quota_try_acquire (&host->share, &none, false, now)
                    == MQ_QUOTA_GRANTED)
-          note_use (world);
+          record_use (world);
         break;
       case MQ_QUOTA_EXCEEDED:
       case MQ_QUOTA_NO_ISSUER:
@@ -364,76 +360,77 @@
 }
 
 static void
-ask (struct world *world, int at)
+send_request (struct world *world, int at)
 {
   struct host *host = &world->hosts[at];
   uint64_t now = clock_of (world, host);
   struct mq_quota_contact *contact = &host->contacts[host->believed];
-  struct letter letter = { .from = at, .to = host->believed };
+  struct message message = { .from = at, .to = host->believed };
 
   if (host->waiting == 0 && now - host->asked_ms < MQ_QUOTA_POLL_INTERVAL_MS)
     return;
   host->asked_ms = now;
-  letter.asked_ms = now;
-  letter.host = host->run;
-  letter.heard_ms = contact->told_ms;
-  letter.server = contact->server;
-  letter.want
+  message.asked_ms = now;
+  message.host = host->run;
+  message.heard_ms = contact->told_ms;
+  message.server = contact->server;
+  message.want
       = mq_quota_request (&host->share, contact, "o", host->waiting, 0, now);
   host->waiting = 0;
-  if (world->planted == PLANTED_FALSE_SURRENDER)
-    letter.want.surrendered = world->limit.rate;
-  post (world, &letter);
+  if (world->fault == FAULT_FALSE_SURRENDER)
+    message.want.surrendered = world->limit.rate;
+  send_message (world, &message);
 }
 
 static void
-take_told (struct world *world, int at, const struct letter *told)
+handle_reply (struct world *world, int at, const struct message *reply)
 {
   struct host *host = &world->hosts[at];
   uint64_t now = clock_of (world, host);
-  uint64_t asked = told->asked_ms;
+  uint64_t asked = reply->asked_ms;
   struct mq_quota_share before;
 
-  if (told->host != host->run)
+  if (reply->host != host->run)
     return;
-  if (world->planted == PLANTED_LATE_ANSWERS)
+  if (world->fault == FAULT_LATE_REPLIES)
     asked = now;
-  if (!mq_quota_record_reply (&host->contacts[told->from], told->server, asked,
-                              told->told_ms, now)
-      || told->gift.unknown)
+  if (!mq_quota_record_reply (&host->contacts[reply->from], reply->server,
+                              asked, reply->told_ms, now)
+      || reply->grant.unknown)
     return;
-  host->lender = told->from;
+  host->lender = reply->from;
   before = host->share;
-  mq_quota_apply_grant (&host->share, &told->gift, told->server, asked, now);
-  if (world->planted == PLANTED_NOT_ALONE)
+  mq_quota_apply_grant (&host->share, &reply->grant, reply->server, asked,
+                        now);
+  if (world->fault == FAULT_RATE_BESIDE_PERMITS)
     {
       host->share.on_standing_rate = before.on_standing_rate;
       host->share.level = before.level;
       host->share.level_ms = before.level_ms;
     }
-  for (uint32_t i = 0; i < told->gift.need; i++)
-    note_use (world);
+  for (uint32_t i = 0; i < reply->grant.need; i++)
+    record_use (world);
 }
 
-/* The issuer FROM has begun again.  */
+/* Handles a recall from a restarted issuer.  */
 static void
-take_recall (struct world *world, int at, const struct letter *letter)
+handle_recall (struct world *world, int at, const struct message *message)
 {
   static const struct mq_quota_contact none = { 0 };
   struct host *host = &world->hosts[at];
   uint64_t now = clock_of (world, host);
-  struct letter reply = { .from = at, .to = letter->from, .recalled = true };
+  struct message reply = { .from = at, .to = message->from, .recalled = true };
 
-  if (host->lender == letter->from)
-    mq_quota_surrender (&host->share, letter->server, now);
+  if (host->lender == message->from)
+    mq_quota_surrender (&host->share, message->server, now);
   reply.asked_ms = now;
   reply.host = host->run;
-  reply.server = letter->server;
+  reply.server = message->server;
   reply.want = mq_quota_request (&host->share, &none, "o", 0, 0, now);
-  post (world, &reply);
+  send_message (world, &reply);
 }
 
-/* The world */
+/* Simulation */
 
 static void
 start_host (struct world *world, int at)
@@ -459,20 +456,20 @@
 static void
 deliver (struct world *world)
 {
-  for (int i = 0; i < LETTERS; i++)
+  for (int i = 0; i < MESSAGES; i++)
     {
-      struct letter letter = world->letters[i];
+      struct message message = world->messages[i];
 
-      if (!letter.used || letter.arrives_ms > world->now_ms
-          || world->hosts[letter.to].wakes_ms > world->now_ms)
+      if (!message.used || message.arrives_ms > world->now_ms
+          || world->hosts[message.to].wakes_ms > world->now_ms)
         continue;
-      world->letters[i].used = false;
-      if (letter.recall)
-        take_recall (world, letter.to, &letter);
-      else if (letter.told)
-        take_told (world, letter.to, &letter);
+      world->messages[i].used = false;
+      if (message.recall)
+        handle_recall (world, message.to, &message);
+      else if (message.reply)
+        handle_reply (world, message.to, &message);
       else
-        answer (world, letter.to, &letter);
+        handle_request (world, message.to, &message);
     }
 }
 
@@ -548,14 +545,14 @@
         recall (world, i);
       if (draw (world, 500) == 0 && world->holder >= 0)
         host->believed = world->holder;
-      want_permits (world, host);
-      ask (world, i);
+      use_permits (world, host);
+      send_request (world, i);
     }
 }
 
-/* The highest limit that was in force so far bounds all spans.  */
+/* All intervals are bounded by the highest limit so far.  */
 static void
-note_limit (struct world *world)
+update_highest_limit (struct world *world)
 {
   if (world->limit.rate > world->highest.rate)
     world->highest.rate = world->limit.rate;
@@ -564,12 +561,12 @@
 }
 
 static bool
-walk (uint64_t seed, enum planted planted, size_t *uses)
+walk (uint64_t seed, enum fault fault, size_t *uses)
 {
   struct world *world = talloc_zero (NULL, struct world);
   bool broken;
 
-  world->planted = planted;
+  world->fault = fault;
   world->random = seed;
   world->now_ms = 100000;
   world->limit = limits[seed % 3];
@@ -584,7 +581,7 @@
   take_lease (world, 0);
   for (int i = 0; i < STEPS && !world->broken; i++)
     {
-      note_limit (world);
+      update_highest_limit (world);
       step (world);
     }
   broken = world->broken;
@@ -600,23 +597,22 @@
   size_t uses = 0;
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    cr_assert_not (walk (seed, PLANTED_NONE, &uses), "seed %lu",
+    cr_assert_not (walk (seed, FAULT_NONE, &uses), "seed %lu",
                    (unsigned long)seed);
-  /* Half of the lowest limit at least is used, whatever happens.  */
+  /* The walks make progress.  */
   cr_expect_gt (uses, (size_t)SEEDS * STEPS * STEP_MS / 1000 * 4);
 }
 
-Test (quota_model, planted_errors_are_caught)
+Test (quota_model, injected_faults_are_detected)
 {
-  for (int planted = 1; planted < PLANTED_COUNT; planted++)
+  for (int fault = 1; fault < FAULT_COUNT; fault++)
     {
       uint64_t seed = 1;
       size_t uses = 0;
 
-      while (seed <= PLANTED_SEEDS
-             && !walk (seed, (enum planted)planted, &uses))
+      while (seed <= FAULT_SEEDS && !walk (seed, (enum fault)fault, &uses))
         seed++;
-      cr_expect_leq (seed, PLANTED_SEEDS, "%s was not caught",
-                     planted_names[planted]);
+      cr_expect_leq (seed, FAULT_SEEDS, "%s was not detected",
+                     fault_names[fault]);
     }
 }
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -1,5 +1,4 @@
-/* test_routing.c - routes, the choice of a worker, and what follows a try that
-   failed, on plain values.
+/* test_routing.c - unit tests of routes, worker selection and retry decisions.
 
    Needs: Criterion, route.h, fleet.h, attempt.h.  */
 
@@ -30,7 +29,7 @@
 {
   const char *host;
   const char *path;
-  const char *name; /* NULL: none */
+  const char *name; /* NULL if none */
 };
 
 Test (routing, longest_prefix_of_the_host)
@@ -143,12 +142,12 @@
 }
 
 static void
-end_fleet (void)
+destroy_fleet (void)
 {
   mq_fleet_destroy (fleet);
 }
 
-TestSuite (fleet, .init = make_fleet, .fini = end_fleet);
+TestSuite (fleet, .init = make_fleet, .fini = destroy_fleet);
 
 static const char *
 chosen (uint64_t now_ms, const uint64_t *key, uint64_t random)
@@ -165,16 +164,16 @@
                                   : mq_fleet_member (fleet, worker)->id;
 }
 
-Test (fleet, near_and_idle_first)
+Test (fleet, prefers_local_and_idle_workers)
 {
   cr_assert_str_eq (chosen (1, NULL, 7), "w0");
   mq_fleet_request_started (fleet, handle_of ("w0"));
   cr_assert_str_neq (chosen (1, NULL, 7), "w0");
 }
 
-/* All hosts choose the same worker for a program, whatever else they see, as
-   long as it has room.  */
-Test (fleet, a_key_stays_with_its_worker)
+/* Requests with a key go to the same worker from all hosts while it has free
+   slots.  */
+Test (fleet, key_affinity)
 {
   for (uint64_t key = 1; key < 50; key++)
     {
@@ -185,7 +184,7 @@
     }
 }
 
-Test (fleet, a_full_worker_is_passed_by)
+Test (fleet, full_worker_is_skipped)
 {
   uint64_t key = 3;
   const char *first = chosen (1, &key, 1);
@@ -193,7 +192,7 @@
 
   mq_fleet_record_load (fleet, worker, 4, 2, 1000);
   cr_assert_str_neq (chosen (1001, &key, 1), first);
-  /* Old figures count no more.  */
+  /* The load report has expired.  */
   cr_assert_str_eq (chosen (1000 + MQ_FLEET_LOAD_TTL_MS, &key, 1), first);
 }
 
@@ -211,15 +210,13 @@
 
 struct home_case
 {
-  uint32_t told[3]; /* requests at each worker */
-  const char *home; /* NULL: any */
+  uint32_t reported[3]; /* requests at each worker */
+  const char *home;     /* NULL if any */
 };
 
-/* Programs of a few engines waited while others had free slots: which one a
-   program stays at was left to chance.  The least loaded worker that this host
-   heard of lately is taken, and whoever is told its name goes there, whatever
-   the program's key.  */
-Test (fleet, home_of_a_program_that_begins)
+/* A new program is placed at the least loaded worker by recent reports.  Its
+   home takes precedence over its key.  */
+Test (fleet, home_of_a_new_program)
 {
   static const struct home_case cases[] = {
     { { 4, 1, 4 }, "w1" },
@@ -234,12 +231,12 @@
 
       for (int round = 0; round < 4; round++)
         {
-          mq_fleet_record_load (fleet, handle_of ("w0"), cases[i].told[0], 0,
-                                now);
-          mq_fleet_record_load (fleet, handle_of ("w1"), cases[i].told[1], 0,
-                                now);
-          mq_fleet_record_load (fleet, handle_of ("w2"), cases[i].told[2], 0,
-                                now);
+          mq_fleet_record_load (fleet, handle_of ("w0"), cases[i].reported[0],
+                                0, now);
+          mq_fleet_record_load (fleet, handle_of ("w1"), cases[i].reported[1],
+                                0, now);
+          mq_fleet_record_load (fleet, handle_of ("w2"), cases[i].reported[2],
+                                0, now);
         }
       for (uint64_t random = 1; random < 20; random++)
         {
@@ -253,9 +250,9 @@
     }
 }
 
-/* A home that is gone, or full while others are not, is no longer one: the
-   program's key says where it goes then, the same at all hosts.  */
-Test (fleet, home_that_can_not_be_kept)
+/* If the home is gone, or full while others are not, the worker is chosen by
+   key.  */
+Test (fleet, unavailable_home_falls_back_to_key)
 {
   struct mq_fleet_query query = { .service = "s",
                                   .data_centre = "a",
@@ -282,23 +279,23 @@
 {
   const char *name;
   uint32_t answers;
-  uint32_t waiting; /* at each worker, beside four that run in four slots */
-  uint32_t wait_ms; /* of an objective of 100 ms */
+  uint32_t waiting; /* queued requests; all four slots are in use */
+  uint32_t wait_ms; /* the objective is 100 ms */
   uint32_t pressure;
 };
 
-/* Slots that are full and a queue are too much only where answers begin late,
-   and late answers only where workers have a queue: else programs are refused
-   that would end in time.  A host that heard little knows little.  */
+/* Pressure is high only if workers have queues and responses are delayed.
+   Guards against rejecting programs that would meet their deadline.  Few
+   reports give a low pressure.  */
 Test (fleet, pressure_of_a_service)
 {
   static const struct pressure_case cases[] = {
     { "idle", 16, 0, 6, 100 },
-    { "a short wait", 16, 4, 12, 200 },
-    { "full and late", 16, 4, 120, 2000 },
-    { "late alone", 16, 0, 300, 1000 },
-    { "few answers", 2, 4, 120, 500 },
-    { "no answers", 0, 0, 0, 0 },
+    { "queue and short delay", 16, 4, 12, 200 },
+    { "queue and long delay", 16, 4, 120, 2000 },
+    { "delayed without a queue", 16, 0, 300, 1000 },
+    { "few reports", 2, 4, 120, 500 },
+    { "no reports", 0, 0, 0, 0 },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -324,31 +321,30 @@
   const char *name;
   enum mq_fleet_outcome outcomes[3];
   int count;
-  bool out;
+  bool ejected;
 };
 
-/* After which outcomes a worker is left out.  */
-Test (fleet, failures_leave_a_worker_out)
+Test (fleet, failures_eject_a_worker)
 {
   static const struct outcome_case cases[] = {
-    { "served", { MQ_OUTCOME_SUCCEEDED }, 1, false },
+    { "succeeded", { MQ_OUTCOME_SUCCEEDED }, 1, false },
     { "one failure", { MQ_OUTCOME_FAILED }, 1, false },
     { "two failures", { MQ_OUTCOME_FAILED, MQ_OUTCOME_FAILED }, 2, true },
-    { "served between",
+    { "success between",
       { MQ_OUTCOME_FAILED, MQ_OUTCOME_SUCCEEDED, MQ_OUTCOME_FAILED },
       3,
       false },
     { "unreachable", { MQ_OUTCOME_UNREACHABLE }, 1, true },
-    { "stopped", { MQ_OUTCOME_CANCELLED, MQ_OUTCOME_CANCELLED }, 2, false },
+    { "cancelled", { MQ_OUTCOME_CANCELLED, MQ_OUTCOME_CANCELLED }, 2, false },
     { "leaving", { MQ_OUTCOME_LEAVING }, 1, true },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       uint32_t worker;
-      bool out;
+      bool ejected;
 
-      end_fleet ();
+      destroy_fleet ();
       make_fleet ();
       worker = handle_of ("w0");
       for (int k = 0; k < cases[i].count; k++)
@@ -356,14 +352,14 @@
           mq_fleet_request_started (fleet, worker);
           mq_fleet_request_ended (fleet, worker, cases[i].outcomes[k], 1000);
         }
-      out = strcmp (chosen (1001, NULL, 7), "w0") != 0;
-      cr_assert_eq (out, cases[i].out, "%s", cases[i].name);
+      ejected = strcmp (chosen (1001, NULL, 7), "w0") != 0;
+      cr_assert_eq (ejected, cases[i].ejected, "%s", cases[i].name);
     }
 }
 
-/* A worker that was left out is tried again after a pause, which doubles while
-   it goes on failing.  */
-Test (fleet, pauses_of_a_failing_worker_double)
+/* An ejected worker returns after a backoff that doubles with each ejection.
+ */
+Test (fleet, ejection_backoff_doubles)
 {
   uint32_t worker = handle_of ("w0");
   uint64_t now = 1000;
@@ -381,10 +377,9 @@
     }
 }
 
-/* A worker fails two requests of five while its health is good.  Hardly ever
-   two in a row, so that it used to stay in and spoilt two of five requests of
-   programs that were sent to it.  It gets few requests until it is sound.  */
-Test (fleet, a_worker_that_fails_in_part)
+/* A worker that fails two of five requests, never two in a row, is ejected by
+   its failure rate until it recovers.  */
+Test (fleet, high_failure_rate_ejects_a_worker)
 {
   uint32_t worker = handle_of ("w0");
   uint64_t now = 1000;
@@ -411,12 +406,11 @@
         mq_fleet_request_started (fleet, worker);
         mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_SUCCEEDED, now);
       }
-  cr_assert_geq (sent, 600, "%d of 800 once it is sound", sent);
+  cr_assert_geq (sent, 600, "%d of 800 after recovery", sent);
 }
 
-/* Most workers of a service fail at once: that is not the workers' fault, and
-   requests still go somewhere.  */
-Test (fleet, never_are_most_workers_left_out)
+/* Ejections are ignored when most workers of a service fail at once.  */
+Test (fleet, ejections_ignored_if_most_workers_fail)
 {
   for (int i = 0; i < 3; i++)
     {
@@ -431,14 +425,14 @@
   cr_assert_str_eq (chosen (1001, NULL, 7), "w0");
 }
 
-Test (fleet, workers_come_and_go)
+Test (fleet, workers_are_added_and_removed)
 {
   uint32_t worker = handle_of ("w0");
 
   cr_assert_eq (mq_fleet_count (fleet, "s"), 3);
   put ("w1", "b", 4, true);
   cr_assert_eq (mq_fleet_count (fleet, "s"), 2);
-  /* A request under way keeps the handle.  */
+  /* A request in progress keeps the handle valid.  */
   mq_fleet_request_started (fleet, worker);
   cr_assert (mq_fleet_remove (fleet, "w0", 0));
   cr_assert_not (mq_fleet_remove (fleet, "w0", 0));
@@ -446,7 +440,7 @@
   cr_assert_not (mq_fleet_is_available (fleet, worker));
   cr_assert_str_eq (chosen (1, NULL, 7), "w2");
   mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_SUCCEEDED, 5);
-  /* A list that does not name w2 ends it.  */
+  /* A full list without w2 removes it.  */
   mq_fleet_list_begin (fleet);
   put ("w3", "a", 4, false);
   mq_fleet_list_end (fleet, 0);
@@ -454,9 +448,9 @@
   cr_assert_eq (mq_fleet_count (fleet, "s"), 1);
 }
 
-/* The registry was away and its entries lapsed.  Workers that are back in time
-   never count as gone, those that are not do.  */
-Test (fleet, lapsed_entries_come_back)
+/* After a registry outage, entries that return before their removal time are
+   kept; the others are removed.  */
+Test (fleet, entries_return_before_removal)
 {
   cr_assert (mq_fleet_remove (fleet, "w0", 5000));
   mq_fleet_list_begin (fleet);
@@ -470,63 +464,62 @@
   cr_assert_str_eq (chosen (1, NULL, 7), "w0");
 }
 
-/* What follows a try that failed */
+/* Retry decisions */
 
-struct answer_case
+struct response_case
 {
   const char *name;
-  struct mq_attempt_response answer;
+  struct mq_attempt_response response;
   enum mq_attempt_end end;
 };
 
-/* An answer that is whole goes to the caller; one that leaves open whether
-   the request has run must not reach a caller as a promise that it has not,
-   and one that stands in the middle of a stream is no part of it.  */
-Test (attempt, judge)
+/* Guards against forwarding a status that implies that the request did not run
+   when it may have, and a plain response in the middle of a stream.  */
+Test (attempt, classify)
 {
-  static const struct answer_case cases[] = {
+  static const struct response_case cases[] = {
     { "plain", { .status = 200 }, MQ_ATTEMPT_ANSWERED },
     { "not found", { .status = 404 }, MQ_ATTEMPT_ANSWERED },
     { "stream", { .status = 200, .stream = true }, MQ_ATTEMPT_STREAMED },
-    { "stream that went on",
+    { "resumed stream",
       { .status = 200, .stream = true, .begun = true, .repeatable = true },
       MQ_ATTEMPT_STREAMED },
-    { "cut stream",
+    { "truncated stream",
       { .status = 200, .stream = true, .truncated = true },
       MQ_ATTEMPT_BROKEN },
-    { "plain answer in the middle of a stream",
+    { "plain response in the middle of a stream",
       { .status = 404, .begun = true, .repeatable = true },
       MQ_ATTEMPT_BROKEN },
     { "states not run",
       { .status = 503, .not_run = true },
       MQ_ATTEMPT_NOT_RUN },
-    { "states not run, may repeat",
+    { "states not run, repeatable",
       { .status = 429, .not_run = true, .repeatable = true },
       MQ_ATTEMPT_NOT_RUN },
-    { "503 that states nothing", { .status = 503 }, MQ_ATTEMPT_BROKEN },
-    { "429 that states nothing", { .status = 429 }, MQ_ATTEMPT_BROKEN },
-    { "408 that states nothing", { .status = 408 }, MQ_ATTEMPT_BROKEN },
-    { "421 that states nothing", { .status = 421 }, MQ_ATTEMPT_BROKEN },
-    { "429 that states nothing, may repeat",
+    { "503 without not_run", { .status = 503 }, MQ_ATTEMPT_BROKEN },
+    { "429 without not_run", { .status = 429 }, MQ_ATTEMPT_BROKEN },
+    { "408 without not_run", { .status = 408 }, MQ_ATTEMPT_BROKEN },
+    { "421 without not_run", { .status = 421 }, MQ_ATTEMPT_BROKEN },
+    { "429 without not_run, repeatable",
       { .status = 429, .repeatable = true },
       MQ_ATTEMPT_ANSWERED },
-    { "503 that states nothing, may repeat",
+    { "503 without not_run, repeatable",
       { .status = 503, .repeatable = true },
       MQ_ATTEMPT_ERROR },
-    { "500, may repeat",
+    { "500, repeatable",
       { .status = 500, .repeatable = true },
       MQ_ATTEMPT_ERROR },
-    { "500, once", { .status = 500 }, MQ_ATTEMPT_ANSWERED },
+    { "500, not repeatable", { .status = 500 }, MQ_ATTEMPT_ANSWERED },
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    cr_assert_eq (mq_attempt_classify (&cases[i].answer), cases[i].end, "%s",
+    cr_assert_eq (mq_attempt_classify (&cases[i].response), cases[i].end, "%s",
                   cases[i].name);
 }
 
-/* A turn's most is what its stream may come to in whole events; rounded down,
-   the last event would be generated beyond the budget.  */
-Test (route, whole_events)
+/* Tokens are rounded up to whole events.  Rounded down, the last event would
+   exceed the budget.  */
+Test (route, rounds_to_whole_events)
 {
   static const struct
   {
@@ -554,8 +547,8 @@
   enum mq_attempt_next next;
 };
 
-/* End, repeatable, begun, sent, sent_max, unreachable, left_ms, ran.  */
-#define TRY(...)                                                              \
+/* Fields of struct mq_attempt in order.  */
+#define ATTEMPT(...)                                                          \
   {                                                                           \
     __VA_ARGS__                                                               \
   }
@@ -564,41 +557,46 @@
 {
   static const struct attempt_case cases[] = {
     { "unreachable",
-      TRY (MQ_ATTEMPT_UNREACHABLE, false, false, 0, 2, 1, 500, false),
+      ATTEMPT (MQ_ATTEMPT_UNREACHABLE, false, false, 0, 2, 1, 500, false),
       MQ_NEXT_RETRY },
     { "unreachable too often",
-      TRY (MQ_ATTEMPT_UNREACHABLE, true, false, 0, 2, 4, 500, false),
+      ATTEMPT (MQ_ATTEMPT_UNREACHABLE, true, false, 0, 2, 4, 500, false),
       MQ_NEXT_REFUSE },
-    { "not run", TRY (MQ_ATTEMPT_NOT_RUN, false, false, 1, 2, 0, 500, false),
+    { "not run",
+      ATTEMPT (MQ_ATTEMPT_NOT_RUN, false, false, 1, 2, 0, 500, false),
       MQ_NEXT_RETRY },
     { "not run twice",
-      TRY (MQ_ATTEMPT_NOT_RUN, false, false, 2, 2, 0, 500, false),
+      ATTEMPT (MQ_ATTEMPT_NOT_RUN, false, false, 2, 2, 0, 500, false),
       MQ_NEXT_REFUSE },
     { "not run, no time",
-      TRY (MQ_ATTEMPT_NOT_RUN, false, false, 1, 2, 0, 10, false),
+      ATTEMPT (MQ_ATTEMPT_NOT_RUN, false, false, 1, 2, 0, 10, false),
       MQ_NEXT_REFUSE },
-    { "broken, once",
-      TRY (MQ_ATTEMPT_BROKEN, false, false, 1, 2, 0, 500, true),
+    { "broken, not repeatable",
+      ATTEMPT (MQ_ATTEMPT_BROKEN, false, false, 1, 2, 0, 500, true),
       MQ_NEXT_FAIL },
     { "broken, repeatable",
-      TRY (MQ_ATTEMPT_BROKEN, true, false, 1, 2, 0, 500, true),
+      ATTEMPT (MQ_ATTEMPT_BROKEN, true, false, 1, 2, 0, 500, true),
       MQ_NEXT_RETRY },
-    { "broken twice", TRY (MQ_ATTEMPT_BROKEN, true, false, 2, 2, 0, 500, true),
+    { "broken twice",
+      ATTEMPT (MQ_ATTEMPT_BROKEN, true, false, 2, 2, 0, 500, true),
       MQ_NEXT_FAIL },
     { "broken in the middle, repeatable",
-      TRY (MQ_ATTEMPT_BROKEN, true, true, 1, 2, 0, 500, true), MQ_NEXT_RETRY },
-    { "broken in the middle, once",
-      TRY (MQ_ATTEMPT_BROKEN, false, true, 1, 2, 0, 500, true),
+      ATTEMPT (MQ_ATTEMPT_BROKEN, true, true, 1, 2, 0, 500, true),
+      MQ_NEXT_RETRY },
+    { "broken in the middle, not repeatable",
+      ATTEMPT (MQ_ATTEMPT_BROKEN, false, true, 1, 2, 0, 500, true),
       MQ_NEXT_ABORT },
-    { "error, once", TRY (MQ_ATTEMPT_ERROR, false, false, 1, 2, 0, 500, true),
+    { "error, not repeatable",
+      ATTEMPT (MQ_ATTEMPT_ERROR, false, false, 1, 2, 0, 500, true),
       MQ_NEXT_FORWARD },
-    { "error, last", TRY (MQ_ATTEMPT_ERROR, true, false, 2, 2, 0, 500, true),
+    { "error, last",
+      ATTEMPT (MQ_ATTEMPT_ERROR, true, false, 2, 2, 0, 500, true),
       MQ_NEXT_FORWARD },
     { "ran before, then not run",
-      TRY (MQ_ATTEMPT_NOT_RUN, true, false, 2, 2, 0, 500, true),
+      ATTEMPT (MQ_ATTEMPT_NOT_RUN, true, false, 2, 2, 0, 500, true),
       MQ_NEXT_REFUSE },
     { "not run in the middle of a stream",
-      TRY (MQ_ATTEMPT_NOT_RUN, true, true, 2, 2, 0, 500, true),
+      ATTEMPT (MQ_ATTEMPT_NOT_RUN, true, true, 2, 2, 0, 500, true),
       MQ_NEXT_ABORT },
   };
 
@@ -607,9 +605,8 @@
                   cases[i].name);
 }
 
-/* A host that is cut off asks three times a second; when it knows the workers
-   it is not sent all of them again.  It must be sent them when one differs in
-   anything, or it goes on with a worker that has left.  */
+/* The digest detects any change in the list of workers and ignores its order.
+   Guards against a host that keeps using a worker that has left.  */
 Test (fleet, digest)
 {
   static const struct mq_fleet_member first
@@ -641,27 +638,24 @@
     }
 }
 
-/* Requests go to an address where their worker was before it crashed: the
-   worker starts again under its id at another address, the entry of the new
-   start changes just its state and slots, and failures and load of the former
-   start stay.  An entry of the former start that comes late must not bring it
-   back.  */
+/* Guards against using the address of a previous start after a worker restarts
+   at another one.  A late entry of the previous start is ignored.  */
 struct start_case
 {
   const char *what;
   const char *address;
   uint64_t born_ms;
-  const char *known; /* address that is used afterwards */
+  const char *known; /* expected address */
 };
 
-Test (fleet, later_start_is_another_worker)
+Test (fleet, restart_replaces_the_worker)
 {
   static const struct start_case cases[] = {
     { "first start", "127.0.0.1:1", 1000, "127.0.0.1:1" },
-    { "the same again", "127.0.0.1:1", 1000, "127.0.0.1:1" },
+    { "same start again", "127.0.0.1:1", 1000, "127.0.0.1:1" },
     { "later start", "127.0.0.1:2", 2000, "127.0.0.1:2" },
-    { "former start, late", "127.0.0.1:1", 1000, "127.0.0.1:2" },
-    { "no start told, late", "127.0.0.1:1", 0, "127.0.0.1:2" },
+    { "late entry of the previous start", "127.0.0.1:1", 1000, "127.0.0.1:2" },
+    { "late entry without a start time", "127.0.0.1:1", 0, "127.0.0.1:2" },
     { "third start", "127.0.0.1:1", 3000, "127.0.0.1:1" },
   };
 
@@ -677,44 +671,42 @@
     }
 }
 
-/* A request that is under way at the former start ends there; what came of it
-   says nothing about the new one.  */
-Test (fleet, later_start_begins_anew)
+/* The outcome of a request at the previous start does not affect the new one.
+ */
+Test (fleet, restart_discards_outcomes)
 {
-  uint32_t former;
+  uint32_t previous;
   uint32_t later;
 
   put_start ("127.0.0.1:1", 1000);
-  former = handle_of ("w0");
-  mq_fleet_request_started (fleet, former);
-  mq_fleet_record_load (fleet, former, 4, 9, 1);
+  previous = handle_of ("w0");
+  mq_fleet_request_started (fleet, previous);
+  mq_fleet_record_load (fleet, previous, 4, 9, 1);
   put_start ("127.0.0.1:1", 2000);
   later = handle_of ("w0");
-  cr_assert_neq (former, later);
-  cr_assert_neq (mq_fleet_instance_digest (fleet, former),
+  cr_assert_neq (previous, later);
+  cr_assert_neq (mq_fleet_instance_digest (fleet, previous),
                  mq_fleet_instance_digest (fleet, later));
-  cr_assert_not (mq_fleet_is_available (fleet, former));
-  mq_fleet_request_ended (fleet, former, MQ_OUTCOME_LEAVING, 1);
+  cr_assert_not (mq_fleet_is_available (fleet, previous));
+  mq_fleet_request_ended (fleet, previous, MQ_OUTCOME_LEAVING, 1);
   cr_assert (mq_fleet_is_available (fleet, later));
   cr_assert_eq (mq_fleet_start_time_ms (fleet, "w0"), 2000);
 }
 
-/* A burst fills the slots of all engines, and nothing gets better when it is
-   over: programs are sent from one engine to the next, each reads their whole
-   history again, and the reading keeps the slots full.  More programs than
-   slots go on asking, each one again as soon as it is answered; nearly all of
-   their requests must come to the engine that has their history.  */
-struct crowd_case
+/* Guards against moving programs between full engines, each of which would
+   process their prompts again.  With more programs than slots, most requests
+   must reach the engine that has their history.  */
+struct overload_case
 {
   uint32_t workers;
   uint32_t slots;
   uint32_t programs;
 };
 
-#define CROWD_MAX 256U
+#define PROGRAMS_MAX 256U
 
 static uint32_t
-ask_for (uint32_t program, uint32_t step)
+send_request (uint32_t program, uint32_t step)
 {
   struct mq_fleet_query query = { .service = "s",
                                   .data_centre = "a",
@@ -731,7 +723,7 @@
 static uint32_t
 home_of (uint32_t program)
 {
-  uint32_t worker = ask_for (program, 0);
+  uint32_t worker = send_request (program, 0);
 
   mq_fleet_request_ended (fleet, worker, MQ_OUTCOME_CANCELLED, 1);
   return worker;
@@ -739,7 +731,7 @@
 
 Test (fleet, full_engines_keep_their_programs)
 {
-  static const struct crowd_case cases[] = {
+  static const struct overload_case cases[] = {
     { 9, 12, 90 },
     { 9, 12, 130 },
     { 9, 12, 200 },
@@ -749,8 +741,8 @@
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
-      uint32_t homes[CROWD_MAX] = { 0 };
-      uint32_t at[CROWD_MAX] = { 0 };
+      uint32_t homes[PROGRAMS_MAX] = { 0 };
+      uint32_t at[PROGRAMS_MAX] = { 0 };
       uint64_t random = 5;
       uint32_t asked = 0;
       uint32_t kept = 0;
@@ -765,14 +757,14 @@
       for (uint32_t p = 0; p < cases[i].programs; p++)
         homes[p] = home_of (p);
       for (uint32_t p = 0; p < cases[i].programs; p++)
-        at[p] = ask_for (p, p);
+        at[p] = send_request (p, p);
       for (uint32_t step = 0; step < 4000; step++, asked++)
         {
           uint32_t p = mq_random_below (&random, cases[i].programs);
 
           mq_fleet_request_ended (fleet, at[p], MQ_OUTCOME_SUCCEEDED,
                                   1 + step);
-          at[p] = ask_for (p, step);
+          at[p] = send_request (p, step);
           kept += at[p] == homes[p] ? 1U : 0U;
         }
       cr_expect_geq (kept * 100, asked * 85, "%u programs, %u x %u slots: %u",
--- a/tests/test_turns.c
+++ b/tests/test_turns.c
@@ -1,4 +1,4 @@
-/* test_turns.c - budgets, histories and events of turns, on plain values.
+/* test_turns.c - unit tests of budgets, conversation histories and events.
 
    Needs: Criterion, budget.h, chain.h, event_stream.h.  */
 
@@ -15,16 +15,16 @@
 /* Budgets */
 
 #define HOSTS 3
-#define MOST 10U
+#define TURN_TOKENS_MAX 10U
 
-/* The record in the table and what each host knows.  */
+/* The record in the table and each host's state.  */
 struct world
 {
   struct mq_budget_record record;
   uint64_t version;
   struct mq_budget hosts[HOSTS];
   uint64_t holder[HOSTS];
-  uint64_t handed;
+  uint64_t generated;
   int running[HOSTS];
 };
 
@@ -46,7 +46,7 @@
   return true;
 }
 
-/* Whether HOST may start a turn; asks the table as often as it must.  */
+/* Whether HOST may start a turn; reads and writes the table as needed.  */
 static bool
 begin_turn (struct world *world, int host, uint64_t limit)
 {
@@ -57,8 +57,8 @@
       struct mq_budget_record next;
       struct mq_budget *budget = &world->hosts[host];
 
-      switch (
-          mq_budget_reserve (budget, world->holder[host], limit, MOST, &next))
+      switch (mq_budget_reserve (budget, world->holder[host], limit,
+                                 TURN_TOKENS_MAX, &next))
         {
         case MQ_BUDGET_RESERVED:
           world->running[host]++;
@@ -79,16 +79,16 @@
           return false;
         }
     }
-  cr_assert_fail ("the host asks for ever");
+  cr_assert_fail ("the reservation does not terminate");
   return false;
 }
 
 static void
 end_turn (struct world *world, int host, uint64_t used)
 {
-  world->handed += used;
+  world->generated += used;
   world->running[host]--;
-  mq_budget_settle (&world->hosts[host], MOST, used);
+  mq_budget_settle (&world->hosts[host], TURN_TOKENS_MAX, used);
 }
 
 static void
@@ -96,13 +96,12 @@
 {
   world->hosts[host] = (struct mq_budget){ .version = 0 };
   world->holder[host] = mq_random_next (state);
-  world->handed += (uint64_t)world->running[host] * MOST;
+  world->generated += (uint64_t)world->running[host] * TURN_TOKENS_MAX;
   world->running[host] = 0;
 }
 
-/* Turns start and end at three hosts in any order, hosts lose their memory
-   while turns run (whose callers got all their tokens): never are more tokens
-   handed out than the budget.  */
+/* The budget is never exceeded, whatever the order of turns at three hosts and
+   even if hosts lose their state while turns run.  */
 Test (budget, never_exceeded)
 {
   for (uint64_t seed = 1; seed <= 400; seed++)
@@ -123,21 +122,22 @@
           else if (what < 11)
             begin_turn (&world, host, limit);
           else if (world.running[host] > 0)
-            end_turn (&world, host, mq_random_below (&state, MOST + 1));
+            end_turn (&world, host,
+                      mq_random_below (&state, TURN_TOKENS_MAX + 1));
         }
       for (int i = 0; i < HOSTS; i++)
         while (world.running[i] > 0)
-          end_turn (&world, i, MOST);
-      cr_assert_leq (world.handed, limit, "seed %lu: %lu of %lu",
-                     (unsigned long)seed, (unsigned long)world.handed,
+          end_turn (&world, i, TURN_TOKENS_MAX);
+      cr_assert_leq (world.generated, limit, "seed %lu: %lu of %lu",
+                     (unsigned long)seed, (unsigned long)world.generated,
                      (unsigned long)limit);
     }
 }
 
-/* A caller is told that the budget is spent though three quarters of it are
-   left: two hosts took grants for his first turns, and both are lost with what
-   they did not use.  */
-Test (budget, lost_hosts_leave_room)
+/* Guards against exhausting most of a budget by the grants of two failed
+ * hosts.
+ */
+Test (budget, lost_hosts_do_not_exhaust_the_budget)
 {
   static const uint64_t limits[] = { 17, 31, 45, 62, 500 };
 
@@ -145,7 +145,7 @@
     {
       struct world world = { .version = 0, .holder = { 7, 8, 9 } };
       uint64_t state = 3;
-      int turns = limits[i] < (uint64_t)3 * MOST ? 1 : 2;
+      int turns = limits[i] < (uint64_t)3 * TURN_TOKENS_MAX ? 1 : 2;
 
       for (int host = 0; host < turns; host++)
         {
@@ -154,7 +154,7 @@
           cr_assert (begin_turn (&world, host, limits[i]));
           end_turn (&world, host, 2);
           if (mq_budget_release (&world.hosts[host], world.holder[host],
-                                 limits[i], MOST, &next))
+                                 limits[i], TURN_TOKENS_MAX, &next))
             write_record (&world, host, &next);
         }
       lose_host (&world, 0, &state);
@@ -164,9 +164,9 @@
     }
 }
 
-/* A write of the record gets no answer.  Whether it was done shows when the
-   record is read; either way the budget holds and the program goes on.  */
-Test (budget, lost_answer_to_a_write)
+/* The budget holds and the program continues after a write without a reply,
+   whether or not it was applied.  */
+Test (budget, write_without_reply)
 {
   for (int done = 0; done < 2; done++)
     {
@@ -174,8 +174,9 @@
       struct mq_budget_record next;
       int served = 0;
 
-      cr_assert_eq (mq_budget_reserve (&world.hosts[0], 7, 50, MOST, &next),
-                    MQ_BUDGET_WRITE);
+      cr_assert_eq (
+          mq_budget_reserve (&world.hosts[0], 7, 50, TURN_TOKENS_MAX, &next),
+          MQ_BUDGET_WRITE);
       if (done != 0)
         {
           world.record = next;
@@ -183,15 +184,14 @@
         }
       while (begin_turn (&world, 0, 50))
         {
-          end_turn (&world, 0, MOST);
+          end_turn (&world, 0, TURN_TOKENS_MAX);
           served++;
         }
       cr_assert_geq (served, 5);
-      cr_assert_leq (world.handed, 50);
+      cr_assert_leq (world.generated, 50);
     }
 }
 
-/* Several turns of a program are served for one write.  */
 Test (budget, one_write_serves_several_turns)
 {
   struct world world = { .version = 0, .holder = { 7 } };
@@ -265,9 +265,8 @@
   talloc_free (ctx);
 }
 
-/* A long chain is cut into rows: each row is bounded, and all of them together
-   give back the text.  */
-Test (chain, long_chains_are_cut_into_rows)
+/* A long chain is split into rows of bounded size that restore its text.  */
+Test (chain, long_chains_are_split_into_rows)
 {
   enum
   {
@@ -309,7 +308,7 @@
   talloc_free (ctx);
 }
 
-Test (chain, cache_keeps_what_was_used_last)
+Test (chain, cache_evicts_least_recently_used)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_chain_cache *cache = mq_chain_cache_create (ctx, 10000);
@@ -343,18 +342,18 @@
   bool partial;
 };
 
-Test (events, cut_at_any_byte)
+Test (events, split_at_any_byte)
 {
   static const struct event_case cases[] = {
     { "one", "id: 1\ndata: a\n\n", 1, "1", "a", false },
-    { "no blank after the colon", "id:1\ndata:a\n\n", 1, "1", "a", false },
+    { "no space after the colon", "id:1\ndata:a\n\n", 1, "1", "a", false },
     { "carriage returns", "id: 1\r\ndata: a\r\n\r\n", 1, "1", "a", false },
     { "two data lines", "id: 1\ndata: a\ndata: b\n\n", 1, "1", "a\nb", false },
     { "a comment", ": note\n\nid: 2\ndata: x\n\n", 2, "2", "x", false },
-    { "a field before", "x-weights: 3\nid: 7\ndata: y\n\n", 1, "7", "y",
+    { "unknown field", "x-weights: 3\nid: 7\ndata: y\n\n", 1, "7", "y",
       false },
-    { "cut", "id: 1\ndata: a\n\nid: 2\nda", 1, "1", "a", true },
-    { "cut before its empty line", "id: 1\ndata: a\n", 0, "", "", true },
+    { "truncated", "id: 1\ndata: a\n\nid: 2\nda", 1, "1", "a", true },
+    { "no empty line", "id: 1\ndata: a\n", 0, "", "", true },
     { "empty data", "id: 4\ndata:\n\n", 1, "4", "", false },
   };
 
@@ -394,7 +393,7 @@
       }
 }
 
-Test (events, endless_event_is_given_up)
+Test (events, oversized_event_is_rejected)
 {
   struct mq_event_stream *stream = mq_event_stream_create (NULL);
   char bytes[4096];
