--- a/src/core/organisation/quota_issuer.c
+++ b/src/core/organisation/quota_issuer.c
@@ -21,7 +21,7 @@
 /* Part of the burst reserved for programs that have begun, percent.  Guards
    against refusing a program in the middle, which wastes its earlier requests:
    over the limit, new programs are refused first.  */
-#define BEGIN_KEEP_PERCENT 50U
+#define BEGUN_RESERVE_PERCENT 50U
 #define RETRY_MIN_MS 100U
 #define RETRY_MAX_MS 4000U
 /* Time within which prefetched permits may be used or returned.  */
@@ -387,7 +387,7 @@
 issue_permits (struct bucket *bucket, const struct mq_quota_request *want,
                uint64_t ahead_max, uint64_t now, struct mq_quota_grant *grant)
 {
-  uint64_t reserved = burst_of (bucket) * BEGIN_KEEP_PERCENT / 100U;
+  uint64_t reserved = burst_of (bucket) * BEGUN_RESERVE_PERCENT / 100U;
   uint32_t room = prefetch_room (bucket, ahead_max);
   uint32_t missing;
 
