--- a/src/core/organisation/orgs.c
+++ b/src/core/organisation/orgs.c
@@ -1,4 +1,4 @@
-/* orgs.c - the organisations of one configuration: their names, keys, limits.
+/* orgs.c - organisations of one configuration version: names, keys, limits.
 
    Needs: orgs.h, id.h, idmap.h.  */
 
@@ -7,14 +7,14 @@
 #include "../idmap.h"
 #include <string.h>
 
-/* Scope of callers without an organisation: no digest is all zero.  */
+/* Scope of callers without an organisation; no digest is all zeros.  */
 #define NO_SCOPE "0000000000000000"
 
 struct mq_orgs
 {
   struct mq_org *list;
   size_t count;
-  size_t room;
+  size_t capacity;
   struct mq_key_set *keys;
   struct mq_idmap *names;
 };
@@ -26,7 +26,7 @@
 
   if (orgs == NULL)
     return NULL;
-  orgs->room = count;
+  orgs->capacity = count;
   orgs->list = talloc_zero_array (orgs, struct mq_org, count + 1);
   orgs->keys = mq_key_set_create (orgs, seed);
   orgs->names = mq_idmap_create (orgs);
@@ -67,19 +67,19 @@
     {
       mq_error_set (error, MQ_ERR_TEXT_BAD_VALUE, "organisation",
                     "a name of 1 to 127 bytes");
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   if (mq_orgs_find_name (orgs, org->name) != NULL)
     {
       mq_error_set (error, MQ_ERR_TEXT_DUPLICATE, org->name, NULL);
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   *to = *org;
   to->name = talloc_strdup (orgs, org->name);
-  if (orgs->count == orgs->room || to->name == NULL)
+  if (orgs->count == orgs->capacity || to->name == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "organisations", NULL);
-      return MQ_KEY_NOBODY;
+      return MQ_KEY_NO_OWNER;
     }
   set_scope (to);
   mq_idmap_put (orgs->names, mq_id_text_hash (to->name), 0, to);
@@ -125,7 +125,7 @@
     return NULL;
   mq_key_digest (key, digest);
   index = mq_key_set_find (orgs->keys, digest);
-  return index == MQ_KEY_NOBODY ? NULL : &orgs->list[index];
+  return index == MQ_KEY_NO_OWNER ? NULL : &orgs->list[index];
 }
 
 const struct mq_org *
@@ -141,7 +141,7 @@
 }
 
 char *
-mq_org_scope (TALLOC_CTX *ctx, const struct mq_org *org, const char *id)
+mq_org_scoped_id (TALLOC_CTX *ctx, const struct mq_org *org, const char *id)
 {
   return talloc_asprintf (ctx, "%s.%s", org == NULL ? NO_SCOPE : org->scope,
                           id);
--- a/src/core/router/attempt.c
+++ b/src/core/router/attempt.c
@@ -1,25 +1,25 @@
-/* attempt.c - what a worker's answer is worth, and what to do without one.
+/* attempt.c - classification of worker responses and the decision to retry.
 
    Needs: attempt.h.  */
 
 #include "attempt.h"
 
-/* 408, 421, 429 and 503 promise a caller that a request has not run.  A
-   worker that gives one of them without stating so promises nothing.  */
+/* Callers take these statuses to mean that the request did not run.  A worker
+   that sends one without stating so may have run it.  */
 static bool
-promises_not_run (int status)
+implies_not_run (int status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 enum mq_attempt_end
-mq_attempt_judge (const struct mq_attempt_answer *answer)
+mq_attempt_classify (const struct mq_attempt_response *answer)
 {
-  if (answer->cut)
+  if (answer->truncated)
     return MQ_ATTEMPT_BROKEN;
   if (answer->not_run)
     return MQ_ATTEMPT_NOT_RUN;
-  if (promises_not_run (answer->status) && !answer->repeatable)
+  if (implies_not_run (answer->status) && !answer->repeatable)
     return MQ_ATTEMPT_BROKEN;
   if (answer->status >= 500 && answer->repeatable)
     return MQ_ATTEMPT_ERROR;
@@ -29,9 +29,9 @@
 }
 
 static bool
-may_try_again (const struct mq_attempt *attempt)
+may_retry (const struct mq_attempt *attempt)
 {
-  if (attempt->left_ms < MQ_ATTEMPT_LEAST_MS)
+  if (attempt->remaining_ms < MQ_ATTEMPT_MIN_REMAINING_MS)
     return false;
   if (attempt->unreachable >= MQ_ATTEMPT_UNREACHABLE_MAX)
     return false;
@@ -52,21 +52,21 @@
   return false;
 }
 
-/* A refusal promises that the request has not run.  For one that may run
-   again the promise costs nothing and tells the caller to come back.  */
+/* MQ_NEXT_REFUSE states that the request did not run.  A repeatable request is
+   also refused, as running it again is harmless.  */
 enum mq_attempt_next
 mq_attempt_decide (const struct mq_attempt *attempt)
 {
-  if (may_try_again (attempt))
+  if (may_retry (attempt))
     return MQ_NEXT_RETRY;
   if (attempt->begun)
-    return MQ_NEXT_BREAK;
+    return MQ_NEXT_ABORT;
   switch (attempt->end)
     {
     case MQ_ATTEMPT_UNREACHABLE:
     case MQ_ATTEMPT_NOT_RUN:
-      return attempt->ran && !attempt->repeatable ? MQ_NEXT_FAIL
-                                                  : MQ_NEXT_REFUSE;
+      return attempt->may_have_run && !attempt->repeatable ? MQ_NEXT_FAIL
+                                                           : MQ_NEXT_REFUSE;
     case MQ_ATTEMPT_BROKEN:
       return MQ_NEXT_FAIL;
     case MQ_ATTEMPT_ERROR:
@@ -74,7 +74,7 @@
     case MQ_ATTEMPT_ANSWERED:
       break;
     }
-  return MQ_NEXT_PASS_ON;
+  return MQ_NEXT_FORWARD;
 }
 
 const char *
@@ -97,8 +97,8 @@
 {
   static const char *const names[] = {
     [MQ_NEXT_RETRY] = "retry", [MQ_NEXT_REFUSE] = "refuse",
-    [MQ_NEXT_FAIL] = "fail",   [MQ_NEXT_PASS_ON] = "pass_on",
-    [MQ_NEXT_BREAK] = "break",
+    [MQ_NEXT_FAIL] = "fail",   [MQ_NEXT_FORWARD] = "pass_on",
+    [MQ_NEXT_ABORT] = "break",
   };
 
   return names[next];
--- a/src/core/router/chain.c
+++ b/src/core/router/chain.c
@@ -1,4 +1,4 @@
-/* chain.c - what was said up to a turn, so that a later turn can continue.
+/* chain.c - conversation history of a turn.
 
    Needs: chain.h, proto/turn.pb-c.h.  */
 
@@ -8,7 +8,7 @@
 #include "../idmap.h"
 #include <string.h>
 
-/* Bytes that a cached chain takes beside its text.  */
+/* Memory that a cached chain takes in addition to its text.  */
 #define ENTRY_BYTES ((size_t)512)
 
 static void
@@ -77,8 +77,8 @@
 }
 
 struct mq_bytes
-mq_chain_join (TALLOC_CTX *ctx, const struct mq_chain *before,
-               struct mq_bytes input)
+mq_chain_append_input (TALLOC_CTX *ctx, const struct mq_chain *before,
+                       struct mq_bytes input)
 {
   size_t len = before->text.len + input.len;
   uint8_t *joined = talloc_size (ctx, len + 1);
@@ -104,7 +104,7 @@
   return copy;
 }
 
-/* Row with the text from FROM on, which follows that of turn BASE.  */
+/* Serializes a row with the text from FROM on, which follows that of BASE.  */
 static struct mq_bytes
 pack_from (TALLOC_CTX *ctx, const struct mq_chain *chain, const char *base,
            size_t from)
@@ -130,7 +130,7 @@
 }
 
 struct mq_bytes
-mq_chain_pack_whole (TALLOC_CTX *ctx, const struct mq_chain *chain)
+mq_chain_pack_full (TALLOC_CTX *ctx, const struct mq_chain *chain)
 {
   return pack_from (ctx, chain, "", 0);
 }
@@ -144,7 +144,7 @@
 
   if (row == NULL)
     return NULL;
-  /* Cut short, an id would name another turn.  */
+  /* A truncated id could match another turn.  */
   if (strlen (row->before) < MQ_TURN_ID_MAX)
     chain = make_chain (ctx, id, row->tail.len);
   if (chain != NULL)
@@ -158,7 +158,7 @@
 }
 
 uint64_t
-mq_chain_row_until (struct mq_bytes bytes)
+mq_chain_row_expiry_s (struct mq_bytes bytes)
 {
   Mqturn__TurnRow *row
       = mqturn__turn_row__unpack (NULL, bytes.len, bytes.data);
@@ -187,7 +187,7 @@
   return true;
 }
 
-/* One cached chain; the list is in order of use, newest first.  */
+/* Cached chain in a list ordered by last use.  */
 struct cached
 {
   struct mq_chain *chain;
@@ -255,7 +255,7 @@
 }
 
 static void
-drop_cached (struct mq_chain_cache *cache, struct cached *cached)
+evict_cached (struct mq_chain_cache *cache, struct cached *cached)
 {
   unlink_cached (cache, cached);
   mq_idmap_remove (cache->map, cached->key, 0);
@@ -271,7 +271,7 @@
   struct cached *cached = talloc_zero (cache, struct cached);
 
   if (old != NULL)
-    drop_cached (cache, old);
+    evict_cached (cache, old);
   if (cached == NULL)
     {
       talloc_free (chain);
@@ -283,7 +283,7 @@
   link_newest (cache, cached);
   cache->bytes += cost_of (chain);
   while (cache->bytes > cache->max_bytes && cache->oldest != cached)
-    drop_cached (cache, cache->oldest);
+    evict_cached (cache, cache->oldest);
 }
 
 const struct mq_chain *
--- a/src/core/router/route.c
+++ b/src/core/router/route.c
@@ -1,4 +1,4 @@
-/* route.c - which service serves a request, by host and longest prefix.
+/* route.c - routing table.
 
    Needs: route.h.  */
 
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* By host; then the longer prefix first, so that the first one that fits is
-   the one to take.  */
+/* Orders by host, then longer prefixes first, so that the first match is the
+   longest.  */
 static int
 compare_routes (const void *left, const void *right)
 {
@@ -33,7 +33,7 @@
            compare_routes);
 }
 
-/* Order of a route's host and the first HOST_LEN bytes of HOST.  */
+/* Compares a route's host with the first HOST_LEN bytes of HOST.  */
 static int
 compare_host (const struct mq_path_route *route, const char *host,
               size_t host_len)
@@ -45,7 +45,7 @@
   return route->host[host_len] == '\0' ? 0 : 1;
 }
 
-/* Index of the first route of the host, route_count when there is none.  */
+/* Index of the first route whose host is not less than HOST.  */
 static size_t
 first_of_host (const struct mq_route_table *table, const char *host,
                size_t host_len)
@@ -117,7 +117,8 @@
 }
 
 uint64_t
-mq_route_whole_events (const struct mq_route_service *service, uint64_t tokens)
+mq_route_round_to_events (const struct mq_route_service *service,
+                          uint64_t tokens)
 {
   uint64_t step = service == NULL ? 1 : service->tokens_per_event;
 
@@ -127,9 +128,9 @@
 }
 
 bool
-mq_route_placing_key (const struct mq_path_route *route,
-                      const struct mq_route_service *service,
-                      const char *program, const char *object, uint64_t *key)
+mq_route_affinity_key (const struct mq_path_route *route,
+                       const struct mq_route_service *service,
+                       const char *program, const char *object, uint64_t *key)
 {
   const char *text = NULL;
 
@@ -150,7 +151,7 @@
     {
     case MQ_ROUTE_IDEMPOTENT:
       return true;
-    case MQ_ROUTE_ONCE:
+    case MQ_ROUTE_AT_MOST_ONCE:
       return false;
     case MQ_ROUTE_STREAM:
       return route->resumable;
