--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -127,8 +127,8 @@
 }
 
 size_t
-mq_commit_faults (const struct mq_rows_entry *entries, size_t count,
-                  const struct mq_rows_result *result, bool *faults)
+mq_commit_find_conflicts (const struct mq_rows_entry *entries, size_t count,
+                          const struct mq_rows_result *result, bool *faults)
 {
   size_t found = 0;
 
@@ -206,7 +206,8 @@
 
   memset (faults, true, sizeof faults);
   if (result->status == MQ_STORE_CONFLICT)
-    (void)mq_commit_faults (part->rows, part->row_count, result, faults);
+    (void)mq_commit_find_conflicts (part->rows, part->row_count, result,
+                                    faults);
   for (size_t i = 0; i < part->count; i++)
     {
       struct mq_commit *commit = part->batch[i];
@@ -420,8 +421,8 @@
 }
 
 void
-mq_commit_for_other (const struct mq_rows_entry *entries, size_t count,
-                     mq_rows_done *done, void *done_user, void *user)
+mq_commit_add_relayed (const struct mq_rows_entry *entries, size_t count,
+                       mq_rows_done *done, void *done_user, void *user)
 {
   struct mq_commit_queue *queue = user;
 
--- a/src/router/commit_queue.h
+++ b/src/router/commit_queue.h
@@ -39,8 +39,8 @@
                                  mq_rows_done *done, void *user);
 /* Writes of another host, all of one part, done together or not at all; for
    mq_relay_set_write with the queue as its user.  */
-void mq_commit_for_other (const struct mq_rows_entry *entries, size_t count,
-                          mq_rows_done *done, void *done_user, void *user);
+void mq_commit_add_relayed (const struct mq_rows_entry *entries, size_t count,
+                            mq_rows_done *done, void *done_user, void *user);
 /* No callback follows; what was sent may still be done.  */
 void mq_commit_cancel (struct mq_commit *commit);
 /* How many rows the transactions had.  */
@@ -50,7 +50,9 @@
 /* Which of COUNT ENTRIES, sent together, are at fault for a conflict in which
    the table told ROWS; sets FAULTS, returns how many.  All are when the rows
    show none.  Pure.  */
-size_t mq_commit_faults (const struct mq_rows_entry *entries, size_t count,
-                         const struct mq_rows_result *result, bool *faults);
+size_t mq_commit_find_conflicts (const struct mq_rows_entry *entries,
+                                 size_t count,
+                                 const struct mq_rows_result *result,
+                                 bool *faults);
 
 #endif
--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -45,13 +45,13 @@
 };
 
 /**
- * struct errand - a call that we make for another host
+ * struct relayed_call - a call that we make for another host
  * @link: to answer on, NULL: it is gone
  */
-struct errand
+struct relayed_call
 {
   struct mq_relay *relay;
-  struct errand *next;
+  struct relayed_call *next;
   struct mq_relay_link *link;
   uint64_t id;
 };
@@ -59,7 +59,7 @@
 static void try_call (struct mq_relay_call *call);
 
 struct host *
-relay_host_of (struct mq_relay *relay, const struct mq_relay_link *link)
+relay_host_of_link (struct mq_relay *relay, const struct mq_relay_link *link)
 {
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     if (host->link == link)
@@ -71,16 +71,16 @@
 static void
 note_bad (struct host *host)
 {
-  host->bad_until_ms = mq_clock_ms () + MQ_RELAY_BAD_MS;
+  host->call_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
 }
 
 /* HOST gives no answer: it is left alone for a while.  */
 void
-relay_note_gone (struct host *host)
+relay_mark_unreachable (struct host *host)
 {
   note_bad (host);
-  host->gone_until_ms = host->bad_until_ms;
-  relay_forget_loan (host);
+  host->loan_after_ms = host->call_after_ms;
+  relay_clear_loan_request (host);
 }
 
 void
@@ -107,23 +107,23 @@
     }
 }
 
-/* Nothing more comes over LINK: its errands have nobody to tell.  */
+/* Nothing more comes over LINK: its relayed_calls have nobody to tell.  */
 static void
 drop_link (struct mq_relay *relay, struct mq_relay_link *link)
 {
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (host == NULL)
     relay->accepted--;
   else
     {
       host->link = NULL;
-      relay_note_gone (host);
+      relay_mark_unreachable (host);
     }
-  for (struct errand *errand = relay->errands; errand != NULL;
-       errand = errand->next)
-    if (errand->link == link)
-      errand->link = NULL;
+  for (struct relayed_call *relayed_call = relay->relayed_calls;
+       relayed_call != NULL; relayed_call = relayed_call->next)
+    if (relayed_call->link == link)
+      relayed_call->link = NULL;
   fail_calls (relay, link);
   mq_relay_link_destroy (link);
 }
@@ -137,13 +137,13 @@
 /* Errands: calls that we make for another host */
 
 static void
-remove_errand (struct errand *errand)
+remove_errand (struct relayed_call *relayed_call)
 {
-  for (struct errand **at = &errand->relay->errands; *at != NULL;
-       at = &(*at)->next)
-    if (*at == errand)
+  for (struct relayed_call **at = &relayed_call->relay->relayed_calls;
+       *at != NULL; at = &(*at)->next)
+    if (*at == relayed_call)
       {
-        *at = errand->next;
+        *at = relayed_call->next;
         return;
       }
 }
@@ -151,40 +151,41 @@
 static void
 on_errand_done (const struct mq_rows_result *result, void *user)
 {
-  struct errand *errand = user;
-  struct mq_relay_frame frame = { .kind = MQ_RELAY_TOLD };
+  struct relayed_call *relayed_call = user;
+  struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REPLY };
 
-  remove_errand (errand);
-  if (errand->link != NULL)
+  remove_errand (relayed_call);
+  if (relayed_call->link != NULL)
     {
-      frame.u.told.id = errand->id;
+      frame.u.told.id = relayed_call->id;
       frame.u.told.result = *result;
-      relay_send_frame (errand->relay, errand->link, &frame);
+      relay_send_frame (relayed_call->relay, relayed_call->link, &frame);
     }
-  talloc_free (errand);
+  talloc_free (relayed_call);
 }
 
 static void
 serve_ask (struct mq_relay *relay, struct mq_relay_link *link,
-           const struct mq_relay_ask *ask)
+           const struct mq_relay_call_request *ask)
 {
-  struct errand *errand = mq_must (talloc_zero (relay, struct errand));
+  struct relayed_call *relayed_call
+      = mq_must (talloc_zero (relay, struct relayed_call));
 
-  errand->relay = relay;
-  errand->link = link;
-  errand->id = ask->id;
-  errand->next = relay->errands;
-  relay->errands = errand;
+  relayed_call->relay = relay;
+  relayed_call->link = link;
+  relayed_call->id = ask->id;
+  relayed_call->next = relay->relayed_calls;
+  relay->relayed_calls = relayed_call;
   relay->served++;
   if (ask->commit && relay->write != NULL)
-    relay->write (ask->entries, ask->count, on_errand_done, errand,
+    relay->write (ask->entries, ask->count, on_errand_done, relayed_call,
                   relay->write_user);
   else if (ask->commit)
     mq_rows_commit (relay->rows, ask->entries, ask->count, on_errand_done,
-                    errand);
+                    relayed_call);
   else
     mq_rows_get (relay->rows, ask->entries[0].table, ask->entries[0].part,
-                 ask->entries[0].key, on_errand_done, errand);
+                 ask->entries[0].key, on_errand_done, relayed_call);
 }
 
 /* Calls that another host makes for us */
@@ -223,10 +224,10 @@
 
 static void
 take_told (struct mq_relay *relay, const struct mq_relay_link *link,
-           const struct mq_relay_told *told)
+           const struct mq_relay_call_reply *told)
 {
   struct mq_relay_call *call = find_call (relay, link, told->id);
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (call == NULL)
     return;
@@ -239,16 +240,16 @@
   if (host != NULL)
     note_bad (host);
   if (host != NULL)
-    host->slow_until_ms = host->bad_until_ms;
+    host->gather_after_ms = host->call_after_ms;
   call->link = NULL;
   try_call (call);
 }
 
 static void
 take_quota_ask (struct mq_relay *relay, struct mq_relay_link *link,
-                const struct mq_relay_quota_ask *ask)
+                const struct mq_relay_quota_request *ask)
 {
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (host != NULL && ask->recalled)
     host->recalled = true;
@@ -257,9 +258,9 @@
 
 static void
 take_quota (struct mq_relay *relay, const struct mq_relay_link *link,
-            const struct mq_relay_quota_told *told)
+            const struct mq_relay_quota_reply *told)
 {
-  const struct host *host = relay_host_of (relay, link);
+  const struct host *host = relay_host_of_link (relay, link);
 
   if (host != NULL)
     relay->owner.quota_told (told, host->address, relay->owner.user);
@@ -274,10 +275,10 @@
 
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
+    case MQ_RELAY_CALL_REQUEST:
       serve_ask (relay, link, &frame->u.ask);
       return;
-    case MQ_RELAY_TOLD:
+    case MQ_RELAY_CALL_REPLY:
       take_told (relay, link, &frame->u.told);
       return;
     case MQ_RELAY_SYNC:
@@ -286,32 +287,32 @@
     case MQ_RELAY_STATE:
       owner->state (&frame->u.state, owner->user);
       return;
-    case MQ_RELAY_LOAN_ASK:
+    case MQ_RELAY_LOAN_REQUEST:
       owner->loan_ask (&frame->u.loan_ask, link, owner->user);
       return;
-    case MQ_RELAY_LOAN_TOLD:
-      relay_take_loan (relay, link, &frame->u.loan_told);
+    case MQ_RELAY_LOAN_REPLY:
+      relay_on_loan_reply (relay, link, &frame->u.loan_told);
       return;
-    case MQ_RELAY_LOAN_BACK:
+    case MQ_RELAY_LOAN_RETURN:
       owner->loan_back (&frame->u.loan_back, owner->user);
       return;
-    case MQ_RELAY_QUOTA_ASK:
+    case MQ_RELAY_QUOTA_REQUEST:
       take_quota_ask (relay, link, &frame->u.quota_ask);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       owner->quota_recall (&frame->u.quota_recall, link, owner->user);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
+    case MQ_RELAY_QUOTA_REPLY:
       take_quota (relay, link, &frame->u.quota_told);
       return;
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       return;
     }
 }
 
 void
-mq_relay_answer (struct mq_relay *relay, struct mq_relay_link *link,
-                 const struct mq_relay_state *state)
+mq_relay_send_state (struct mq_relay *relay, struct mq_relay_link *link,
+                     const struct mq_relay_state *state)
 {
   struct mq_relay_frame frame = { .kind = MQ_RELAY_STATE, .u.state = *state };
 
@@ -351,7 +352,7 @@
     host->link
         = mq_relay_link_open (relay, relay->ev, host->address, &owner, &error);
   if (host->link == NULL)
-    relay_note_gone (host);
+    relay_mark_unreachable (host);
   return host->link;
 }
 
@@ -366,7 +367,7 @@
 
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     {
-      if (host->bad_until_ms > now)
+      if (host->call_after_ms > now)
         continue;
       if (host->link != NULL)
         return host;
@@ -385,7 +386,7 @@
   struct host *host = relay_find_host (call->relay, call->address);
 
   if (host != NULL)
-    host->slow_until_ms = mq_clock_ms () + MQ_RELAY_BAD_MS;
+    host->gather_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
   give_up_call (call);
 }
 
@@ -468,7 +469,7 @@
 {
   struct mq_relay_call *call
       = mq_must (talloc_zero (relay, struct mq_relay_call));
-  struct mq_relay_frame frame = { .kind = MQ_RELAY_ASK };
+  struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REQUEST };
 
   call->relay = relay;
   call->id = ++relay->next_id;
@@ -477,7 +478,7 @@
   call->wait_ms = wait;
   call->done = done;
   call->user = user;
-  frame.u.ask = (struct mq_relay_ask){
+  frame.u.ask = (struct mq_relay_call_request){
     .id = call->id, .commit = commit, .entries = entries, .count = count
   };
   call->frame = mq_relay_frame_pack (call, &frame);
@@ -491,8 +492,8 @@
 mq_relay_commit (struct mq_relay *relay, const struct mq_rows_entry *entries,
                  size_t count, mq_rows_done *done, void *user)
 {
-  return make_call (relay, NULL, MQ_RELAY_CALL_MS, entries, count, true, done,
-                    user);
+  return make_call (relay, NULL, MQ_RELAY_CALL_TIMEOUT_MS, entries, count,
+                    true, done, user);
 }
 
 struct mq_relay_call *
@@ -522,8 +523,8 @@
     {
       uint64_t weight;
 
-      if (!host->near || !host->listed || host->slow_until_ms > now
-          || host->bad_until_ms > now)
+      if (!host->near || !host->listed || host->gather_after_ms > now
+          || host->call_after_ms > now)
         continue;
       weight = mq_rendezvous_weight (host->address, key);
       if (weight <= most)
@@ -540,8 +541,8 @@
 {
   struct mq_rows_entry entry = { .table = table, .part = part, .key = key };
 
-  return make_call (relay, NULL, MQ_RELAY_CALL_MS, &entry, 1, false, done,
-                    user);
+  return make_call (relay, NULL, MQ_RELAY_CALL_TIMEOUT_MS, &entry, 1, false,
+                    done, user);
 }
 
 void
@@ -552,7 +553,8 @@
 }
 
 void
-mq_relay_ask_sync (struct mq_relay *relay, const struct mq_relay_sync *sync)
+mq_relay_request_sync (struct mq_relay *relay,
+                       const struct mq_relay_sync *sync)
 {
   struct host *host = choose_host (relay);
   struct mq_relay_link *link
@@ -591,11 +593,11 @@
 }
 
 bool
-mq_relay_ask_quota (struct mq_relay *relay, const char *address,
-                    const struct mq_relay_quota_ask *ask)
+mq_relay_request_quota (struct mq_relay *relay, const char *address,
+                        const struct mq_relay_quota_request *ask)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_ASK, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_ask = *ask };
   struct host *host = add_host (relay, address);
   struct mq_relay_link *link
       = host == NULL ? NULL : relay_open_link (relay, host);
@@ -629,21 +631,21 @@
 }
 
 void
-mq_relay_surrender (struct mq_relay *relay, struct mq_relay_link *link,
-                    const struct mq_relay_quota_ask *ask)
+mq_relay_send_recall_reply (struct mq_relay *relay, struct mq_relay_link *link,
+                            const struct mq_relay_quota_request *ask)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_ASK, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_ask = *ask };
 
   relay_send_frame (relay, link, &frame);
 }
 
 void
-mq_relay_tell_quota (struct mq_relay *relay, struct mq_relay_link *link,
-                     const struct mq_relay_quota_told *told)
+mq_relay_send_quota_reply (struct mq_relay *relay, struct mq_relay_link *link,
+                           const struct mq_relay_quota_reply *told)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_TOLD, .u.quota_told = *told };
+      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_told = *told };
 
   relay_send_frame (relay, link, &frame);
 }
@@ -759,13 +761,13 @@
 }
 
 uint64_t
-mq_relay_asked (const struct mq_relay *relay)
+mq_relay_calls_sent (const struct mq_relay *relay)
 {
   return relay->asked;
 }
 
 uint64_t
-mq_relay_served (const struct mq_relay *relay)
+mq_relay_calls_served (const struct mq_relay *relay)
 {
   return relay->served;
 }
--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -17,22 +17,24 @@
 struct mq_relay_link;
 
 /* An answer takes two hops and one call to the table.  */
-#define MQ_RELAY_CALL_MS 500U
+#define MQ_RELAY_CALL_TIMEOUT_MS 500U
 /* A host that failed is not asked again for so long.  */
-#define MQ_RELAY_BAD_MS 1000U
+#define MQ_RELAY_BACKOFF_MS 1000U
 
 /**
  * struct mq_relay_owner - the router as the relay sees it
  * @sync: another host asks for what it does not know; answer with
- *        mq_relay_answer, or not at all
+ *        mq_relay_send_state, or not at all
  * @state: what another host knows
- * @loan_ask: another host needs tokens or a history; answer with mq_relay_lend
+ * @loan_ask: another host needs tokens or a history; answer with
+ * mq_relay_send_loan_reply
  * @loan_told: what the host at ADDRESS lends
  * @loan_back: what another host did not use of a loan
- * @quota_ask: another host wants permits; answer with mq_relay_tell_quota
+ * @quota_ask: another host wants permits; answer with
+ * mq_relay_send_quota_reply
  * @quota_told: what the host at ADDRESS issues
  * @quota_recall: another host asks what its earlier runs lent; answer with
- *                mq_relay_surrender
+ *                mq_relay_send_recall_reply
  * @user: given to all of them
  */
 struct mq_relay_owner
@@ -40,14 +42,14 @@
   void (*sync) (const struct mq_relay_sync *sync, struct mq_relay_link *link,
                 void *user);
   void (*state) (const struct mq_relay_state *state, void *user);
-  void (*loan_ask) (const struct mq_relay_loan_ask *ask,
+  void (*loan_ask) (const struct mq_relay_loan_request *ask,
                     struct mq_relay_link *link, void *user);
-  void (*loan_told) (const struct mq_relay_loan_told *told,
+  void (*loan_told) (const struct mq_relay_loan_reply *told,
                      const char *address, void *user);
-  void (*loan_back) (const struct mq_relay_loan_back *back, void *user);
-  void (*quota_ask) (const struct mq_relay_quota_ask *ask,
+  void (*loan_back) (const struct mq_relay_loan_return *back, void *user);
+  void (*quota_ask) (const struct mq_relay_quota_request *ask,
                      struct mq_relay_link *link, void *user);
-  void (*quota_told) (const struct mq_relay_quota_told *told,
+  void (*quota_told) (const struct mq_relay_quota_reply *told,
                       const char *address, void *user);
   void (*quota_recall) (const struct mq_relay_quota_recall *recall,
                         struct mq_relay_link *link, void *user);
@@ -101,44 +103,48 @@
 void mq_relay_set_write (struct mq_relay *relay, mq_relay_write *write,
                          void *user);
 /* Asks some host for what is newer than SYNC.  */
-void mq_relay_ask_sync (struct mq_relay *relay,
-                        const struct mq_relay_sync *sync);
+void mq_relay_request_sync (struct mq_relay *relay,
+                            const struct mq_relay_sync *sync);
 /* Answers a sync that came over LINK.  */
-void mq_relay_answer (struct mq_relay *relay, struct mq_relay_link *link,
-                      const struct mq_relay_state *state);
+void mq_relay_send_state (struct mq_relay *relay, struct mq_relay_link *link,
+                          const struct mq_relay_state *state);
 /* Hosts that are asked for a loan at a time.  Where there are more, those with
    an open link come first: a caller's tries reach hosts of one data centre. */
 #define MQ_RELAY_LOAN_HOSTS_MAX 32U
 /* A host that has not answered a question for a loan for so long is not asked
-   again for MQ_RELAY_BAD_MS, or until it answers: most likely it is gone, and
-   each question would wait for it.  */
-#define MQ_RELAY_LOAN_MS 100U
+   again for MQ_RELAY_BACKOFF_MS, or until it answers: most likely it is gone,
+   and each question would wait for it.  */
+#define MQ_RELAY_LOAN_TIMEOUT_MS 100U
 /* Asks other hosts for a loan; returns how many will answer.  NEAR: only those
    in the same data centre, and none where they are more than can be asked.  */
-uint32_t mq_relay_ask_loan (struct mq_relay *relay,
-                            const struct mq_relay_loan_ask *ask, bool near);
+uint32_t mq_relay_request_loan (struct mq_relay *relay,
+                                const struct mq_relay_loan_request *ask,
+                                bool near);
 /* Answers a question for a loan that came over LINK.  */
-void mq_relay_lend (struct mq_relay *relay, struct mq_relay_link *link,
-                    const struct mq_relay_loan_told *told);
+void mq_relay_send_loan_reply (struct mq_relay *relay,
+                               struct mq_relay_link *link,
+                               const struct mq_relay_loan_reply *told);
 /* Tells the host at ADDRESS what was not used; false when no link to it is
    open.  */
-bool mq_relay_give_back (struct mq_relay *relay, const char *address,
-                         const struct mq_relay_loan_back *back);
+bool mq_relay_return_loan (struct mq_relay *relay, const char *address,
+                           const struct mq_relay_loan_return *back);
 /* Asks the host at ADDRESS for permits; false when no link to it can be
    opened.  */
-bool mq_relay_ask_quota (struct mq_relay *relay, const char *address,
-                         const struct mq_relay_quota_ask *ask);
+bool mq_relay_request_quota (struct mq_relay *relay, const char *address,
+                             const struct mq_relay_quota_request *ask);
 /* Answers a question for permits that came over LINK.  */
-void mq_relay_tell_quota (struct mq_relay *relay, struct mq_relay_link *link,
-                          const struct mq_relay_quota_told *told);
+void mq_relay_send_quota_reply (struct mq_relay *relay,
+                                struct mq_relay_link *link,
+                                const struct mq_relay_quota_reply *told);
 /* Asks all listed hosts that have not answered it yet what earlier runs of
    this one lent; returns how many those are.  */
 uint32_t mq_relay_recall_quota (struct mq_relay *relay, uint64_t server);
 /* Answers such a question that came over LINK.  */
-void mq_relay_surrender (struct mq_relay *relay, struct mq_relay_link *link,
-                         const struct mq_relay_quota_ask *ask);
+void mq_relay_send_recall_reply (struct mq_relay *relay,
+                                 struct mq_relay_link *link,
+                                 const struct mq_relay_quota_request *ask);
 /* Calls made through other hosts, and for them.  */
-uint64_t mq_relay_asked (const struct mq_relay *relay);
-uint64_t mq_relay_served (const struct mq_relay *relay);
+uint64_t mq_relay_calls_sent (const struct mq_relay *relay);
+uint64_t mq_relay_calls_served (const struct mq_relay *relay);
 
 #endif
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -87,7 +87,7 @@
 }
 
 static struct mq_bytes
-pack_ask (TALLOC_CTX *ctx, const struct mq_relay_ask *ask)
+pack_ask (TALLOC_CTX *ctx, const struct mq_relay_call_request *ask)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Ask to = MQRELAY__ASK__INIT;
@@ -102,7 +102,7 @@
 }
 
 static struct mq_bytes
-pack_told (TALLOC_CTX *ctx, const struct mq_relay_told *told)
+pack_told (TALLOC_CTX *ctx, const struct mq_relay_call_reply *told)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Told to = MQRELAY__TOLD__INIT;
@@ -147,7 +147,7 @@
 }
 
 static struct mq_bytes
-pack_loan_ask (TALLOC_CTX *ctx, const struct mq_relay_loan_ask *ask)
+pack_loan_ask (TALLOC_CTX *ctx, const struct mq_relay_loan_request *ask)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanAsk to = MQRELAY__LOAN_ASK__INIT;
@@ -164,7 +164,7 @@
 }
 
 static struct mq_bytes
-pack_loan_told (TALLOC_CTX *ctx, const struct mq_relay_loan_told *told)
+pack_loan_told (TALLOC_CTX *ctx, const struct mq_relay_loan_reply *told)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanTold to = MQRELAY__LOAN_TOLD__INIT;
@@ -183,7 +183,7 @@
 }
 
 static struct mq_bytes
-pack_loan_back (TALLOC_CTX *ctx, const struct mq_relay_loan_back *back)
+pack_loan_back (TALLOC_CTX *ctx, const struct mq_relay_loan_return *back)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanBack to = MQRELAY__LOAN_BACK__INIT;
@@ -215,7 +215,7 @@
 }
 
 static struct mq_bytes
-pack_quota_ask (TALLOC_CTX *ctx, const struct mq_relay_quota_ask *ask)
+pack_quota_ask (TALLOC_CTX *ctx, const struct mq_relay_quota_request *ask)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaAsk to = MQRELAY__QUOTA_ASK__INIT;
@@ -255,7 +255,7 @@
 }
 
 static struct mq_bytes
-pack_quota_told (TALLOC_CTX *ctx, const struct mq_relay_quota_told *told)
+pack_quota_told (TALLOC_CTX *ctx, const struct mq_relay_quota_reply *told)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaTold to = MQRELAY__QUOTA_TOLD__INIT;
@@ -289,27 +289,27 @@
 {
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
+    case MQ_RELAY_CALL_REQUEST:
       return pack_ask (ctx, &frame->u.ask);
-    case MQ_RELAY_TOLD:
+    case MQ_RELAY_CALL_REPLY:
       return pack_told (ctx, &frame->u.told);
     case MQ_RELAY_SYNC:
       return pack_sync (ctx, &frame->u.sync);
     case MQ_RELAY_STATE:
       return pack_state (ctx, &frame->u.state);
-    case MQ_RELAY_LOAN_ASK:
+    case MQ_RELAY_LOAN_REQUEST:
       return pack_loan_ask (ctx, &frame->u.loan_ask);
-    case MQ_RELAY_LOAN_TOLD:
+    case MQ_RELAY_LOAN_REPLY:
       return pack_loan_told (ctx, &frame->u.loan_told);
-    case MQ_RELAY_LOAN_BACK:
+    case MQ_RELAY_LOAN_RETURN:
       return pack_loan_back (ctx, &frame->u.loan_back);
-    case MQ_RELAY_QUOTA_ASK:
+    case MQ_RELAY_QUOTA_REQUEST:
       return pack_quota_ask (ctx, &frame->u.quota_ask);
-    case MQ_RELAY_QUOTA_TOLD:
+    case MQ_RELAY_QUOTA_REPLY:
       return pack_quota_told (ctx, &frame->u.quota_told);
     case MQ_RELAY_QUOTA_RECALL:
       return pack_quota_recall (ctx, &frame->u.quota_recall);
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       break;
     }
   return (struct mq_bytes){ NULL, 0 };
@@ -370,7 +370,7 @@
 static void
 read_told (struct mq_relay_frame *to, const Mqrelay__Told *from)
 {
-  to->kind = MQ_RELAY_TOLD;
+  to->kind = MQ_RELAY_CALL_REPLY;
   to->u.told.id = from->id;
   to->u.told.result = (struct mq_rows_result){
     .status = from->status > MQ_STORE_LOST
@@ -385,8 +385,8 @@
 static bool
 read_ask (struct mq_relay_frame *to, const Mqrelay__Ask *from)
 {
-  to->kind = MQ_RELAY_ASK;
-  to->u.ask = (struct mq_relay_ask){
+  to->kind = MQ_RELAY_CALL_REQUEST;
+  to->u.ask = (struct mq_relay_call_request){
     .id = from->id,
     .commit = from->commit,
     .entries = read_entries (to, from->entries, from->n_entries),
@@ -398,8 +398,8 @@
 static void
 read_loan_ask (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
 {
-  to->kind = MQ_RELAY_LOAN_ASK;
-  to->u.loan_ask = (struct mq_relay_loan_ask){
+  to->kind = MQ_RELAY_LOAN_REQUEST;
+  to->u.loan_ask = (struct mq_relay_loan_request){
     .id = from->id,
     .program = from->run,
     .limit = from->limit,
@@ -412,8 +412,8 @@
 static void
 read_loan_told (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
 {
-  to->kind = MQ_RELAY_LOAN_TOLD;
-  to->u.loan_told = (struct mq_relay_loan_told){
+  to->kind = MQ_RELAY_LOAN_REPLY;
+  to->u.loan_told = (struct mq_relay_loan_reply){
     .id = from->id,
     .program = from->run,
     .tokens = from->tokens,
@@ -440,8 +440,8 @@
       .surrendered = from->wants[i]->surrendered,
       .holds = from->wants[i]->holds,
     };
-  to->kind = MQ_RELAY_QUOTA_ASK;
-  to->u.quota_ask = (struct mq_relay_quota_ask){
+  to->kind = MQ_RELAY_QUOTA_REQUEST;
+  to->u.quota_ask = (struct mq_relay_quota_request){
     .id = from->id,
     .host = from->host,
     .heard_ms = from->heard_ms,
@@ -471,8 +471,8 @@
       .standing = from->gifts[i]->standing,
       .standing_ms = from->gifts[i]->standing_ms,
     };
-  to->kind = MQ_RELAY_QUOTA_TOLD;
-  to->u.quota_told = (struct mq_relay_quota_told){
+  to->kind = MQ_RELAY_QUOTA_REPLY;
+  to->u.quota_told = (struct mq_relay_quota_reply){
     .id = from->id,
     .server = from->server,
     .told_ms = from->told_ms,
@@ -513,9 +513,10 @@
       read_loan_told (to, from->loan_told);
       return true;
     case MQRELAY__FRAME__BODY_LOAN_BACK:
-      to->kind = MQ_RELAY_LOAN_BACK;
-      to->u.loan_back = (struct mq_relay_loan_back){ from->loan_back->run,
-                                                     from->loan_back->tokens };
+      to->kind = MQ_RELAY_LOAN_RETURN;
+      to->u.loan_back
+          = (struct mq_relay_loan_return){ from->loan_back->run,
+                                           from->loan_back->tokens };
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_ASK:
       read_quota_ask (to, from->quota_ask);
@@ -530,7 +531,7 @@
                                             from->quota_recall->address };
       return true;
     default:
-      to->kind = MQ_RELAY_OTHER;
+      to->kind = MQ_RELAY_UNKNOWN;
       return true;
     }
 }
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -14,25 +14,25 @@
 
 enum mq_relay_kind
 {
-  MQ_RELAY_ASK,          /* make this call to the platform's table */
-  MQ_RELAY_TOLD,         /* its outcome */
-  MQ_RELAY_SYNC,         /* tell what is newer than this */
-  MQ_RELAY_STATE,        /* the configuration and the workers */
-  MQ_RELAY_LOAN_ASK,     /* lend tokens and a history for a turn */
-  MQ_RELAY_LOAN_TOLD,    /* what is lent */
-  MQ_RELAY_LOAN_BACK,    /* what was not used of it */
-  MQ_RELAY_QUOTA_ASK,    /* issue permits for requests of organisations */
-  MQ_RELAY_QUOTA_TOLD,   /* what is issued */
-  MQ_RELAY_QUOTA_RECALL, /* surrender what earlier runs lent */
-  MQ_RELAY_OTHER /* of a newer version of this program, to be ignored */
+  MQ_RELAY_CALL_REQUEST,  /* make this call to the platform's table */
+  MQ_RELAY_CALL_REPLY,    /* its outcome */
+  MQ_RELAY_SYNC,          /* tell what is newer than this */
+  MQ_RELAY_STATE,         /* the configuration and the workers */
+  MQ_RELAY_LOAN_REQUEST,  /* lend tokens and a history for a turn */
+  MQ_RELAY_LOAN_REPLY,    /* what is lent */
+  MQ_RELAY_LOAN_RETURN,   /* what was not used of it */
+  MQ_RELAY_QUOTA_REQUEST, /* issue permits for requests of organisations */
+  MQ_RELAY_QUOTA_REPLY,   /* what is issued */
+  MQ_RELAY_QUOTA_RECALL,  /* surrender what earlier runs lent */
+  MQ_RELAY_UNKNOWN /* of a newer version of this program, to be ignored */
 };
 
 /**
- * struct mq_relay_ask - a call that the sender can't make itself
+ * struct mq_relay_call_request - a call that the sender can't make itself
  * @id: of the call, for @told
  * @commit: a transaction on the entries, else a read of the one
  */
-struct mq_relay_ask
+struct mq_relay_call_request
 {
   uint64_t id;
   bool commit;
@@ -40,7 +40,7 @@
   size_t count;
 };
 
-struct mq_relay_told
+struct mq_relay_call_reply
 {
   uint64_t id;
   struct mq_rows_result result;
@@ -73,7 +73,7 @@
 };
 
 /**
- * struct mq_relay_loan_ask - what a turn lacks while the table is away
+ * struct mq_relay_loan_request - what a turn lacks while the table is away
  * @id: of the question
  * @program: whose turn
  * @limit: of the program's budget
@@ -81,7 +81,7 @@
  * @turn: whose history is wanted, "": none
  * @issue: tokens may be issued by the host that holds the program's lease
  */
-struct mq_relay_loan_ask
+struct mq_relay_loan_request
 {
   uint64_t id;
   const char *program;
@@ -92,7 +92,7 @@
 };
 
 /**
- * struct mq_relay_loan_told - the answer
+ * struct mq_relay_loan_reply - the answer
  * @id: of the question
  * @program: as it was asked for
  * @tokens: lent; whoever lent them has them no more
@@ -102,7 +102,7 @@
  * @history: as a row of the table, with the whole text
  * @home: worker that has the program's cache, 0: not known
  */
-struct mq_relay_loan_told
+struct mq_relay_loan_reply
 {
   uint64_t id;
   const char *program;
@@ -114,14 +114,14 @@
 };
 
 /* Unused tokens of a loan on their way back.  */
-struct mq_relay_loan_back
+struct mq_relay_loan_return
 {
   const char *program;
   uint64_t tokens;
 };
 
 /**
- * struct mq_relay_quota_ask - what a host wants of an issuer of permits
+ * struct mq_relay_quota_request - what a host wants of an issuer of permits
  * @id: of the question
  * @host: names this run of the asker
  * @heard_ms: what it heard last from the run @server of the issuer
@@ -129,7 +129,7 @@
  * @listed: its row is in the table of hosts
  * @recalled: it holds nothing of other runs of the issuer
  */
-struct mq_relay_quota_ask
+struct mq_relay_quota_request
 {
   uint64_t id;
   uint64_t host;
@@ -142,12 +142,12 @@
 };
 
 /**
- * struct mq_relay_quota_told - the answer
+ * struct mq_relay_quota_reply - the answer
  * @id: of the question
  * @server: names this run of the issuer
  * @told_ms: by its clock
  */
-struct mq_relay_quota_told
+struct mq_relay_quota_reply
 {
   uint64_t id;
   uint64_t server;
@@ -176,15 +176,15 @@
   enum mq_relay_kind kind;
   union
   {
-    struct mq_relay_ask ask;
-    struct mq_relay_told told;
+    struct mq_relay_call_request ask;
+    struct mq_relay_call_reply told;
     struct mq_relay_sync sync;
     struct mq_relay_state state;
-    struct mq_relay_loan_ask loan_ask;
-    struct mq_relay_loan_told loan_told;
-    struct mq_relay_loan_back loan_back;
-    struct mq_relay_quota_ask quota_ask;
-    struct mq_relay_quota_told quota_told;
+    struct mq_relay_loan_request loan_ask;
+    struct mq_relay_loan_reply loan_told;
+    struct mq_relay_loan_return loan_back;
+    struct mq_relay_quota_request quota_ask;
+    struct mq_relay_quota_reply quota_told;
     struct mq_relay_quota_recall quota_recall;
   } u;
 };
--- a/src/router/relay_loan.c
+++ b/src/router/relay_loan.c
@@ -8,7 +8,7 @@
 #include "net/timer.h"
 
 void
-relay_forget_loan (struct host *host)
+relay_clear_loan_request (struct host *host)
 {
   TALLOC_FREE (host->loan_timer);
   host->loan_late = false;
@@ -19,15 +19,15 @@
    lies there were refused at once.  An answer shows that it is there, so it
    is asked again.  It still makes no calls: those wait longer for it.  */
 void
-relay_take_loan (struct mq_relay *relay, const struct mq_relay_link *link,
-                 const struct mq_relay_loan_told *told)
+relay_on_loan_reply (struct mq_relay *relay, const struct mq_relay_link *link,
+                     const struct mq_relay_loan_reply *told)
 {
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (host == NULL)
     return;
-  relay_forget_loan (host);
-  host->gone_until_ms = 0;
+  relay_clear_loan_request (host);
+  host->loan_after_ms = 0;
   relay->owner.loan_told (told, host->address, relay->owner.user);
 }
 
@@ -48,8 +48,8 @@
 expect_answer (struct mq_relay *relay, struct host *host)
 {
   if (host->loan_timer == NULL)
-    host->loan_timer
-        = mq_timer_add (host, relay->ev, MQ_RELAY_LOAN_MS, on_loan_late, host);
+    host->loan_timer = mq_timer_add (host, relay->ev, MQ_RELAY_LOAN_TIMEOUT_MS,
+                                     on_loan_late, host);
 }
 
 /* A host whose answer, or whose link, has arrived but was not looked at is
@@ -67,8 +67,8 @@
 may_lend (struct host *host, uint64_t now)
 {
   if (owes_answer (host))
-    relay_note_gone (host);
-  return host->gone_until_ms <= now;
+    relay_mark_unreachable (host);
+  return host->loan_after_ms <= now;
 }
 
 /* One round over the hosts with an open link, or over those without.  */
@@ -107,11 +107,11 @@
 }
 
 uint32_t
-mq_relay_ask_loan (struct mq_relay *relay, const struct mq_relay_loan_ask *ask,
-                   bool near)
+mq_relay_request_loan (struct mq_relay *relay,
+                       const struct mq_relay_loan_request *ask, bool near)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_ASK, .u.loan_ask = *ask };
+      = { .kind = MQ_RELAY_LOAN_REQUEST, .u.loan_ask = *ask };
   struct mq_bytes bytes;
   uint32_t asked;
 
@@ -125,21 +125,21 @@
 }
 
 void
-mq_relay_lend (struct mq_relay *relay, struct mq_relay_link *link,
-               const struct mq_relay_loan_told *told)
+mq_relay_send_loan_reply (struct mq_relay *relay, struct mq_relay_link *link,
+                          const struct mq_relay_loan_reply *told)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_TOLD, .u.loan_told = *told };
+      = { .kind = MQ_RELAY_LOAN_REPLY, .u.loan_told = *told };
 
   relay_send_frame (relay, link, &frame);
 }
 
 bool
-mq_relay_give_back (struct mq_relay *relay, const char *address,
-                    const struct mq_relay_loan_back *back)
+mq_relay_return_loan (struct mq_relay *relay, const char *address,
+                      const struct mq_relay_loan_return *back)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_BACK, .u.loan_back = *back };
+      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_back = *back };
   struct host *host = relay_find_host (relay, address);
 
   if (host == NULL || host->link == NULL)
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -12,8 +12,8 @@
 /**
  * struct host - a host that may be asked
  * @link: NULL: none is open
- * @bad_until_ms: it is not asked to make a call before
- * @gone_until_ms: it is not asked for a loan before, since it did not answer;
+ * @call_after_ms: it is not asked to make a call before
+ * @loan_after_ms: it is not asked for a loan before, since it did not answer;
  *                 a host that can't reach the table either may still lend
  * @loan_timer: runs while it has time to answer a question for a loan, NULL:
  *              it owes none, or is late
@@ -22,22 +22,22 @@
  * @listed: the list that is being told has it
  * @near: it is in the same data centre
  * @recalled: it has answered mq_relay_recall_quota
- * @slow_until_ms: it is not asked to gather writes before
+ * @gather_after_ms: it is not asked to gather writes before
  */
 struct host
 {
   struct host *next;
   char *address;
   struct mq_relay_link *link;
-  uint64_t bad_until_ms;
-  uint64_t gone_until_ms;
+  uint64_t call_after_ms;
+  uint64_t loan_after_ms;
   struct mq_timer *loan_timer;
   bool loan_late;
   bool seed;
   bool listed;
   bool near;
   bool recalled;
-  uint64_t slow_until_ms;
+  uint64_t gather_after_ms;
 };
 
 struct mq_relay
@@ -51,7 +51,7 @@
   struct host *hosts;
   size_t accepted;
   struct mq_relay_call *calls;
-  struct errand *errands;
+  struct relayed_call *relayed_calls;
   char *own_address;
   uint64_t next_id;
   uint64_t random;
@@ -63,24 +63,25 @@
 /* relay.c */
 
 /* The host that LINK was opened to; NULL: it came from the other side.  */
-struct host *relay_host_of (struct mq_relay *relay,
-                            const struct mq_relay_link *link);
+struct host *relay_host_of_link (struct mq_relay *relay,
+                                 const struct mq_relay_link *link);
 struct host *relay_find_host (const struct mq_relay *relay,
                               const char *address);
 /* Link to HOST, opened if need be; NULL when that fails at once.  */
 struct mq_relay_link *relay_open_link (struct mq_relay *relay,
                                        struct host *host);
 /* HOST gives no answer: it is left alone for a while.  */
-void relay_note_gone (struct host *host);
+void relay_mark_unreachable (struct host *host);
 void relay_send_frame (struct mq_relay *relay, struct mq_relay_link *link,
                        const struct mq_relay_frame *frame);
 
 /* relay_loan.c */
 
 /* HOST owes no answer to a question for a loan.  */
-void relay_forget_loan (struct host *host);
+void relay_clear_loan_request (struct host *host);
 /* What came over LINK for a question of ours.  */
-void relay_take_loan (struct mq_relay *relay, const struct mq_relay_link *link,
-                      const struct mq_relay_loan_told *told);
+void relay_on_loan_reply (struct mq_relay *relay,
+                          const struct mq_relay_link *link,
+                          const struct mq_relay_loan_reply *told);
 
 #endif
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -155,11 +155,12 @@
                                    router->rows, &owner, error);
   if (router->relay == NULL)
     return false;
-  router->ledger = mq_ledger_create (router, router->rows, router->relay);
+  router->table_client
+      = mq_table_client_create (router, router->rows, router->relay);
   router->pool = mq_pool_create (router, router->ev, router->fleet);
   router->turns = mq_turns_create (router);
   router->permits = mq_permits_create (router);
-  return router->ledger != NULL && router->pool != NULL
+  return router->table_client != NULL && router->pool != NULL
          && router->turns != NULL;
 }
 
--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -79,7 +79,7 @@
 
   if (request->route->retains)
     refuse_program (request);
-  else if (mq_ledger_down (router->ledger))
+  else if (mq_table_client_down (router->table_client))
     request_begin_turn (request);
   else
     request->record_call = mq_turns_read_record (
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -364,7 +364,7 @@
 struct mq_config_ask
 {
   struct mq_router *router;
-  struct mq_ledger_call *call;
+  struct mq_table_client_call *call;
   uint64_t began_ms;
   uint64_t known_ms;
   struct mq_confirm *asked;
@@ -380,8 +380,9 @@
   if (ask->asked == NULL)
     return;
   ask->began_ms = mq_clock_ms ();
-  ask->call = mq_ledger_get (ask->router->ledger, mq_wire_config_table, "",
-                             mq_wire_config_key, on_read, ask);
+  ask->call
+      = mq_table_client_get (ask->router->table_client, mq_wire_config_table,
+                             "", mq_wire_config_key, on_read, ask);
 }
 
 /* The next call begins after those who are told: one of them may ask again. */
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -91,7 +91,7 @@
 static uint64_t
 lapse_until (const struct mq_router *router)
 {
-  uint64_t back = mq_rows_back_ms (router->rows);
+  uint64_t back = mq_rows_recovered_ms (router->rows);
   uint64_t until = back + LAPSE_MS;
 
   return back == 0 || mq_clock_ms () >= until ? 0 : until;
@@ -144,7 +144,7 @@
   struct mq_fleet_member *workers;
   size_t count;
 
-  if (!mq_rows_followed (router->rows) || router->routes == NULL)
+  if (!mq_rows_feeds_healthy (router->rows) || router->routes == NULL)
     return;
   if (router->routes->version > sync->config_version)
     state.config = router->config;
@@ -155,7 +155,7 @@
       = mq_fleet_digest (workers, count) == sync->workers_digest;
   state.workers = workers;
   state.worker_count = state.same_workers ? 0 : count;
-  mq_relay_answer (router->relay, link, &state);
+  mq_relay_send_state (router->relay, link, &state);
   talloc_free (workers);
 }
 
@@ -166,7 +166,7 @@
 {
   struct mq_router *router = user;
 
-  if (mq_rows_followed (router->rows))
+  if (mq_rows_feeds_healthy (router->rows))
     return;
   if (state->config.len > 0)
     mq_config_offer (router, state->config, 0);
@@ -191,7 +191,7 @@
   mq_json_begin (&line, router->log, MQ_JSON_NOTE,
                  down ? MQ_LOG_TABLE_DOWN : MQ_LOG_TABLE_UP);
   mq_json_number (&line, "hosts", mq_relay_host_count (router->relay));
-  mq_json_number (&line, "relayed", mq_relay_asked (router->relay));
+  mq_json_number (&line, "relayed", mq_relay_calls_sent (router->relay));
   mq_json_end (&line);
 }
 
@@ -208,7 +208,7 @@
     sync.config_version = router->routes->version;
   if (router->workers_listed && workers != NULL)
     sync.workers_digest = mq_fleet_digest (workers, count);
-  mq_relay_ask_sync (router->relay, &sync);
+  mq_relay_request_sync (router->relay, &sync);
   talloc_free (workers);
 }
 
@@ -219,7 +219,7 @@
 
   note_table (router);
   mq_fleet_expire (router->fleet, now);
-  if (mq_rows_followed (router->rows) || now - router->sync_ms < SYNC_MS)
+  if (mq_rows_feeds_healthy (router->rows) || now - router->sync_ms < SYNC_MS)
     return;
   router->sync_ms = now;
   ask_others (router);
--- a/src/router/router_hosts.c
+++ b/src/router/router_hosts.c
@@ -88,7 +88,8 @@
       return;
     }
   mq_relay_list_end (router->relay);
-  mq_rows_share (router->rows, 1 + mq_relay_host_count (router->relay));
+  mq_rows_set_host_count (router->rows,
+                          1 + mq_relay_host_count (router->relay));
   router->hosts_asked = false;
   router->hosts_listed = true;
 }
@@ -175,7 +176,8 @@
       = { .list = on_host_list, .row = on_host_row, .user = router };
   uint64_t now = mq_clock_ms ();
 
-  if (!mq_rows_followed (router->rows) || mq_rows_clock_s (router->rows) == 0)
+  if (!mq_rows_feeds_healthy (router->rows)
+      || mq_rows_clock_s (router->rows) == 0)
     return;
   if (!router->leaving && must_renew (router, now))
     write_own_row (router, false);
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -61,7 +61,7 @@
 bool
 request_key_is_unknown (const struct mq_request *request)
 {
-  return mq_rows_followed (request->router->rows)
+  return mq_rows_feeds_healthy (request->router->rows)
          && mq_config_asked_within (request->router, KEY_ASK_MS);
 }
 
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -110,12 +110,12 @@
 }
 
 static void
-ask_hosts (struct mq_loan *loan, const struct mq_relay_loan_ask *ask)
+ask_hosts (struct mq_loan *loan, const struct mq_relay_loan_request *ask)
 {
   struct mq_router *router = loan->turns->router;
   uint32_t wait = loan->near ? WAIT_NEAR_MS : WAIT_MS;
 
-  loan->due = mq_relay_ask_loan (router->relay, ask, loan->near);
+  loan->due = mq_relay_request_loan (router->relay, ask, loan->near);
   TALLOC_FREE (loan->timer);
   loan->timer = mq_timer_add (loan, router->ev, loan->due == 0 ? 0 : wait,
                               on_over, loan);
@@ -125,7 +125,7 @@
 ask_for_turn (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
-  struct mq_relay_loan_ask ask = {
+  struct mq_relay_loan_request ask = {
     .id = loan->id,
     .program = turn->program == NULL ? "" : turn->program,
     .limit = turn->limit,
@@ -224,7 +224,8 @@
 {
   /* Where the table answers in part, the turn can end: its row has other
      places.  */
-  if (!turn->may_borrow && mq_ledger_down (turn->turns->router->ledger))
+  if (!turn->may_borrow
+      && mq_table_client_down (turn->turns->router->table_client))
     {
       mq_turn_tell (turn, MQ_TURN_NO_STORE);
       return;
@@ -251,11 +252,11 @@
 mq_loan_recall (struct mq_program *program, uint64_t limit, uint64_t most)
 {
   struct mq_loan *loan = create_loan (program->turns);
-  struct mq_relay_loan_ask ask = { .id = loan->id,
-                                   .program = program->id,
-                                   .limit = limit,
-                                   .most = most,
-                                   .turn = "" };
+  struct mq_relay_loan_request ask = { .id = loan->id,
+                                       .program = program->id,
+                                       .limit = limit,
+                                       .most = most,
+                                       .turn = "" };
 
   loan->program = program;
   ask_hosts (loan, &ask);
@@ -265,7 +266,7 @@
 /* What other hosts lend */
 
 static void
-take_history (struct mq_turns *turns, const struct mq_relay_loan_told *told)
+take_history (struct mq_turns *turns, const struct mq_relay_loan_reply *told)
 {
   struct mq_chain *chain = mq_chain_unpack (turns, told->turn, told->history);
 
@@ -276,7 +277,7 @@
 /* Also tokens that come too late for the turn that asked serve the program's
    next one; if none comes, the record counts them as spent.  */
 static void
-take_tokens (struct mq_turns *turns, const struct mq_relay_loan_told *told,
+take_tokens (struct mq_turns *turns, const struct mq_relay_loan_reply *told,
              const char *address)
 {
   struct mq_program *program = mq_program_get (turns, told->program);
@@ -290,7 +291,7 @@
 
 /* All turns of the program go where its cache is, as far as any host knows. */
 static void
-take_home (struct mq_turns *turns, const struct mq_relay_loan_told *told)
+take_home (struct mq_turns *turns, const struct mq_relay_loan_reply *told)
 {
   struct mq_program *program = mq_program_get (turns, told->program);
 
@@ -316,7 +317,7 @@
 }
 
 void
-mq_loan_on_told (const struct mq_relay_loan_told *told, const char *address,
+mq_loan_on_told (const struct mq_relay_loan_reply *told, const char *address,
                  void *user)
 {
   struct mq_router *router = user;
@@ -343,8 +344,8 @@
 /* What this host lends */
 
 static void
-lend_tokens (struct mq_router *router, const struct mq_relay_loan_ask *ask,
-             struct mq_relay_loan_told *told)
+lend_tokens (struct mq_router *router, const struct mq_relay_loan_request *ask,
+             struct mq_relay_loan_reply *told)
 {
   struct mq_turns *turns = router->turns;
   bool issues = ask->issue && mq_reserve_may_issue (router, ask->program);
@@ -365,8 +366,8 @@
 
 static void
 lend_history (TALLOC_CTX *ctx, struct mq_router *router,
-              const struct mq_relay_loan_ask *ask,
-              struct mq_relay_loan_told *told)
+              const struct mq_relay_loan_request *ask,
+              struct mq_relay_loan_reply *told)
 {
   const struct mq_chain *chain
       = mq_chain_cache_find (router->turns->cache, ask->turn);
@@ -378,11 +379,11 @@
 }
 
 void
-mq_loan_on_ask (const struct mq_relay_loan_ask *ask,
+mq_loan_on_ask (const struct mq_relay_loan_request *ask,
                 struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
-  struct mq_relay_loan_told told
+  struct mq_relay_loan_reply told
       = { .id = ask->id, .program = ask->program, .turn = "" };
   TALLOC_CTX *ctx = talloc_new (router);
   const struct mq_program *program
@@ -396,12 +397,12 @@
     lend_history (ctx, router, ask, &told);
   if (told.tokens > 0 || told.turn[0] != '\0')
     router->counters.loans_given++;
-  mq_relay_lend (router->relay, link, &told);
+  mq_relay_send_loan_reply (router->relay, link, &told);
   talloc_free (ctx);
 }
 
 void
-mq_loan_on_back (const struct mq_relay_loan_back *back, void *user)
+mq_loan_on_back (const struct mq_relay_loan_return *back, void *user)
 {
   struct mq_router *router = user;
   struct mq_program *program = mq_program_find (router->turns, back->program);
@@ -416,7 +417,7 @@
 mq_loan_give_back (struct mq_program *program)
 {
   struct mq_relay *relay = program->turns->router->relay;
-  struct mq_relay_loan_back back = { .program = program->id };
+  struct mq_relay_loan_return back = { .program = program->id };
 
   if (program->lender == NULL
       || !mq_turns_away (program->turns, program->part))
@@ -424,6 +425,6 @@
   back.tokens = mq_budget_give_back (&program->budget);
   if (back.tokens == 0)
     return;
-  if (!mq_relay_give_back (relay, program->lender, &back))
+  if (!mq_relay_return_loan (relay, program->lender, &back))
     mq_budget_borrow (&program->budget, back.tokens);
 }
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -340,27 +340,28 @@
 }
 
 static void ask_here (struct mq_permits *permits,
-                      const struct mq_relay_quota_ask *ask);
+                      const struct mq_relay_quota_request *ask);
 
 static void
 send_ask (struct mq_permits *permits, struct contact *contact, uint64_t id,
           const struct mq_quota_want *wants, size_t count, uint64_t now)
 {
   struct mq_relay *relay = permits->router->relay;
-  struct mq_relay_quota_ask ask = { .id = id,
-                                    .host = permits->run,
-                                    .heard_ms = contact->quota.told_ms,
-                                    .server = contact->quota.server,
-                                    .wants = wants,
-                                    .want_count = count,
-                                    .listed = permits->router->row_written };
+  struct mq_relay_quota_request ask
+      = { .id = id,
+          .host = permits->run,
+          .heard_ms = contact->quota.told_ms,
+          .server = contact->quota.server,
+          .wants = wants,
+          .want_count = count,
+          .listed = permits->router->row_written };
 
   contact->asked_ms = now;
   permits->router->counters.permits_asked++;
   if (strcmp (contact->address, mq_relay_address (relay)) == 0)
     ask_here (permits, &ask);
   else
-    (void)mq_relay_ask_quota (relay, contact->address, &ask);
+    (void)mq_relay_request_quota (relay, contact->address, &ask);
 }
 
 /* All that is to be asked of CONTACT; a question without wants keeps up the
@@ -524,7 +525,7 @@
 
 static void
 take_gift (struct mq_permits *permits, const struct mq_quota_gift *gift,
-           const struct mq_relay_quota_told *told, const char *address,
+           const struct mq_relay_quota_reply *told, const char *address,
            bool in_time, uint64_t now)
 {
   struct share *share = mq_idmap_find (
@@ -547,7 +548,7 @@
 }
 
 void
-mq_permits_on_told (const struct mq_relay_quota_told *told,
+mq_permits_on_told (const struct mq_relay_quota_reply *told,
                     const char *address, void *user)
 {
   struct mq_router *router = user;
@@ -619,9 +620,9 @@
 }
 
 /* The answer to ASK; its gifts lie below CTX.  */
-static struct mq_relay_quota_told
+static struct mq_relay_quota_reply
 answer (TALLOC_CTX *ctx, struct mq_permits *permits,
-        const struct mq_relay_quota_ask *ask)
+        const struct mq_relay_quota_request *ask)
 {
   uint64_t now = mq_clock_boot_ms ();
   uint64_t heard = ask->server == permits->run ? ask->heard_ms : 0;
@@ -636,18 +637,18 @@
       want.heard_ms = heard;
       gifts[i] = issue (permits, ask->host, &want, ask->listed, now);
     }
-  return (struct mq_relay_quota_told){ .id = ask->id,
-                                       .server = permits->run,
-                                       .told_ms = now,
-                                       .gifts = gifts,
-                                       .gift_count = ask->want_count };
+  return (struct mq_relay_quota_reply){ .id = ask->id,
+                                        .server = permits->run,
+                                        .told_ms = now,
+                                        .gifts = gifts,
+                                        .gift_count = ask->want_count };
 }
 
 static void
-ask_here (struct mq_permits *permits, const struct mq_relay_quota_ask *ask)
+ask_here (struct mq_permits *permits, const struct mq_relay_quota_request *ask)
 {
   TALLOC_CTX *ctx = mq_must (talloc_new (permits));
-  struct mq_relay_quota_told told = answer (ctx, permits, ask);
+  struct mq_relay_quota_reply told = answer (ctx, permits, ask);
 
   mq_permits_on_told (&told, mq_relay_address (permits->router->relay),
                       permits->router);
@@ -655,14 +656,14 @@
 }
 
 void
-mq_permits_on_ask (const struct mq_relay_quota_ask *ask,
+mq_permits_on_ask (const struct mq_relay_quota_request *ask,
                    struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   TALLOC_CTX *ctx = mq_must (talloc_new (router));
-  struct mq_relay_quota_told told = answer (ctx, router->permits, ask);
+  struct mq_relay_quota_reply told = answer (ctx, router->permits, ask);
 
-  mq_relay_tell_quota (router->relay, link, &told);
+  mq_relay_send_quota_reply (router->relay, link, &told);
   talloc_free (ctx);
 }
 
@@ -678,10 +679,10 @@
   uint64_t now = mq_clock_boot_ms ();
   struct mq_quota_want *wants = mq_must (talloc_zero_array (
       permits, struct mq_quota_want, mq_idmap_count (permits->shares) + 1));
-  struct mq_relay_quota_ask ask = { .host = permits->run,
-                                    .wants = wants,
-                                    .listed = router->row_written,
-                                    .recalled = true };
+  struct mq_relay_quota_request ask = { .host = permits->run,
+                                        .wants = wants,
+                                        .listed = router->row_written,
+                                        .recalled = true };
   size_t position = 0;
   struct share *share;
 
@@ -692,7 +693,7 @@
         wants[ask.want_count++]
             = mq_quota_want (&share->quota, &none, share->name, 0, 0, now);
       }
-  mq_relay_surrender (router->relay, link, &ask);
+  mq_relay_send_recall_reply (router->relay, link, &ask);
   talloc_free (wants);
 }
 
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -50,15 +50,15 @@
   return mq_program_find (turns, program) != NULL;
 }
 
-struct mq_ledger_call *
+struct mq_table_client_call *
 mq_turns_read_record (struct mq_turns *turns, const char *program,
                       mq_rows_done *done, void *user)
 {
   char part[MQ_PART_BYTES];
 
   mq_turn_set_part (part, program, 0);
-  return mq_ledger_get (turns->router->ledger, mq_budget_table, part, program,
-                        done, user);
+  return mq_table_client_get (turns->router->table_client, mq_budget_table,
+                              part, program, done, user);
 }
 
 static void
@@ -66,7 +66,7 @@
 {
   mq_idmap_remove (program->turns->programs, program->key, 0);
   if (program->call != NULL)
-    mq_ledger_cancel (program->call);
+    mq_table_client_cancel (program->call);
   mq_loan_forget (program->recall);
   talloc_free (program);
 }
@@ -161,9 +161,9 @@
 static void
 read_program (struct mq_program *program)
 {
-  program->call
-      = mq_ledger_get (program->turns->router->ledger, mq_budget_table,
-                       program->part, program->id, on_read, program);
+  program->call = mq_table_client_get (program->turns->router->table_client,
+                                       mq_budget_table, program->part,
+                                       program->id, on_read, program);
 }
 
 static void
@@ -212,8 +212,8 @@
   value = mq_budget_pack (program, &program->next);
   entry.value = value;
   router->counters.budget_writes++;
-  program->call
-      = mq_ledger_commit (router->ledger, &entry, on_written, program);
+  program->call = mq_table_client_commit (router->table_client, &entry,
+                                          on_written, program);
   talloc_free (value.data);
 }
 
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -70,9 +70,9 @@
       rows->lost },
     { "hosts", "other routing hosts known", mq_router_host_count (router) },
     { "relay_asked", "calls made through other hosts",
-      mq_relay_asked (router->relay) },
+      mq_relay_calls_sent (router->relay) },
     { "relay_served", "calls made for other hosts",
-      mq_relay_served (router->relay) },
+      mq_relay_calls_served (router->relay) },
     { "log_lines", "lines of the log", mq_json_log_written (router->log) },
     { "log_dropped", "lines of the log that were dropped for its bound",
       mq_json_log_dropped (router->log) },
@@ -101,9 +101,9 @@
 {
   mq_metrics_begin (text, &table_time);
   mq_metrics_series (text, &table_time, "call=\"read\"",
-                     mq_ledger_read_ms (router->ledger));
+                     mq_table_client_read_ms (router->table_client));
   mq_metrics_series (text, &table_time, "call=\"write\"",
-                     mq_ledger_write_ms (router->ledger));
+                     mq_table_client_write_ms (router->table_client));
 }
 
 char *
@@ -117,7 +117,7 @@
   add_table_time (&text, router);
   mq_metrics_begin (&text, &batch_rows);
   mq_metrics_series (&text, &batch_rows, "call=\"write\"",
-                     mq_ledger_batch_rows (router->ledger));
+                     mq_table_client_batch_rows (router->table_client));
   mq_metrics_begin (&text, &held_up);
   mq_metrics_series (&text, &held_up, "timer=\"sweep\"", &router->held_up);
   mq_metrics_add_process (&text);
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -91,7 +91,7 @@
   stop_try (request, MQ_OUTCOME_STOPPED);
   mq_config_forget (request->confirm);
   mq_permit_forget (request->permit);
-  mq_ledger_cancel (request->record_call);
+  mq_table_client_cancel (request->record_call);
   if (request->is_turn)
     {
       mq_turn_settle (&request->turn, request->handed);
@@ -121,7 +121,8 @@
   request_log_end (request, MQ_JSON_NOTE, row->name, row->status);
   if (row->status >= 500 && row->status != 503)
     router->counters.failed++;
-  if (refusal == MQ_REFUSE_STORE && mq_ledger_down (router->ledger))
+  if (refusal == MQ_REFUSE_STORE
+      && mq_table_client_down (router->table_client))
     retry_ms = RETRY_DOWN_MS;
   if (refusal == MQ_REFUSE_NO_WORKER)
     retry_ms = mq_fleet_retry_ms (router->fleet, request->service);
@@ -448,7 +449,7 @@
   bool runs = mq_outage_runs (left_ms (request), request->route->timeout_ms);
 
   if (!runs && request->route->retains
-      && mq_ledger_down (request->router->ledger))
+      && mq_table_client_down (request->router->table_client))
     {
       request_refuse (request, MQ_REFUSE_STORE);
       return;
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -70,7 +70,7 @@
   uint64_t home;
   struct mq_permit *permit;
   bool permitted;
-  struct mq_ledger_call *record_call;
+  struct mq_table_client_call *record_call;
   bool is_turn;
   struct mq_turn turn;
   struct mq_bytes send_body;
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -280,7 +280,7 @@
 static void
 step_without_table (struct mq_leases *leases, uint64_t now)
 {
-  if (mq_ledger_down (leases->router->ledger))
+  if (mq_table_client_down (leases->router->table_client))
     return;
   if (!renew_own (leases, now) && leases->look
       && now - leases->listed_ms >= LOOK_MS)
@@ -309,8 +309,8 @@
   if (leases == NULL)
     leases = router->leases = create_leases (router);
   if (leases->busy || leases->stopped || router->leaving
-      || !mq_rows_moment (router->rows, &leases->moment.asked_ms,
-                          &leases->moment.table_ms))
+      || !mq_rows_sample_clocks (router->rows, &leases->moment.asked_ms,
+                                 &leases->moment.table_ms))
     return;
   if (mq_rows_down (router->rows))
     step_without_table (leases, mq_clock_ms ());
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -25,7 +25,7 @@
 #include "net/buffer.h"
 #include "net/http_message.h"
 #include "log/json_log.h"
-#include "ledger.h"
+#include "table_client.h"
 #include "router.h"
 #include "router_pool.h"
 #include "router_wire.h"
@@ -108,7 +108,7 @@
   struct mq_pool *pool;
   struct mq_rows *rows;
   struct mq_relay *relay;
-  struct mq_ledger *ledger;
+  struct mq_table_client *table_client;
   struct mq_turns *turns;
   struct mq_leases *leases;
   struct mq_permits *permits;
@@ -291,7 +291,7 @@
   struct mq_turns *turns;
   struct mq_program *in;
   struct mq_turn *next;
-  struct mq_ledger_call *call;
+  struct mq_table_client_call *call;
   struct mq_timer *timer;
   struct mq_chain *found;
   char missing[MQ_TURN_ID_MAX];
@@ -315,9 +315,10 @@
 bool mq_turns_know (struct mq_turns *turns, const char *program);
 /* Reads the record of PROGRAM, which any host has written that served a turn
    of it.  */
-struct mq_ledger_call *mq_turns_read_record (struct mq_turns *turns,
-                                             const char *program,
-                                             mq_rows_done *done, void *user);
+struct mq_table_client_call *mq_turns_read_record (struct mq_turns *turns,
+                                                   const char *program,
+                                                   mq_rows_done *done,
+                                                   void *user);
 /* The turn has ended and handed out USED tokens.  */
 void mq_turn_settle (struct mq_turn *turn, uint64_t used);
 /* Makes the turn durable; TOLD says KEPT or NO_STORE.  */
@@ -335,11 +336,11 @@
 
 /* Another host asks for tokens or a history, tells what it lends, or returns
    what it did not use.  */
-void mq_loan_on_ask (const struct mq_relay_loan_ask *ask,
+void mq_loan_on_ask (const struct mq_relay_loan_request *ask,
                      struct mq_relay_link *link, void *user);
-void mq_loan_on_told (const struct mq_relay_loan_told *told,
+void mq_loan_on_told (const struct mq_relay_loan_reply *told,
                       const char *address, void *user);
-void mq_loan_on_back (const struct mq_relay_loan_back *back, void *user);
+void mq_loan_on_back (const struct mq_relay_loan_return *back, void *user);
 
 /* router_reserve.c */
 
@@ -393,9 +394,9 @@
 bool mq_permits_lent (const struct mq_router *router, uint32_t slot);
 void mq_permits_sweep (struct mq_router *router);
 /* Another host wants permits, or tells what it issues.  */
-void mq_permits_on_ask (const struct mq_relay_quota_ask *ask,
+void mq_permits_on_ask (const struct mq_relay_quota_request *ask,
                         struct mq_relay_link *link, void *user);
-void mq_permits_on_told (const struct mq_relay_quota_told *told,
+void mq_permits_on_told (const struct mq_relay_quota_reply *told,
                          const char *address, void *user);
 void mq_permits_on_recall (const struct mq_relay_quota_recall *recall,
                            struct mq_relay_link *link, void *user);
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -65,7 +65,7 @@
 bool
 mq_turns_away (const struct mq_turns *turns, const char *part)
 {
-  return mq_ledger_part_down (turns->router->ledger, part);
+  return mq_table_client_part_down (turns->router->table_client, part);
 }
 
 uint64_t
@@ -161,7 +161,7 @@
     mq_turn_tell (turn, MQ_TURN_NO_CHAIN);
   else if (turn->tries + 1 >= MQ_TURN_TRIES_MAX
            || turn->unread == MQ_TURN_PLACES
-           || mq_ledger_down (turn->turns->router->ledger))
+           || mq_table_client_down (turn->turns->router->table_client))
     mq_loan_begin (turn);
   else
     retry_turn (turn);
@@ -218,8 +218,9 @@
       if (mq_turns_away (turns, part))
         continue;
       turns->router->counters.turn_reads++;
-      turn->call = mq_ledger_get (turns->router->ledger, mq_turn_table, part,
-                                  turn->missing, on_turn_read, turn);
+      turn->call
+          = mq_table_client_get (turns->router->table_client, mq_turn_table,
+                                 part, turn->missing, on_turn_read, turn);
       return;
     }
   end_reading (turn);
@@ -294,7 +295,7 @@
 {
   char part[MQ_PART_BYTES];
 
-  while (!mq_ledger_down (turn->turns->router->ledger)
+  while (!mq_table_client_down (turn->turns->router->table_client)
          && ++turn->place < MQ_TURN_PLACES)
     {
       mq_turn_set_part (part, turn->id, turn->place);
@@ -356,8 +357,9 @@
   char part[MQ_PART_BYTES];
 
   mq_turn_set_part (part, turn->id, turn->place);
-  turn->call = mq_ledger_get (turn->turns->router->ledger, mq_turn_table, part,
-                              turn->id, on_turn_checked, turn);
+  turn->call
+      = mq_table_client_get (turn->turns->router->table_client, mq_turn_table,
+                             part, turn->id, on_turn_checked, turn);
 }
 
 static void
@@ -373,8 +375,8 @@
   mq_turn_set_part (part, turn->id, turn->place);
   entry.part = part;
   router->counters.turn_writes++;
-  turn->call
-      = mq_ledger_commit (router->ledger, &entry, on_turn_written, turn);
+  turn->call = mq_table_client_commit (router->table_client, &entry,
+                                       on_turn_written, turn);
 }
 
 /* Writes to the first of the row's places that can be reached.  */
@@ -417,7 +419,7 @@
   mq_loan_forget (turn->loan);
   turn->loan = NULL;
   if (turn->call != NULL)
-    mq_ledger_cancel (turn->call);
+    mq_table_client_cancel (turn->call);
   turn->call = NULL;
   TALLOC_FREE (turn->timer);
   TALLOC_FREE (turn->found);
--- a/src/router/router_turns.h
+++ b/src/router/router_turns.h
@@ -37,7 +37,7 @@
   struct mq_budget budget;
   struct mq_budget_record next;
   struct mq_turn *waiting;
-  struct mq_ledger_call *call;
+  struct mq_table_client_call *call;
   struct mq_timer *timer;
   uint64_t holder;
   uint64_t home;
--- a/src/router/rows.h
+++ b/src/router/rows.h
@@ -102,8 +102,8 @@
 /* One moment on both clocks: by the table's, and by this host's that goes on
    while it is suspended (mq_clock_boot_ms), which is not later than when the
    table was asked; false: not known.  */
-bool mq_rows_moment (const struct mq_rows *rows, uint64_t *boot_ms,
-                     uint64_t *table_ms);
+bool mq_rows_sample_clocks (const struct mq_rows *rows, uint64_t *boot_ms,
+                            uint64_t *table_ms);
 /* No callback follows; what was sent may still be done.  */
 void mq_rows_cancel (struct mq_rows_call *call);
 /* Lists TABLE, whose rows have an empty part, and follows its changes for as
@@ -116,10 +116,10 @@
 /* So many hosts share the table, 0: not known yet.  The more they are, the
    less often each of them asks when nothing changes and tries again what
    failed. */
-void mq_rows_share (struct mq_rows *rows, size_t hosts);
+void mq_rows_set_host_count (struct mq_rows *rows, size_t hosts);
 /* All tables that are followed were listed, and none of the feeds failed when
    it was last asked.  */
-bool mq_rows_followed (const struct mq_rows *rows);
+bool mq_rows_feeds_healthy (const struct mq_rows *rows);
 /* Calls fail at once, since the table gave no answer for a while.  */
 bool mq_rows_down (const struct mq_rows *rows);
 /* PART did not answer its last call though the table answered others.  */
@@ -128,7 +128,7 @@
 bool mq_rows_part_down (const struct mq_rows *rows, const char *part);
 /* When the table last came back after a time without any answer, steady clock,
    0: never.  */
-uint64_t mq_rows_back_ms (const struct mq_rows *rows);
+uint64_t mq_rows_recovered_ms (const struct mq_rows *rows);
 const struct mq_rows_counters *mq_rows_counters (const struct mq_rows *rows);
 
 #endif
--- /dev/null
+++ b/src/router/table_client.h
@@ -0,0 +1,44 @@
+/* table_client.h - calls to the platform's table by whichever way is open.
+
+   Directly while the table answers this host; else through another host.
+   Needs: rows.h, relay.h, histogram.h.  */
+
+#ifndef MQ_TABLE_CLIENT_H
+#define MQ_TABLE_CLIENT_H
+
+#include "core/histogram.h"
+#include "relay.h"
+#include "rows.h"
+
+struct mq_table_client;
+struct mq_table_client_call;
+
+struct mq_table_client *mq_table_client_create (TALLOC_CTX *ctx,
+                                                struct mq_rows *rows,
+                                                struct mq_relay *relay);
+/* As mq_rows_commit and mq_rows_get; what is given is copied.  */
+struct mq_table_client_call *
+mq_table_client_commit (struct mq_table_client *table_client,
+                        const struct mq_rows_entry *entry, mq_rows_done *done,
+                        void *user);
+struct mq_table_client_call *
+mq_table_client_get (struct mq_table_client *table_client, const char *table,
+                     const char *part, const char *key, mq_rows_done *done,
+                     void *user);
+/* No callback follows; NULL is allowed.  */
+void mq_table_client_cancel (struct mq_table_client_call *call);
+/* How long reads and writes took until their outcome, milliseconds.  */
+const struct mq_histogram *
+mq_table_client_read_ms (const struct mq_table_client *table_client);
+const struct mq_histogram *
+mq_table_client_write_ms (const struct mq_table_client *table_client);
+/* How many rows the transactions of writes had.  */
+const struct mq_histogram *
+mq_table_client_batch_rows (const struct mq_table_client *table_client);
+/* Neither way is open, as far as is known.  */
+bool mq_table_client_down (const struct mq_table_client *table_client);
+/* The same as mq_table_client_down for the rows of PART.  */
+bool mq_table_client_part_down (const struct mq_table_client *table_client,
+                                const char *part);
+
+#endif
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -26,11 +26,11 @@
 {
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
+    case MQ_RELAY_CALL_REQUEST:
       FUZZ_CHECK (frame->u.ask.count > 0);
       check_entries (frame->u.ask.entries, frame->u.ask.count);
       return;
-    case MQ_RELAY_TOLD:
+    case MQ_RELAY_CALL_REPLY:
       FUZZ_CHECK (frame->u.told.result.status <= MQ_STORE_LOST);
       check_entries (frame->u.told.result.rows,
                      frame->u.told.result.row_count);
@@ -39,24 +39,24 @@
       for (size_t i = 0; i < frame->u.state.worker_count; i++)
         FUZZ_CHECK (frame->u.state.workers[i].address != NULL);
       return;
-    case MQ_RELAY_LOAN_ASK:
+    case MQ_RELAY_LOAN_REQUEST:
       FUZZ_CHECK (frame->u.loan_ask.program != NULL);
       FUZZ_CHECK (frame->u.loan_ask.turn != NULL);
       return;
-    case MQ_RELAY_LOAN_TOLD:
+    case MQ_RELAY_LOAN_REPLY:
       FUZZ_CHECK (frame->u.loan_told.program != NULL);
       FUZZ_CHECK (frame->u.loan_told.turn != NULL);
       FUZZ_CHECK (frame->u.loan_told.history.len == 0
                   || frame->u.loan_told.history.data != NULL);
       return;
-    case MQ_RELAY_LOAN_BACK:
+    case MQ_RELAY_LOAN_RETURN:
       FUZZ_CHECK (frame->u.loan_back.program != NULL);
       return;
-    case MQ_RELAY_QUOTA_ASK:
+    case MQ_RELAY_QUOTA_REQUEST:
       for (size_t i = 0; i < frame->u.quota_ask.want_count; i++)
         FUZZ_CHECK (frame->u.quota_ask.wants[i].organisation != NULL);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
+    case MQ_RELAY_QUOTA_REPLY:
       for (size_t i = 0; i < frame->u.quota_told.gift_count; i++)
         FUZZ_CHECK (frame->u.quota_told.gifts[i].organisation != NULL);
       return;
@@ -64,7 +64,7 @@
       FUZZ_CHECK (frame->u.quota_recall.address != NULL);
       return;
     case MQ_RELAY_SYNC:
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       return;
     }
   FUZZ_CHECK (false);
@@ -91,7 +91,7 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_relay_frame *frame = mq_relay_frame_unpack (ctx, data, len);
-  bool accepted = frame != NULL && frame->kind != MQ_RELAY_OTHER;
+  bool accepted = frame != NULL && frame->kind != MQ_RELAY_UNKNOWN;
 
   if (frame != NULL)
     check_frame (frame);
--- a/tests/test_commit_queue.c
+++ b/tests/test_commit_queue.c
@@ -55,7 +55,7 @@
                                           .key = keys[k],
                                           .version = cases[i].there[k] };
         }
-      (void)mq_commit_faults (entries, 3, &result, faults);
+      (void)mq_commit_find_conflicts (entries, 3, &result, faults);
       for (size_t k = 0; k < 3; k++)
         cr_expect_eq (faults[k], cases[i].faults[k], "%s: %zu", cases[i].what,
                       k);
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -397,7 +397,7 @@
 lose_table (void)
 {
   rows_server_fault (site->rows, ROWS_BUSY);
-  EDGE_WAIT (site, !mq_rows_followed (site->routers[0]->rows));
+  EDGE_WAIT (site, !mq_rows_feeds_healthy (site->routers[0]->rows));
 }
 
 /* Another host tells TEXT.  */
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -98,13 +98,13 @@
   cr_assert_eq (a->kind, b->kind);
   switch (a->kind)
     {
-    case MQ_RELAY_ASK:
+    case MQ_RELAY_CALL_REQUEST:
       cr_expect_eq (a->u.ask.id, b->u.ask.id);
       cr_expect_eq (a->u.ask.commit, b->u.ask.commit);
       cr_assert_eq (a->u.ask.count, b->u.ask.count);
       expect_entries (a->u.ask.entries, b->u.ask.entries, a->u.ask.count);
       return;
-    case MQ_RELAY_TOLD:
+    case MQ_RELAY_CALL_REPLY:
       cr_expect_eq (a->u.told.id, b->u.told.id);
       cr_expect_eq (a->u.told.result.status, b->u.told.result.status);
       cr_expect_eq (a->u.told.result.version, b->u.told.result.version);
@@ -123,7 +123,7 @@
       expect_workers (a->u.state.workers, b->u.state.workers,
                       a->u.state.worker_count);
       return;
-    case MQ_RELAY_LOAN_ASK:
+    case MQ_RELAY_LOAN_REQUEST:
       cr_expect_eq (a->u.loan_ask.id, b->u.loan_ask.id);
       cr_expect_str_eq (a->u.loan_ask.program, b->u.loan_ask.program);
       cr_expect_eq (a->u.loan_ask.limit, b->u.loan_ask.limit);
@@ -131,7 +131,7 @@
       cr_expect_str_eq (a->u.loan_ask.turn, b->u.loan_ask.turn);
       cr_expect_eq (a->u.loan_ask.issue, b->u.loan_ask.issue);
       return;
-    case MQ_RELAY_LOAN_TOLD:
+    case MQ_RELAY_LOAN_REPLY:
       cr_expect_eq (a->u.loan_told.id, b->u.loan_told.id);
       cr_expect_str_eq (a->u.loan_told.program, b->u.loan_told.program);
       cr_expect_eq (a->u.loan_told.tokens, b->u.loan_told.tokens);
@@ -139,11 +139,11 @@
       cr_expect_str_eq (a->u.loan_told.turn, b->u.loan_told.turn);
       cr_expect (same_bytes (a->u.loan_told.history, b->u.loan_told.history));
       return;
-    case MQ_RELAY_LOAN_BACK:
+    case MQ_RELAY_LOAN_RETURN:
       cr_expect_str_eq (a->u.loan_back.program, b->u.loan_back.program);
       cr_expect_eq (a->u.loan_back.tokens, b->u.loan_back.tokens);
       return;
-    case MQ_RELAY_QUOTA_ASK:
+    case MQ_RELAY_QUOTA_REQUEST:
       cr_expect_eq (a->u.quota_ask.id, b->u.quota_ask.id);
       cr_expect_eq (a->u.quota_ask.host, b->u.quota_ask.host);
       cr_expect_eq (a->u.quota_ask.heard_ms, b->u.quota_ask.heard_ms);
@@ -154,7 +154,7 @@
       expect_wants (a->u.quota_ask.wants, b->u.quota_ask.wants,
                     a->u.quota_ask.want_count);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
+    case MQ_RELAY_QUOTA_REPLY:
       cr_expect_eq (a->u.quota_told.id, b->u.quota_told.id);
       cr_expect_eq (a->u.quota_told.server, b->u.quota_told.server);
       cr_expect_eq (a->u.quota_told.told_ms, b->u.quota_told.told_ms);
@@ -166,7 +166,7 @@
       cr_expect_eq (a->u.quota_recall.server, b->u.quota_recall.server);
       cr_expect_str_eq (a->u.quota_recall.address, b->u.quota_recall.address);
       return;
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       cr_assert_fail ("a frame of our own is not known");
     }
 }
@@ -223,7 +223,7 @@
     { .organisation = "bolt", .unknown = true },
   };
   struct mq_relay_frame frames[] = {
-    { .kind = MQ_RELAY_QUOTA_ASK,
+    { .kind = MQ_RELAY_QUOTA_REQUEST,
       .u.quota_ask = { .id = 1,
                        .host = 2,
                        .heard_ms = 3,
@@ -234,23 +234,23 @@
                        .recalled = true } },
     { .kind = MQ_RELAY_QUOTA_RECALL,
       .u.quota_recall = { .server = 7, .address = "a:1" } },
-    { .kind = MQ_RELAY_QUOTA_TOLD,
+    { .kind = MQ_RELAY_QUOTA_REPLY,
       .u.quota_told = { .id = 1,
                         .server = 2,
                         .told_ms = 3,
                         .gifts = gifts,
                         .gift_count = 2 } },
-    { .kind = MQ_RELAY_ASK,
+    { .kind = MQ_RELAY_CALL_REQUEST,
       .u.ask = { .id = 1, .commit = true, .entries = entries, .count = 2 } },
-    { .kind = MQ_RELAY_ASK,
+    { .kind = MQ_RELAY_CALL_REQUEST,
       .u.ask = { .id = UINT64_MAX, .entries = entries, .count = 1 } },
-    { .kind = MQ_RELAY_TOLD,
+    { .kind = MQ_RELAY_CALL_REPLY,
       .u.told = { .id = 2,
                   .result = { .status = MQ_STORE_CONFLICT,
                               .version = 9,
                               .rows = entries,
                               .row_count = 2 } } },
-    { .kind = MQ_RELAY_TOLD,
+    { .kind = MQ_RELAY_CALL_REPLY,
       .u.told = { .id = 3, .result = { .status = MQ_STORE_LOST } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, UINT64_MAX } },
     { .kind = MQ_RELAY_STATE,
@@ -258,22 +258,22 @@
                    .workers = workers,
                    .worker_count = 2 } },
     { .kind = MQ_RELAY_STATE, .u.state = { .same_workers = true } },
-    { .kind = MQ_RELAY_LOAN_ASK,
+    { .kind = MQ_RELAY_LOAN_REQUEST,
       .u.loan_ask = { .id = 4,
                       .program = "p1",
                       .limit = 900,
                       .most = 288,
                       .turn = "t1",
                       .issue = true } },
-    { .kind = MQ_RELAY_LOAN_TOLD,
+    { .kind = MQ_RELAY_LOAN_REPLY,
       .u.loan_told = { .id = 4,
                        .program = "p1",
                        .tokens = 288,
                        .turn = "t1",
                        .history = bytes ("history") } },
-    { .kind = MQ_RELAY_LOAN_TOLD,
+    { .kind = MQ_RELAY_LOAN_REPLY,
       .u.loan_told = { .id = 5, .program = "", .over = true, .turn = "" } },
-    { .kind = MQ_RELAY_LOAN_BACK, .u.loan_back = { "p1", 200 } },
+    { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_back = { "p1", 200 } },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -300,16 +300,18 @@
   static struct mq_rows_entry entries[2]
       = { { .table = "a" }, { .table = "b" } };
   const struct mq_relay_frame frames[] = {
-    { .kind = MQ_RELAY_ASK, .u.ask = { .entries = entries, .count = 2 } },
-    { .kind = MQ_RELAY_TOLD, .u.told = { .result = { .row_count = 0 } } },
-    { .kind = MQ_RELAY_TOLD,
+    { .kind = MQ_RELAY_CALL_REQUEST,
+      .u.ask = { .entries = entries, .count = 2 } },
+    { .kind = MQ_RELAY_CALL_REPLY,
+      .u.told = { .result = { .row_count = 0 } } },
+    { .kind = MQ_RELAY_CALL_REPLY,
       .u.told = { .result = { .rows = entries, .row_count = 2 } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, 0 } },
     { .kind = MQ_RELAY_STATE,
       .u.state = { .workers = workers, .worker_count = ROWS (workers) } },
-    { .kind = MQ_RELAY_LOAN_ASK,
+    { .kind = MQ_RELAY_LOAN_REQUEST,
       .u.loan_ask = { .program = "p1", .turn = "t1" } },
-    { .kind = MQ_RELAY_OTHER },
+    { .kind = MQ_RELAY_UNKNOWN },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -338,12 +340,13 @@
     bool read;
     enum mq_relay_kind kind;
   } cases[] = {
-    { "nothing", "", 0, true, MQ_RELAY_OTHER },
-    { "unknown kind", "\x7a\x02\x08\x01", 4, true, MQ_RELAY_OTHER },
-    { "unknown outcome", "\x12\x04\x08\x05\x10\x63", 6, true, MQ_RELAY_TOLD },
-    { "a call without rows", "\x0a\x02\x08\x05", 4, false, MQ_RELAY_OTHER },
-    { "cut", "\x0a\x09\x08\x05", 4, false, MQ_RELAY_OTHER },
-    { "no message", "\xff\xff\xff", 3, false, MQ_RELAY_OTHER },
+    { "nothing", "", 0, true, MQ_RELAY_UNKNOWN },
+    { "unknown kind", "\x7a\x02\x08\x01", 4, true, MQ_RELAY_UNKNOWN },
+    { "unknown outcome", "\x12\x04\x08\x05\x10\x63", 6, true,
+      MQ_RELAY_CALL_REPLY },
+    { "a call without rows", "\x0a\x02\x08\x05", 4, false, MQ_RELAY_UNKNOWN },
+    { "cut", "\x0a\x09\x08\x05", 4, false, MQ_RELAY_UNKNOWN },
+    { "no message", "\xff\xff\xff", 3, false, MQ_RELAY_UNKNOWN },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -356,7 +359,7 @@
       if (frame == NULL)
         continue;
       cr_assert_eq (frame->kind, cases[i].kind, "%s", cases[i].name);
-      if (frame->kind == MQ_RELAY_TOLD)
+      if (frame->kind == MQ_RELAY_CALL_REPLY)
         cr_assert_eq (frame->u.told.result.status, MQ_STORE_LOST);
     }
   talloc_free (ctx);
@@ -389,7 +392,7 @@
 };
 
 static void
-on_loan_told (const struct mq_relay_loan_told *told, const char *address,
+on_loan_told (const struct mq_relay_loan_reply *told, const char *address,
               void *user)
 {
   (void)told;
@@ -434,10 +437,10 @@
 {
   struct tevent_context *ev = tevent_context_init (NULL);
   struct mq_relay_owner owner = { .loan_told = on_loan_told };
-  struct mq_relay_loan_ask ask
+  struct mq_relay_loan_request ask
       = { .id = 1, .program = "p", .limit = 9, .most = 1, .turn = "" };
   struct mq_relay_frame told
-      = { .kind = MQ_RELAY_LOAN_TOLD,
+      = { .kind = MQ_RELAY_LOAN_REPLY,
           .u.loan_told = { .id = 1, .program = "p", .turn = "" } };
   struct mq_bytes frame = mq_relay_frame_pack (ev, &told);
   int other = mq_listen_open ("127.0.0.1:0", NULL);
@@ -452,7 +455,7 @@
                            mq_rows_create (ev, ev, address), &owner, &error);
   cr_assert_not_null (relay);
   mq_relay_add_seed (relay, address);
-  cr_assert_eq (mq_relay_ask_loan (relay, &ask, false), 1);
+  cr_assert_eq (mq_relay_request_loan (relay, &ask, false), 1);
   cr_assert_eq (poll (&listener, 1, 20000), 1);
   fd = accept (other, NULL, NULL);
   if (row->taken)
@@ -460,10 +463,10 @@
   if (row->answers)
     cr_assert_eq (send (fd, frame.data, frame.len, MSG_NOSIGNAL),
                   (ssize_t)frame.len);
-  usleep ((MQ_RELAY_LOAN_MS + 20) * 1000);
+  usleep ((MQ_RELAY_LOAN_TIMEOUT_MS + 20) * 1000);
   if (row->goes_on)
     go_on (ev);
-  cr_expect_eq (mq_relay_ask_loan (relay, &ask, false), row->asked, "%s",
+  cr_expect_eq (mq_relay_request_loan (relay, &ask, false), row->asked, "%s",
                 row->name);
   mq_relay_destroy (relay);
   talloc_free (ev);
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -20,7 +20,7 @@
 
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 /* Longer than a host may take for its answer.  */
-#define HELD_MS (MQ_RELAY_LOAN_MS + 20U)
+#define HELD_MS (MQ_RELAY_LOAN_TIMEOUT_MS + 20U)
 #define QUESTIONS_MAX 64U
 
 /**
@@ -31,7 +31,7 @@
 struct question
 {
   struct mq_relay_link *link;
-  struct mq_relay_loan_ask ask;
+  struct mq_relay_loan_request ask;
 };
 
 /**
@@ -72,13 +72,13 @@
 static void
 lend (struct lender *lender, const struct question *question)
 {
-  const struct mq_relay_loan_ask *ask = &question->ask;
-  struct mq_relay_frame frame = { .kind = MQ_RELAY_LOAN_TOLD };
+  const struct mq_relay_loan_request *ask = &question->ask;
+  struct mq_relay_frame frame = { .kind = MQ_RELAY_LOAN_REPLY };
   struct mq_chain *chain = mq_chain_extend (lender, NULL, ask->turn,
                                             bytes ("one;"), bytes ("e1\n"));
 
   cr_assert_not_null (chain);
-  frame.u.loan_told = (struct mq_relay_loan_told){
+  frame.u.loan_told = (struct mq_relay_loan_reply){
     .id = ask->id,
     .program = ask->program,
     .tokens = ask->most,
@@ -100,7 +100,7 @@
 
 static void
 take_question (struct lender *lender, struct mq_relay_link *link,
-               const struct mq_relay_loan_ask *ask)
+               const struct mq_relay_loan_request *ask)
 {
   struct question *question = &lender->questions[lender->asked];
 
@@ -120,11 +120,11 @@
           void *user)
 {
   struct lender *lender = user;
-  struct mq_relay_frame told = { .kind = MQ_RELAY_TOLD };
+  struct mq_relay_frame told = { .kind = MQ_RELAY_CALL_REPLY };
 
-  if (frame->kind == MQ_RELAY_LOAN_ASK)
+  if (frame->kind == MQ_RELAY_LOAN_REQUEST)
     take_question (lender, link, &frame->u.loan_ask);
-  if (frame->kind != MQ_RELAY_ASK)
+  if (frame->kind != MQ_RELAY_CALL_REQUEST)
     return;
   told.u.told.id = frame->u.ask.id;
   told.u.told.result.status = MQ_STORE_DOWN;
@@ -205,7 +205,7 @@
 static size_t told;
 
 static void
-on_told (const struct mq_relay_loan_told *loan, const char *address,
+on_told (const struct mq_relay_loan_reply *loan, const char *address,
          void *user)
 {
   (void)loan;
@@ -236,10 +236,10 @@
 static uint32_t
 ask_lender (struct mq_relay *relay)
 {
-  struct mq_relay_loan_ask ask
+  struct mq_relay_loan_request ask
       = { .id = 1, .program = "p1", .limit = 80, .most = 8, .turn = "" };
 
-  return mq_relay_ask_loan (relay, &ask, false);
+  return mq_relay_request_loan (relay, &ask, false);
 }
 
 /* How many hosts the last question of STEPS goes to.  q: a question; k: it has
@@ -280,7 +280,7 @@
         usleep (HELD_MS * 1000);
         break;
       case 'p':
-        wait_ms (MQ_RELAY_BAD_MS);
+        wait_ms (MQ_RELAY_BACKOFF_MS);
         break;
       default:
         cr_assert_fail ("%c", *steps);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -56,7 +56,7 @@
             rows_server_port (site->server, 0));
   site->rows = mq_rows_create (site->ev, site->ev, address);
   mq_rows_watch (site->rows, "t", &watcher);
-  while (!mq_rows_followed (site->rows))
+  while (!mq_rows_feeds_healthy (site->rows))
     run_for (site, 5);
   return site;
 }
@@ -79,15 +79,15 @@
       size_t before;
 
       rows_server_fault (site->server, ROWS_BUSY);
-      mq_rows_share (site->rows, cases[i].hosts);
-      while (mq_rows_followed (site->rows))
+      mq_rows_set_host_count (site->rows, cases[i].hosts);
+      while (mq_rows_feeds_healthy (site->rows))
         run_for (site, 5);
       before = rows_server_feeds (site->server);
       run_for (site, 2000);
       cr_assert_leq (rows_server_feeds (site->server) - before, cases[i].most,
                      "%zu hosts", cases[i].hosts);
       rows_server_fault (site->server, ROWS_WELL);
-      while (!mq_rows_followed (site->rows))
+      while (!mq_rows_feeds_healthy (site->rows))
         run_for (site, 5);
       mq_rows_destroy (site->rows);
       rows_server_destroy (site->server);
