--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -157,8 +157,8 @@
   remove_errand (relayed_call);
   if (relayed_call->link != NULL)
     {
-      frame.u.told.id = relayed_call->id;
-      frame.u.told.result = *result;
+      frame.u.call_reply.id = relayed_call->id;
+      frame.u.call_reply.result = *result;
       relay_send_frame (relayed_call->relay, relayed_call->link, &frame);
     }
   talloc_free (relayed_call);
@@ -253,7 +253,7 @@
 
   if (host != NULL && ask->recalled)
     host->recalled = true;
-  relay->owner.quota_ask (ask, link, relay->owner.user);
+  relay->owner.quota_request (ask, link, relay->owner.user);
 }
 
 static void
@@ -263,7 +263,7 @@
   const struct host *host = relay_host_of_link (relay, link);
 
   if (host != NULL)
-    relay->owner.quota_told (told, host->address, relay->owner.user);
+    relay->owner.quota_reply (told, host->address, relay->owner.user);
 }
 
 static void
@@ -276,10 +276,10 @@
   switch (frame->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      serve_ask (relay, link, &frame->u.ask);
+      serve_ask (relay, link, &frame->u.call_request);
       return;
     case MQ_RELAY_CALL_REPLY:
-      take_told (relay, link, &frame->u.told);
+      take_told (relay, link, &frame->u.call_reply);
       return;
     case MQ_RELAY_SYNC:
       owner->sync (&frame->u.sync, link, owner->user);
@@ -288,22 +288,22 @@
       owner->state (&frame->u.state, owner->user);
       return;
     case MQ_RELAY_LOAN_REQUEST:
-      owner->loan_ask (&frame->u.loan_ask, link, owner->user);
+      owner->loan_request (&frame->u.loan_request, link, owner->user);
       return;
     case MQ_RELAY_LOAN_REPLY:
-      relay_on_loan_reply (relay, link, &frame->u.loan_told);
+      relay_on_loan_reply (relay, link, &frame->u.loan_reply);
       return;
     case MQ_RELAY_LOAN_RETURN:
-      owner->loan_back (&frame->u.loan_back, owner->user);
+      owner->loan_return (&frame->u.loan_return, owner->user);
       return;
     case MQ_RELAY_QUOTA_REQUEST:
-      take_quota_ask (relay, link, &frame->u.quota_ask);
+      take_quota_ask (relay, link, &frame->u.quota_request);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       owner->quota_recall (&frame->u.quota_recall, link, owner->user);
       return;
     case MQ_RELAY_QUOTA_REPLY:
-      take_quota (relay, link, &frame->u.quota_told);
+      take_quota (relay, link, &frame->u.quota_reply);
       return;
     case MQ_RELAY_UNKNOWN:
       return;
@@ -478,7 +478,7 @@
   call->wait_ms = wait;
   call->done = done;
   call->user = user;
-  frame.u.ask = (struct mq_relay_call_request){
+  frame.u.call_request = (struct mq_relay_call_request){
     .id = call->id, .commit = commit, .entries = entries, .count = count
   };
   call->frame = mq_relay_frame_pack (call, &frame);
@@ -597,7 +597,7 @@
                         const struct mq_relay_quota_request *ask)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *ask };
   struct host *host = add_host (relay, address);
   struct mq_relay_link *link
       = host == NULL ? NULL : relay_open_link (relay, host);
@@ -635,7 +635,7 @@
                             const struct mq_relay_quota_request *ask)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *ask };
 
   relay_send_frame (relay, link, &frame);
 }
@@ -645,7 +645,7 @@
                            const struct mq_relay_quota_reply *told)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_told = *told };
+      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_reply = *told };
 
   relay_send_frame (relay, link, &frame);
 }
--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -26,13 +26,13 @@
  * @sync: another host asks for what it does not know; answer with
  *        mq_relay_send_state, or not at all
  * @state: what another host knows
- * @loan_ask: another host needs tokens or a history; answer with
+ * @loan_request: another host needs tokens or a history; answer with
  * mq_relay_send_loan_reply
- * @loan_told: what the host at ADDRESS lends
- * @loan_back: what another host did not use of a loan
- * @quota_ask: another host wants permits; answer with
+ * @loan_reply: what the host at ADDRESS lends
+ * @loan_return: what another host did not use of a loan
+ * @quota_request: another host wants permits; answer with
  * mq_relay_send_quota_reply
- * @quota_told: what the host at ADDRESS issues
+ * @quota_reply: what the host at ADDRESS issues
  * @quota_recall: another host asks what its earlier runs lent; answer with
  *                mq_relay_send_recall_reply
  * @user: given to all of them
@@ -42,15 +42,15 @@
   void (*sync) (const struct mq_relay_sync *sync, struct mq_relay_link *link,
                 void *user);
   void (*state) (const struct mq_relay_state *state, void *user);
-  void (*loan_ask) (const struct mq_relay_loan_request *ask,
-                    struct mq_relay_link *link, void *user);
-  void (*loan_told) (const struct mq_relay_loan_reply *told,
-                     const char *address, void *user);
-  void (*loan_back) (const struct mq_relay_loan_return *back, void *user);
-  void (*quota_ask) (const struct mq_relay_quota_request *ask,
-                     struct mq_relay_link *link, void *user);
-  void (*quota_told) (const struct mq_relay_quota_reply *told,
+  void (*loan_request) (const struct mq_relay_loan_request *ask,
+                        struct mq_relay_link *link, void *user);
+  void (*loan_reply) (const struct mq_relay_loan_reply *told,
                       const char *address, void *user);
+  void (*loan_return) (const struct mq_relay_loan_return *back, void *user);
+  void (*quota_request) (const struct mq_relay_quota_request *ask,
+                         struct mq_relay_link *link, void *user);
+  void (*quota_reply) (const struct mq_relay_quota_reply *told,
+                       const char *address, void *user);
   void (*quota_recall) (const struct mq_relay_quota_recall *recall,
                         struct mq_relay_link *link, void *user);
   void *user;
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -290,23 +290,23 @@
   switch (frame->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      return pack_ask (ctx, &frame->u.ask);
+      return pack_ask (ctx, &frame->u.call_request);
     case MQ_RELAY_CALL_REPLY:
-      return pack_told (ctx, &frame->u.told);
+      return pack_told (ctx, &frame->u.call_reply);
     case MQ_RELAY_SYNC:
       return pack_sync (ctx, &frame->u.sync);
     case MQ_RELAY_STATE:
       return pack_state (ctx, &frame->u.state);
     case MQ_RELAY_LOAN_REQUEST:
-      return pack_loan_ask (ctx, &frame->u.loan_ask);
+      return pack_loan_ask (ctx, &frame->u.loan_request);
     case MQ_RELAY_LOAN_REPLY:
-      return pack_loan_told (ctx, &frame->u.loan_told);
+      return pack_loan_told (ctx, &frame->u.loan_reply);
     case MQ_RELAY_LOAN_RETURN:
-      return pack_loan_back (ctx, &frame->u.loan_back);
+      return pack_loan_back (ctx, &frame->u.loan_return);
     case MQ_RELAY_QUOTA_REQUEST:
-      return pack_quota_ask (ctx, &frame->u.quota_ask);
+      return pack_quota_ask (ctx, &frame->u.quota_request);
     case MQ_RELAY_QUOTA_REPLY:
-      return pack_quota_told (ctx, &frame->u.quota_told);
+      return pack_quota_told (ctx, &frame->u.quota_reply);
     case MQ_RELAY_QUOTA_RECALL:
       return pack_quota_recall (ctx, &frame->u.quota_recall);
     case MQ_RELAY_UNKNOWN:
@@ -371,8 +371,8 @@
 read_told (struct mq_relay_frame *to, const Mqrelay__Told *from)
 {
   to->kind = MQ_RELAY_CALL_REPLY;
-  to->u.told.id = from->id;
-  to->u.told.result = (struct mq_rows_result){
+  to->u.call_reply.id = from->id;
+  to->u.call_reply.result = (struct mq_rows_result){
     .status = from->status > MQ_STORE_LOST
                   ? MQ_STORE_LOST
                   : (enum mq_store_status)from->status,
@@ -386,7 +386,7 @@
 read_ask (struct mq_relay_frame *to, const Mqrelay__Ask *from)
 {
   to->kind = MQ_RELAY_CALL_REQUEST;
-  to->u.ask = (struct mq_relay_call_request){
+  to->u.call_request = (struct mq_relay_call_request){
     .id = from->id,
     .commit = from->commit,
     .entries = read_entries (to, from->entries, from->n_entries),
@@ -399,7 +399,7 @@
 read_loan_ask (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
 {
   to->kind = MQ_RELAY_LOAN_REQUEST;
-  to->u.loan_ask = (struct mq_relay_loan_request){
+  to->u.loan_request = (struct mq_relay_loan_request){
     .id = from->id,
     .program = from->run,
     .limit = from->limit,
@@ -413,7 +413,7 @@
 read_loan_told (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
 {
   to->kind = MQ_RELAY_LOAN_REPLY;
-  to->u.loan_told = (struct mq_relay_loan_reply){
+  to->u.loan_reply = (struct mq_relay_loan_reply){
     .id = from->id,
     .program = from->run,
     .tokens = from->tokens,
@@ -441,7 +441,7 @@
       .holds = from->wants[i]->holds,
     };
   to->kind = MQ_RELAY_QUOTA_REQUEST;
-  to->u.quota_ask = (struct mq_relay_quota_request){
+  to->u.quota_request = (struct mq_relay_quota_request){
     .id = from->id,
     .host = from->host,
     .heard_ms = from->heard_ms,
@@ -472,7 +472,7 @@
       .standing_ms = from->gifts[i]->standing_ms,
     };
   to->kind = MQ_RELAY_QUOTA_REPLY;
-  to->u.quota_told = (struct mq_relay_quota_reply){
+  to->u.quota_reply = (struct mq_relay_quota_reply){
     .id = from->id,
     .server = from->server,
     .told_ms = from->told_ms,
@@ -514,7 +514,7 @@
       return true;
     case MQRELAY__FRAME__BODY_LOAN_BACK:
       to->kind = MQ_RELAY_LOAN_RETURN;
-      to->u.loan_back
+      to->u.loan_return
           = (struct mq_relay_loan_return){ from->loan_back->run,
                                            from->loan_back->tokens };
       return true;
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -176,15 +176,15 @@
   enum mq_relay_kind kind;
   union
   {
-    struct mq_relay_call_request ask;
-    struct mq_relay_call_reply told;
+    struct mq_relay_call_request call_request;
+    struct mq_relay_call_reply call_reply;
     struct mq_relay_sync sync;
     struct mq_relay_state state;
-    struct mq_relay_loan_request loan_ask;
-    struct mq_relay_loan_reply loan_told;
-    struct mq_relay_loan_return loan_back;
-    struct mq_relay_quota_request quota_ask;
-    struct mq_relay_quota_reply quota_told;
+    struct mq_relay_loan_request loan_request;
+    struct mq_relay_loan_reply loan_reply;
+    struct mq_relay_loan_return loan_return;
+    struct mq_relay_quota_request quota_request;
+    struct mq_relay_quota_reply quota_reply;
     struct mq_relay_quota_recall quota_recall;
   } u;
 };
--- a/src/router/relay_loan.c
+++ b/src/router/relay_loan.c
@@ -28,7 +28,7 @@
     return;
   relay_clear_loan_request (host);
   host->loan_after_ms = 0;
-  relay->owner.loan_told (told, host->address, relay->owner.user);
+  relay->owner.loan_reply (told, host->address, relay->owner.user);
 }
 
 static void
@@ -111,7 +111,7 @@
                        const struct mq_relay_loan_request *ask, bool near)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_REQUEST, .u.loan_ask = *ask };
+      = { .kind = MQ_RELAY_LOAN_REQUEST, .u.loan_request = *ask };
   struct mq_bytes bytes;
   uint32_t asked;
 
@@ -129,7 +129,7 @@
                           const struct mq_relay_loan_reply *told)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_REPLY, .u.loan_told = *told };
+      = { .kind = MQ_RELAY_LOAN_REPLY, .u.loan_reply = *told };
 
   relay_send_frame (relay, link, &frame);
 }
@@ -139,7 +139,7 @@
                       const struct mq_relay_loan_return *back)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_back = *back };
+      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = *back };
   struct host *host = relay_find_host (relay, address);
 
   if (host == NULL || host->link == NULL)
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -135,11 +135,11 @@
   const struct mq_router_settings *settings = router->settings;
   struct mq_relay_owner owner = { .sync = mq_feed_on_sync,
                                   .state = mq_feed_on_state,
-                                  .loan_ask = mq_loan_on_ask,
-                                  .loan_told = mq_loan_on_told,
-                                  .loan_back = mq_loan_on_back,
-                                  .quota_ask = mq_permits_on_ask,
-                                  .quota_told = mq_permits_on_told,
+                                  .loan_request = mq_loan_on_ask,
+                                  .loan_reply = mq_loan_on_told,
+                                  .loan_return = mq_loan_on_back,
+                                  .quota_request = mq_permits_on_ask,
+                                  .quota_reply = mq_permits_on_told,
                                   .quota_recall = mq_permits_on_recall,
                                   .user = router };
 
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -27,38 +27,39 @@
   switch (frame->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      FUZZ_CHECK (frame->u.ask.count > 0);
-      check_entries (frame->u.ask.entries, frame->u.ask.count);
+      FUZZ_CHECK (frame->u.call_request.count > 0);
+      check_entries (frame->u.call_request.entries,
+                     frame->u.call_request.count);
       return;
     case MQ_RELAY_CALL_REPLY:
-      FUZZ_CHECK (frame->u.told.result.status <= MQ_STORE_LOST);
-      check_entries (frame->u.told.result.rows,
-                     frame->u.told.result.row_count);
+      FUZZ_CHECK (frame->u.call_reply.result.status <= MQ_STORE_LOST);
+      check_entries (frame->u.call_reply.result.rows,
+                     frame->u.call_reply.result.row_count);
       return;
     case MQ_RELAY_STATE:
       for (size_t i = 0; i < frame->u.state.worker_count; i++)
         FUZZ_CHECK (frame->u.state.workers[i].address != NULL);
       return;
     case MQ_RELAY_LOAN_REQUEST:
-      FUZZ_CHECK (frame->u.loan_ask.program != NULL);
-      FUZZ_CHECK (frame->u.loan_ask.turn != NULL);
+      FUZZ_CHECK (frame->u.loan_request.program != NULL);
+      FUZZ_CHECK (frame->u.loan_request.turn != NULL);
       return;
     case MQ_RELAY_LOAN_REPLY:
-      FUZZ_CHECK (frame->u.loan_told.program != NULL);
-      FUZZ_CHECK (frame->u.loan_told.turn != NULL);
-      FUZZ_CHECK (frame->u.loan_told.history.len == 0
-                  || frame->u.loan_told.history.data != NULL);
+      FUZZ_CHECK (frame->u.loan_reply.program != NULL);
+      FUZZ_CHECK (frame->u.loan_reply.turn != NULL);
+      FUZZ_CHECK (frame->u.loan_reply.history.len == 0
+                  || frame->u.loan_reply.history.data != NULL);
       return;
     case MQ_RELAY_LOAN_RETURN:
-      FUZZ_CHECK (frame->u.loan_back.program != NULL);
+      FUZZ_CHECK (frame->u.loan_return.program != NULL);
       return;
     case MQ_RELAY_QUOTA_REQUEST:
-      for (size_t i = 0; i < frame->u.quota_ask.want_count; i++)
-        FUZZ_CHECK (frame->u.quota_ask.wants[i].organisation != NULL);
+      for (size_t i = 0; i < frame->u.quota_request.want_count; i++)
+        FUZZ_CHECK (frame->u.quota_request.wants[i].organisation != NULL);
       return;
     case MQ_RELAY_QUOTA_REPLY:
-      for (size_t i = 0; i < frame->u.quota_told.gift_count; i++)
-        FUZZ_CHECK (frame->u.quota_told.gifts[i].organisation != NULL);
+      for (size_t i = 0; i < frame->u.quota_reply.gift_count; i++)
+        FUZZ_CHECK (frame->u.quota_reply.gifts[i].organisation != NULL);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       FUZZ_CHECK (frame->u.quota_recall.address != NULL);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -99,18 +99,22 @@
   switch (a->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      cr_expect_eq (a->u.ask.id, b->u.ask.id);
-      cr_expect_eq (a->u.ask.commit, b->u.ask.commit);
-      cr_assert_eq (a->u.ask.count, b->u.ask.count);
-      expect_entries (a->u.ask.entries, b->u.ask.entries, a->u.ask.count);
+      cr_expect_eq (a->u.call_request.id, b->u.call_request.id);
+      cr_expect_eq (a->u.call_request.commit, b->u.call_request.commit);
+      cr_assert_eq (a->u.call_request.count, b->u.call_request.count);
+      expect_entries (a->u.call_request.entries, b->u.call_request.entries,
+                      a->u.call_request.count);
       return;
     case MQ_RELAY_CALL_REPLY:
-      cr_expect_eq (a->u.told.id, b->u.told.id);
-      cr_expect_eq (a->u.told.result.status, b->u.told.result.status);
-      cr_expect_eq (a->u.told.result.version, b->u.told.result.version);
-      cr_assert_eq (a->u.told.result.row_count, b->u.told.result.row_count);
-      expect_entries (a->u.told.result.rows, b->u.told.result.rows,
-                      a->u.told.result.row_count);
+      cr_expect_eq (a->u.call_reply.id, b->u.call_reply.id);
+      cr_expect_eq (a->u.call_reply.result.status,
+                    b->u.call_reply.result.status);
+      cr_expect_eq (a->u.call_reply.result.version,
+                    b->u.call_reply.result.version);
+      cr_assert_eq (a->u.call_reply.result.row_count,
+                    b->u.call_reply.result.row_count);
+      expect_entries (a->u.call_reply.result.rows, b->u.call_reply.result.rows,
+                      a->u.call_reply.result.row_count);
       return;
     case MQ_RELAY_SYNC:
       cr_expect_eq (a->u.sync.config_version, b->u.sync.config_version);
@@ -124,43 +128,45 @@
                       a->u.state.worker_count);
       return;
     case MQ_RELAY_LOAN_REQUEST:
-      cr_expect_eq (a->u.loan_ask.id, b->u.loan_ask.id);
-      cr_expect_str_eq (a->u.loan_ask.program, b->u.loan_ask.program);
-      cr_expect_eq (a->u.loan_ask.limit, b->u.loan_ask.limit);
-      cr_expect_eq (a->u.loan_ask.most, b->u.loan_ask.most);
-      cr_expect_str_eq (a->u.loan_ask.turn, b->u.loan_ask.turn);
-      cr_expect_eq (a->u.loan_ask.issue, b->u.loan_ask.issue);
+      cr_expect_eq (a->u.loan_request.id, b->u.loan_request.id);
+      cr_expect_str_eq (a->u.loan_request.program, b->u.loan_request.program);
+      cr_expect_eq (a->u.loan_request.limit, b->u.loan_request.limit);
+      cr_expect_eq (a->u.loan_request.most, b->u.loan_request.most);
+      cr_expect_str_eq (a->u.loan_request.turn, b->u.loan_request.turn);
+      cr_expect_eq (a->u.loan_request.issue, b->u.loan_request.issue);
       return;
     case MQ_RELAY_LOAN_REPLY:
-      cr_expect_eq (a->u.loan_told.id, b->u.loan_told.id);
-      cr_expect_str_eq (a->u.loan_told.program, b->u.loan_told.program);
-      cr_expect_eq (a->u.loan_told.tokens, b->u.loan_told.tokens);
-      cr_expect_eq (a->u.loan_told.over, b->u.loan_told.over);
-      cr_expect_str_eq (a->u.loan_told.turn, b->u.loan_told.turn);
-      cr_expect (same_bytes (a->u.loan_told.history, b->u.loan_told.history));
+      cr_expect_eq (a->u.loan_reply.id, b->u.loan_reply.id);
+      cr_expect_str_eq (a->u.loan_reply.program, b->u.loan_reply.program);
+      cr_expect_eq (a->u.loan_reply.tokens, b->u.loan_reply.tokens);
+      cr_expect_eq (a->u.loan_reply.over, b->u.loan_reply.over);
+      cr_expect_str_eq (a->u.loan_reply.turn, b->u.loan_reply.turn);
+      cr_expect (
+          same_bytes (a->u.loan_reply.history, b->u.loan_reply.history));
       return;
     case MQ_RELAY_LOAN_RETURN:
-      cr_expect_str_eq (a->u.loan_back.program, b->u.loan_back.program);
-      cr_expect_eq (a->u.loan_back.tokens, b->u.loan_back.tokens);
+      cr_expect_str_eq (a->u.loan_return.program, b->u.loan_return.program);
+      cr_expect_eq (a->u.loan_return.tokens, b->u.loan_return.tokens);
       return;
     case MQ_RELAY_QUOTA_REQUEST:
-      cr_expect_eq (a->u.quota_ask.id, b->u.quota_ask.id);
-      cr_expect_eq (a->u.quota_ask.host, b->u.quota_ask.host);
-      cr_expect_eq (a->u.quota_ask.heard_ms, b->u.quota_ask.heard_ms);
-      cr_expect_eq (a->u.quota_ask.server, b->u.quota_ask.server);
-      cr_expect_eq (a->u.quota_ask.listed, b->u.quota_ask.listed);
-      cr_expect_eq (a->u.quota_ask.recalled, b->u.quota_ask.recalled);
-      cr_assert_eq (a->u.quota_ask.want_count, b->u.quota_ask.want_count);
-      expect_wants (a->u.quota_ask.wants, b->u.quota_ask.wants,
-                    a->u.quota_ask.want_count);
+      cr_expect_eq (a->u.quota_request.id, b->u.quota_request.id);
+      cr_expect_eq (a->u.quota_request.host, b->u.quota_request.host);
+      cr_expect_eq (a->u.quota_request.heard_ms, b->u.quota_request.heard_ms);
+      cr_expect_eq (a->u.quota_request.server, b->u.quota_request.server);
+      cr_expect_eq (a->u.quota_request.listed, b->u.quota_request.listed);
+      cr_expect_eq (a->u.quota_request.recalled, b->u.quota_request.recalled);
+      cr_assert_eq (a->u.quota_request.want_count,
+                    b->u.quota_request.want_count);
+      expect_wants (a->u.quota_request.wants, b->u.quota_request.wants,
+                    a->u.quota_request.want_count);
       return;
     case MQ_RELAY_QUOTA_REPLY:
-      cr_expect_eq (a->u.quota_told.id, b->u.quota_told.id);
-      cr_expect_eq (a->u.quota_told.server, b->u.quota_told.server);
-      cr_expect_eq (a->u.quota_told.told_ms, b->u.quota_told.told_ms);
-      cr_assert_eq (a->u.quota_told.gift_count, b->u.quota_told.gift_count);
-      expect_gifts (a->u.quota_told.gifts, b->u.quota_told.gifts,
-                    a->u.quota_told.gift_count);
+      cr_expect_eq (a->u.quota_reply.id, b->u.quota_reply.id);
+      cr_expect_eq (a->u.quota_reply.server, b->u.quota_reply.server);
+      cr_expect_eq (a->u.quota_reply.told_ms, b->u.quota_reply.told_ms);
+      cr_assert_eq (a->u.quota_reply.gift_count, b->u.quota_reply.gift_count);
+      expect_gifts (a->u.quota_reply.gifts, b->u.quota_reply.gifts,
+                    a->u.quota_reply.gift_count);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       cr_expect_eq (a->u.quota_recall.server, b->u.quota_recall.server);
@@ -224,34 +230,35 @@
   };
   struct mq_relay_frame frames[] = {
     { .kind = MQ_RELAY_QUOTA_REQUEST,
-      .u.quota_ask = { .id = 1,
-                       .host = 2,
-                       .heard_ms = 3,
-                       .server = 4,
-                       .wants = wants,
-                       .want_count = 2,
-                       .listed = true,
-                       .recalled = true } },
+      .u.quota_request = { .id = 1,
+                           .host = 2,
+                           .heard_ms = 3,
+                           .server = 4,
+                           .wants = wants,
+                           .want_count = 2,
+                           .listed = true,
+                           .recalled = true } },
     { .kind = MQ_RELAY_QUOTA_RECALL,
       .u.quota_recall = { .server = 7, .address = "a:1" } },
     { .kind = MQ_RELAY_QUOTA_REPLY,
-      .u.quota_told = { .id = 1,
-                        .server = 2,
-                        .told_ms = 3,
-                        .gifts = gifts,
-                        .gift_count = 2 } },
+      .u.quota_reply = { .id = 1,
+                         .server = 2,
+                         .told_ms = 3,
+                         .gifts = gifts,
+                         .gift_count = 2 } },
     { .kind = MQ_RELAY_CALL_REQUEST,
-      .u.ask = { .id = 1, .commit = true, .entries = entries, .count = 2 } },
+      .u.call_request
+      = { .id = 1, .commit = true, .entries = entries, .count = 2 } },
     { .kind = MQ_RELAY_CALL_REQUEST,
-      .u.ask = { .id = UINT64_MAX, .entries = entries, .count = 1 } },
+      .u.call_request = { .id = UINT64_MAX, .entries = entries, .count = 1 } },
     { .kind = MQ_RELAY_CALL_REPLY,
-      .u.told = { .id = 2,
-                  .result = { .status = MQ_STORE_CONFLICT,
-                              .version = 9,
-                              .rows = entries,
-                              .row_count = 2 } } },
+      .u.call_reply = { .id = 2,
+                        .result = { .status = MQ_STORE_CONFLICT,
+                                    .version = 9,
+                                    .rows = entries,
+                                    .row_count = 2 } } },
     { .kind = MQ_RELAY_CALL_REPLY,
-      .u.told = { .id = 3, .result = { .status = MQ_STORE_LOST } } },
+      .u.call_reply = { .id = 3, .result = { .status = MQ_STORE_LOST } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, UINT64_MAX } },
     { .kind = MQ_RELAY_STATE,
       .u.state = { .config = bytes ("config"),
@@ -259,21 +266,21 @@
                    .worker_count = 2 } },
     { .kind = MQ_RELAY_STATE, .u.state = { .same_workers = true } },
     { .kind = MQ_RELAY_LOAN_REQUEST,
-      .u.loan_ask = { .id = 4,
-                      .program = "p1",
-                      .limit = 900,
-                      .most = 288,
-                      .turn = "t1",
-                      .issue = true } },
+      .u.loan_request = { .id = 4,
+                          .program = "p1",
+                          .limit = 900,
+                          .most = 288,
+                          .turn = "t1",
+                          .issue = true } },
     { .kind = MQ_RELAY_LOAN_REPLY,
-      .u.loan_told = { .id = 4,
-                       .program = "p1",
-                       .tokens = 288,
-                       .turn = "t1",
-                       .history = bytes ("history") } },
+      .u.loan_reply = { .id = 4,
+                        .program = "p1",
+                        .tokens = 288,
+                        .turn = "t1",
+                        .history = bytes ("history") } },
     { .kind = MQ_RELAY_LOAN_REPLY,
-      .u.loan_told = { .id = 5, .program = "", .over = true, .turn = "" } },
-    { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_back = { "p1", 200 } },
+      .u.loan_reply = { .id = 5, .program = "", .over = true, .turn = "" } },
+    { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = { "p1", 200 } },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -301,16 +308,16 @@
       = { { .table = "a" }, { .table = "b" } };
   const struct mq_relay_frame frames[] = {
     { .kind = MQ_RELAY_CALL_REQUEST,
-      .u.ask = { .entries = entries, .count = 2 } },
+      .u.call_request = { .entries = entries, .count = 2 } },
     { .kind = MQ_RELAY_CALL_REPLY,
-      .u.told = { .result = { .row_count = 0 } } },
+      .u.call_reply = { .result = { .row_count = 0 } } },
     { .kind = MQ_RELAY_CALL_REPLY,
-      .u.told = { .result = { .rows = entries, .row_count = 2 } } },
+      .u.call_reply = { .result = { .rows = entries, .row_count = 2 } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, 0 } },
     { .kind = MQ_RELAY_STATE,
       .u.state = { .workers = workers, .worker_count = ROWS (workers) } },
     { .kind = MQ_RELAY_LOAN_REQUEST,
-      .u.loan_ask = { .program = "p1", .turn = "t1" } },
+      .u.loan_request = { .program = "p1", .turn = "t1" } },
     { .kind = MQ_RELAY_UNKNOWN },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -360,7 +367,7 @@
         continue;
       cr_assert_eq (frame->kind, cases[i].kind, "%s", cases[i].name);
       if (frame->kind == MQ_RELAY_CALL_REPLY)
-        cr_assert_eq (frame->u.told.result.status, MQ_STORE_LOST);
+        cr_assert_eq (frame->u.call_reply.result.status, MQ_STORE_LOST);
     }
   talloc_free (ctx);
 }
@@ -436,12 +443,12 @@
 run_owing (const struct owing_case *row)
 {
   struct tevent_context *ev = tevent_context_init (NULL);
-  struct mq_relay_owner owner = { .loan_told = on_loan_told };
+  struct mq_relay_owner owner = { .loan_reply = on_loan_told };
   struct mq_relay_loan_request ask
       = { .id = 1, .program = "p", .limit = 9, .most = 1, .turn = "" };
   struct mq_relay_frame told
       = { .kind = MQ_RELAY_LOAN_REPLY,
-          .u.loan_told = { .id = 1, .program = "p", .turn = "" } };
+          .u.loan_reply = { .id = 1, .program = "p", .turn = "" } };
   struct mq_bytes frame = mq_relay_frame_pack (ev, &told);
   int other = mq_listen_open ("127.0.0.1:0", NULL);
   struct pollfd listener = { .fd = other, .events = POLLIN };
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -78,14 +78,14 @@
                                             bytes ("one;"), bytes ("e1\n"));
 
   cr_assert_not_null (chain);
-  frame.u.loan_told = (struct mq_relay_loan_reply){
+  frame.u.loan_reply = (struct mq_relay_loan_reply){
     .id = ask->id,
     .program = ask->program,
     .tokens = ask->most,
     .turn = ask->turn,
   };
   if (ask->turn[0] != '\0')
-    frame.u.loan_told.history = mq_chain_pack_whole (lender, chain);
+    frame.u.loan_reply.history = mq_chain_pack_whole (lender, chain);
   send_frame (lender, question->link, &frame);
 }
 
@@ -123,11 +123,11 @@
   struct mq_relay_frame told = { .kind = MQ_RELAY_CALL_REPLY };
 
   if (frame->kind == MQ_RELAY_LOAN_REQUEST)
-    take_question (lender, link, &frame->u.loan_ask);
+    take_question (lender, link, &frame->u.loan_request);
   if (frame->kind != MQ_RELAY_CALL_REQUEST)
     return;
-  told.u.told.id = frame->u.ask.id;
-  told.u.told.result.status = MQ_STORE_DOWN;
+  told.u.call_reply.id = frame->u.call_request.id;
+  told.u.call_reply.result.status = MQ_STORE_DOWN;
   send_frame (lender, link, &told);
 }
 
@@ -319,7 +319,7 @@
    being left alone: else each turn waits for it.  */
 Test (relay_loan, host_that_answers_is_asked)
 {
-  struct mq_relay_owner owner = { .loan_told = on_told };
+  struct mq_relay_owner owner = { .loan_reply = on_told };
 
   for (size_t i = 0; i < ROWS (question_cases); i++)
     {
