--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -1,9 +1,9 @@
 /* commit_queue.c - group commit: writes to one part of the platform's table
    share a transaction.
 
-   A part has two queues: writes that this host brings to the table, those that
-   other hosts gave it among them, and writes of this host that another one
-   gathers.
+   Each part has two queues: one of writes that this host sends to the table,
+   including those forwarded by other hosts, and one of writes that it forwards
+   to the host that batches for the part.
    Needs: commit_queue.h, id.h, idmap.h, memory.h.  */
 
 #include "commit_queue.h"
@@ -12,24 +12,22 @@
 #include "core/memory.h"
 #include <string.h>
 
-/* A host that gathers writes answers within so long: a transaction takes some
-   10 ms, and one before it may be under way.  */
-#define GATHER_MS 150U
+/* Timeout of a write forwarded to the batching host.  */
+#define FORWARD_TIMEOUT_MS 150U
 
-/* Which of a part's queues.  */
+/* Destination of a queue.  */
 enum
 {
   TO_TABLE,
-  TO_WRITER
+  TO_BATCH_HOST
 };
 
 /**
- * struct mq_commit - writes that are done together or not at all: one, or
- *                    those of another host's transaction
- * @entries: their strings lie below the commit
- * @part: queue that it is in
- * @sent: it is in the transaction under way
- * @cancelled: nobody is told
+ * struct mq_commit - an atomic unit: one write of this host, or a transaction
+ *                    forwarded by another host
+ * @entries: strings are owned by the commit
+ * @sent: in the transaction in flight
+ * @cancelled: @done is not called
  */
 struct mq_commit
 {
@@ -44,18 +42,18 @@
 };
 
 /**
- * struct part - writes to one part of the table
- * @way: TO_TABLE or TO_WRITER
+ * struct part - queue of writes to one part of the table
+ * @destination: TO_TABLE or TO_WRITER
  * @waiting: oldest first
- * @batch: in the transaction under way
- * @count: how many, 0: none is under way
- * @rows: that they write
+ * @batch: commits of the transaction in flight
+ * @count: commits in @batch, 0 if no transaction is in flight
+ * @rows: rows written by @batch
  */
 struct part
 {
   struct mq_commit_queue *queue;
   struct mq_id id;
-  uint32_t way;
+  uint32_t destination;
   struct mq_commit *waiting;
   struct mq_commit *batch[MQ_COMMIT_ROWS_MAX];
   size_t count;
@@ -93,18 +91,19 @@
 }
 
 static struct part *
-get_part (struct mq_commit_queue *queue, const char *name, uint32_t way)
+get_part (struct mq_commit_queue *queue, const char *name,
+          uint32_t destination)
 {
   struct mq_id id = mq_id_text_hash (name);
-  struct part *part = mq_idmap_find (queue->parts, id, way);
+  struct part *part = mq_idmap_find (queue->parts, id, destination);
 
   if (part != NULL)
     return part;
   part = mq_must (talloc_zero (queue, struct part));
   part->queue = queue;
   part->id = id;
-  part->way = way;
-  mq_idmap_put (queue->parts, id, way, part);
+  part->destination = destination;
+  mq_idmap_put (queue->parts, id, destination, part);
   return part;
 }
 
@@ -114,11 +113,11 @@
   return strcmp (a->key, b->key) == 0 && strcmp (a->table, b->table) == 0;
 }
 
-/* A conflict names the rows as they are; one that is not named is not
-   there.  */
+/* Current version of the row of ENTRY.  A conflict result lists the existing
+   rows; a row that it lacks is absent.  */
 static uint64_t
-version_there (const struct mq_rows_entry *entry,
-               const struct mq_rows_result *result)
+current_version (const struct mq_rows_entry *entry,
+                 const struct mq_rows_result *result)
 {
   for (size_t i = 0; i < result->row_count; i++)
     if (is_same_row (&result->rows[i], entry))
@@ -128,18 +127,19 @@
 
 size_t
 mq_commit_find_conflicts (const struct mq_rows_entry *entries, size_t count,
-                          const struct mq_rows_result *result, bool *faults)
+                          const struct mq_rows_result *result, bool *conflicts)
 {
   size_t found = 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      faults[i] = entries[i].version != MQ_VERSION_ANY
-                  && version_there (&entries[i], result) != entries[i].version;
-      found += faults[i] ? 1U : 0U;
+      conflicts[i]
+          = entries[i].version != MQ_VERSION_ANY
+            && current_version (&entries[i], result) != entries[i].version;
+      found += conflicts[i] ? 1U : 0U;
     }
   for (size_t i = 0; found == 0 && i < count; i++)
-    faults[i] = true;
+    conflicts[i] = true;
   return found == 0 ? count : found;
 }
 
@@ -153,7 +153,7 @@
   talloc_free (commit);
 }
 
-/* The rows of COMMIT, as far as RESULT tells them, are put into ROWS.  */
+/* RESULT reduced to the rows of COMMIT, which are stored in ROWS.  */
 static struct mq_rows_result
 own_result (const struct mq_commit *commit,
             const struct mq_rows_result *result,
@@ -170,9 +170,9 @@
   return own;
 }
 
-/* Those without fault go again, before what came later.  */
+/* Requeues commits that caused no conflict ahead of newer ones.  */
 static void
-put_first (struct part *part, struct mq_commit *const *commits, size_t count)
+requeue (struct part *part, struct mq_commit *const *commits, size_t count)
 {
   while (count-- > 0)
     {
@@ -182,36 +182,35 @@
     }
 }
 
-/* Any of the COUNT rows from FIRST on is at fault.  */
 static bool
-any_fault (const bool *faults, size_t first, size_t count)
+has_conflict (const bool *conflicts, size_t first, size_t count)
 {
   for (size_t i = first; i < first + count; i++)
-    if (faults[i])
+    if (conflicts[i])
       return true;
   return false;
 }
 
-/* Splits the batch into those that have an outcome, which are returned, and
-   those that go again.  */
+/* Stores the commits of the batch that are complete in ENDED, returns their
+   number and requeues the others.  */
 static size_t
-take_outcomes (struct part *part, const struct mq_rows_result *result,
-               struct mq_commit *ended[MQ_COMMIT_ROWS_MAX])
+split_batch (struct part *part, const struct mq_rows_result *result,
+             struct mq_commit *ended[MQ_COMMIT_ROWS_MAX])
 {
-  struct mq_commit *again[MQ_COMMIT_ROWS_MAX];
-  bool faults[MQ_COMMIT_ROWS_MAX];
+  struct mq_commit *retry[MQ_COMMIT_ROWS_MAX];
+  bool conflicts[MQ_COMMIT_ROWS_MAX];
   size_t ended_count = 0;
-  size_t again_count = 0;
+  size_t retry_count = 0;
   size_t row = 0;
 
-  memset (faults, true, sizeof faults);
+  memset (conflicts, true, sizeof conflicts);
   if (result->status == MQ_STORE_CONFLICT)
     (void)mq_commit_find_conflicts (part->rows, part->row_count, result,
-                                    faults);
+                                    conflicts);
   for (size_t i = 0; i < part->count; i++)
     {
       struct mq_commit *commit = part->batch[i];
-      bool ends = any_fault (faults, row, commit->count);
+      bool ends = has_conflict (conflicts, row, commit->count);
 
       row += commit->count;
       if (ends)
@@ -219,10 +218,10 @@
       else if (commit->cancelled)
         talloc_free (commit);
       else
-        again[again_count++] = commit;
+        retry[retry_count++] = commit;
     }
   part->count = 0;
-  put_first (part, again, again_count);
+  requeue (part, retry, retry_count);
   return ended_count;
 }
 
@@ -231,7 +230,7 @@
 {
   struct part *part = user;
   struct mq_commit *ended[MQ_COMMIT_ROWS_MAX];
-  size_t count = take_outcomes (part, result, ended);
+  size_t count = split_batch (part, result, ended);
 
   for (size_t i = 0; i < count; i++)
     {
@@ -245,9 +244,8 @@
 
 /* Sending */
 
-/* Puts COMMIT behind all that wait in PART.  */
 static void
-put_last (struct part *part, struct mq_commit *commit)
+enqueue (struct part *part, struct mq_commit *commit)
 {
   struct mq_commit **at = &part->waiting;
 
@@ -259,9 +257,8 @@
   *at = commit;
 }
 
-/* A call that the table turned away, or that did not reach it, was certainly
-   not done: another host may make it.  Where the table answered this host
-   meanwhile, it is a part of the table that does not, to nobody.  */
+/* DOWN means that the transaction was not executed, so another host may retry
+   it.  A suspect part does not answer other hosts either.  */
 static void
 on_direct (const struct mq_rows_result *result, void *user)
 {
@@ -275,9 +272,10 @@
     on_done (result, part);
 }
 
-/* What the host that gathers did certainly not do, this one does.  */
+/* DOWN means that the batching host did not execute the writes; this host
+   sends them to the table itself.  */
 static void
-on_gathered (const struct mq_rows_result *result, void *user)
+on_forwarded (const struct mq_rows_result *result, void *user)
 {
   struct part *part = user;
   struct part *table;
@@ -292,7 +290,7 @@
     if (part->batch[i]->cancelled)
       talloc_free (part->batch[i]);
     else
-      put_last (table, part->batch[i]);
+      enqueue (table, part->batch[i]);
   part->count = 0;
   send_next (table);
   send_next (part);
@@ -304,11 +302,11 @@
   struct mq_commit_queue *queue = part->queue;
   const char *writer = NULL;
 
-  if (part->way == TO_WRITER)
+  if (part->destination == TO_BATCH_HOST)
     writer = mq_relay_writer (queue->relay, part->rows[0].part);
   if (writer != NULL)
-    mq_relay_commit_at (queue->relay, writer, GATHER_MS, part->rows,
-                        part->row_count, on_gathered, part);
+    mq_relay_commit_at (queue->relay, writer, FORWARD_TIMEOUT_MS, part->rows,
+                        part->row_count, on_forwarded, part);
   else if (mq_rows_down (queue->rows)
            && mq_relay_host_count (queue->relay) > 0)
     mq_relay_commit (queue->relay, part->rows, part->row_count, on_done, part);
@@ -317,7 +315,7 @@
 }
 
 static size_t
-bytes_of (const struct mq_commit *commit)
+value_bytes (const struct mq_commit *commit)
 {
   size_t bytes = 0;
 
@@ -326,13 +324,15 @@
   return bytes;
 }
 
-/* COMMIT may go with those that were chosen so far: one row is written once in
-   a transaction.  */
+/* Whether COMMIT may join the batch: size limits hold, and no row is written
+   twice in a transaction.  */
 static bool
-fits (const struct part *part, const struct mq_commit *commit, size_t bytes)
+can_join_batch (const struct part *part, const struct mq_commit *commit,
+                size_t bytes)
 {
   if (part->row_count + commit->count > MQ_COMMIT_ROWS_MAX
-      || (part->count > 0 && bytes + bytes_of (commit) > MQ_COMMIT_BYTES_MAX))
+      || (part->count > 0
+          && bytes + value_bytes (commit) > MQ_COMMIT_BYTES_MAX))
     return false;
   for (size_t i = 0; i < part->row_count; i++)
     for (size_t k = 0; k < commit->count; k++)
@@ -342,7 +342,7 @@
 }
 
 static void
-choose_batch (struct part *part)
+fill_batch (struct part *part)
 {
   struct mq_commit **at = &part->waiting;
   size_t bytes = 0;
@@ -352,14 +352,14 @@
     {
       struct mq_commit *commit = *at;
 
-      if (!fits (part, commit, bytes))
+      if (!can_join_batch (part, commit, bytes))
         {
           at = &commit->next;
           continue;
         }
       *at = commit->next;
       commit->sent = true;
-      bytes += bytes_of (commit);
+      bytes += value_bytes (commit);
       part->batch[part->count++] = commit;
       for (size_t k = 0; k < commit->count; k++)
         part->rows[part->row_count++] = commit->entries[k];
@@ -371,8 +371,8 @@
 {
   if (part->count > 0 || part->waiting == NULL)
     return;
-  choose_batch (part);
-  if (part->way == TO_TABLE)
+  fill_batch (part);
+  if (part->destination == TO_TABLE)
     mq_histogram_add (&part->queue->batch_rows, part->row_count);
   send_batch (part);
 }
@@ -404,7 +404,7 @@
       = mq_must (talloc_zero_array (commit, struct mq_rows_entry, count));
   for (size_t i = 0; i < count; i++)
     copy_entry (commit, &commit->entries[i], &entries[i]);
-  put_last (part, commit);
+  enqueue (part, commit);
   send_next (part);
   return commit;
 }
@@ -414,10 +414,11 @@
                const struct mq_rows_entry *entry, mq_rows_done *done,
                void *user)
 {
-  bool gathered = mq_relay_writer (queue->relay, entry->part) != NULL;
+  bool forwards = mq_relay_writer (queue->relay, entry->part) != NULL;
 
-  return add (get_part (queue, entry->part, gathered ? TO_WRITER : TO_TABLE),
-              entry, 1, done, user);
+  return add (
+      get_part (queue, entry->part, forwards ? TO_BATCH_HOST : TO_TABLE),
+      entry, 1, done, user);
 }
 
 void
--- a/src/router/router_clean.c
+++ b/src/router/router_clean.c
@@ -1,8 +1,9 @@
-/* router_clean.c - removal of old records from the platform's table.
+/* router_clean.c - removal of expired records from the platform's table.
+
+   Each host scans the parts in turn, from a random start, so that hosts need
+   no coordination.  A record is removed only if its version is unchanged since
+   it was read.
 
-   Each host looks at one part after the other, from a place of its own, so
-   that together they go through all of them without agreeing on anything.  A
-   record is removed on the condition that it is still the one that was read.
    Needs: router_state.h, clock.h.  */
 
 #include "router_state.h"
@@ -10,14 +11,15 @@
 #include "net/clock.h"
 #include <stdio.h>
 
-/* Records read at a time, and removed with one transaction.  */
-#define LOOK_ROWS 100U
+/* Records per read, and per transaction that removes them.  */
+#define SCAN_ROWS 100U
 
 /**
- * struct mq_cleaner - where this host's look goes
- * @part: number of the part, of both tables together
- * @from: key at which the next look begins
- * @next_ms: time of the next look
+ * struct mq_cleaner - position of this host's scan
+ * @part: index over the parts of both tables
+ * @from: first key of the next scan
+ * @next_ms: time of the next scan
+ * @busy: a scan or removal is in flight
  */
 struct mq_cleaner
 {
@@ -55,17 +57,17 @@
 {
   struct mq_cleaner *cleaner = user;
 
-  /* Whatever was not removed is seen again on the next round.  */
+  /* Records that were not removed are found by the next scan.  */
   (void)result;
   cleaner->busy = false;
   mq_clean_sweep (cleaner->router);
 }
 
-/* On to the rows after these, or to the next part.  */
+/* Moves on to the following rows, or to the next part.  */
 static void
 advance (struct mq_cleaner *cleaner, const struct mq_rows_result *result)
 {
-  if (result->row_count < LOOK_ROWS)
+  if (result->row_count < SCAN_ROWS)
     {
       cleaner->part = (cleaner->part + 1) % (2 * MQ_TURN_PARTS);
       cleaner->from[0] = '\0';
@@ -76,34 +78,34 @@
 }
 
 static size_t
-pick_old (const struct mq_cleaner *cleaner,
-          const struct mq_rows_result *result,
-          struct mq_rows_entry old[LOOK_ROWS], const char *part)
+select_expired (const struct mq_cleaner *cleaner,
+                const struct mq_rows_result *result,
+                struct mq_rows_entry expired[SCAN_ROWS], const char *part)
 {
   uint64_t now = mq_rows_clock_s (cleaner->router->rows);
   size_t count = 0;
 
-  for (size_t i = 0; i < result->row_count && count < LOOK_ROWS; i++)
+  for (size_t i = 0; i < result->row_count && count < SCAN_ROWS; i++)
     {
       const struct mq_rows_entry *row = &result->rows[i];
       uint64_t until = row_until (cleaner, row->value);
 
       if (until == 0 || until >= now)
         continue;
-      old[count++] = (struct mq_rows_entry){ .table = table_of (cleaner),
-                                             .part = part,
-                                             .key = row->key,
-                                             .version = row->version,
-                                             .remove = true };
+      expired[count++] = (struct mq_rows_entry){ .table = table_of (cleaner),
+                                                 .part = part,
+                                                 .key = row->key,
+                                                 .version = row->version,
+                                                 .remove = true };
     }
   return count;
 }
 
 static void
-on_looked (const struct mq_rows_result *result, void *user)
+on_scanned (const struct mq_rows_result *result, void *user)
 {
   struct mq_cleaner *cleaner = user;
-  struct mq_rows_entry old[LOOK_ROWS];
+  struct mq_rows_entry expired[SCAN_ROWS];
   char part[8];
   size_t count;
 
@@ -111,12 +113,13 @@
   if (result->status != MQ_STORE_OK)
     return;
   part_name (cleaner, part);
-  count = pick_old (cleaner, result, old, part);
+  count = select_expired (cleaner, result, expired, part);
   if (count > 0)
     {
       cleaner->busy = true;
       cleaner->router->counters.records_removed += count;
-      mq_rows_commit (cleaner->router->rows, old, count, on_removed, cleaner);
+      mq_rows_commit (cleaner->router->rows, expired, count, on_removed,
+                      cleaner);
     }
   advance (cleaner, result);
   mq_clean_sweep (cleaner->router);
@@ -154,5 +157,5 @@
   cleaner->next_ms = now + router->settings->clean_look_ms;
   part_name (cleaner, part);
   mq_rows_scan (router->rows, table_of (cleaner), part, cleaner->from,
-                LOOK_ROWS, on_looked, cleaner);
+                SCAN_ROWS, on_scanned, cleaner);
 }
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -1,14 +1,13 @@
-/* router_feed.c - the configurations and the workers that are listed.
-
-   Both are followed in the platform's table.
+/* router_feed.c - change feeds of the configuration and of the workers in the
+   platform's table.
    Needs: router_state.h, clock.h.  */
 
 #include "router_state.h"
 #include "net/clock.h"
 #include <string.h>
 
-/* While our own feeds are dead another host is asked this often: a
-   configuration must be in force everywhere within two seconds.  */
+/* Interval of requests to another host while this host's feeds fail.  A
+   configuration must take effect on all hosts within two seconds.  */
 #define SYNC_MS 300U
 
 static void
@@ -36,8 +35,8 @@
   mq_json_end (&line);
 }
 
-/* The worker's own entry went under another writer's, which names no worker:
-   whoever stands at the address now is not known.  */
+/* Removes a worker whose row can't be decoded: another writer has overwritten
+   it, so the process at its address is unknown.  */
 static void
 drop_worker (struct mq_router *router, const char *id,
              const struct mq_error *error)
@@ -82,27 +81,27 @@
   talloc_free (ctx);
 }
 
-/* Entries of workers lapse while the table is away, since nobody can renew
-   them, and are back within two seconds of its return if the worker lives.  A
-   host that took them at their word would have no worker for these seconds. */
-#define LAPSE_MS 2300U
+/* Grace period for workers' rows after the table recovers.  Rows expire during
+   an outage because they can't be renewed; a live worker renews its row within
+   two seconds.  */
+#define GRACE_MS 2300U
 
-/* Until when a worker that is missing may still come back, 0: it is gone.  */
+/* End of the grace period for a missing worker; 0 if it is removed at once. */
 static uint64_t
-lapse_until (const struct mq_router *router)
+grace_until (const struct mq_router *router)
 {
   uint64_t back = mq_rows_recovered_ms (router->rows);
-  uint64_t until = back + LAPSE_MS;
+  uint64_t until = back + GRACE_MS;
 
   return back == 0 || mq_clock_ms () >= until ? 0 : until;
 }
 
 static void
-on_worker_gone (const char *key, void *user)
+on_worker_removed (const char *key, void *user)
 {
   struct mq_router *router = user;
 
-  if (mq_fleet_remove (router->fleet, key, lapse_until (router)))
+  if (mq_fleet_remove (router->fleet, key, grace_until (router)))
     log_worker (router, MQ_LOG_WORKER_GONE, key, NULL);
 }
 
@@ -116,7 +115,7 @@
       mq_fleet_list_begin (router->fleet);
       return;
     }
-  mq_fleet_list_end (router->fleet, lapse_until (router));
+  mq_fleet_list_end (router->fleet, grace_until (router));
   router->workers_listed = true;
 }
 
@@ -126,7 +125,7 @@
   struct mq_rows_watcher config = { .row = on_config_row, .user = router };
   struct mq_rows_watcher workers = { .list = on_worker_list,
                                      .row = on_worker_row,
-                                     .gone = on_worker_gone,
+                                     .gone = on_worker_removed,
                                      .user = router };
 
   mq_rows_watch (router->rows, mq_wire_config_table, &config);
@@ -159,8 +158,8 @@
   talloc_free (workers);
 }
 
-/* What another host tells is newer than what a dead feed has told; a feed that
-   is alive knows better.  */
+/* Applies another host's state, unless this host's own feeds work: they are
+   more recent.  */
 void
 mq_feed_on_state (const struct mq_relay_state *state, void *user)
 {
@@ -180,7 +179,7 @@
 }
 
 static void
-note_table (struct mq_router *router)
+log_table_state (struct mq_router *router)
 {
   bool down = mq_rows_down (router->rows);
   struct mq_json_line line;
@@ -195,9 +194,9 @@
   mq_json_end (&line);
 }
 
-/* Asks another host for what this one does not know.  */
+/* Requests newer state from another host.  */
 static void
-ask_others (struct mq_router *router)
+request_sync (struct mq_router *router)
 {
   struct mq_relay_sync sync = { 0 };
   size_t count = 0;
@@ -217,10 +216,10 @@
 {
   uint64_t now = mq_clock_ms ();
 
-  note_table (router);
+  log_table_state (router);
   mq_fleet_expire (router->fleet, now);
   if (mq_rows_feeds_healthy (router->rows) || now - router->sync_ms < SYNC_MS)
     return;
   router->sync_ms = now;
-  ask_others (router);
+  request_sync (router);
 }
--- a/src/router/router_hosts.c
+++ b/src/router/router_hosts.c
@@ -1,7 +1,7 @@
-/* router_hosts.c - how routing hosts find each other.
+/* router_hosts.c - discovery of routing hosts.
 
-   Each has a row in the platform's table, which it renews; a row that was not
-   renewed belongs to a host that was lost, and whoever sees it removes it.
+   Each host has a row in the platform's table and renews it.  A row that has
+   expired belongs to a lost host; any host that reads it removes it.
    Needs: router_state.h, clock.h, proto/relay.pb-c.h.  */
 
 #include "router_state.h"
@@ -9,31 +9,29 @@
 #include "net/clock.h"
 #include <string.h>
 
-/* Rows of this table lie each under its host's name.  */
+/* The key of a row is the host's name.  */
 static const char host_table[] = "host";
 
-/* The hosts are listed this often; as long as none is known, sooner.  With
-   many hosts the list is long and one more or less matters little: the pause
-   grows so that a list of 60 bytes a host costs under 100 bytes a second.  */
+/* Interval of listing the hosts: LIST_FIRST_MS while none is known, else
+   LIST_MS plus as much for every LIST_HOSTS hosts, to bound the traffic.  */
 #define LIST_MS 10000U
 #define LIST_FIRST_MS 1500U
 #define LIST_HOSTS 16U
-/* A row is renewed this often, and counts for three times as long, so that a
-   table that is away for minutes makes no host look lost.  */
+/* Renewal interval of a row, which is valid for three times as long, so that
+   hosts outlast an outage of the table for some minutes.  */
 #define RENEW_MS 600000U
-/* Pause after a renewal that failed.  */
 #define RENEW_RETRY_MS 2000U
-#define KEEP_S (3U * RENEW_MS / 1000U)
+#define ROW_TTL_S (3U * RENEW_MS / 1000U)
 
 static void
 on_removed (const struct mq_rows_result *result, void *user)
 {
-  /* Whatever was not removed is seen again with the next list.  */
+  /* A row that was not removed is found by the next list.  */
   (void)result;
   (void)user;
 }
 
-/* The row is removed as it was read: its host may just be writing it anew.  */
+/* Removes ROW if its version is unchanged: its host may be renewing it.  */
 static void
 remove_lost (struct mq_router *router, const struct mq_rows_entry *row)
 {
@@ -105,7 +103,7 @@
       = router->row_written || (router->announced && !router->leaving);
 }
 
-/* Writes, or removes, the row by which other hosts find this one.  */
+/* Writes or removes this host's row.  */
 static void
 write_own_row (struct mq_router *router, bool remove)
 {
@@ -119,7 +117,7 @@
 
   host.address = (char *)(uintptr_t)mq_relay_address (router->relay);
   host.data_centre = (char *)(uintptr_t)router->settings->data_centre;
-  host.until_s = mq_rows_clock_s (router->rows) + KEEP_S;
+  host.until_s = mq_rows_clock_s (router->rows) + ROW_TTL_S;
   if (mqrelay__host_row__get_packed_size (&host) > sizeof bytes)
     return;
   entry.value.len = mqrelay__host_row__pack (&host, bytes);
@@ -139,7 +137,7 @@
 }
 
 static uint64_t
-list_pause_ms (const struct mq_router *router)
+list_interval_ms (const struct mq_router *router)
 {
   size_t count = mq_relay_host_count (router->relay);
 
@@ -183,7 +181,7 @@
     write_own_row (router, false);
   if (router->hosts_asked
       || (router->hosts_ms != 0
-          && now - router->hosts_ms < list_pause_ms (router)))
+          && now - router->hosts_ms < list_interval_ms (router)))
     return;
   router->hosts_ms = now;
   router->hosts_asked = true;
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -1,12 +1,17 @@
-/* router_loan.c - tokens and histories that hosts lend each other.
-
-   A turn whose budget or history lies at another host is answered from that
-   host's memory: a history there is one whose record is durable, and tokens
-   leave the lender's grant before they are sent.  Three questions are asked:
-   of the hosts near by, before the table; of all, while the table is away,
-   where in the end the host with the lease on the program issues the one
-   turn's tokens that the budget allows beyond its limit (budget.h, reserve.h);
-   and of all, when a program's record is full, for tokens that nobody uses.
+/* router_loan.c - loans of budget tokens and turn histories between hosts.
+
+   A turn whose budget or history is held by another host is served from that
+   host's memory.  A host shares only histories whose record is durable, and
+   deducts tokens from its own grant before it sends them.  Loans are requested
+
+   - from hosts of the same data centre, before the table is read;
+   - from all hosts while the table is unavailable.  As a last resort, the host
+     that holds the program's lease issues the tokens of one turn beyond the
+     limit (budget.h, reserve.h);
+   - from all hosts when a program's budget is fully granted, to reclaim unused
+     tokens.
+
+
    Needs: router_turns.h, memory.h, clock.h.  */
 
 #include "router_turns.h"
@@ -14,22 +19,18 @@
 #include "net/clock.h"
 #include <string.h>
 
-/* Time for the other hosts' answers: two ways between data centres are 2 ms,
-   the rest is for hosts that are busy.  */
-#define WAIT_MS 60U
-/* The same where the table could be asked meanwhile, which takes 6 ms: one way
-   within a data centre is 0.2 ms, the rest is a slow host's time.  */
-#define WAIT_NEAR_MS 10U
+#define REPLY_TIMEOUT_MS 60U
+/* Timeout before the table is read instead.  */
+#define NEAR_REPLY_TIMEOUT_MS 10U
 
 /**
- * struct mq_loan - a question to other hosts for one turn, or for a program
- *                  whose record is full
- * @turn: that waits for it, NULL: @program does
- * @id: of the question
- * @due: answers that are still to come
- * @near: the table can be asked; this is a shorter way
- * @issue: it has come to asking for tokens that no record counts
- * @over: some host knows that no tokens may be issued
+ * struct mq_loan - a loan request in progress
+ * @turn: turn that waits for it, NULL if @program reclaims tokens
+ * @program: program that reclaims unused tokens, or NULL
+ * @replies_due: replies outstanding
+ * @near: sent to hosts of this data centre only, before a read of the table
+ * @issue: asks the lease holder to issue tokens that no record counts yet
+ * @over: a host reported that no tokens may be issued
  */
 struct mq_loan
 {
@@ -39,7 +40,7 @@
   struct mq_loan *next;
   struct mq_timer *timer;
   uint64_t id;
-  uint32_t due;
+  uint32_t replies_due;
   bool near;
   bool issue;
   bool over;
@@ -67,7 +68,7 @@
 }
 
 static void
-end_loan (struct mq_loan *loan, enum mq_turn_state state)
+finish_loan (struct mq_loan *loan, enum mq_turn_state state)
 {
   struct mq_turn *turn = loan->turn;
 
@@ -76,9 +77,10 @@
   mq_turn_tell (turn, state);
 }
 
-/* The turn has all that it needs, or what it has suffices.  */
+/* Reserves the tokens of TURN from the local grant; false if they don't
+   suffice.  */
 static bool
-take_budget (struct mq_turn *turn)
+reserve_tokens (struct mq_turn *turn)
 {
   struct mq_program *program;
 
@@ -97,35 +99,38 @@
   return true;
 }
 
-static void step_loan (struct mq_loan *loan);
+static void advance_loan (struct mq_loan *loan);
 
 static void
-on_over (void *data)
+on_timeout (void *data)
 {
   struct mq_loan *loan = data;
 
   loan->timer = NULL;
-  loan->due = 0;
-  step_loan (loan);
+  loan->replies_due = 0;
+  advance_loan (loan);
 }
 
 static void
-ask_hosts (struct mq_loan *loan, const struct mq_relay_loan_request *ask)
+send_request (struct mq_loan *loan,
+              const struct mq_relay_loan_request *request)
 {
   struct mq_router *router = loan->turns->router;
-  uint32_t wait = loan->near ? WAIT_NEAR_MS : WAIT_MS;
+  uint32_t timeout_ms = loan->near ? NEAR_REPLY_TIMEOUT_MS : REPLY_TIMEOUT_MS;
 
-  loan->due = mq_relay_request_loan (router->relay, ask, loan->near);
+  loan->replies_due
+      = mq_relay_request_loan (router->relay, request, loan->near);
   TALLOC_FREE (loan->timer);
-  loan->timer = mq_timer_add (loan, router->ev, loan->due == 0 ? 0 : wait,
-                              on_over, loan);
+  loan->timer = mq_timer_add (loan, router->ev,
+                              loan->replies_due == 0 ? 0 : timeout_ms,
+                              on_timeout, loan);
 }
 
 static void
-ask_for_turn (struct mq_loan *loan)
+request_for_turn (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
-  struct mq_relay_loan_request ask = {
+  struct mq_relay_loan_request request = {
     .id = loan->id,
     .program = turn->program == NULL ? "" : turn->program,
     .limit = turn->limit,
@@ -134,12 +139,12 @@
     .issue = loan->issue,
   };
 
-  ask_hosts (loan, &ask);
+  send_request (loan, &request);
 }
 
-/* No host has tokens of the program: the one with its lease issues some.  */
+/* No host lends tokens of the program: its lease holder issues some.  */
 static void
-ask_issue (struct mq_loan *loan)
+request_issue (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
   struct mq_program *program = mq_program_get (turn->turns, turn->program);
@@ -148,15 +153,15 @@
   if (program == NULL
       || !mq_reserve_may_issue (turn->turns->router, turn->program))
     {
-      ask_for_turn (loan);
+      request_for_turn (loan);
       return;
     }
   mq_budget_issue (&program->budget, turn->limit, turn->most);
-  step_loan (loan);
+  advance_loan (loan);
 }
 
 static void
-end_recall (struct mq_loan *loan)
+finish_reclaim (struct mq_loan *loan)
 {
   struct mq_program *program = loan->program;
 
@@ -164,15 +169,15 @@
   mq_program_recalled (program);
 }
 
-/* All hosts that will answer have answered.  */
+/* Continues once all replies are in or the timeout has passed.  */
 static void
-step_loan (struct mq_loan *loan)
+advance_loan (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
 
   if (turn == NULL)
     {
-      end_recall (loan);
+      finish_reclaim (loan);
       return;
     }
   if (loan->near)
@@ -187,23 +192,24 @@
     }
   if (turn->missing[0] != '\0')
     {
-      /* Comes back here once the history is joined.  */
+      /* With its history complete, the turn requests its budget, which may
+         start another loan.  */
       turn->loan = NULL;
       if (mq_turn_find_in_memory (turn))
         mq_loan_forget (loan);
       else
-        end_loan (loan, MQ_TURN_NO_STORE);
+        finish_loan (loan, MQ_TURN_NO_STORE);
       return;
     }
-  if (take_budget (turn))
+  if (reserve_tokens (turn))
     {
       turn->turns->router->counters.turns_lent++;
-      end_loan (loan, MQ_TURN_READY);
+      finish_loan (loan, MQ_TURN_READY);
     }
   else if (loan->issue || loan->over)
-    end_loan (loan, MQ_TURN_NO_STORE);
+    finish_loan (loan, MQ_TURN_NO_STORE);
   else
-    ask_issue (loan);
+    request_issue (loan);
 }
 
 static struct mq_loan *
@@ -222,8 +228,8 @@
 void
 mq_loan_begin (struct mq_turn *turn)
 {
-  /* Where the table answers in part, the turn can end: its row has other
-     places.  */
+  /* A turn that may not borrow needs the table.  It continues if only a part
+     of the table is unavailable, since its row can go to another part.  */
   if (!turn->may_borrow
       && mq_table_client_down (turn->turns->router->table_client))
     {
@@ -232,74 +238,75 @@
     }
   turn->loan = create_loan (turn->turns);
   turn->loan->turn = turn;
-  ask_for_turn (turn->loan);
+  request_for_turn (turn->loan);
 }
 
-/* The load: a program's turns come to any host of a data centre, and each that
-   came to another one than before took a read of its history and a write for a
-   grant of its own, on a table whose rates bind in a burst.  Hosts that served
-   the turns before have both in memory.  */
+/* A program's turns may arrive at any host of a data centre.  A host that
+   served an earlier turn has the history and a grant in memory, which saves a
+   read and a write of the table.  */
 void
 mq_loan_try (struct mq_turn *turn)
 {
   turn->loan = create_loan (turn->turns);
   turn->loan->turn = turn;
   turn->loan->near = true;
-  ask_for_turn (turn->loan);
+  request_for_turn (turn->loan);
 }
 
 struct mq_loan *
 mq_loan_recall (struct mq_program *program, uint64_t limit, uint64_t most)
 {
   struct mq_loan *loan = create_loan (program->turns);
-  struct mq_relay_loan_request ask = { .id = loan->id,
-                                       .program = program->id,
-                                       .limit = limit,
-                                       .most = most,
-                                       .turn = "" };
+  struct mq_relay_loan_request request = { .id = loan->id,
+                                           .program = program->id,
+                                           .limit = limit,
+                                           .most = most,
+                                           .turn = "" };
 
   loan->program = program;
-  ask_hosts (loan, &ask);
+  send_request (loan, &request);
   return loan;
 }
 
-/* What other hosts lend */
+/* Borrowing */
 
 static void
-take_history (struct mq_turns *turns, const struct mq_relay_loan_reply *told)
+store_history (struct mq_turns *turns, const struct mq_relay_loan_reply *reply)
 {
-  struct mq_chain *chain = mq_chain_unpack (turns, told->turn, told->history);
+  struct mq_chain *chain
+      = mq_chain_unpack (turns, reply->turn, reply->history);
 
   if (chain != NULL)
     mq_chain_cache_put (turns->cache, chain);
 }
 
-/* Also tokens that come too late for the turn that asked serve the program's
-   next one; if none comes, the record counts them as spent.  */
+/* Tokens that arrive too late for their turn stay available to the program's
+   next one.  The record counts them as spent if there is none.  */
 static void
-take_tokens (struct mq_turns *turns, const struct mq_relay_loan_reply *told,
-             const char *address)
+store_tokens (struct mq_turns *turns, const struct mq_relay_loan_reply *reply,
+              const char *address)
 {
-  struct mq_program *program = mq_program_get (turns, told->program);
+  struct mq_program *program = mq_program_get (turns, reply->program);
 
   if (program == NULL)
     return;
-  mq_budget_borrow (&program->budget, told->tokens);
+  mq_budget_borrow (&program->budget, reply->tokens);
   talloc_free (program->lender);
   program->lender = talloc_strdup (program, address);
 }
 
-/* All turns of the program go where its cache is, as far as any host knows. */
+/* Adopts the worker that holds the program's cache, for affinity.  */
 static void
-take_home (struct mq_turns *turns, const struct mq_relay_loan_reply *told)
+adopt_home (struct mq_turns *turns, const struct mq_relay_loan_reply *reply)
 {
-  struct mq_program *program = mq_program_get (turns, told->program);
+  struct mq_program *program = mq_program_get (turns, reply->program);
 
   if (program != NULL && program->home == 0)
-    program->home = told->home;
+    program->home = reply->home;
 }
 
-/* What the turn lacks has come: the other answers need not be waited for.  */
+/* Whether the turn has all that it lacked, so that no more replies are
+   needed.  */
 static bool
 is_satisfied (const struct mq_loan *loan)
 {
@@ -317,87 +324,90 @@
 }
 
 void
-mq_loan_on_told (const struct mq_relay_loan_reply *told, const char *address,
+mq_loan_on_told (const struct mq_relay_loan_reply *reply, const char *address,
                  void *user)
 {
   struct mq_router *router = user;
   struct mq_turns *turns = router->turns;
   struct mq_loan *loan = turns->loans;
 
-  if (told->tokens > 0)
-    take_tokens (turns, told, address);
-  if (told->turn[0] != '\0')
-    take_history (turns, told);
-  if (told->home != 0)
-    take_home (turns, told);
-  while (loan != NULL && loan->id != told->id)
+  if (reply->tokens > 0)
+    store_tokens (turns, reply, address);
+  if (reply->turn[0] != '\0')
+    store_history (turns, reply);
+  if (reply->home != 0)
+    adopt_home (turns, reply);
+  while (loan != NULL && loan->id != reply->id)
     loan = loan->next;
-  if (loan == NULL || loan->due == 0)
+  if (loan == NULL || loan->replies_due == 0)
     return;
-  loan->over = loan->over || told->over;
-  if (--loan->due > 0 && !is_satisfied (loan))
+  loan->over = loan->over || reply->over;
+  if (--loan->replies_due > 0 && !is_satisfied (loan))
     return;
   TALLOC_FREE (loan->timer);
-  step_loan (loan);
+  advance_loan (loan);
 }
 
-/* What this host lends */
+/* Lending */
 
 static void
-lend_tokens (struct mq_router *router, const struct mq_relay_loan_request *ask,
-             struct mq_relay_loan_reply *told)
+lend_tokens (struct mq_router *router,
+             const struct mq_relay_loan_request *request,
+             struct mq_relay_loan_reply *reply)
 {
   struct mq_turns *turns = router->turns;
-  bool issues = ask->issue && mq_reserve_may_issue (router, ask->program);
-  struct mq_program *program = issues ? mq_program_get (turns, ask->program)
-                                      : mq_program_find (turns, ask->program);
+  bool may_issue
+      = request->issue && mq_reserve_may_issue (router, request->program);
+  struct mq_program *program = may_issue
+                                   ? mq_program_get (turns, request->program)
+                                   : mq_program_find (turns, request->program);
 
   if (program == NULL)
     return;
   program->used_ms = mq_clock_ms ();
-  program->limit = ask->limit;
-  if (issues)
-    mq_budget_issue (&program->budget, ask->limit, ask->most);
-  told->over = mq_budget_over (&program->budget, ask->limit)
-               || (program->budget.issued > 0
-                   && !mq_reserve_may_issue (router, ask->program));
-  told->tokens = mq_budget_lend (&program->budget, ask->most);
+  program->limit = request->limit;
+  if (may_issue)
+    mq_budget_issue (&program->budget, request->limit, request->most);
+  reply->over = mq_budget_over (&program->budget, request->limit)
+                || (program->budget.issued > 0
+                    && !mq_reserve_may_issue (router, request->program));
+  reply->tokens = mq_budget_lend (&program->budget, request->most);
 }
 
 static void
 lend_history (TALLOC_CTX *ctx, struct mq_router *router,
-              const struct mq_relay_loan_request *ask,
-              struct mq_relay_loan_reply *told)
+              const struct mq_relay_loan_request *request,
+              struct mq_relay_loan_reply *reply)
 {
   const struct mq_chain *chain
-      = mq_chain_cache_find (router->turns->cache, ask->turn);
+      = mq_chain_cache_find (router->turns->cache, request->turn);
 
   if (chain == NULL)
     return;
-  told->turn = ask->turn;
-  told->history = mq_chain_pack_whole (ctx, chain);
+  reply->turn = request->turn;
+  reply->history = mq_chain_pack_whole (ctx, chain);
 }
 
 void
-mq_loan_on_ask (const struct mq_relay_loan_request *ask,
+mq_loan_on_ask (const struct mq_relay_loan_request *request,
                 struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
-  struct mq_relay_loan_reply told
-      = { .id = ask->id, .program = ask->program, .turn = "" };
+  struct mq_relay_loan_reply reply
+      = { .id = request->id, .program = request->program, .turn = "" };
   TALLOC_CTX *ctx = talloc_new (router);
   const struct mq_program *program
-      = mq_program_find (router->turns, ask->program);
+      = mq_program_find (router->turns, request->program);
 
   if (program != NULL)
-    told.home = program->home;
-  if (ask->most > 0)
-    lend_tokens (router, ask, &told);
-  if (ask->turn[0] != '\0')
-    lend_history (ctx, router, ask, &told);
-  if (told.tokens > 0 || told.turn[0] != '\0')
+    reply.home = program->home;
+  if (request->most > 0)
+    lend_tokens (router, request, &reply);
+  if (request->turn[0] != '\0')
+    lend_history (ctx, router, request, &reply);
+  if (reply.tokens > 0 || reply.turn[0] != '\0')
     router->counters.loans_given++;
-  mq_relay_send_loan_reply (router->relay, link, &told);
+  mq_relay_send_loan_reply (router->relay, link, &reply);
   talloc_free (ctx);
 }
 
@@ -411,8 +421,9 @@
     mq_budget_take_back (&program->budget, back->tokens);
 }
 
-/* Without the table, what a turn leaves of its most, three quarters of it,
-   serves the next send of the same turn, at whichever host it comes to.  */
+/* While the table is unavailable, returns the tokens that a turn did not use
+   to their lender, so that a retry of the turn at another host can borrow
+   them.  */
 void
 mq_loan_give_back (struct mq_program *program)
 {
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -1,8 +1,11 @@
-/* router_permit.c - permits for requests of organisations that have a limit.
+/* router_permit.c - permits for requests of organisations that have a request
+   limit.
+
+   A request waits here for a permit from the host that issues them for its
+   organisation.  Requests that arrive in one iteration of the event loop share
+   a message to the issuer.  quota.h decides what is requested, issued and
+   used.
 
-   A request waits here until the host that issues permits of its organisation
-   has answered; those that come in one turn of the event loop are asked for
-   together.  What is asked, issued and used is decided in quota.h.
    Needs: router_state.h, quota.h, id.h, memory.h, clock.h.  */
 
 #include "router_state.h"
@@ -12,29 +15,28 @@
 #include "net/clock.h"
 #include <string.h>
 
-/* Pause between two looks at requests that wait.  */
-#define LOOK_MS 50U
-/* A question without an answer for so long is asked again.  */
-#define ASK_AGAIN_MS 150U
-/* An organisation that was not asked for in so long costs no questions.  */
+#define RETRY_MS 50U
+#define REQUEST_TIMEOUT_MS 150U
+/* An organisation without requests for this long is no longer polled for.  */
 #define IDLE_MS 5000U
-/* One that was not asked for in so long is forgotten: nothing that it was
-   lent is left.  */
-#define FORGET_MS 60000U
-#define FORGET_MAX 64U
-/* Organisations of one question.  */
-#define WANTS_MAX 256U
-/* The time of a question stands in its number, above a count.  */
-#define COUNT_BITS 16U
+/* An organisation without requests for this long is dropped; any rate lent for
+   it has expired by then.  */
+#define EVICT_AFTER_MS 60000U
+#define EVICT_MAX 64U
+/* Organisations per message to an issuer.  */
+#define ORGS_PER_MESSAGE_MAX 256U
+/* A request id is its send time in ms above a sequence number of this many
+   bits.  */
+#define SEQUENCE_BITS 16U
 
 /**
- * struct share - an organisation whose requests come to this host
- * @slot: of its lease
- * @first: requests that wait, oldest first
- * @active_ms: when a request came last
- * @wanted_ms: when it was last in a question
- * @began_ms: when this host first had a request of it
- * @issuer: address of the host that issued last, NULL: none did
+ * struct share - this host's quota state of one organisation
+ * @slot: lease slot of the organisation
+ * @first: queued requests, oldest first
+ * @active_ms: time of the last request
+ * @requested_ms: time of the last message to the issuer that named it
+ * @created_ms: time of the first request
+ * @issuer: address of the host that issued last, NULL if none
  */
 struct share
 {
@@ -44,45 +46,49 @@
   uint32_t slot;
   struct mq_permit *first;
   uint64_t active_ms;
-  uint64_t wanted_ms;
-  uint64_t began_ms;
+  uint64_t requested_ms;
+  uint64_t created_ms;
   char *issuer;
 };
 
 /**
- * struct mq_permit - a request that waits
- * @asked: question that asks for it, 0: none yet
+ * struct mq_permit - a queued request
+ * @begins: the first request of a program
+ * @message_id: id of the message that requests its permit, 0 if not sent yet
+ * @since_ms: time it was queued
  */
 struct mq_permit
 {
   struct share *share;
   struct mq_permit *next;
   bool begins;
-  uint64_t asked;
+  uint64_t message_id;
   uint64_t since_ms;
-  mq_permit_told *told;
+  mq_permit_told *callback;
   void *user;
 };
 
 /**
  * struct contact - a host that issues permits
- * @asked_ms: when it was asked last
+ * @sent_ms: time of the last message to it
  */
 struct contact
 {
   struct contact *next;
   char *address;
   struct mq_quota_contact quota;
-  uint64_t asked_ms;
+  uint64_t sent_ms;
 };
 
 /**
- * struct mq_permits - what this host asks for and issues
- * @run: names this run of the host
- * @flush: asks for what waits at the end of this turn of the event loop
- * @look: looks at requests that wait for long
- * @waiting: how many wait
- * @unheard: listed hosts that may live on what an earlier run lent
+ * struct mq_permits - permits that this host requests and issues
+ * @run: random id of this run of the process
+ * @send_timer: sends messages for new requests, once per event loop iteration
+ * @retry_timer: retries queued requests
+ * @sequence: sequence number of the last message
+ * @queued: queued requests of all organisations
+ * @unconfirmed_hosts: listed hosts that may still use rates lent before this
+ *                     host restarted, UINT64_MAX if not known yet
  */
 struct mq_permits
 {
@@ -91,11 +97,11 @@
   struct mq_quota_issuer *issuer;
   struct mq_idmap *shares;
   struct contact *contacts;
-  struct mq_timer *flush;
-  struct mq_timer *look;
-  uint64_t next_ask;
-  size_t waiting;
-  uint64_t unheard;
+  struct mq_timer *send_timer;
+  struct mq_timer *retry_timer;
+  uint64_t sequence;
+  size_t queued;
+  uint64_t unconfirmed_hosts;
 };
 
 struct mq_permits *
@@ -106,7 +112,7 @@
 
   permits->router = router;
   permits->run = mq_clock_random ();
-  permits->unheard = UINT64_MAX;
+  permits->unconfirmed_hosts = UINT64_MAX;
   permits->issuer = mq_quota_issuer_create (permits);
   permits->shares = mq_must (mq_idmap_create (permits));
   return permits;
@@ -124,7 +130,8 @@
   return contact;
 }
 
-/* A host that was never asked counts as heard of: it has time to answer.  */
+/* A new contact starts as if it had just answered, so that its first timeout
+   runs in full.  */
 static struct contact *
 get_contact (struct mq_permits *permits, const char *address)
 {
@@ -140,7 +147,7 @@
   return contact;
 }
 
-/* The host that issues permits of SHARE, NULL: none is known.  */
+/* Issuer of SHARE's permits; NULL if unknown.  */
 static struct contact *
 contact_of (const struct share *share)
 {
@@ -162,12 +169,12 @@
   share->permits = permits;
   share->name = mq_text_copy (share, name);
   share->slot = mq_reserve_slot (name);
-  share->began_ms = mq_clock_boot_ms ();
+  share->created_ms = mq_clock_boot_ms ();
   mq_idmap_put (permits->shares, id, 0, share);
   return share;
 }
 
-/* Requests that wait */
+/* Queued requests */
 
 static void
 unlink_permit (struct mq_permit *permit)
@@ -177,19 +184,19 @@
   while (*at != permit)
     at = &(*at)->next;
   *at = permit->next;
-  permit->share->permits->waiting--;
+  permit->share->permits->queued--;
 }
 
 static void
-end_permit (struct mq_permit *permit, enum mq_permit_state state,
-            uint32_t retry_ms)
+complete_permit (struct mq_permit *permit, enum mq_permit_state state,
+                 uint32_t retry_ms)
 {
   struct mq_router *router = permit->share->permits->router;
 
   unlink_permit (permit);
   if (state == MQ_PERMIT_GRANTED)
     router->counters.permits_used++;
-  permit->told (state, retry_ms, permit->user);
+  permit->callback (state, retry_ms, permit->user);
   talloc_free (permit);
 }
 
@@ -202,24 +209,26 @@
   talloc_free (permit);
 }
 
-static void recall_lent (struct mq_permits *permits);
-static void on_flush (void *data);
-static void on_look (void *data);
+static void recall_lent_rates (struct mq_permits *permits);
+static void on_send_timer (void *data);
+static void on_retry_timer (void *data);
 
 static void
 set_timers (struct mq_permits *permits)
 {
   struct tevent_context *ev = permits->router->ev;
 
-  if (permits->flush == NULL)
-    permits->flush = mq_timer_add (permits, ev, 0, on_flush, permits);
-  if (permits->look == NULL)
-    permits->look = mq_timer_add (permits, ev, LOOK_MS, on_look, permits);
+  if (permits->send_timer == NULL)
+    permits->send_timer
+        = mq_timer_add (permits, ev, 0, on_send_timer, permits);
+  if (permits->retry_timer == NULL)
+    permits->retry_timer
+        = mq_timer_add (permits, ev, RETRY_MS, on_retry_timer, permits);
 }
 
 static struct mq_permit *
-add_waiting (struct share *share, bool begins, mq_permit_told *told,
-             void *user)
+enqueue (struct share *share, bool begins, mq_permit_told *callback,
+         void *user)
 {
   struct mq_permit *permit
       = mq_must (talloc_zero (share->permits, struct mq_permit));
@@ -228,39 +237,41 @@
   *permit = (struct mq_permit){ .share = share,
                                 .begins = begins,
                                 .since_ms = mq_clock_boot_ms (),
-                                .told = told,
+                                .callback = callback,
                                 .user = user };
   while (*at != NULL)
     at = &(*at)->next;
   *at = permit;
-  share->permits->waiting++;
+  share->permits->queued++;
   set_timers (share->permits);
   return permit;
 }
 
 static enum mq_quota_answer
-take (struct share *share, bool begins, uint64_t now)
+acquire (struct share *share, bool begins, uint64_t now)
 {
   static const struct mq_quota_contact none = { 0 };
   struct contact *contact = contact_of (share);
-  struct mq_quota_contact nobody = none;
-  enum mq_quota_answer answer;
+  struct mq_quota_contact unknown_issuer = none;
+  enum mq_quota_answer decision;
 
-  /* An issuer that starts again does not find a host that leaves.  */
+  /* A restarted issuer can't recall rates from a host that is shutting down.
+   */
   if (share->permits->router->leaving)
     share->quota.standing = 0;
-  /* Whoever is to issue may show up soon after this host has begun.  */
-  nobody.answered_ms = share->began_ms;
-  answer = mq_quota_take (
-      &share->quota, contact == NULL ? &nobody : &contact->quota, begins, now);
-  if (answer == MQ_QUOTA_PERMIT && share->quota.alone)
+  /* Without a known issuer, the timeout runs from the first request.  */
+  unknown_issuer.answered_ms = share->created_ms;
+  decision = mq_quota_take (
+      &share->quota, contact == NULL ? &unknown_issuer : &contact->quota,
+      begins, now);
+  if (decision == MQ_QUOTA_PERMIT && share->quota.alone)
     share->permits->router->counters.permits_alone++;
-  return answer;
+  return decision;
 }
 
 enum mq_permit_state
 mq_permit_ask (struct mq_router *router, const struct mq_org *org, bool begins,
-               mq_permit_told *told, void *user, struct mq_permit **permit,
+               mq_permit_told *callback, void *user, struct mq_permit **permit,
                uint32_t *retry_ms)
 {
   uint64_t now = mq_clock_boot_ms ();
@@ -269,14 +280,14 @@
   *permit = NULL;
   *retry_ms = 0;
   share->active_ms = now;
-  switch (take (share, begins, now))
+  switch (acquire (share, begins, now))
     {
     case MQ_QUOTA_PERMIT:
       router->counters.permits_used++;
       set_timers (router->permits);
       return MQ_PERMIT_GRANTED;
     case MQ_QUOTA_ASK:
-      *permit = add_waiting (share, begins, told, user);
+      *permit = enqueue (share, begins, callback, user);
       return MQ_PERMIT_WAITS;
     case MQ_QUOTA_OVER:
       *retry_ms = mq_quota_wait_ms (&share->quota, begins, now);
@@ -301,53 +312,53 @@
   return true;
 }
 
-/* Asking */
+/* Requests to issuers */
 
 static void
-count_unasked (const struct share *share, uint32_t *need, uint32_t *begins)
+count_unsent (const struct share *share, uint32_t *need, uint32_t *begins)
 {
   *need = 0;
   *begins = 0;
   for (const struct mq_permit *at = share->first; at != NULL; at = at->next)
-    if (at->asked == 0 && at->begins)
+    if (at->message_id == 0 && at->begins)
       (*begins)++;
-    else if (at->asked == 0)
+    else if (at->message_id == 0)
       (*need)++;
 }
 
-/* A part of what this host needs is asked for now and then, so that the issuer
-   knows what it may lend.  */
+/* Active organisations are included periodically, even without queued
+   requests, so that the issuer can size the rate it lends to this host.  */
 static bool
 is_due (const struct share *share, uint64_t now)
 {
   return (now - share->active_ms < IDLE_MS || share->quota.standing > 0
           || share->quota.surrendered > 0)
-         && now - share->wanted_ms >= MQ_QUOTA_REFRESH_MS;
+         && now - share->requested_ms >= MQ_QUOTA_REFRESH_MS;
 }
 
 static void
-mark_asked (struct share *share, uint64_t ask)
+mark_sent (struct share *share, uint64_t message)
 {
   for (struct mq_permit *at = share->first; at != NULL; at = at->next)
-    if (at->asked == 0)
-      at->asked = ask;
+    if (at->message_id == 0)
+      at->message_id = message;
 }
 
 static uint64_t
-asked_ms_of (uint64_t ask)
+message_sent_ms (uint64_t message)
 {
-  return ask >> COUNT_BITS;
+  return message >> SEQUENCE_BITS;
 }
 
-static void ask_here (struct mq_permits *permits,
-                      const struct mq_relay_quota_request *ask);
+static void request_locally (struct mq_permits *permits,
+                             const struct mq_relay_quota_request *request);
 
 static void
-send_ask (struct mq_permits *permits, struct contact *contact, uint64_t id,
-          const struct mq_quota_want *wants, size_t count, uint64_t now)
+send_message (struct mq_permits *permits, struct contact *contact, uint64_t id,
+              const struct mq_quota_want *wants, size_t count, uint64_t now)
 {
   struct mq_relay *relay = permits->router->relay;
-  struct mq_relay_quota_request ask
+  struct mq_relay_quota_request request
       = { .id = id,
           .host = permits->run,
           .heard_ms = contact->quota.told_ms,
@@ -356,29 +367,29 @@
           .want_count = count,
           .listed = permits->router->row_written };
 
-  contact->asked_ms = now;
+  contact->sent_ms = now;
   permits->router->counters.permits_asked++;
   if (strcmp (contact->address, mq_relay_address (relay)) == 0)
-    ask_here (permits, &ask);
+    request_locally (permits, &request);
   else
-    (void)mq_relay_request_quota (relay, contact->address, &ask);
+    (void)mq_relay_request_quota (relay, contact->address, &request);
 }
 
-/* All that is to be asked of CONTACT; a question without wants keeps up the
-   contact.  */
+/* Sends CONTACT everything that is due.  A message without organisations
+   serves as a keep-alive.  */
 static void
-ask_contact (struct mq_permits *permits, struct contact *contact, uint64_t now)
+send_due (struct mq_permits *permits, struct contact *contact, uint64_t now)
 {
-  struct mq_quota_want *wants
-      = mq_must (talloc_zero_array (permits, struct mq_quota_want, WANTS_MAX));
-  uint64_t id
-      = now << COUNT_BITS | (++permits->next_ask & ((1U << COUNT_BITS) - 1));
+  struct mq_quota_want *wants = mq_must (
+      talloc_zero_array (permits, struct mq_quota_want, ORGS_PER_MESSAGE_MAX));
+  uint64_t id = now << SEQUENCE_BITS
+                | (++permits->sequence & ((1U << SEQUENCE_BITS) - 1));
   size_t count = 0;
   size_t position = 0;
   bool needed = false;
   struct share *share;
 
-  while (count < WANTS_MAX
+  while (count < ORGS_PER_MESSAGE_MAX
          && (share = mq_idmap_next (permits->shares, &position)) != NULL)
     {
       uint32_t need;
@@ -386,24 +397,25 @@
 
       if (contact_of (share) != contact)
         continue;
-      count_unasked (share, &need, &begins);
+      count_unsent (share, &need, &begins);
       needed = needed || now - share->active_ms < IDLE_MS
                || share->quota.standing > 0;
       if (need + begins == 0 && !is_due (share, now))
         continue;
       wants[count++] = mq_quota_want (&share->quota, &contact->quota,
                                       share->name, need, begins, now);
-      share->wanted_ms = now;
-      mark_asked (share, id);
+      share->requested_ms = now;
+      mark_sent (share, id);
     }
-  if (count > 0 || (needed && now - contact->asked_ms >= MQ_QUOTA_PING_MS))
-    send_ask (permits, contact, id, wants, count, now);
+  if (count > 0 || (needed && now - contact->sent_ms >= MQ_QUOTA_PING_MS))
+    send_message (permits, contact, id, wants, count, now);
   talloc_free (wants);
 }
 
-/* A host that issues for some share gets its contact made here.  */
+/* Looks up the issuers of queued requests, which creates their contacts, and
+   sends all messages that are due.  */
 static void
-ask_all (struct mq_permits *permits)
+send_all_due (struct mq_permits *permits)
 {
   uint64_t now = mq_clock_boot_ms ();
   size_t position = 0;
@@ -414,22 +426,22 @@
       mq_reserve_look (permits->router, share->slot);
   for (struct contact *contact = permits->contacts; contact != NULL;
        contact = contact->next)
-    ask_contact (permits, contact, now);
+    send_due (permits, contact, now);
 }
 
 static void
-on_flush (void *data)
+on_send_timer (void *data)
 {
   struct mq_permits *permits = data;
 
-  permits->flush = NULL;
-  ask_all (permits);
+  permits->send_timer = NULL;
+  send_all_due (permits);
 }
 
-/* Requests that have waited for an answer: asked again, or on the standing
-   rate, or told that nobody can tell.  */
+/* Requeues requests whose message timed out, grants those that the standing
+   rate covers and fails those without a reachable issuer.  */
 static void
-look_at (struct share *share, uint64_t now)
+retry_queued (struct share *share, uint64_t now)
 {
   struct mq_permit *permit = share->first;
 
@@ -437,20 +449,20 @@
     {
       struct mq_permit *next = permit->next;
 
-      if (permit->asked != 0
-          && now >= asked_ms_of (permit->asked) + ASK_AGAIN_MS)
-        permit->asked = 0;
+      if (permit->message_id != 0
+          && now >= message_sent_ms (permit->message_id) + REQUEST_TIMEOUT_MS)
+        permit->message_id = 0;
       if (contact_of (share) == NULL
           && now >= permit->since_ms + MQ_QUOTA_ALONE_MS)
-        end_permit (permit, MQ_PERMIT_UNKNOWN, 0);
+        complete_permit (permit, MQ_PERMIT_UNKNOWN, 0);
       else
-        switch (take (share, permit->begins, now))
+        switch (acquire (share, permit->begins, now))
           {
           case MQ_QUOTA_PERMIT:
-            end_permit (permit, MQ_PERMIT_GRANTED, 0);
+            complete_permit (permit, MQ_PERMIT_GRANTED, 0);
             break;
           case MQ_QUOTA_ALONE:
-            end_permit (permit, MQ_PERMIT_UNKNOWN, 0);
+            complete_permit (permit, MQ_PERMIT_UNKNOWN, 0);
             break;
           case MQ_QUOTA_OVER:
           case MQ_QUOTA_ASK:
@@ -461,72 +473,74 @@
 }
 
 static void
-on_look (void *data)
+on_retry_timer (void *data)
 {
   struct mq_permits *permits = data;
   uint64_t now = mq_clock_boot_ms ();
   size_t position = 0;
   struct share *share;
 
-  permits->look = NULL;
-  recall_lent (permits);
-  if (permits->waiting > 0)
+  permits->retry_timer = NULL;
+  recall_lent_rates (permits);
+  if (permits->queued > 0)
     while ((share = mq_idmap_next (permits->shares, &position)) != NULL)
-      look_at (share, now);
-  ask_all (permits);
+      retry_queued (share, now);
+  send_all_due (permits);
   if (mq_idmap_count (permits->shares) > 0)
-    permits->look = mq_timer_add (
-        permits, permits->router->ev,
-        permits->waiting > 0 ? LOOK_MS : MQ_QUOTA_PING_MS, on_look, permits);
+    permits->retry_timer
+        = mq_timer_add (permits, permits->router->ev,
+                        permits->queued > 0 ? RETRY_MS : MQ_QUOTA_PING_MS,
+                        on_retry_timer, permits);
 }
 
-/* Answers */
+/* Replies from issuers */
 
 static struct mq_permit *
-find_asked (const struct share *share, uint64_t ask)
+find_in_message (const struct share *share, uint64_t message)
 {
   struct mq_permit *at = share->first;
 
-  while (at != NULL && at->asked != ask)
+  while (at != NULL && at->message_id != message)
     at = at->next;
   return at;
 }
 
-/* Asks anew for those that ASK asked for.  */
+/* The requests in MESSAGE are sent again.  */
 static void
-forget_ask (const struct share *share, uint64_t ask)
+requeue_message (const struct share *share, uint64_t message)
 {
   struct mq_permit *permit;
 
-  while ((permit = find_asked (share, ask)) != NULL)
-    permit->asked = 0;
+  while ((permit = find_in_message (share, message)) != NULL)
+    permit->message_id = 0;
 }
 
 static void
-hand_out (struct share *share, const struct mq_quota_gift *gift, uint64_t ask)
+grant_queued (struct share *share, const struct mq_quota_gift *gift,
+              uint64_t message)
 {
   uint32_t need = gift->need;
   uint32_t begins = gift->begins;
   struct mq_permit *permit;
 
-  while ((permit = find_asked (share, ask)) != NULL)
+  while ((permit = find_in_message (share, message)) != NULL)
     {
       uint32_t *from = permit->begins ? &begins : &need;
 
       if (*from > 0)
         {
           (*from)--;
-          end_permit (permit, MQ_PERMIT_GRANTED, 0);
+          complete_permit (permit, MQ_PERMIT_GRANTED, 0);
         }
       else
-        end_permit (permit, MQ_PERMIT_OVER, gift->retry_ms);
+        complete_permit (permit, MQ_PERMIT_OVER, gift->retry_ms);
     }
 }
 
 static void
-take_gift (struct mq_permits *permits, const struct mq_quota_gift *gift,
-           const struct mq_relay_quota_reply *told, const char *address,
-           bool in_time, uint64_t now)
+apply_grant (struct mq_permits *permits, const struct mq_quota_gift *gift,
+             const struct mq_relay_quota_reply *reply, const char *address,
+             bool in_time, uint64_t now)
 {
   struct share *share = mq_idmap_find (
       permits->shares, mq_id_text_hash (gift->organisation), 0);
@@ -537,18 +551,18 @@
     mq_reserve_look (permits->router, share->slot);
   if (gift->unknown || !in_time)
     {
-      forget_ask (share, told->id);
+      requeue_message (share, reply->id);
       return;
     }
   if (share->issuer == NULL || strcmp (share->issuer, address) != 0)
     mq_text_set (share, &share->issuer, address);
-  mq_quota_told (&share->quota, gift, told->server, asked_ms_of (told->id),
-                 now);
-  hand_out (share, gift, told->id);
+  mq_quota_told (&share->quota, gift, reply->server,
+                 message_sent_ms (reply->id), now);
+  grant_queued (share, gift, reply->id);
 }
 
 void
-mq_permits_on_told (const struct mq_relay_quota_reply *told,
+mq_permits_on_told (const struct mq_relay_quota_reply *reply,
                     const char *address, void *user)
 {
   struct mq_router *router = user;
@@ -559,43 +573,43 @@
 
   if (contact == NULL)
     return;
-  in_time = mq_quota_answered (&contact->quota, told->server,
-                               asked_ms_of (told->id), told->told_ms, now);
-  for (size_t i = 0; i < told->gift_count; i++)
-    take_gift (permits, &told->gifts[i], told, address, in_time, now);
+  in_time
+      = mq_quota_answered (&contact->quota, reply->server,
+                           message_sent_ms (reply->id), reply->told_ms, now);
+  for (size_t i = 0; i < reply->gift_count; i++)
+    apply_grant (permits, &reply->gifts[i], reply, address, in_time, now);
 }
 
-/* Issuing */
-
-/* What an organisation may be over its limit, in thousandths of a request, is
-   divided: a sixth may be out ahead, a tenth is kept back, what may be on its
-   way in answers is taken off, and the rest deepens the bucket.
+/* Issuer */
 
-   The load: programs of a small organisation come in bursts of a few, each of
-   some ten requests in a second, which its burst alone does not hold.  */
-#define AHEAD_PART 6U
-#define KEPT_PART 10U
+/* The overshoot that the settings allow, in thousandths of a request, is
+   divided: 1/6 for permits issued in advance, 1/10 in reserve, an allowance
+   for permits in replies under way, and the remainder for a deeper bucket, so
+   that bursts of a small organisation's programs fit.  */
+#define AHEAD_DIVISOR 6U
+#define RESERVE_DIVISOR 10U
 
 static void
-set_bounds (const struct mq_router_settings *settings,
-            const struct mq_quota_limit *limit, struct mq_quota_bounds *bounds)
+compute_bounds (const struct mq_router_settings *settings,
+                const struct mq_quota_limit *limit,
+                struct mq_quota_bounds *bounds)
 {
   uint64_t whole
       = limit->rate * settings->limit_window_ms / 1000U + limit->burst;
   uint64_t over = whole * settings->limit_over_permille / 1000U
                   + settings->limit_slack * (uint64_t)1000;
-  uint64_t spent = over / AHEAD_PART + over / KEPT_PART
+  uint64_t spent = over / AHEAD_DIVISOR + over / RESERVE_DIVISOR
                    + limit->rate * MQ_QUOTA_ANSWER_MS / 1000U;
 
   bounds->limit = *limit;
-  bounds->ahead = over / AHEAD_PART / 1000U;
+  bounds->ahead = over / AHEAD_DIVISOR / 1000U;
   if (over > spent)
     bounds->limit.burst += over - spent;
 }
 
 static struct mq_quota_gift
-issue (struct mq_permits *permits, uint64_t host,
-       const struct mq_quota_want *want, bool lends, uint64_t now)
+issue_permits (struct mq_permits *permits, uint64_t host,
+               const struct mq_quota_want *want, bool lends, uint64_t now)
 {
   struct mq_router *router = permits->router;
   struct mq_quota_gift gift
@@ -610,65 +624,69 @@
   if (org == NULL
       || !mq_reserve_issues (router, mq_reserve_slot (org->name), &own))
     return gift;
-  set_bounds (router->settings, &org->limit, &bounds);
+  compute_bounds (router->settings, &org->limit, &bounds);
   lease = (struct mq_quota_lease){ mq_reserve_slot (org->name), own.since_ms,
                                    own.until_ms, own.inherited_ms,
-                                   permits->unheard };
+                                   permits->unconfirmed_hosts };
   gift = mq_quota_issue (permits->issuer, host, want, &bounds, &lease, now);
   router->counters.permits_issued += gift.need + gift.begins + gift.ahead;
   return gift;
 }
 
-/* The answer to ASK; its gifts lie below CTX.  */
+/* Reply to REQUEST; its grants are allocated below CTX.  */
 static struct mq_relay_quota_reply
-answer (TALLOC_CTX *ctx, struct mq_permits *permits,
-        const struct mq_relay_quota_request *ask)
+build_reply (TALLOC_CTX *ctx, struct mq_permits *permits,
+             const struct mq_relay_quota_request *request)
 {
   uint64_t now = mq_clock_boot_ms ();
-  uint64_t heard = ask->server == permits->run ? ask->heard_ms : 0;
+  uint64_t acked_ms = request->server == permits->run ? request->heard_ms : 0;
   struct mq_quota_gift *gifts = mq_must (
-      talloc_array (ctx, struct mq_quota_gift, ask->want_count + 1));
+      talloc_array (ctx, struct mq_quota_gift, request->want_count + 1));
 
-  mq_quota_heard (permits->issuer, ask->host, heard, now);
-  for (size_t i = 0; i < ask->want_count; i++)
+  mq_quota_heard (permits->issuer, request->host, acked_ms, now);
+  for (size_t i = 0; i < request->want_count; i++)
     {
-      struct mq_quota_want want = ask->wants[i];
+      struct mq_quota_want want = request->wants[i];
 
-      want.heard_ms = heard;
-      gifts[i] = issue (permits, ask->host, &want, ask->listed, now);
+      want.heard_ms = acked_ms;
+      gifts[i] = issue_permits (permits, request->host, &want, request->listed,
+                                now);
     }
-  return (struct mq_relay_quota_reply){ .id = ask->id,
+  return (struct mq_relay_quota_reply){ .id = request->id,
                                         .server = permits->run,
                                         .told_ms = now,
                                         .gifts = gifts,
-                                        .gift_count = ask->want_count };
+                                        .gift_count = request->want_count };
 }
 
 static void
-ask_here (struct mq_permits *permits, const struct mq_relay_quota_request *ask)
+request_locally (struct mq_permits *permits,
+                 const struct mq_relay_quota_request *request)
 {
   TALLOC_CTX *ctx = mq_must (talloc_new (permits));
-  struct mq_relay_quota_reply told = answer (ctx, permits, ask);
+  struct mq_relay_quota_reply reply = build_reply (ctx, permits, request);
 
-  mq_permits_on_told (&told, mq_relay_address (permits->router->relay),
+  mq_permits_on_told (&reply, mq_relay_address (permits->router->relay),
                       permits->router);
   talloc_free (ctx);
 }
 
 void
-mq_permits_on_ask (const struct mq_relay_quota_request *ask,
+mq_permits_on_ask (const struct mq_relay_quota_request *request,
                    struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   TALLOC_CTX *ctx = mq_must (talloc_new (router));
-  struct mq_relay_quota_reply told = answer (ctx, router->permits, ask);
+  struct mq_relay_quota_reply reply
+      = build_reply (ctx, router->permits, request);
 
-  mq_relay_send_quota_reply (router->relay, link, &told);
+  mq_relay_send_quota_reply (router->relay, link, &reply);
   talloc_free (ctx);
 }
 
-/* Another host has begun again and asks what its earlier runs lent: all of it,
-   or the answer would say too much.  */
+/* A restarted issuer recalls the rates that its earlier runs lent.  The reply
+   lists every organisation with such a rate, since it releases all of
+   them.  */
 void
 mq_permits_on_recall (const struct mq_relay_quota_recall *recall,
                       struct mq_relay_link *link, void *user)
@@ -679,10 +697,10 @@
   uint64_t now = mq_clock_boot_ms ();
   struct mq_quota_want *wants = mq_must (talloc_zero_array (
       permits, struct mq_quota_want, mq_idmap_count (permits->shares) + 1));
-  struct mq_relay_quota_request ask = { .host = permits->run,
-                                        .wants = wants,
-                                        .listed = router->row_written,
-                                        .recalled = true };
+  struct mq_relay_quota_request request = { .host = permits->run,
+                                            .wants = wants,
+                                            .listed = router->row_written,
+                                            .recalled = true };
   size_t position = 0;
   struct share *share;
 
@@ -690,24 +708,25 @@
     if (share->issuer != NULL && strcmp (share->issuer, recall->address) == 0)
       {
         mq_quota_surrender (&share->quota, recall->server, now);
-        wants[ask.want_count++]
+        wants[request.want_count++]
             = mq_quota_want (&share->quota, &none, share->name, 0, 0, now);
       }
-  mq_relay_send_recall_reply (router->relay, link, &ask);
+  mq_relay_send_recall_reply (router->relay, link, &request);
   talloc_free (wants);
 }
 
-/* Until all hosts have answered, this one leaves to the others what they may
-   still use.  */
+/* Until every listed host has answered, this issuer reserves for each silent
+   one the rate that it may still use.  */
 static void
-recall_lent (struct mq_permits *permits)
+recall_lent_rates (struct mq_permits *permits)
 {
   struct mq_router *router = permits->router;
 
-  if (permits->unheard == 0 || !router->hosts_listed
+  if (permits->unconfirmed_hosts == 0 || !router->hosts_listed
       || !mq_reserve_inherits (router))
     return;
-  permits->unheard = mq_relay_recall_quota (router->relay, permits->run);
+  permits->unconfirmed_hosts
+      = mq_relay_recall_quota (router->relay, permits->run);
 }
 
 bool
@@ -723,16 +742,16 @@
 {
   struct mq_permits *permits = router->permits;
   uint64_t now = mq_clock_boot_ms ();
-  struct share *found[FORGET_MAX];
+  struct share *found[EVICT_MAX];
   size_t count = 0;
   size_t position = 0;
   struct share *share;
 
-  recall_lent (permits);
+  recall_lent_rates (permits);
   mq_quota_issuer_sweep (permits->issuer, now);
-  while (count < FORGET_MAX
+  while (count < EVICT_MAX
          && (share = mq_idmap_next (permits->shares, &position)) != NULL)
-    if (share->first == NULL && now - share->active_ms >= FORGET_MS)
+    if (share->first == NULL && now - share->active_ms >= EVICT_AFTER_MS)
       found[count++] = share;
   for (size_t i = 0; i < count; i++)
     {
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -1,11 +1,12 @@
 /* router_reserve.c - this host's leases on programs that may begin while the
-   platform's table is away.
+   platform's table is unavailable.
 
-   Organisations are spread over the same leases: whoever has that of an
-   organisation issues its permits.
+   Organisations are mapped to the same leases: the holder of an organisation's
+   lease issues its permits.
+
+   One call is in flight at a time: a list of all leases, a renewal of the
+   leases held, or an attempt to claim free ones.
 
-   One call at a time: a list of all leases, the renewal of those that this
-   host has, or an attempt to take a free one.
    Needs: router_state.h, reserve.h, clock.h, proto/turn.pb-c.h.  */
 
 #include "router_state.h"
@@ -18,33 +19,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Leases are rows of this table, each under its slot's number.  */
+/* Each lease is a row of this table, with its slot number as the key.  */
 static const char lease_table[] = "lease";
 
-/* All leases are listed this often, so that those of a lost host are taken
-   over soon after they have run out.  */
+/* Interval of listing all leases, which finds expired leases of lost hosts. */
 #define LIST_MS MQ_RESERVE_LEASE_MS
-/* The least pause between two lists, when another host's lease has moved.  */
-#define LOOK_MS 200U
-/* A host that leaves gives its leases back after so long at the latest.  */
-#define LEAVE_MS 1600U
-/* Pause between two attempts to take free ones, half of it left to chance, so
-   that hosts which start together all get some.  */
+/* Minimum interval of listing when another host's lease may have moved.  */
+#define MOVED_LIST_MS 200U
+/* Maximum time that a host shutting down keeps leases with lent permits.  */
+#define RELEASE_TIMEOUT_MS 1600U
+/* Mean pause between attempts to claim free leases, with jitter so that hosts
+   that start together all get some.  */
 #define CLAIM_MS 250U
-/* Bytes of a row: two numbers of at most 11 bytes, an address.  */
+/* Maximum packed size: two integers of up to 11 bytes and an address.  */
 #define ROW_BYTES (24U + MQ_RESERVE_ADDRESS_MAX)
 #define KEY_BYTES 12U
 
 /**
- * struct mq_leases - what this host does about them
- * @busy: a call is under way
- * @stopped: this host takes and holds no more
- * @listed: all leases are known as of @listed_ms
- * @known: they were listed once
- * @look: some of them may have moved, that of @look_slot for one
- * @moment: that the call under way counts from
- * @claimed: slots that the call under way is to take
- * @claimed_count: how many
+ * struct mq_leases - lease state of this host
+ * @busy: a call is in flight
+ * @stopped: leases were released; no more are claimed
+ * @listed: the leases are known as of @listed_ms
+ * @known: the leases were listed at least once
+ * @moved: a lease may have moved, at least that of @moved_slot
+ * @clock_sample: clock sample from which the call in flight counts
+ * @claimed: slots that the call in flight claims
  */
 struct mq_leases
 {
@@ -54,12 +53,12 @@
   bool stopped;
   bool listed;
   bool known;
-  bool look;
-  uint32_t look_slot;
+  bool moved;
+  uint32_t moved_slot;
   uint64_t listed_ms;
   uint64_t renewed_ms;
   uint64_t claim_ms;
-  struct mq_reserve_moment moment;
+  struct mq_reserve_moment clock_sample;
   uint32_t claimed[MQ_RESERVE_SLOTS];
   uint32_t claimed_count;
 };
@@ -75,7 +74,7 @@
   return leases;
 }
 
-/* A row that can't be read is taken for a lease without a holder.  */
+/* An unreadable row counts as a lease without a holder.  */
 static struct mq_reserve_lease
 read_lease (struct mq_bytes value)
 {
@@ -93,23 +92,24 @@
   return lease;
 }
 
-/* Slot of the row, MQ_RESERVE_SLOTS: none.  */
+/* Records a lease row.  Returns its slot, MQ_RESERVE_SLOTS if the key is
+   invalid.  */
 static uint32_t
-take_row (struct mq_leases *leases, const struct mq_rows_entry *row)
+record_row (struct mq_leases *leases, const struct mq_rows_entry *row)
 {
   unsigned long slot = strtoul (row->key, NULL, 10);
 
   if (slot >= MQ_RESERVE_SLOTS)
     return MQ_RESERVE_SLOTS;
   mq_reserve_read (leases->reserve, (uint32_t)slot, read_lease (row->value),
-                   row->version, leases->moment);
+                   row->version, leases->clock_sample);
   return (uint32_t)slot;
 }
 
 static void
 on_listed (const struct mq_rows_result *result, void *user)
 {
-  static const struct mq_reserve_lease nobodys = { 0, 0, "" };
+  static const struct mq_reserve_lease unheld = { 0, 0, "" };
   struct mq_leases *leases = user;
   bool seen[MQ_RESERVE_SLOTS + 1] = { false };
 
@@ -117,31 +117,32 @@
   if (result->status != MQ_STORE_OK)
     return;
   for (size_t i = 0; i < result->row_count; i++)
-    seen[take_row (leases, &result->rows[i])] = true;
+    seen[record_row (leases, &result->rows[i])] = true;
   for (uint32_t i = 0; i < MQ_RESERVE_SLOTS; i++)
     if (!seen[i])
-      mq_reserve_read (leases->reserve, i, nobodys, 0, leases->moment);
+      mq_reserve_read (leases->reserve, i, unheld, 0, leases->clock_sample);
   leases->listed = true;
   leases->known = true;
 }
 
-/* Another host was faster, or the outcome is not known: the rows tell.  */
+/* Another host wrote first, or the outcome is unknown: updates the leases from
+   the rows returned, or lists them again.  */
 static void
 on_conflict (struct mq_leases *leases, const struct mq_rows_result *result)
 {
   if (result->status == MQ_STORE_CONFLICT)
     for (size_t i = 0; i < result->row_count; i++)
-      (void)take_row (leases, &result->rows[i]);
+      (void)record_row (leases, &result->rows[i]);
   else
     leases->listed = false;
 }
 
 static void
-note_written (struct mq_leases *leases, uint32_t slot, uint64_t version)
+record_written (struct mq_leases *leases, uint32_t slot, uint64_t version)
 {
   mq_reserve_read (leases->reserve, slot,
-                   mq_reserve_next (leases->reserve, leases->moment), version,
-                   leases->moment);
+                   mq_reserve_next (leases->reserve, leases->clock_sample),
+                   version, leases->clock_sample);
 }
 
 static void
@@ -158,7 +159,7 @@
       return;
     }
   for (uint32_t i = 0; i < count; i++)
-    note_written (leases, slots[i], result->version);
+    record_written (leases, slots[i], result->version);
 }
 
 static void
@@ -173,16 +174,16 @@
       return;
     }
   for (uint32_t i = 0; i < leases->claimed_count; i++)
-    note_written (leases, leases->claimed[i], result->version);
+    record_written (leases, leases->claimed[i], result->version);
 }
 
-/* Writes, or removes, the rows of SLOTS as they were last seen.  */
+/* Writes or removes the rows of SLOTS if their versions are unchanged.  */
 static void
 write_rows (struct mq_leases *leases, const uint32_t *slots, uint32_t count,
             bool remove, mq_rows_done *done)
 {
   struct mq_reserve_lease lease
-      = mq_reserve_next (leases->reserve, leases->moment);
+      = mq_reserve_next (leases->reserve, leases->clock_sample);
   Mqturn__ReserveRow row = MQTURN__RESERVE_ROW__INIT;
   struct mq_rows_entry entries[MQ_RESERVE_SLOTS];
   char keys[MQ_RESERVE_SLOTS][KEY_BYTES];
@@ -217,21 +218,22 @@
 {
   leases->busy = true;
   leases->listed_ms = now;
-  leases->look = false;
+  leases->moved = false;
   mq_rows_scan (leases->router->rows, lease_table, "", "", MQ_RESERVE_SLOTS,
                 on_listed, leases);
 }
 
 static void
-claim_free (struct mq_leases *leases, uint64_t now)
+claim_leases (struct mq_leases *leases, uint64_t now)
 {
   struct mq_router *router = leases->router;
 
   leases->claim_ms
       = now + CLAIM_MS / 2 + mq_random_below (&router->random, CLAIM_MS);
-  leases->claimed_count = mq_reserve_free (
-      leases->reserve, leases->moment, 1 + mq_relay_host_count (router->relay),
-      mq_random_next (&router->random), leases->claimed);
+  leases->claimed_count
+      = mq_reserve_free (leases->reserve, leases->clock_sample,
+                         1 + mq_relay_host_count (router->relay),
+                         mq_random_next (&router->random), leases->claimed);
   if (leases->claimed_count > 0)
     write_rows (leases, leases->claimed, leases->claimed_count, false,
                 on_claimed);
@@ -251,54 +253,55 @@
 }
 
 static void
-on_looked (const struct mq_rows_result *result, void *user)
+on_lease_read (const struct mq_rows_result *result, void *user)
 {
   struct mq_leases *leases = user;
 
   leases->busy = false;
   if (result->status == MQ_STORE_OK && result->row_count > 0)
-    (void)take_row (leases, &result->rows[0]);
+    (void)record_row (leases, &result->rows[0]);
 }
 
-/* Through another host: one row, since lists are not passed on.  */
+/* Reads one row through another host, which can't relay a list.  */
 static void
-look_at_slot (struct mq_leases *leases, uint64_t now)
+read_lease_row (struct mq_leases *leases, uint64_t now)
 {
   char key[KEY_BYTES];
 
   leases->busy = true;
-  leases->look = false;
+  leases->moved = false;
   leases->listed_ms = now;
-  snprintf (key, sizeof key, "%02u", leases->look_slot);
-  mq_relay_get (leases->router->relay, lease_table, "", key, on_looked,
+  snprintf (key, sizeof key, "%02u", leases->moved_slot);
+  mq_relay_get (leases->router->relay, lease_table, "", key, on_lease_read,
                 leases);
 }
 
-/* Failure: the table turns away the host that issues the permits of a quarter
-   of the organisations, its lease runs out though it could reach the table
-   through others, and all requests of theirs are refused.  */
+/* Renews leases through other hosts.  Otherwise the leases of a host that the
+   table rejects would expire, and requests of their organisations would be
+   refused.  */
 static void
-step_without_table (struct mq_leases *leases, uint64_t now)
+step_relayed (struct mq_leases *leases, uint64_t now)
 {
   if (mq_table_client_down (leases->router->table_client))
     return;
-  if (!renew_own (leases, now) && leases->look
-      && now - leases->listed_ms >= LOOK_MS)
-    look_at_slot (leases, now);
+  if (!renew_own (leases, now) && leases->moved
+      && now - leases->listed_ms >= MOVED_LIST_MS)
+    read_lease_row (leases, now);
 }
 
-/* The call that is due, if any.  */
+/* Makes the next call that is due.  */
 static void
 step_leases (struct mq_leases *leases, uint64_t now)
 {
-  if (!leases->listed || (leases->look && now - leases->listed_ms >= LOOK_MS)
+  if (!leases->listed
+      || (leases->moved && now - leases->listed_ms >= MOVED_LIST_MS)
       || now - leases->listed_ms >= LIST_MS)
     {
       list_leases (leases, now);
       return;
     }
   if (!renew_own (leases, now) && now >= leases->claim_ms)
-    claim_free (leases, now);
+    claim_leases (leases, now);
 }
 
 void
@@ -309,31 +312,30 @@
   if (leases == NULL)
     leases = router->leases = create_leases (router);
   if (leases->busy || leases->stopped || router->leaving
-      || !mq_rows_sample_clocks (router->rows, &leases->moment.asked_ms,
-                                 &leases->moment.table_ms))
+      || !mq_rows_sample_clocks (router->rows, &leases->clock_sample.asked_ms,
+                                 &leases->clock_sample.table_ms))
     return;
   if (mq_rows_down (router->rows))
-    step_without_table (leases, mq_clock_ms ());
+    step_relayed (leases, mq_clock_ms ());
   else
     step_leases (leases, mq_clock_ms ());
 }
 
 static void
-on_given_back (const struct mq_rows_result *result, void *user)
+on_released (const struct mq_rows_result *result, void *user)
 {
   struct mq_leases *leases = user;
 
-  /* Whatever was not removed runs out.  */
+  /* Leases that were not removed expire.  */
   (void)result;
   leases->busy = false;
 }
 
-/* Failure: a host that leaves gives a lease back though the record does not
-   yet count what it issued, since just that part of the table is silent; the
-   next holder issues as many tokens again, and the program spends beyond its
-   budget.  Such a lease runs out instead.  */
+/* Releases leases whose issued tokens and permits are all recorded.  A lease
+   with unrecorded tokens must expire instead: its next holder would issue the
+   same tokens again, and the program would exceed its budget.  */
 static void
-give_back (struct mq_router *router)
+release_leases (struct mq_router *router)
 {
   struct mq_leases *leases = router->leases;
   uint32_t own[MQ_RESERVE_SLOTS];
@@ -348,7 +350,7 @@
         && !mq_permits_lent (router, own[i]))
       slots[count++] = own[i];
   if (count > 0)
-    write_rows (leases, slots, count, true, on_given_back);
+    write_rows (leases, slots, count, true, on_released);
 }
 
 static bool
@@ -370,8 +372,8 @@
   uint64_t since = mq_clock_ms () - router->leaving_since_ms;
 
   if (leases != NULL && !leases->stopped && !leases->busy
-      && (since >= LEAVE_MS || !has_lent (router)))
-    give_back (router);
+      && (since >= RELEASE_TIMEOUT_MS || !has_lent (router)))
+    release_leases (router);
 }
 
 bool
@@ -414,8 +416,8 @@
 
   if (leases == NULL)
     return;
-  leases->look = true;
-  leases->look_slot = slot;
+  leases->moved = true;
+  leases->moved_slot = slot;
   leases->claim_ms = 0;
   mq_reserve_sweep (router);
 }
--- a/src/router/table_client.c
+++ b/src/router/table_client.c
@@ -1,4 +1,7 @@
-/* table_client.c - calls to the platform's table by whichever way is open.
+/* table_client.c - calls to the platform's table, directly or through
+   another host.
+
+
 
    Needs: table_client.h, commit_queue.h, clock.h.  */
 
@@ -7,9 +10,9 @@
 #include "net/clock.h"
 #include <stdlib.h>
 
-/* After a call that neither way could make, the table counts as down for so
-   long.  */
-#define DOWN_MS 300U
+/* Time the table counts as unavailable after a call failed both directly and
+   through another host.  */
+#define DOWN_HOLD_MS 300U
 
 struct mq_table_client
 {
@@ -23,11 +26,11 @@
 
 /**
  * struct mq_table_client_call - one call
- * @began_ms: when it was asked for
- * @entry: what is written or read; its strings are below the call
- * @write: the write, NULL: it is a read
- * @direct: read under way without another host, NULL: not
- * @relayed: read under way through another host, NULL: not
+ * @commit: a write, else a read
+ * @entry: strings are owned by the call
+ * @write: write in progress, or NULL
+ * @direct: read sent to the table, or NULL
+ * @relayed: read sent through another host, or NULL
  */
 struct mq_table_client_call
 {
@@ -69,7 +72,7 @@
                     mq_clock_ms () - call->began_ms);
   if (result->status == MQ_STORE_DOWN
       && !mq_rows_part_suspect (table_client->rows, call->entry.part))
-    table_client->down_until_ms = mq_clock_ms () + DOWN_MS;
+    table_client->down_until_ms = mq_clock_ms () + DOWN_HOLD_MS;
   else if (result->status != MQ_STORE_LOST)
     table_client->down_until_ms = 0;
   call->done (result, call->user);
@@ -103,9 +106,8 @@
   end_call (call, result);
 }
 
-/* A call that the table turned away, or that did not reach it, was certainly
-   not done: another host may make it.  Where the table answered this host
-   meanwhile, it is a part of the table that does not, to nobody.  */
+/* DOWN means that the call was not executed, so another host may retry it.  A
+   suspect part does not answer other hosts either.  */
 static void
 on_direct (const struct mq_rows_result *result, void *user)
 {
@@ -145,7 +147,7 @@
   struct mq_table_client_call *call
       = talloc_zero (table_client, struct mq_table_client_call);
 
-  /* Whoever asks counts on an outcome; without memory there is none.  */
+  /* The caller relies on the callback, which is impossible without memory.  */
   if (call == NULL)
     abort ();
   call->table_client = table_client;
--- a/src/router/table_client.h
+++ b/src/router/table_client.h
@@ -1,6 +1,7 @@
-/* table_client.h - calls to the platform's table by whichever way is open.
+/* table_client.h - calls to the platform's table.
 
-   Directly while the table answers this host; else through another host.
+   Calls go directly to the table while it answers this host, else through
+   another host.
    Needs: rows.h, relay.h, histogram.h.  */
 
 #ifndef MQ_TABLE_CLIENT_H
@@ -16,7 +17,7 @@
 struct mq_table_client *mq_table_client_create (TALLOC_CTX *ctx,
                                                 struct mq_rows *rows,
                                                 struct mq_relay *relay);
-/* As mq_rows_commit and mq_rows_get; what is given is copied.  */
+/* As mq_rows_commit and mq_rows_get; arguments are copied.  */
 struct mq_table_client_call *
 mq_table_client_commit (struct mq_table_client *table_client,
                         const struct mq_rows_entry *entry, mq_rows_done *done,
@@ -25,19 +26,19 @@
 mq_table_client_get (struct mq_table_client *table_client, const char *table,
                      const char *part, const char *key, mq_rows_done *done,
                      void *user);
-/* No callback follows; NULL is allowed.  */
+/* The callback is not called.  CALL may be NULL.  */
 void mq_table_client_cancel (struct mq_table_client_call *call);
-/* How long reads and writes took until their outcome, milliseconds.  */
+/* Latency of reads and writes, milliseconds.  */
 const struct mq_histogram *
 mq_table_client_read_ms (const struct mq_table_client *table_client);
 const struct mq_histogram *
 mq_table_client_write_ms (const struct mq_table_client *table_client);
-/* How many rows the transactions of writes had.  */
+/* Rows per write transaction.  */
 const struct mq_histogram *
 mq_table_client_batch_rows (const struct mq_table_client *table_client);
-/* Neither way is open, as far as is known.  */
+/* The table can be reached neither directly nor through another host.  */
 bool mq_table_client_down (const struct mq_table_client *table_client);
-/* The same as mq_table_client_down for the rows of PART.  */
+/* As mq_table_client_down, for the rows of PART.  */
 bool mq_table_client_part_down (const struct mq_table_client *table_client,
                                 const char *part);
 
