--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -12,20 +12,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Hosts that one call is tried at.  */
+/* Hosts tried per call.  */
 #define TRIES_MAX 2U
-/* Seed of the hash by which parts are given to writers.  */
+/* Hash seed for the assignment of parts to batching hosts.  */
 #define WRITER_SEED 3U
-/* Links that other hosts may keep to this one.  */
+/* Links accepted from other hosts.  */
 #define LINKS_MAX 256U
 
 /**
- * struct mq_relay_call - a call that another host makes for us
- * @ask: its frame, packed
- * @link: that it was sent on, NULL: none yet
- * @sent: some host may have done it
- * @address: the host that is to make it, NULL: any
- * @wait_ms: for its answer
+ * struct mq_relay_call - a call that another host makes for this one
+ * @frame: packed request
+ * @link: link that it was sent on, or NULL
+ * @sent: a host may have executed it
+ * @address: the only host to use, NULL for any
+ * @wait_ms: timeout per host
  */
 struct mq_relay_call
 {
@@ -45,8 +45,8 @@
 };
 
 /**
- * struct relayed_call - a call that we make for another host
- * @link: to answer on, NULL: it is gone
+ * struct relayed_call - a call that this host makes for another one
+ * @link: link for the reply, NULL if it has ended
  */
 struct relayed_call
 {
@@ -67,18 +67,17 @@
   return NULL;
 }
 
-/* HOST makes no calls for a while.  */
+/* Starts HOST's backoff for relayed calls.  */
 static void
-note_bad (struct host *host)
+start_call_backoff (struct host *host)
 {
   host->call_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
 }
 
-/* HOST gives no answer: it is left alone for a while.  */
 void
 relay_mark_unreachable (struct host *host)
 {
-  note_bad (host);
+  start_call_backoff (host);
   host->loan_after_ms = host->call_after_ms;
   relay_clear_loan_request (host);
 }
@@ -93,7 +92,7 @@
   talloc_free (bytes.data);
 }
 
-/* Calls that were sent on the link go to another host, if they may.  */
+/* Retries the calls that were sent on LINK at another host.  */
 static void
 fail_calls (struct mq_relay *relay, const struct mq_relay_link *link)
 {
@@ -107,7 +106,7 @@
     }
 }
 
-/* Nothing more comes over LINK: its relayed_calls have nobody to tell.  */
+/* Closes LINK, which has failed; replies due on it are dropped.  */
 static void
 drop_link (struct mq_relay *relay, struct mq_relay_link *link)
 {
@@ -137,7 +136,7 @@
 /* Errands: calls that we make for another host */
 
 static void
-remove_errand (struct relayed_call *relayed_call)
+remove_relayed (struct relayed_call *relayed_call)
 {
   for (struct relayed_call **at = &relayed_call->relay->relayed_calls;
        *at != NULL; at = &(*at)->next)
@@ -149,12 +148,12 @@
 }
 
 static void
-on_errand_done (const struct mq_rows_result *result, void *user)
+on_relayed_done (const struct mq_rows_result *result, void *user)
 {
   struct relayed_call *relayed_call = user;
   struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REPLY };
 
-  remove_errand (relayed_call);
+  remove_relayed (relayed_call);
   if (relayed_call->link != NULL)
     {
       frame.u.call_reply.id = relayed_call->id;
@@ -165,30 +164,31 @@
 }
 
 static void
-serve_ask (struct mq_relay *relay, struct mq_relay_link *link,
-           const struct mq_relay_call_request *ask)
+serve_call (struct mq_relay *relay, struct mq_relay_link *link,
+            const struct mq_relay_call_request *request)
 {
   struct relayed_call *relayed_call
       = mq_must (talloc_zero (relay, struct relayed_call));
 
   relayed_call->relay = relay;
   relayed_call->link = link;
-  relayed_call->id = ask->id;
+  relayed_call->id = request->id;
   relayed_call->next = relay->relayed_calls;
   relay->relayed_calls = relayed_call;
   relay->served++;
-  if (ask->commit && relay->write != NULL)
-    relay->write (ask->entries, ask->count, on_errand_done, relayed_call,
-                  relay->write_user);
-  else if (ask->commit)
-    mq_rows_commit (relay->rows, ask->entries, ask->count, on_errand_done,
-                    relayed_call);
+  if (request->commit && relay->write != NULL)
+    relay->write (request->entries, request->count, on_relayed_done,
+                  relayed_call, relay->write_user);
+  else if (request->commit)
+    mq_rows_commit (relay->rows, request->entries, request->count,
+                    on_relayed_done, relayed_call);
   else
-    mq_rows_get (relay->rows, ask->entries[0].table, ask->entries[0].part,
-                 ask->entries[0].key, on_errand_done, relayed_call);
+    mq_rows_get (relay->rows, request->entries[0].table,
+                 request->entries[0].part, request->entries[0].key,
+                 on_relayed_done, relayed_call);
 }
 
-/* Calls that another host makes for us */
+/* Calls made through another host */
 
 static void
 remove_call (struct mq_relay_call *call)
@@ -223,22 +223,22 @@
 }
 
 static void
-take_told (struct mq_relay *relay, const struct mq_relay_link *link,
-           const struct mq_relay_call_reply *told)
+on_call_reply (struct mq_relay *relay, const struct mq_relay_link *link,
+               const struct mq_relay_call_reply *reply)
 {
-  struct mq_relay_call *call = find_call (relay, link, told->id);
+  struct mq_relay_call *call = find_call (relay, link, reply->id);
   struct host *host = relay_host_of_link (relay, link);
 
   if (call == NULL)
     return;
-  if (told->result.status != MQ_STORE_DOWN)
+  if (reply->result.status != MQ_STORE_DOWN)
     {
-      end_call (call, &told->result);
+      end_call (call, &reply->result);
       return;
     }
-  /* That host can't reach the table either.  */
+  /* The host can't reach the table either.  */
   if (host != NULL)
-    note_bad (host);
+    start_call_backoff (host);
   if (host != NULL)
     host->gather_after_ms = host->call_after_ms;
   call->link = NULL;
@@ -246,24 +246,24 @@
 }
 
 static void
-take_quota_ask (struct mq_relay *relay, struct mq_relay_link *link,
-                const struct mq_relay_quota_request *ask)
+on_quota_request (struct mq_relay *relay, struct mq_relay_link *link,
+                  const struct mq_relay_quota_request *request)
 {
   struct host *host = relay_host_of_link (relay, link);
 
-  if (host != NULL && ask->recalled)
+  if (host != NULL && request->recalled)
     host->recalled = true;
-  relay->owner.quota_request (ask, link, relay->owner.user);
+  relay->owner.quota_request (request, link, relay->owner.user);
 }
 
 static void
-take_quota (struct mq_relay *relay, const struct mq_relay_link *link,
-            const struct mq_relay_quota_reply *told)
+on_quota_reply (struct mq_relay *relay, const struct mq_relay_link *link,
+                const struct mq_relay_quota_reply *reply)
 {
   const struct host *host = relay_host_of_link (relay, link);
 
   if (host != NULL)
-    relay->owner.quota_reply (told, host->address, relay->owner.user);
+    relay->owner.quota_reply (reply, host->address, relay->owner.user);
 }
 
 static void
@@ -276,10 +276,10 @@
   switch (frame->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      serve_ask (relay, link, &frame->u.call_request);
+      serve_call (relay, link, &frame->u.call_request);
       return;
     case MQ_RELAY_CALL_REPLY:
-      take_told (relay, link, &frame->u.call_reply);
+      on_call_reply (relay, link, &frame->u.call_reply);
       return;
     case MQ_RELAY_SYNC:
       owner->sync (&frame->u.sync, link, owner->user);
@@ -297,13 +297,13 @@
       owner->loan_return (&frame->u.loan_return, owner->user);
       return;
     case MQ_RELAY_QUOTA_REQUEST:
-      take_quota_ask (relay, link, &frame->u.quota_request);
+      on_quota_request (relay, link, &frame->u.quota_request);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       owner->quota_recall (&frame->u.quota_recall, link, owner->user);
       return;
     case MQ_RELAY_QUOTA_REPLY:
-      take_quota (relay, link, &frame->u.quota_reply);
+      on_quota_reply (relay, link, &frame->u.quota_reply);
       return;
     case MQ_RELAY_UNKNOWN:
       return;
@@ -340,7 +340,6 @@
     relay->accepted++;
 }
 
-/* Link to HOST, opened if need be; NULL when that fails at once.  */
 struct mq_relay_link *
 relay_open_link (struct mq_relay *relay, struct host *host)
 {
@@ -356,8 +355,8 @@
   return host->link;
 }
 
-/* A host that may be asked now: one with an open link before others, else any
-   of them by chance.  */
+/* Chooses a host that is not in backoff: one with an open link if any, else at
+   random.  */
 static struct host *
 choose_host (struct mq_relay *relay)
 {
@@ -377,17 +376,17 @@
   return chosen;
 }
 
-static void give_up_call (struct mq_relay_call *call);
+static void fail_call (struct mq_relay_call *call);
 
-/* The host that gathers writes is slow; its link serves others as it is.  */
+/* The batching host timed out.  Its link stays open for other messages.  */
 static void
-end_slow (struct mq_relay_call *call)
+fail_slow_host (struct mq_relay_call *call)
 {
   struct host *host = relay_find_host (call->relay, call->address);
 
   if (host != NULL)
     host->gather_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
-  give_up_call (call);
+  fail_call (call);
 }
 
 static void
@@ -398,7 +397,7 @@
 
   call->timer = NULL;
   if (call->address != NULL)
-    end_slow (call);
+    fail_slow_host (call);
   else if (link != NULL)
     drop_link (call->relay, link);
   else
@@ -406,7 +405,7 @@
 }
 
 static void
-give_up_call (struct mq_relay_call *call)
+fail_call (struct mq_relay_call *call)
 {
   struct mq_rows_result result = { .status = MQ_STORE_DOWN };
 
@@ -421,11 +420,11 @@
   struct mq_relay_call *call = data;
 
   call->timer = NULL;
-  give_up_call (call);
+  fail_call (call);
 }
 
 static struct host *
-host_for (struct mq_relay_call *call)
+next_host (struct mq_relay_call *call)
 {
   if (call->address == NULL)
     return choose_host (call->relay);
@@ -433,8 +432,8 @@
                           : NULL;
 }
 
-/* A write that some host may have done is not sent to another one: whoever
-   asked looks first whether it was done.  */
+/* A write that a host may have executed is not sent to another one: the caller
+   must first check whether it took effect.  */
 static void
 try_call (struct mq_relay_call *call)
 {
@@ -444,7 +443,7 @@
 
   TALLOC_FREE (call->timer);
   while (call->tries < TRIES_MAX && !(call->commit && call->sent)
-         && link == NULL && (host = host_for (call)) != NULL)
+         && link == NULL && (host = next_host (call)) != NULL)
     {
       call->tries++;
       link = relay_open_link (relay, host);
@@ -463,7 +462,7 @@
 }
 
 static struct mq_relay_call *
-make_call (struct mq_relay *relay, const char *address, uint32_t wait,
+make_call (struct mq_relay *relay, const char *address, uint32_t timeout_ms,
            const struct mq_rows_entry *entries, size_t count, bool commit,
            mq_rows_done *done, void *user)
 {
@@ -475,7 +474,7 @@
   call->id = ++relay->next_id;
   call->commit = commit;
   call->address = address == NULL ? NULL : mq_text_copy (call, address);
-  call->wait_ms = wait;
+  call->wait_ms = timeout_ms;
   call->done = done;
   call->user = user;
   frame.u.call_request = (struct mq_relay_call_request){
@@ -497,11 +496,12 @@
 }
 
 struct mq_relay_call *
-mq_relay_commit_at (struct mq_relay *relay, const char *address, uint32_t wait,
-                    const struct mq_rows_entry *entries, size_t count,
-                    mq_rows_done *done, void *user)
+mq_relay_commit_at (struct mq_relay *relay, const char *address,
+                    uint32_t timeout_ms, const struct mq_rows_entry *entries,
+                    size_t count, mq_rows_done *done, void *user)
 {
-  return make_call (relay, address, wait, entries, count, true, done, user);
+  return make_call (relay, address, timeout_ms, entries, count, true, done,
+                    user);
 }
 
 void
@@ -515,7 +515,7 @@
 mq_relay_writer (const struct mq_relay *relay, const char *part)
 {
   uint64_t key = mq_hash_bytes (part, strlen (part), WRITER_SEED);
-  uint64_t most = mq_rendezvous_weight (relay->own_address, key);
+  uint64_t highest = mq_rendezvous_weight (relay->own_address, key);
   uint64_t now = mq_clock_ms ();
   const struct host *found = NULL;
 
@@ -527,9 +527,9 @@
           || host->call_after_ms > now)
         continue;
       weight = mq_rendezvous_weight (host->address, key);
-      if (weight <= most)
+      if (weight <= highest)
         continue;
-      most = weight;
+      highest = weight;
       found = host;
     }
   return found == NULL ? NULL : found->address;
@@ -576,7 +576,7 @@
   return NULL;
 }
 
-/* NULL for this host itself.  */
+/* Finds or adds the host at ADDRESS; NULL for this host itself.  */
 static struct host *
 add_host (struct mq_relay *relay, const char *address)
 {
@@ -594,10 +594,10 @@
 
 bool
 mq_relay_request_quota (struct mq_relay *relay, const char *address,
-                        const struct mq_relay_quota_request *ask)
+                        const struct mq_relay_quota_request *request)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *request };
   struct host *host = add_host (relay, address);
   struct mq_relay_link *link
       = host == NULL ? NULL : relay_open_link (relay, host);
@@ -614,7 +614,7 @@
   struct mq_relay_frame frame
       = { .kind = MQ_RELAY_QUOTA_RECALL,
           .u.quota_recall = { server, relay->own_address } };
-  uint32_t missing = 0;
+  uint32_t unanswered = 0;
 
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     {
@@ -622,30 +622,30 @@
 
       if (!host->listed || host->recalled)
         continue;
-      missing++;
+      unanswered++;
       link = relay_open_link (relay, host);
       if (link != NULL)
         relay_send_frame (relay, link, &frame);
     }
-  return missing;
+  return unanswered;
 }
 
 void
 mq_relay_send_recall_reply (struct mq_relay *relay, struct mq_relay_link *link,
-                            const struct mq_relay_quota_request *ask)
+                            const struct mq_relay_quota_request *request)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *request };
 
   relay_send_frame (relay, link, &frame);
 }
 
 void
 mq_relay_send_quota_reply (struct mq_relay *relay, struct mq_relay_link *link,
-                           const struct mq_relay_quota_reply *told)
+                           const struct mq_relay_quota_reply *reply)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_reply = *told };
+      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_reply = *reply };
 
   relay_send_frame (relay, link, &frame);
 }
@@ -677,8 +677,7 @@
   host->near = near;
 }
 
-/* A host with an open link has been heard of just now; it stays until the
-   link ends.  */
+/* A host with an open link is alive and stays until the link ends.  */
 void
 mq_relay_list_end (struct mq_relay *relay)
 {
--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -1,9 +1,10 @@
 /* relay.h - links between routing hosts.
 
-   A host that can't reach the platform's table, or is turned away by it, has
-   another host make its calls, and learns from it which configuration and
-   workers are the newest.  Links are opened when they are needed, to a few
-   hosts; a host that does not answer is left alone for a while.
+   A host that can't reach the platform's table, or is rejected by it, relays
+   its calls through another host and gets the latest configuration and workers
+   from it.  Links are opened on demand; a host that does not answer is not
+   used until a backoff has passed.
+
    Needs: relay_frame.h, rows.h, tevent.  */
 
 #ifndef MQ_RELAY_H
@@ -16,68 +17,67 @@
 struct mq_relay_call;
 struct mq_relay_link;
 
-/* An answer takes two hops and one call to the table.  */
+/* Timeout of a relayed call: two hops and one call to the table.  */
 #define MQ_RELAY_CALL_TIMEOUT_MS 500U
-/* A host that failed is not asked again for so long.  */
+/* Backoff before a failed host is used again.  */
 #define MQ_RELAY_BACKOFF_MS 1000U
 
 /**
- * struct mq_relay_owner - the router as the relay sees it
- * @sync: another host asks for what it does not know; answer with
- *        mq_relay_send_state, or not at all
- * @state: what another host knows
- * @loan_request: another host needs tokens or a history; answer with
- * mq_relay_send_loan_reply
- * @loan_reply: what the host at ADDRESS lends
- * @loan_return: what another host did not use of a loan
- * @quota_request: another host wants permits; answer with
- * mq_relay_send_quota_reply
- * @quota_reply: what the host at ADDRESS issues
- * @quota_recall: another host asks what its earlier runs lent; answer with
- *                mq_relay_send_recall_reply
- * @user: given to all of them
+ * struct mq_relay_owner - callbacks for messages from other hosts
+ * @sync: request for newer state; answered with mq_relay_send_state, or not
+ *        at all
+ * @state: state of another host
+ * @loan_request: request for tokens or a history; answered with
+ *                mq_relay_send_loan_reply
+ * @loan_reply: loan from the host at ADDRESS
+ * @loan_return: unused tokens of a loan
+ * @quota_request: request for permits; answered with mq_relay_send_quota_reply
+ * @quota_reply: permits from the host at ADDRESS
+ * @quota_recall: a restarted issuer recalls the rates that it lent; answered
+ *                with mq_relay_send_recall_reply
+ * @user: passed to all callbacks
  */
 struct mq_relay_owner
 {
   void (*sync) (const struct mq_relay_sync *sync, struct mq_relay_link *link,
                 void *user);
   void (*state) (const struct mq_relay_state *state, void *user);
-  void (*loan_request) (const struct mq_relay_loan_request *ask,
+  void (*loan_request) (const struct mq_relay_loan_request *request,
                         struct mq_relay_link *link, void *user);
-  void (*loan_reply) (const struct mq_relay_loan_reply *told,
+  void (*loan_reply) (const struct mq_relay_loan_reply *reply,
                       const char *address, void *user);
-  void (*loan_return) (const struct mq_relay_loan_return *back, void *user);
-  void (*quota_request) (const struct mq_relay_quota_request *ask,
+  void (*loan_return) (const struct mq_relay_loan_return *unused, void *user);
+  void (*quota_request) (const struct mq_relay_quota_request *request,
                          struct mq_relay_link *link, void *user);
-  void (*quota_reply) (const struct mq_relay_quota_reply *told,
+  void (*quota_reply) (const struct mq_relay_quota_reply *reply,
                        const char *address, void *user);
   void (*quota_recall) (const struct mq_relay_quota_recall *recall,
                         struct mq_relay_link *link, void *user);
   void *user;
 };
 
-/* Listens at ADDRESS, "IP:PORT"; NULL with ERROR set when it can't.  ROWS
-   makes the calls of other hosts.  */
+/* Listens at ADDRESS, "IP:PORT"; NULL with ERROR set on failure.  Calls of
+   other hosts are made through ROWS.  */
 struct mq_relay *mq_relay_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                   const char *address, struct mq_rows *rows,
                                   const struct mq_relay_owner *owner,
                                   struct mq_error *error);
 void mq_relay_destroy (struct mq_relay *relay);
-/* "IP:PORT" where other hosts reach it.  */
+/* "IP:PORT" at which other hosts reach this one.  */
 const char *mq_relay_address (const struct mq_relay *relay);
-/* A host of the settings that may be asked, at "IP:PORT".  */
+/* Adds a host from the settings, at "IP:PORT".  */
 void mq_relay_add_seed (struct mq_relay *relay, const char *address);
-/* A whole list of the hosts that may be asked: begin, each address, end.
-   Those that it lacks are forgotten, but for the seeds.  NEAR: in the same
-   data centre.  */
+/* Replaces the list of hosts: begin, one call for each host, end.  Hosts that
+   are no longer listed are removed, except seeds and those with an open link.
+   NEAR: in the same data centre.  */
 void mq_relay_list_begin (struct mq_relay *relay);
 void mq_relay_list_host (struct mq_relay *relay, const char *address,
                          bool near);
 void mq_relay_list_end (struct mq_relay *relay);
 size_t mq_relay_host_count (const struct mq_relay *relay);
 
-/* As mq_rows_commit and mq_rows_get, through another host.  Without a host
-   that answers the status is DOWN, or LOST where it may have been done.  */
+/* As mq_rows_commit and mq_rows_get, through another host.  If no host
+   answers, the status is DOWN, or LOST if the write may have been executed. */
 struct mq_relay_call *mq_relay_commit (struct mq_relay *relay,
                                        const struct mq_rows_entry *entries,
                                        size_t count, mq_rows_done *done,
@@ -86,64 +86,66 @@
                                     const char *part, const char *key,
                                     mq_rows_done *done, void *user);
 void mq_relay_cancel (struct mq_relay_call *call);
-/* As mq_relay_commit, by the host at ADDRESS alone, which answers within WAIT
-   milliseconds or is not asked so for a while.  */
+/* As mq_relay_commit, through the host at ADDRESS only.  If it does not answer
+   within WAIT milliseconds, it is not used for batching until a backoff has
+   passed.  */
 struct mq_relay_call *mq_relay_commit_at (struct mq_relay *relay,
                                           const char *address, uint32_t wait,
                                           const struct mq_rows_entry *entries,
                                           size_t count, mq_rows_done *done,
                                           void *user);
-/* The host of this data centre that gathers writes to PART: all of its hosts
-   name the same one, as far as they know the same hosts.  NULL: this one
-   does, or nobody can be asked.  */
+/* Address of the host of this data centre that batches writes to PART, chosen
+   by rendezvous hashing: hosts with the same list choose the same one.  NULL
+   if it is this host or none is available.  */
 const char *mq_relay_writer (const struct mq_relay *relay, const char *part);
-/* WRITE makes other hosts' writes, in place of calls to the table.  */
+/* WRITE executes the writes of other hosts instead of mq_rows_commit.  */
 typedef void mq_relay_write (const struct mq_rows_entry *entries, size_t count,
                              mq_rows_done *done, void *done_user, void *user);
 void mq_relay_set_write (struct mq_relay *relay, mq_relay_write *write,
                          void *user);
-/* Asks some host for what is newer than SYNC.  */
+/* Requests state newer than SYNC from one host.  */
 void mq_relay_request_sync (struct mq_relay *relay,
                             const struct mq_relay_sync *sync);
-/* Answers a sync that came over LINK.  */
+/* Answers a sync request received on LINK.  */
 void mq_relay_send_state (struct mq_relay *relay, struct mq_relay_link *link,
                           const struct mq_relay_state *state);
-/* Hosts that are asked for a loan at a time.  Where there are more, those with
-   an open link come first: a caller's tries reach hosts of one data centre. */
+/* Hosts to which a loan request is sent; those with an open link come
+   first.  */
 #define MQ_RELAY_LOAN_HOSTS_MAX 32U
-/* A host that has not answered a question for a loan for so long is not asked
-   again for MQ_RELAY_BACKOFF_MS, or until it answers: most likely it is gone,
-   and each question would wait for it.  */
+/* A host that has not answered a loan request for this long gets no more of
+   them for MQ_RELAY_BACKOFF_MS or until it answers, so that requests don't
+   wait for a lost host.  */
 #define MQ_RELAY_LOAN_TIMEOUT_MS 100U
-/* Asks other hosts for a loan; returns how many will answer.  NEAR: only those
-   in the same data centre, and none where they are more than can be asked.  */
+/* Requests a loan from other hosts; returns the number of requests sent. NEAR:
+   only from hosts in the same data centre, and from none if they exceed
+   MQ_RELAY_LOAN_HOSTS_MAX.  */
 uint32_t mq_relay_request_loan (struct mq_relay *relay,
-                                const struct mq_relay_loan_request *ask,
+                                const struct mq_relay_loan_request *request,
                                 bool near);
-/* Answers a question for a loan that came over LINK.  */
+/* Answers a loan request received on LINK.  */
 void mq_relay_send_loan_reply (struct mq_relay *relay,
                                struct mq_relay_link *link,
-                               const struct mq_relay_loan_reply *told);
-/* Tells the host at ADDRESS what was not used; false when no link to it is
+                               const struct mq_relay_loan_reply *reply);
+/* Returns unused tokens to the host at ADDRESS; false if no link to it is
    open.  */
 bool mq_relay_return_loan (struct mq_relay *relay, const char *address,
-                           const struct mq_relay_loan_return *back);
-/* Asks the host at ADDRESS for permits; false when no link to it can be
+                           const struct mq_relay_loan_return *unused);
+/* Requests permits from the host at ADDRESS; false if no link to it can be
    opened.  */
 bool mq_relay_request_quota (struct mq_relay *relay, const char *address,
-                             const struct mq_relay_quota_request *ask);
-/* Answers a question for permits that came over LINK.  */
+                             const struct mq_relay_quota_request *request);
+/* Answers a permit request received on LINK.  */
 void mq_relay_send_quota_reply (struct mq_relay *relay,
                                 struct mq_relay_link *link,
-                                const struct mq_relay_quota_reply *told);
-/* Asks all listed hosts that have not answered it yet what earlier runs of
-   this one lent; returns how many those are.  */
+                                const struct mq_relay_quota_reply *reply);
+/* Recalls the rates lent by earlier runs of this host from all listed hosts
+   that have not answered yet; returns the number of those hosts.  */
 uint32_t mq_relay_recall_quota (struct mq_relay *relay, uint64_t server);
-/* Answers such a question that came over LINK.  */
+/* Answers a recall received on LINK.  */
 void mq_relay_send_recall_reply (struct mq_relay *relay,
                                  struct mq_relay_link *link,
-                                 const struct mq_relay_quota_request *ask);
-/* Calls made through other hosts, and for them.  */
+                                 const struct mq_relay_quota_request *request);
+/* Calls relayed through other hosts, and made for them.  */
 uint64_t mq_relay_calls_sent (const struct mq_relay *relay);
 uint64_t mq_relay_calls_served (const struct mq_relay *relay);
 
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -1,4 +1,4 @@
-/* relay_frame.c - what routing hosts say to each other, packed for the wire.
+/* relay_frame.c - encoding of messages between routing hosts.
 
    Needs: relay_frame.h, frame.h, memory.h, proto/relay.pb-c.h.  */
 
@@ -7,7 +7,7 @@
 #include "core/memory.h"
 #include "net/frame.h"
 
-/* protobuf-c wants texts that may be changed; it does not change them.  */
+/* protobuf-c declares strings as mutable but does not change them.  */
 static char *
 text_field (const char *text)
 {
@@ -27,7 +27,7 @@
   to->remove = from->remove;
 }
 
-/* List of COUNT pointers to COUNT messages of SIZE bytes, to be filled.  */
+/* Array of pointers to COUNT uninitialised messages of SIZE bytes.  */
 static void *
 make_list (TALLOC_CTX *ctx, size_t count, size_t size)
 {
@@ -87,33 +87,34 @@
 }
 
 static struct mq_bytes
-pack_ask (TALLOC_CTX *ctx, const struct mq_relay_call_request *ask)
+pack_call_request (TALLOC_CTX *ctx,
+                   const struct mq_relay_call_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Ask to = MQRELAY__ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_ASK;
   frame.ask = &to;
-  to.id = ask->id;
-  to.commit = ask->commit;
-  to.entries = make_entries (ctx, ask->entries, ask->count);
-  to.n_entries = ask->count;
+  to.id = request->id;
+  to.commit = request->commit;
+  to.entries = make_entries (ctx, request->entries, request->count);
+  to.n_entries = request->count;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_told (TALLOC_CTX *ctx, const struct mq_relay_call_reply *told)
+pack_call_reply (TALLOC_CTX *ctx, const struct mq_relay_call_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Told to = MQRELAY__TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_TOLD;
   frame.told = &to;
-  to.id = told->id;
-  to.status = told->result.status;
-  to.version = told->result.version;
-  to.rows = make_entries (ctx, told->result.rows, told->result.row_count);
-  to.n_rows = told->result.row_count;
+  to.id = reply->id;
+  to.status = reply->result.status;
+  to.version = reply->result.version;
+  to.rows = make_entries (ctx, reply->result.rows, reply->result.row_count);
+  to.n_rows = reply->result.row_count;
   return pack (ctx, &frame);
 }
 
@@ -147,51 +148,52 @@
 }
 
 static struct mq_bytes
-pack_loan_ask (TALLOC_CTX *ctx, const struct mq_relay_loan_request *ask)
+pack_loan_request (TALLOC_CTX *ctx,
+                   const struct mq_relay_loan_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanAsk to = MQRELAY__LOAN_ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_ASK;
   frame.loan_ask = &to;
-  to.id = ask->id;
-  to.run = text_field (ask->program);
-  to.limit = ask->limit;
-  to.most = ask->most;
-  to.turn = text_field (ask->turn);
-  to.issue = ask->issue;
+  to.id = request->id;
+  to.run = text_field (request->program);
+  to.limit = request->limit;
+  to.most = request->most;
+  to.turn = text_field (request->turn);
+  to.issue = request->issue;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_loan_told (TALLOC_CTX *ctx, const struct mq_relay_loan_reply *told)
+pack_loan_reply (TALLOC_CTX *ctx, const struct mq_relay_loan_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanTold to = MQRELAY__LOAN_TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_TOLD;
   frame.loan_told = &to;
-  to.id = told->id;
-  to.run = text_field (told->program);
-  to.tokens = told->tokens;
-  to.over = told->over;
-  to.home = told->home;
-  to.turn = text_field (told->turn);
-  to.history.data = told->history.data;
-  to.history.len = told->history.len;
+  to.id = reply->id;
+  to.run = text_field (reply->program);
+  to.tokens = reply->tokens;
+  to.over = reply->over;
+  to.home = reply->home;
+  to.turn = text_field (reply->turn);
+  to.history.data = reply->history.data;
+  to.history.len = reply->history.len;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_loan_back (TALLOC_CTX *ctx, const struct mq_relay_loan_return *back)
+pack_loan_return (TALLOC_CTX *ctx, const struct mq_relay_loan_return *unused)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanBack to = MQRELAY__LOAN_BACK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_BACK;
   frame.loan_back = &to;
-  to.run = text_field (back->program);
-  to.tokens = back->tokens;
+  to.run = text_field (unused->program);
+  to.tokens = unused->tokens;
   return pack (ctx, &frame);
 }
 
@@ -215,21 +217,22 @@
 }
 
 static struct mq_bytes
-pack_quota_ask (TALLOC_CTX *ctx, const struct mq_relay_quota_request *ask)
+pack_quota_request (TALLOC_CTX *ctx,
+                    const struct mq_relay_quota_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaAsk to = MQRELAY__QUOTA_ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_ASK;
   frame.quota_ask = &to;
-  to.id = ask->id;
-  to.host = ask->host;
-  to.heard_ms = ask->heard_ms;
-  to.server = ask->server;
-  to.wants = make_wants (ctx, ask->wants, ask->want_count);
-  to.n_wants = ask->want_count;
-  to.listed = ask->listed;
-  to.recalled = ask->recalled;
+  to.id = request->id;
+  to.host = request->host;
+  to.heard_ms = request->heard_ms;
+  to.server = request->server;
+  to.wants = make_wants (ctx, request->wants, request->want_count);
+  to.n_wants = request->want_count;
+  to.listed = request->listed;
+  to.recalled = request->recalled;
   return pack (ctx, &frame);
 }
 
@@ -255,18 +258,18 @@
 }
 
 static struct mq_bytes
-pack_quota_told (TALLOC_CTX *ctx, const struct mq_relay_quota_reply *told)
+pack_quota_reply (TALLOC_CTX *ctx, const struct mq_relay_quota_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaTold to = MQRELAY__QUOTA_TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_TOLD;
   frame.quota_told = &to;
-  to.id = told->id;
-  to.server = told->server;
-  to.told_ms = told->told_ms;
-  to.gifts = make_gifts (ctx, told->gifts, told->gift_count);
-  to.n_gifts = told->gift_count;
+  to.id = reply->id;
+  to.server = reply->server;
+  to.told_ms = reply->told_ms;
+  to.gifts = make_gifts (ctx, reply->gifts, reply->gift_count);
+  to.n_gifts = reply->gift_count;
   return pack (ctx, &frame);
 }
 
@@ -283,30 +286,30 @@
   return pack (ctx, &frame);
 }
 
-/* The bytes and all that they are packed from, below CTX.  */
+/* Packs FRAME; the bytes and all temporary data are allocated below CTX.  */
 static struct mq_bytes
 pack_body (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
   switch (frame->kind)
     {
     case MQ_RELAY_CALL_REQUEST:
-      return pack_ask (ctx, &frame->u.call_request);
+      return pack_call_request (ctx, &frame->u.call_request);
     case MQ_RELAY_CALL_REPLY:
-      return pack_told (ctx, &frame->u.call_reply);
+      return pack_call_reply (ctx, &frame->u.call_reply);
     case MQ_RELAY_SYNC:
       return pack_sync (ctx, &frame->u.sync);
     case MQ_RELAY_STATE:
       return pack_state (ctx, &frame->u.state);
     case MQ_RELAY_LOAN_REQUEST:
-      return pack_loan_ask (ctx, &frame->u.loan_request);
+      return pack_loan_request (ctx, &frame->u.loan_request);
     case MQ_RELAY_LOAN_REPLY:
-      return pack_loan_told (ctx, &frame->u.loan_reply);
+      return pack_loan_reply (ctx, &frame->u.loan_reply);
     case MQ_RELAY_LOAN_RETURN:
-      return pack_loan_back (ctx, &frame->u.loan_return);
+      return pack_loan_return (ctx, &frame->u.loan_return);
     case MQ_RELAY_QUOTA_REQUEST:
-      return pack_quota_ask (ctx, &frame->u.quota_request);
+      return pack_quota_request (ctx, &frame->u.quota_request);
     case MQ_RELAY_QUOTA_REPLY:
-      return pack_quota_told (ctx, &frame->u.quota_reply);
+      return pack_quota_reply (ctx, &frame->u.quota_reply);
     case MQ_RELAY_QUOTA_RECALL:
       return pack_quota_recall (ctx, &frame->u.quota_recall);
     case MQ_RELAY_UNKNOWN:
@@ -315,9 +318,8 @@
   return (struct mq_bytes){ NULL, 0 };
 }
 
-/* Failure: a host that answers others for weeks grows by the lists of rows and
-   workers that its answers were packed from; whoever packs frees the bytes
-   alone.  So the lists lie below a context that ends here.  */
+/* The caller frees the bytes only, so temporary data is freed here: otherwise
+   memory would grow with every frame.  */
 struct mq_bytes
 mq_relay_frame_pack (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
@@ -366,9 +368,9 @@
   return workers;
 }
 
-/* An outcome that this version does not know promises nothing.  */
+/* An unknown status is treated as LOST.  */
 static void
-read_told (struct mq_relay_frame *to, const Mqrelay__Told *from)
+read_call_reply (struct mq_relay_frame *to, const Mqrelay__Told *from)
 {
   to->kind = MQ_RELAY_CALL_REPLY;
   to->u.call_reply.id = from->id;
@@ -383,7 +385,7 @@
 }
 
 static bool
-read_ask (struct mq_relay_frame *to, const Mqrelay__Ask *from)
+read_call_request (struct mq_relay_frame *to, const Mqrelay__Ask *from)
 {
   to->kind = MQ_RELAY_CALL_REQUEST;
   to->u.call_request = (struct mq_relay_call_request){
@@ -396,7 +398,7 @@
 }
 
 static void
-read_loan_ask (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
+read_loan_request (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
 {
   to->kind = MQ_RELAY_LOAN_REQUEST;
   to->u.loan_request = (struct mq_relay_loan_request){
@@ -410,7 +412,7 @@
 }
 
 static void
-read_loan_told (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
+read_loan_reply (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
 {
   to->kind = MQ_RELAY_LOAN_REPLY;
   to->u.loan_reply = (struct mq_relay_loan_reply){
@@ -425,7 +427,7 @@
 }
 
 static void
-read_quota_ask (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
+read_quota_request (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
 {
   struct mq_quota_want *wants = mq_must (
       talloc_zero_array (to, struct mq_quota_want, from->n_wants + 1));
@@ -454,7 +456,7 @@
 }
 
 static void
-read_quota_told (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
+read_quota_reply (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
 {
   struct mq_quota_gift *gifts = mq_must (
       talloc_zero_array (to, struct mq_quota_gift, from->n_gifts + 1));
@@ -487,9 +489,9 @@
   switch (from->body_case)
     {
     case MQRELAY__FRAME__BODY_ASK:
-      return read_ask (to, from->ask);
+      return read_call_request (to, from->ask);
     case MQRELAY__FRAME__BODY_TOLD:
-      read_told (to, from->told);
+      read_call_reply (to, from->told);
       return true;
     case MQRELAY__FRAME__BODY_SYNC:
       to->kind = MQ_RELAY_SYNC;
@@ -507,10 +509,10 @@
       };
       return true;
     case MQRELAY__FRAME__BODY_LOAN_ASK:
-      read_loan_ask (to, from->loan_ask);
+      read_loan_request (to, from->loan_ask);
       return true;
     case MQRELAY__FRAME__BODY_LOAN_TOLD:
-      read_loan_told (to, from->loan_told);
+      read_loan_reply (to, from->loan_told);
       return true;
     case MQRELAY__FRAME__BODY_LOAN_BACK:
       to->kind = MQ_RELAY_LOAN_RETURN;
@@ -519,10 +521,10 @@
                                            from->loan_back->tokens };
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_ASK:
-      read_quota_ask (to, from->quota_ask);
+      read_quota_request (to, from->quota_ask);
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_TOLD:
-      read_quota_told (to, from->quota_told);
+      read_quota_reply (to, from->quota_told);
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_RECALL:
       to->kind = MQ_RELAY_QUOTA_RECALL;
@@ -537,7 +539,7 @@
 }
 
 /**
- * struct holder - the decoded message that a frame points into
+ * struct holder - owner of the decoded message that a frame points into
  */
 struct holder
 {
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -1,4 +1,4 @@
-/* relay_frame.h - what routing hosts say to each other, packed for the wire.
+/* relay_frame.h - messages between routing hosts and their encoding.
 
    Needs: rows.h, fleet.h, quota.h, proto/relay.pb-c.h.  */
 
@@ -9,28 +9,28 @@
 #include "core/router/fleet.h"
 #include "rows.h"
 
-/* Frames are bounded by what a transaction may carry, and some more.  */
+/* Exceeds the largest transaction.  */
 #define MQ_RELAY_FRAME_MAX ((size_t)2 << 20)
 
 enum mq_relay_kind
 {
-  MQ_RELAY_CALL_REQUEST,  /* make this call to the platform's table */
-  MQ_RELAY_CALL_REPLY,    /* its outcome */
-  MQ_RELAY_SYNC,          /* tell what is newer than this */
-  MQ_RELAY_STATE,         /* the configuration and the workers */
-  MQ_RELAY_LOAN_REQUEST,  /* lend tokens and a history for a turn */
-  MQ_RELAY_LOAN_REPLY,    /* what is lent */
-  MQ_RELAY_LOAN_RETURN,   /* what was not used of it */
-  MQ_RELAY_QUOTA_REQUEST, /* issue permits for requests of organisations */
-  MQ_RELAY_QUOTA_REPLY,   /* what is issued */
-  MQ_RELAY_QUOTA_RECALL,  /* surrender what earlier runs lent */
-  MQ_RELAY_UNKNOWN /* of a newer version of this program, to be ignored */
+  MQ_RELAY_CALL_REQUEST,  /* call to the platform's table */
+  MQ_RELAY_CALL_REPLY,    /* result of the call */
+  MQ_RELAY_SYNC,          /* request for newer state */
+  MQ_RELAY_STATE,         /* configuration and workers */
+  MQ_RELAY_LOAN_REQUEST,  /* request for tokens and a history */
+  MQ_RELAY_LOAN_REPLY,    /* tokens and history lent */
+  MQ_RELAY_LOAN_RETURN,   /* unused tokens returned */
+  MQ_RELAY_QUOTA_REQUEST, /* request for permits */
+  MQ_RELAY_QUOTA_REPLY,   /* permits issued */
+  MQ_RELAY_QUOTA_RECALL,  /* recall of rates lent by earlier runs */
+  MQ_RELAY_UNKNOWN        /* from a newer version; ignored */
 };
 
 /**
- * struct mq_relay_call_request - a call that the sender can't make itself
- * @id: of the call, for @told
- * @commit: a transaction on the entries, else a read of the one
+ * struct mq_relay_call_request  - a call made for another host
+ * @id: returned in the reply
+ * @commit: writes all entries in a transaction, else reads the only one
  */
 struct mq_relay_call_request
 {
@@ -47,9 +47,9 @@
 };
 
 /**
- * struct mq_relay_sync - what the asker knows
- * @config_version: of its configuration, 0: none
- * @workers_digest: of its workers (mq_fleet_digest), 0: none
+ * struct mq_relay_sync  - versions that the requester has
+ * @config_version: 0 if it has no configuration
+ * @workers_digest: mq_fleet_digest of its workers, 0 if it has none
  */
 struct mq_relay_sync
 {
@@ -58,11 +58,10 @@
 };
 
 /**
- * struct mq_relay_state - what a host whose own feeds are alive knows
- * @config: empty when the asker's is not older
- * @same_workers: the asker knows them: 6,000 workers are 600 kB, three times a
- *                second
- * @workers: else all that are listed
+ * struct mq_relay_state  - state of a host whose feeds work
+ * @config: empty if the requester's is not older
+ * @same_workers: the requester has the same workers, which are omitted
+ * @workers: else all listed workers
  */
 struct mq_relay_state
 {
@@ -73,13 +72,13 @@
 };
 
 /**
- * struct mq_relay_loan_request - what a turn lacks while the table is away
- * @id: of the question
- * @program: whose turn
- * @limit: of the program's budget
- * @most: tokens that are wanted
- * @turn: whose history is wanted, "": none
- * @issue: tokens may be issued by the host that holds the program's lease
+ * struct mq_relay_loan_request  - request for a turn's missing tokens or
+ * history
+ * @id: returned in the reply
+ * @limit: budget limit of the program, tokens
+ * @most: tokens requested
+ * @turn: turn whose history is requested, "" if none
+ * @issue: the lease holder of the program may issue unrecorded tokens
  */
 struct mq_relay_loan_request
 {
@@ -92,15 +91,13 @@
 };
 
 /**
- * struct mq_relay_loan_reply - the answer
- * @id: of the question
- * @program: as it was asked for
- * @tokens: lent; whoever lent them has them no more
- * @over: no tokens may be issued: the record counts more than the limit, or
- * some were issued under a lease that has moved on
- * @turn: whose history follows, "": it is not known
- * @history: as a row of the table, with the whole text
- * @home: worker that has the program's cache, 0: not known
+ * struct mq_relay_loan_reply  - reply to a loan request
+ * @tokens: tokens lent, already deducted from the lender's grant
+ * @over: no tokens may be issued: the record exceeds the limit, or tokens were
+ *        issued under a lease that has moved
+ * @turn: turn of @history, "" if not found
+ * @history: encoded as a row of the table, with the full text
+ * @home: worker that holds the program's cache, 0 if unknown
  */
 struct mq_relay_loan_reply
 {
@@ -113,7 +110,7 @@
   uint64_t home;
 };
 
-/* Unused tokens of a loan on their way back.  */
+/* Unused tokens of a loan, returned to the lender.  */
 struct mq_relay_loan_return
 {
   const char *program;
@@ -121,13 +118,14 @@
 };
 
 /**
- * struct mq_relay_quota_request - what a host wants of an issuer of permits
- * @id: of the question
- * @host: names this run of the asker
- * @heard_ms: what it heard last from the run @server of the issuer
- * @wants: their heard_ms is not told: it is that of the question
- * @listed: its row is in the table of hosts
- * @recalled: it holds nothing of other runs of the issuer
+ * struct mq_relay_quota_request  - request for permits, and reply to a recall
+ * @id: returned in the reply
+ * @host: id of the requester's run
+ * @heard_ms: acknowledged @told_ms of the last reply from run @server
+ * @server: id of the issuer's run that replied last
+ * @wants: their heard_ms is not sent; it equals @heard_ms
+ * @listed: the requester has a row in the table of hosts
+ * @recalled: the requester holds no rates from other runs of the issuer
  */
 struct mq_relay_quota_request
 {
@@ -142,10 +140,9 @@
 };
 
 /**
- * struct mq_relay_quota_reply - the answer
- * @id: of the question
- * @server: names this run of the issuer
- * @told_ms: by its clock
+ * struct mq_relay_quota_reply  - reply to a request for permits
+ * @server: id of the issuer's run
+ * @told_ms: send time, issuer's clock
  */
 struct mq_relay_quota_reply
 {
@@ -157,9 +154,9 @@
 };
 
 /**
- * struct mq_relay_quota_recall - an issuer asks what its earlier runs lent
- * @server: names this run
- * @address: where other hosts reach the issuer
+ * struct mq_relay_quota_recall  - recalls rates lent by earlier runs
+ * @server: id of the issuer's run
+ * @address: address of the issuer
  */
 struct mq_relay_quota_recall
 {
@@ -169,7 +166,7 @@
 
 /**
  * struct mq_relay_frame - one message
- * @kind: which of @u
+ * @kind: selects the member of @u
  */
 struct mq_relay_frame
 {
@@ -189,12 +186,11 @@
   } u;
 };
 
-/* Bytes of FRAME with the length in front, below CTX; stops the process when
-   memory is out.  */
+/* Packs FRAME with a length prefix, below CTX.  Aborts if out of memory.  */
 struct mq_bytes mq_relay_frame_pack (TALLOC_CTX *ctx,
                                      const struct mq_relay_frame *frame);
-/* Frame of the bytes behind the length, below CTX with all that it points at;
-   NULL when they are none.  */
+/* Unpacks the bytes after the length prefix, below CTX with all data that the
+   frame points to; NULL if they are invalid.  */
 struct mq_relay_frame *mq_relay_frame_unpack (TALLOC_CTX *ctx,
                                               const uint8_t *data, size_t len);
 
--- a/src/router/relay_link.c
+++ b/src/router/relay_link.c
@@ -7,13 +7,13 @@
 #include "net/frame.h"
 #include "net/tcp.h"
 
-/* Bytes that a host doesn't acknowledge for so long mean that it is gone.  */
-#define SILENT_MS 600U
+/* A connection with bytes unacknowledged for this long has failed.  */
+#define ACK_TIMEOUT_MS 600U
 
 /**
  * struct mq_relay_link - a connection, opened by either side
- * @busy: its frames are being given out, and it must not be freed
- * @dead: it was destroyed meanwhile
+ * @busy: frames are being delivered; freeing is deferred
+ * @dead: destroyed while busy
  */
 struct mq_relay_link
 {
@@ -35,9 +35,9 @@
     talloc_free (link);
 }
 
-/* False when the bytes are no frames.  */
+/* Delivers complete frames; false if the bytes are invalid.  */
 static bool
-take_bytes (struct mq_relay_link *link, const char *data, size_t len)
+read_frames (struct mq_relay_link *link, const char *data, size_t len)
 {
   const uint8_t *bytes;
   size_t size;
@@ -65,15 +65,15 @@
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
   struct mq_relay_link *link = user;
-  bool good;
+  bool valid;
 
   (void)tcp;
   link->busy = true;
-  good = take_bytes (link, data, len);
+  valid = read_frames (link, data, len);
   link->busy = false;
   if (link->dead)
     talloc_free (link);
-  else if (!good)
+  else if (!valid)
     link->owner.ended (link, link->owner.user);
 }
 
@@ -108,7 +108,8 @@
   struct mq_tcp_owner tcp_owner
       = { .data = on_data, .ended = on_ended, .user = link };
 
-  link->tcp = mq_tcp_open (ctx, ev, address, SILENT_MS, &tcp_owner, error);
+  link->tcp
+      = mq_tcp_open (ctx, ev, address, ACK_TIMEOUT_MS, &tcp_owner, error);
   if (link->tcp != NULL)
     return link;
   talloc_free (link);
@@ -129,7 +130,7 @@
       talloc_free (link);
       return NULL;
     }
-  mq_tcp_watch_silence (link->tcp, SILENT_MS);
+  mq_tcp_watch_silence (link->tcp, ACK_TIMEOUT_MS);
   return link;
 }
 
--- a/src/router/relay_link.h
+++ b/src/router/relay_link.h
@@ -1,7 +1,7 @@
 /* relay_link.h - one connection between two routing hosts.
 
-   Carries frames either way and ends when the other side is silent or sends
-   what is no frame.
+   Carries frames in both directions and ends when the other side is silent or
+   sends an invalid frame.
    Needs: relay_frame.h, tevent.  */
 
 #ifndef MQ_RELAY_LINK_H
@@ -13,12 +13,10 @@
 struct mq_relay_link;
 
 /**
- * struct mq_relay_link_owner - who is told of a link
- * @frame: a frame came in; valid in the call alone
- * @ended: nothing more comes; the owner is to destroy the link
- * @user: given to both
- *
- * Each may destroy the link.
+ * struct mq_relay_link_owner - callbacks of a link, which may destroy it
+ * @frame: a frame was received; valid during the call only
+ * @ended: the connection has ended; the owner must destroy the link
+ * @user: passed to both callbacks
  */
 struct mq_relay_link_owner
 {
@@ -28,21 +26,21 @@
   void *user;
 };
 
-/* Connects to ADDRESS, "IP:PORT"; NULL with ERROR set when it fails at
-   once.  */
+/* Connects to ADDRESS, "IP:PORT"; NULL with ERROR set if that fails
+   at once.  */
 struct mq_relay_link *mq_relay_link_open (
     TALLOC_CTX *ctx, struct tevent_context *ev, const char *address,
     const struct mq_relay_link_owner *owner, struct mq_error *error);
-/* Takes over FD, an accepted socket; NULL when memory is out.  */
+/* Takes ownership of FD, an accepted socket; NULL if out of memory.  */
 struct mq_relay_link *
 mq_relay_link_accept (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
                       const struct mq_relay_link_owner *owner);
-/* Something of the other side has arrived, bytes or the connection itself,
-   that was not looked at yet.  */
+/* Received bytes, or the established connection, have not been processed yet.
+ */
 bool mq_relay_link_has_unread (const struct mq_relay_link *link);
-/* Sends bytes of mq_relay_frame_pack.  */
+/* Sends a frame packed by mq_relay_frame_pack.  */
 void mq_relay_link_send (struct mq_relay_link *link, struct mq_bytes bytes);
-/* May be called from within the owner's functions.  */
+/* May be called from the owner's callbacks.  */
 void mq_relay_link_destroy (struct mq_relay_link *link);
 
 #endif
--- a/src/router/relay_loan.c
+++ b/src/router/relay_loan.c
@@ -1,5 +1,5 @@
-/* relay_loan.c - questions to many hosts at a time: who lends tokens or a
-   history.
+/* relay_loan.c - loan requests for tokens or a history, sent to many hosts at
+   once.
 
    Needs: relay_state.h, timer.h, clock.h.  */
 
@@ -14,13 +14,11 @@
   host->loan_late = false;
 }
 
-/* Failure: a host was held up for longer than it may take for an answer, then
-   answered, and was left alone for the rest of the pause; turns whose history
-   lies there were refused at once.  An answer shows that it is there, so it
-   is asked again.  It still makes no calls: those wait longer for it.  */
+/* A late reply ends the backoff for loans, or turns whose history the host
+   holds would be refused.  The backoff for relayed calls stays.  */
 void
 relay_on_loan_reply (struct mq_relay *relay, const struct mq_relay_link *link,
-                     const struct mq_relay_loan_reply *told)
+                     const struct mq_relay_loan_reply *reply)
 {
   struct host *host = relay_host_of_link (relay, link);
 
@@ -28,11 +26,11 @@
     return;
   relay_clear_loan_request (host);
   host->loan_after_ms = 0;
-  relay->owner.loan_reply (told, host->address, relay->owner.user);
+  relay->owner.loan_reply (reply, host->address, relay->owner.user);
 }
 
 static void
-on_loan_late (void *data)
+on_loan_timeout (void *data)
 {
   struct host *host = data;
 
@@ -40,46 +38,45 @@
   host->loan_late = true;
 }
 
-/* Failure: this host was held up itself, and an answer that had come in time
-   lay unread when the next question was asked; by the clock alone the other
-   host looked silent.  So its time is over when a timer says so: late timers
-   come after what has arrived.  */
+/* The timeout is a timer, not a comparison of times: if this host was blocked,
+   a reply that arrived in time is read before the timer runs.  */
 static void
-expect_answer (struct mq_relay *relay, struct host *host)
+start_timeout (struct mq_relay *relay, struct host *host)
 {
   if (host->loan_timer == NULL)
     host->loan_timer = mq_timer_add (host, relay->ev, MQ_RELAY_LOAN_TIMEOUT_MS,
-                                     on_loan_late, host);
+                                     on_loan_timeout, host);
 }
 
-/* A host whose answer, or whose link, has arrived but was not looked at is
-   judged the next time: more arrives while this host works off what has.  */
+/* Whether a request to HOST has timed out.  A host with unread data, or with
+   an unprocessed connection, is not judged yet.  */
 static bool
-owes_answer (const struct host *host)
+has_timed_out (const struct host *host)
 {
   return host->loan_late
          && (host->link == NULL || !mq_relay_link_has_unread (host->link));
 }
 
-/* Whether HOST may be asked for a loan; one that owes an answer is left alone
-   for a while.  */
+/* Whether a loan request may be sent to HOST; a request that timed out starts
+   the backoff.  */
 static bool
 may_lend (struct host *host, uint64_t now)
 {
-  if (owes_answer (host))
+  if (has_timed_out (host))
     relay_mark_unreachable (host);
   return host->loan_after_ms <= now;
 }
 
-/* One round over the hosts with an open link, or over those without.  */
+/* Sends FRAME to hosts with an open link if LINKED, else to those without.
+   Returns SENT plus the number of hosts.  */
 static uint32_t
-ask_hosts (struct mq_relay *relay, struct mq_bytes frame, bool near,
-           bool linked, uint32_t asked)
+send_to_hosts (struct mq_relay *relay, struct mq_bytes frame, bool near,
+               bool linked, uint32_t sent)
 {
   uint64_t now = mq_clock_ms ();
 
   for (struct host *host = relay->hosts;
-       host != NULL && asked < MQ_RELAY_LOAN_HOSTS_MAX; host = host->next)
+       host != NULL && sent < MQ_RELAY_LOAN_HOSTS_MAX; host = host->next)
     {
       struct mq_relay_link *link;
 
@@ -89,11 +86,11 @@
       link = relay_open_link (relay, host);
       if (link == NULL)
         continue;
-      expect_answer (relay, host);
+      start_timeout (relay, host);
       mq_relay_link_send (link, frame);
-      asked++;
+      sent++;
     }
-  return asked;
+  return sent;
 }
 
 static uint32_t
@@ -108,38 +105,38 @@
 
 uint32_t
 mq_relay_request_loan (struct mq_relay *relay,
-                       const struct mq_relay_loan_request *ask, bool near)
+                       const struct mq_relay_loan_request *request, bool near)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_REQUEST, .u.loan_request = *ask };
+      = { .kind = MQ_RELAY_LOAN_REQUEST, .u.loan_request = *request };
   struct mq_bytes bytes;
-  uint32_t asked;
+  uint32_t sent;
 
   if (near && count_near (relay) > MQ_RELAY_LOAN_HOSTS_MAX)
     return 0;
   bytes = mq_relay_frame_pack (relay, &frame);
-  asked = ask_hosts (relay, bytes, near, true, 0);
-  asked = ask_hosts (relay, bytes, near, false, asked);
+  sent = send_to_hosts (relay, bytes, near, true, 0);
+  sent = send_to_hosts (relay, bytes, near, false, sent);
   talloc_free (bytes.data);
-  return asked;
+  return sent;
 }
 
 void
 mq_relay_send_loan_reply (struct mq_relay *relay, struct mq_relay_link *link,
-                          const struct mq_relay_loan_reply *told)
+                          const struct mq_relay_loan_reply *reply)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_REPLY, .u.loan_reply = *told };
+      = { .kind = MQ_RELAY_LOAN_REPLY, .u.loan_reply = *reply };
 
   relay_send_frame (relay, link, &frame);
 }
 
 bool
 mq_relay_return_loan (struct mq_relay *relay, const char *address,
-                      const struct mq_relay_loan_return *back)
+                      const struct mq_relay_loan_return *unused)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = *back };
+      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = *unused };
   struct host *host = relay_find_host (relay, address);
 
   if (host == NULL || host->link == NULL)
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -1,5 +1,4 @@
-/* relay_state.h - the hosts that a relay knows, shared by relay.c and
-   relay_loan.c only.
+/* relay_state.h - state of a relay, shared by relay.c and relay_loan.c only.
 
    Needs: relay.h, relay_link.h.  */
 
@@ -10,19 +9,18 @@
 #include "relay_link.h"
 
 /**
- * struct host - a host that may be asked
- * @link: NULL: none is open
- * @call_after_ms: it is not asked to make a call before
- * @loan_after_ms: it is not asked for a loan before, since it did not answer;
- *                 a host that can't reach the table either may still lend
- * @loan_timer: runs while it has time to answer a question for a loan, NULL:
- *              it owes none, or is late
- * @loan_late: its time for an answer is over
- * @seed: known from the settings; stays when the list of hosts lacks it
- * @listed: the list that is being told has it
- * @near: it is in the same data centre
- * @recalled: it has answered mq_relay_recall_quota
- * @gather_after_ms: it is not asked to gather writes before
+ * struct host - another routing host
+ * @link: NULL if none is open
+ * @call_after_ms: end of the backoff for relayed calls
+ * @loan_after_ms: end of the backoff for loan requests; a host that can't
+ * reach the table may still lend
+ * @loan_timer: timeout of an unanswered loan request, or NULL
+ * @loan_late: a loan request has timed out
+ * @seed: from the settings; kept even if not listed
+ * @listed: in the latest list of hosts
+ * @near: in the same data centre
+ * @recalled: has answered mq_relay_recall_quota
+ * @gather_after_ms: end of the backoff for batching writes
  */
 struct host
 {
@@ -62,26 +60,27 @@
 
 /* relay.c */
 
-/* The host that LINK was opened to; NULL: it came from the other side.  */
+/* The host that LINK was opened to; NULL if the other side opened it.  */
 struct host *relay_host_of_link (struct mq_relay *relay,
                                  const struct mq_relay_link *link);
 struct host *relay_find_host (const struct mq_relay *relay,
                               const char *address);
-/* Link to HOST, opened if need be; NULL when that fails at once.  */
+/* Returns the link to HOST, opening it if necessary; NULL if that fails at
+   once.  */
 struct mq_relay_link *relay_open_link (struct mq_relay *relay,
                                        struct host *host);
-/* HOST gives no answer: it is left alone for a while.  */
+/* HOST does not answer: starts the backoff for calls and loan requests.  */
 void relay_mark_unreachable (struct host *host);
 void relay_send_frame (struct mq_relay *relay, struct mq_relay_link *link,
                        const struct mq_relay_frame *frame);
 
 /* relay_loan.c */
 
-/* HOST owes no answer to a question for a loan.  */
+/* No loan request to HOST is outstanding any more.  */
 void relay_clear_loan_request (struct host *host);
-/* What came over LINK for a question of ours.  */
+/* Handles a reply to a loan request, received on LINK.  */
 void relay_on_loan_reply (struct mq_relay *relay,
                           const struct mq_relay_link *link,
-                          const struct mq_relay_loan_reply *told);
+                          const struct mq_relay_loan_reply *reply);
 
 #endif
