--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -45,13 +45,13 @@
 };
 
 /**
- * struct relayed_call - a call that this host makes for another one
+ * struct served_call - a call that this host makes for another one
  * @link: link for the reply, NULL if it has ended
  */
-struct relayed_call
+struct served_call
 {
   struct mq_relay *relay;
-  struct relayed_call *next;
+  struct served_call *next;
   struct mq_relay_link *link;
   uint64_t id;
 };
@@ -119,10 +119,10 @@
       host->link = NULL;
       relay_mark_unreachable (host);
     }
-  for (struct relayed_call *relayed_call = relay->relayed_calls;
-       relayed_call != NULL; relayed_call = relayed_call->next)
-    if (relayed_call->link == link)
-      relayed_call->link = NULL;
+  for (struct served_call *served_call = relay->served_calls;
+       served_call != NULL; served_call = served_call->next)
+    if (served_call->link == link)
+      served_call->link = NULL;
   fail_calls (relay, link);
   mq_relay_link_destroy (link);
 }
@@ -136,13 +136,13 @@
 /* Errands: calls that we make for another host */
 
 static void
-remove_relayed (struct relayed_call *relayed_call)
+remove_relayed (struct served_call *served_call)
 {
-  for (struct relayed_call **at = &relayed_call->relay->relayed_calls;
+  for (struct served_call **at = &served_call->relay->served_calls;
        *at != NULL; at = &(*at)->next)
-    if (*at == relayed_call)
+    if (*at == served_call)
       {
-        *at = relayed_call->next;
+        *at = served_call->next;
         return;
       }
 }
@@ -150,42 +150,42 @@
 static void
 on_relayed_done (const struct mq_rows_result *result, void *user)
 {
-  struct relayed_call *relayed_call = user;
+  struct served_call *served_call = user;
   struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REPLY };
 
-  remove_relayed (relayed_call);
-  if (relayed_call->link != NULL)
+  remove_relayed (served_call);
+  if (served_call->link != NULL)
     {
-      frame.u.call_reply.id = relayed_call->id;
+      frame.u.call_reply.id = served_call->id;
       frame.u.call_reply.result = *result;
-      relay_send_frame (relayed_call->relay, relayed_call->link, &frame);
+      relay_send_frame (served_call->relay, served_call->link, &frame);
     }
-  talloc_free (relayed_call);
+  talloc_free (served_call);
 }
 
 static void
 serve_call (struct mq_relay *relay, struct mq_relay_link *link,
             const struct mq_relay_call_request *request)
 {
-  struct relayed_call *relayed_call
-      = mq_must (talloc_zero (relay, struct relayed_call));
+  struct served_call *served_call
+      = mq_must (talloc_zero (relay, struct served_call));
 
-  relayed_call->relay = relay;
-  relayed_call->link = link;
-  relayed_call->id = request->id;
-  relayed_call->next = relay->relayed_calls;
-  relay->relayed_calls = relayed_call;
+  served_call->relay = relay;
+  served_call->link = link;
+  served_call->id = request->id;
+  served_call->next = relay->served_calls;
+  relay->served_calls = served_call;
   relay->served++;
   if (request->commit && relay->write != NULL)
     relay->write (request->entries, request->count, on_relayed_done,
-                  relayed_call, relay->write_user);
+                  served_call, relay->write_user);
   else if (request->commit)
     mq_rows_commit (relay->rows, request->entries, request->count,
-                    on_relayed_done, relayed_call);
+                    on_relayed_done, served_call);
   else
     mq_rows_get (relay->rows, request->entries[0].table,
                  request->entries[0].part, request->entries[0].key,
-                 on_relayed_done, relayed_call);
+                 on_relayed_done, served_call);
 }
 
 /* Calls made through another host */
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -49,7 +49,7 @@
   struct host *hosts;
   size_t accepted;
   struct mq_relay_call *calls;
-  struct relayed_call *relayed_calls;
+  struct served_call *served_calls;
   char *own_address;
   uint64_t next_id;
   uint64_t random;
