--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -46,7 +46,8 @@
                         struct mq_relay_link *link, void *user);
   void (*loan_reply) (const struct mq_relay_loan_reply *reply,
                       const char *address, void *user);
-  void (*loan_return) (const struct mq_relay_loan_return *unused, void *user);
+  void (*loan_return) (const struct mq_relay_loan_return *returned,
+                       void *user);
   void (*quota_request) (const struct mq_relay_quota_request *request,
                          struct mq_relay_link *link, void *user);
   void (*quota_reply) (const struct mq_relay_quota_reply *reply,
@@ -129,7 +130,7 @@
 /* Returns unused tokens to the host at ADDRESS; false if no link to it is
    open.  */
 bool mq_relay_return_loan (struct mq_relay *relay, const char *address,
-                           const struct mq_relay_loan_return *unused);
+                           const struct mq_relay_loan_return *returned);
 /* Requests permits from the host at ADDRESS; false if no link to it can be
    opened.  */
 bool mq_relay_request_quota (struct mq_relay *relay, const char *address,
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -185,15 +185,15 @@
 }
 
 static struct mq_bytes
-pack_loan_return (TALLOC_CTX *ctx, const struct mq_relay_loan_return *unused)
+pack_loan_return (TALLOC_CTX *ctx, const struct mq_relay_loan_return *returned)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanBack to = MQRELAY__LOAN_BACK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_BACK;
   frame.loan_back = &to;
-  to.run = text_field (unused->program);
-  to.tokens = unused->tokens;
+  to.run = text_field (returned->program);
+  to.tokens = returned->tokens;
   return pack (ctx, &frame);
 }
 
--- a/src/router/relay_loan.c
+++ b/src/router/relay_loan.c
@@ -133,10 +133,10 @@
 
 bool
 mq_relay_return_loan (struct mq_relay *relay, const char *address,
-                      const struct mq_relay_loan_return *unused)
+                      const struct mq_relay_loan_return *returned)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = *unused };
+      = { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = *returned };
   struct host *host = relay_find_host (relay, address);
 
   if (host == NULL || host->link == NULL)
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -1,6 +1,6 @@
-/* fuzz_relay.c - frames of other routing hosts (relay_frame.c).
+/* fuzz_relay.c - frames from other routing hosts (relay_frame.c).
 
-   Input: the bytes of one frame behind its length.
+   Input: one frame without its length prefix.
    Needs: fuzz.h, relay_frame.h, frame.h.  */
 
 #include "fuzz.h"
@@ -71,9 +71,9 @@
   FUZZ_CHECK (false);
 }
 
-/* What was read is packed into a frame that reads the same.  */
+/* Packing and unpacking an accepted frame is lossless.  */
 static void
-check_again (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
+check_round_trip (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
   struct mq_bytes bytes = mq_relay_frame_pack (ctx, frame);
   struct mq_relay_frame *again
@@ -97,7 +97,7 @@
   if (frame != NULL)
     check_frame (frame);
   if (accepted)
-    check_again (ctx, frame);
+    check_round_trip (ctx, frame);
   talloc_free (ctx);
   return accepted;
 }
--- a/tests/test_commit_queue.c
+++ b/tests/test_commit_queue.c
@@ -1,4 +1,4 @@
-/* test_commit_queue.c - writes that share a transaction.
+/* test_commit_queue.c - writes batched into transactions.
 
    Needs: Criterion, commit_queue.h, rows_server.h.  */
 
@@ -10,28 +10,28 @@
 
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 
-/* Who is at fault for a conflict.  */
-struct fault_case
+/* Writes that caused a conflict.  */
+struct conflict_case
 {
-  const char *what;
-  uint64_t asked[3]; /* versions that the writes expect */
-  uint64_t there[3]; /* versions that the table told, 0: no such row */
-  bool faults[3];
+  const char *name;
+  uint64_t expected[3]; /* versions that the writes expect */
+  uint64_t current[3];  /* versions in the conflict result, 0: no such row */
+  bool conflicts[3];
 };
 
-Test (commit_queue, faults)
+Test (commit_queue, conflicts)
 {
   static const char *const keys[] = { "a", "b", "c" };
-  static const struct fault_case cases[] = {
-    { "one is newer", { 5, 6, 7 }, { 5, 9, 7 }, { false, true, false } },
-    { "one is there", { 0, 6, 7 }, { 3, 6, 7 }, { true, false, false } },
-    { "one is gone", { 5, 6, 0 }, { 0, 6, 0 }, { true, false, false } },
-    { "two", { 5, 6, 7 }, { 8, 6, 9 }, { true, false, true } },
+  static const struct conflict_case cases[] = {
+    { "one row is newer", { 5, 6, 7 }, { 5, 9, 7 }, { false, true, false } },
+    { "one row exists", { 0, 6, 7 }, { 3, 6, 7 }, { true, false, false } },
+    { "one row is absent", { 5, 6, 0 }, { 0, 6, 0 }, { true, false, false } },
+    { "two conflicts", { 5, 6, 7 }, { 8, 6, 9 }, { true, false, true } },
     { "no condition",
       { MQ_VERSION_ANY, 6, 7 },
       { 3, 8, 7 },
       { false, true, false } },
-    { "none to be seen", { 5, 6, 7 }, { 5, 6, 7 }, { true, true, true } },
+    { "rows show no cause", { 5, 6, 7 }, { 5, 6, 7 }, { true, true, true } },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -40,25 +40,26 @@
       struct mq_rows_entry rows[3];
       struct mq_rows_result result
           = { .status = MQ_STORE_CONFLICT, .rows = rows };
-      bool faults[3];
+      bool conflicts[3];
 
       for (size_t k = 0; k < 3; k++)
         {
-          entries[k] = (struct mq_rows_entry){ .table = "t",
-                                               .part = "p",
-                                               .key = keys[k],
-                                               .version = cases[i].asked[k] };
-          if (cases[i].there[k] != 0)
+          entries[k]
+              = (struct mq_rows_entry){ .table = "t",
+                                        .part = "p",
+                                        .key = keys[k],
+                                        .version = cases[i].expected[k] };
+          if (cases[i].current[k] != 0)
             rows[result.row_count++]
                 = (struct mq_rows_entry){ .table = "t",
                                           .part = "p",
                                           .key = keys[k],
-                                          .version = cases[i].there[k] };
+                                          .version = cases[i].current[k] };
         }
-      (void)mq_commit_find_conflicts (entries, 3, &result, faults);
+      (void)mq_commit_find_conflicts (entries, 3, &result, conflicts);
       for (size_t k = 0; k < 3; k++)
-        cr_expect_eq (faults[k], cases[i].faults[k], "%s: %zu", cases[i].what,
-                      k);
+        cr_expect_eq (conflicts[k], cases[i].conflicts[k], "%s: %zu",
+                      cases[i].name, k);
     }
 }
 
@@ -68,7 +69,7 @@
 
 struct outcome
 {
-  int told;
+  int calls;
   enum mq_store_status status;
   size_t rows;
 };
@@ -114,7 +115,7 @@
 {
   struct outcome *outcome = user;
 
-  outcome->told++;
+  outcome->calls++;
   outcome->status = result->status;
   outcome->rows = result->row_count;
 }
@@ -134,19 +135,19 @@
 static void
 wait_for (int count)
 {
-  int told = 0;
+  int calls = 0;
 
-  while (told < count)
+  while (calls < count)
     {
-      told = 0;
+      calls = 0;
       tevent_loop_once (ev);
       for (int i = 0; i < WRITES; i++)
-        told += outcomes[i].told;
+        calls += outcomes[i].calls;
     }
 }
 
-/* Writes that come while one is under way go together with the next.  */
-Test (commits, gathered)
+/* Writes that arrive while a transaction is in flight share the next one.  */
+Test (commits, batched)
 {
   char key[32];
 
@@ -162,8 +163,9 @@
   cr_expect_eq (rows_server_writes (table), 2);
 }
 
-/* One write's condition fails: it alone is told so, with its row.  */
-Test (commits, a_conflict_is_nobody_elses)
+/* A write whose condition fails is the only one to get the conflict, with its
+   row.  */
+Test (commits, conflict_affects_one_write)
 {
   write_row (0, "p", "first", MQ_VERSION_ABSENT);
   write_row (1, "p", "a", MQ_VERSION_ABSENT);
@@ -176,11 +178,11 @@
   cr_expect_eq (outcomes[2].rows, 1);
   cr_expect_eq (outcomes[3].status, MQ_STORE_OK);
   for (int i = 0; i < 4; i++)
-    cr_expect_eq (outcomes[i].told, 1);
+    cr_expect_eq (outcomes[i].calls, 1);
 }
 
 /* Two writes to one row never share a transaction.  */
-Test (commits, one_row_once)
+Test (commits, row_written_once)
 {
   write_row (0, "p", "first", MQ_VERSION_ANY);
   write_row (1, "p", "same", MQ_VERSION_ABSENT);
@@ -191,9 +193,8 @@
   cr_expect_eq (rows_server_writes (table), 3);
 }
 
-/* An answer is lost: each of those that went together is told that it may have
-   been done.  */
-Test (commits, lost_answer_is_told_to_each)
+/* If an answer is lost, every write of the batch ends as LOST.  */
+Test (commits, lost_answer_reaches_all)
 {
   rows_server_fault (table, ROWS_LOSE);
   write_row (0, "p", "first", MQ_VERSION_ABSENT);
@@ -204,17 +205,17 @@
     cr_expect_eq (outcomes[i].status, MQ_STORE_LOST, "%d", i);
 }
 
-/* Nobody waits any more: before it is sent it is never done.  */
+/* A write cancelled before it is sent is never executed.  */
 Test (commits, cancelled)
 {
   struct mq_commit *sent = write_row (0, "p", "first", MQ_VERSION_ABSENT);
-  struct mq_commit *waits = write_row (1, "p", "second", MQ_VERSION_ABSENT);
+  struct mq_commit *queued = write_row (1, "p", "second", MQ_VERSION_ABSENT);
 
   write_row (2, "p", "third", MQ_VERSION_ABSENT);
   mq_commit_cancel (sent);
-  mq_commit_cancel (waits);
+  mq_commit_cancel (queued);
   wait_for (1);
   cr_expect_eq (outcomes[2].status, MQ_STORE_OK);
-  cr_expect_eq (outcomes[0].told + outcomes[1].told, 0);
+  cr_expect_eq (outcomes[0].calls + outcomes[1].calls, 0);
   cr_expect_eq (rows_server_count (table, "t"), 2);
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,4 +1,4 @@
-/* test_relay.c - what routing hosts say to each other.
+/* test_relay.c - messages and links between routing hosts.
 
    Needs: Criterion, relay.h, frame.h, listen.h.  */
 
@@ -177,9 +177,9 @@
     }
 }
 
-/* What one host packs the other one reads, field by field: a version or a
-   condition that got lost on the way would let a write overtake another.  */
-Test (relay, frames_come_through)
+/* All fields survive packing and unpacking.  A lost version or condition would
+   let one write overwrite another.  */
+Test (relay, frames_round_trip)
 {
   struct mq_rows_entry entries[] = {
     { .table = "budget",
@@ -297,11 +297,9 @@
   talloc_free (ctx);
 }
 
-/* A host answers what others ask of it: rows of the table, the workers it
-   knows.  What the frame was packed from stayed below the host's links for as
-   long as it ran: 8,080 bytes for each answer of 100 workers.  The bytes are
-   all that is left of a packed frame.  */
-Test (relay, packing_leaves_nothing_behind)
+/* Packing a frame allocates nothing but the returned bytes below the context;
+   otherwise every reply would leak memory.  */
+Test (relay, packing_does_not_leak)
 {
   static struct mq_fleet_member workers[100];
   static struct mq_rows_entry entries[2]
@@ -334,9 +332,9 @@
   talloc_free (ctx);
 }
 
-/* During a rolling change of versions a newer host says things, or gives
-   outcomes, that this one doesn't know.  Neither may cost the link, and an
-   unknown outcome must not pass for "not done".  */
+/* During a rolling upgrade, a newer host may send unknown messages or
+   statuses. Neither may end the link, and an unknown status must not be taken
+   as "not executed".  */
 Test (relay, newer_and_damaged_frames)
 {
   static const struct
@@ -373,44 +371,44 @@
 }
 
 /**
- * struct owing_case - a host that was asked for a loan, while this one is held
- * up for longer than the answer may take
- * @taken: the link is there before
- * @answers: what it says arrives meanwhile
- * @goes_on: this host goes on before the next question
- * @asked: hosts that the next question goes to
+ * struct timeout_case - a loan request, after which this host is blocked for
+ *                       longer than the timeout
+ * @connected: the link is established before
+ * @answers: the reply arrives meanwhile
+ * @runs_loop: this host runs its event loop before the next request
+ * @requests: number of hosts that get the next request
  */
-struct owing_case
+struct timeout_case
 {
   const char *name;
-  bool taken;
+  bool connected;
   bool answers;
-  bool goes_on;
-  uint32_t asked;
+  bool runs_loop;
+  uint32_t requests;
 };
 
-static const struct owing_case owing_cases[] = {
+static const struct timeout_case timeout_cases[] = {
   { "answered", true, true, false, 1 },
-  { "answered, goes on", true, true, true, 1 },
-  /* Whether it was silent shows when this host has looked.  */
+  { "answered, loop runs", true, true, true, 1 },
+  /* The timeout is detected once this host runs its event loop.  */
   { "silent", true, false, false, 1 },
-  { "silent, goes on", true, false, true, 0 },
-  { "link not looked at", false, false, false, 1 },
+  { "silent, loop runs", true, false, true, 0 },
+  { "connection not processed", false, false, false, 1 },
 };
 
 static void
-on_loan_told (const struct mq_relay_loan_reply *told, const char *address,
-              void *user)
+on_loan_reply (const struct mq_relay_loan_reply *reply, const char *address,
+               void *user)
 {
-  (void)told;
+  (void)reply;
   (void)address;
   (void)user;
 }
 
-/* Reads some of the question on the other host's end, running the loop until
-   it is there.  */
+/* Runs the loop until the request arrives at the other host, and reads part of
+   it.  */
 static void
-hear_question (struct tevent_context *ev, int fd)
+receive_request (struct tevent_context *ev, int fd)
 {
   struct pollfd ready = { .fd = fd, .events = POLLIN };
   char bytes[512];
@@ -428,9 +426,9 @@
   *done = true;
 }
 
-/* Runs the loop until timers that are due now have come.  */
+/* Runs the loop until all timers that are due have run.  */
 static void
-go_on (struct tevent_context *ev)
+run_due_timers (struct tevent_context *ev)
 {
   bool done = false;
 
@@ -440,16 +438,16 @@
 }
 
 static void
-run_owing (const struct owing_case *row)
+run_timeout_case (const struct timeout_case *row)
 {
   struct tevent_context *ev = tevent_context_init (NULL);
-  struct mq_relay_owner owner = { .loan_reply = on_loan_told };
-  struct mq_relay_loan_request ask
+  struct mq_relay_owner owner = { .loan_reply = on_loan_reply };
+  struct mq_relay_loan_request request
       = { .id = 1, .program = "p", .limit = 9, .most = 1, .turn = "" };
-  struct mq_relay_frame told
+  struct mq_relay_frame reply
       = { .kind = MQ_RELAY_LOAN_REPLY,
           .u.loan_reply = { .id = 1, .program = "p", .turn = "" } };
-  struct mq_bytes frame = mq_relay_frame_pack (ev, &told);
+  struct mq_bytes frame = mq_relay_frame_pack (ev, &reply);
   int other = mq_listen_open ("127.0.0.1:0", NULL);
   struct pollfd listener = { .fd = other, .events = POLLIN };
   struct mq_error error = { .type = MQ_ERR_NONE };
@@ -462,31 +460,30 @@
                            mq_rows_create (ev, ev, address), &owner, &error);
   cr_assert_not_null (relay);
   mq_relay_add_seed (relay, address);
-  cr_assert_eq (mq_relay_request_loan (relay, &ask, false), 1);
+  cr_assert_eq (mq_relay_request_loan (relay, &request, false), 1);
   cr_assert_eq (poll (&listener, 1, 20000), 1);
   fd = accept (other, NULL, NULL);
-  if (row->taken)
-    hear_question (ev, fd);
+  if (row->connected)
+    receive_request (ev, fd);
   if (row->answers)
     cr_assert_eq (send (fd, frame.data, frame.len, MSG_NOSIGNAL),
                   (ssize_t)frame.len);
   usleep ((MQ_RELAY_LOAN_TIMEOUT_MS + 20) * 1000);
-  if (row->goes_on)
-    go_on (ev);
-  cr_expect_eq (mq_relay_request_loan (relay, &ask, false), row->asked, "%s",
-                row->name);
+  if (row->runs_loop)
+    run_due_timers (ev);
+  cr_expect_eq (mq_relay_request_loan (relay, &request, false), row->requests,
+                "%s", row->name);
   mq_relay_destroy (relay);
   talloc_free (ev);
   close (fd);
   close (other);
 }
 
-/* A host asks another one for a loan and is then held up; the answer, or the
-   link itself, comes meanwhile.  A caller's request that is read first asks
-   again, and the other host was taken for lost: a turn was refused for a
-   second though the host that had its tokens had answered in time.  */
-Test (relay, answer_that_lies_unread_is_no_silence)
+/* A reply or connection that arrived while this host was blocked, and is still
+   unread, must not start the backoff: turns would be refused although the
+   lender answered in time.  */
+Test (relay, unread_reply_is_no_timeout)
 {
-  for (size_t i = 0; i < ROWS (owing_cases); i++)
-    run_owing (&owing_cases[i]);
+  for (size_t i = 0; i < ROWS (timeout_cases); i++)
+    run_timeout_case (&timeout_cases[i]);
 }
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -1,5 +1,4 @@
-/* test_relay_loan.c - questions for loans to a host that answers late, or not
-   at all.
+/* test_relay_loan.c - loan requests to a host that answers late or never.
 
    Needs: Criterion, router_site.h, http_peer.h, chain.h, relay.h,
    relay_link.h, listen.h, timer.h.  */
@@ -19,37 +18,37 @@
 #include <unistd.h>
 
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
-/* Longer than a host may take for its answer.  */
-#define HELD_MS (MQ_RELAY_LOAN_TIMEOUT_MS + 20U)
-#define QUESTIONS_MAX 64U
+/* Longer than the timeout of a loan request.  */
+#define PAST_TIMEOUT_MS (MQ_RELAY_LOAN_TIMEOUT_MS + 20U)
+#define REQUESTS_MAX 64U
 
 /**
- * struct question - what the lender was asked
- * @link: to answer on, NULL: it has ended
- * @ask: its texts lie below the lender
+ * struct received_request - a loan request received
+ * @link: link for the reply, NULL if it has ended
+ * @request: strings are owned by the lender
  */
-struct question
+struct received_request
 {
   struct mq_relay_link *link;
-  struct mq_relay_loan_request ask;
+  struct mq_relay_loan_request request;
 };
 
 /**
- * struct lender - a host that lends what it is asked for, once it gets to it
- * @links: open ones
- * @held_up: it gets to no question
- * @asked: questions so far
- * @answered: how many of them it got to
+ * struct lender - a simulated host that lends what is requested
+ * @links: open links
+ * @blocked: requests are queued, not answered
+ * @received: requests received
+ * @answered: requests answered
  */
 struct lender
 {
   struct tevent_fd *event;
   char *address;
   int links;
-  bool held_up;
-  size_t asked;
+  bool blocked;
+  size_t received;
   size_t answered;
-  struct question questions[QUESTIONS_MAX];
+  struct received_request requests[REQUESTS_MAX];
   int fd;
 };
 
@@ -70,65 +69,66 @@
 }
 
 static void
-lend (struct lender *lender, const struct question *question)
+lend (struct lender *lender, const struct received_request *received_request)
 {
-  const struct mq_relay_loan_request *ask = &question->ask;
+  const struct mq_relay_loan_request *request = &received_request->request;
   struct mq_relay_frame frame = { .kind = MQ_RELAY_LOAN_REPLY };
-  struct mq_chain *chain = mq_chain_extend (lender, NULL, ask->turn,
+  struct mq_chain *chain = mq_chain_extend (lender, NULL, request->turn,
                                             bytes ("one;"), bytes ("e1\n"));
 
   cr_assert_not_null (chain);
   frame.u.loan_reply = (struct mq_relay_loan_reply){
-    .id = ask->id,
-    .program = ask->program,
-    .tokens = ask->most,
-    .turn = ask->turn,
+    .id = request->id,
+    .program = request->program,
+    .tokens = request->most,
+    .turn = request->turn,
   };
-  if (ask->turn[0] != '\0')
+  if (request->turn[0] != '\0')
     frame.u.loan_reply.history = mq_chain_pack_whole (lender, chain);
-  send_frame (lender, question->link, &frame);
+  send_frame (lender, received_request->link, &frame);
 }
 
-/* The lender gets to the questions that wait.  */
 static void
-answer_all (struct lender *lender)
+answer_queued (struct lender *lender)
 {
-  for (; lender->answered < lender->asked; lender->answered++)
-    if (lender->questions[lender->answered].link != NULL)
-      lend (lender, &lender->questions[lender->answered]);
+  for (; lender->answered < lender->received; lender->answered++)
+    if (lender->requests[lender->answered].link != NULL)
+      lend (lender, &lender->requests[lender->answered]);
 }
 
 static void
-take_question (struct lender *lender, struct mq_relay_link *link,
-               const struct mq_relay_loan_request *ask)
+receive_request (struct lender *lender, struct mq_relay_link *link,
+                 const struct mq_relay_loan_request *request)
 {
-  struct question *question = &lender->questions[lender->asked];
-
-  cr_assert_lt (lender->asked, QUESTIONS_MAX);
-  question->link = link;
-  question->ask = *ask;
-  question->ask.program = talloc_strdup (lender, ask->program);
-  question->ask.turn = talloc_strdup (lender, ask->turn);
-  lender->asked++;
-  if (!lender->held_up)
-    answer_all (lender);
+  struct received_request *received_request
+      = &lender->requests[lender->received];
+
+  cr_assert_lt (lender->received, REQUESTS_MAX);
+  received_request->link = link;
+  received_request->request = *request;
+  received_request->request.program = talloc_strdup (lender, request->program);
+  received_request->request.turn = talloc_strdup (lender, request->turn);
+  lender->received++;
+  if (!lender->blocked)
+    answer_queued (lender);
 }
 
-/* It can't reach the table either.  */
+/* Answers loan requests; relayed calls fail, as this host can't reach the
+   table either.  */
 static void
 on_frame (struct mq_relay_link *link, const struct mq_relay_frame *frame,
           void *user)
 {
   struct lender *lender = user;
-  struct mq_relay_frame told = { .kind = MQ_RELAY_CALL_REPLY };
+  struct mq_relay_frame reply = { .kind = MQ_RELAY_CALL_REPLY };
 
   if (frame->kind == MQ_RELAY_LOAN_REQUEST)
-    take_question (lender, link, &frame->u.loan_request);
+    receive_request (lender, link, &frame->u.loan_request);
   if (frame->kind != MQ_RELAY_CALL_REQUEST)
     return;
-  told.u.call_reply.id = frame->u.call_request.id;
-  told.u.call_reply.result.status = MQ_STORE_DOWN;
-  send_frame (lender, link, &told);
+  reply.u.call_reply.id = frame->u.call_request.id;
+  reply.u.call_reply.result.status = MQ_STORE_DOWN;
+  send_frame (lender, link, &reply);
 }
 
 static void
@@ -136,9 +136,9 @@
 {
   struct lender *lender = user;
 
-  for (size_t i = 0; i < lender->asked; i++)
-    if (lender->questions[i].link == link)
-      lender->questions[i].link = NULL;
+  for (size_t i = 0; i < lender->received; i++)
+    if (lender->requests[i].link == link)
+      lender->requests[i].link = NULL;
   mq_relay_link_destroy (link);
   lender->links--;
 }
@@ -201,17 +201,17 @@
 
 TestSuite (relay_loan, .init = set_up, .fini = tear_down, .timeout = 120);
 
-/* Answers that the asker has read.  */
-static size_t told;
+/* Replies that the requester has read.  */
+static size_t replies;
 
 static void
-on_told (const struct mq_relay_loan_reply *loan, const char *address,
-         void *user)
+on_reply (const struct mq_relay_loan_reply *loan, const char *address,
+          void *user)
 {
   (void)loan;
   (void)address;
   (void)user;
-  told++;
+  replies++;
 }
 
 static void
@@ -222,7 +222,7 @@
   *done = true;
 }
 
-/* By the product's timers: those that were due before have come.  */
+/* Uses the router's timers, so that earlier ones have run.  */
 static void
 wait_ms (uint32_t ms)
 {
@@ -234,50 +234,49 @@
 }
 
 static uint32_t
-ask_lender (struct mq_relay *relay)
+request_loan (struct mq_relay *relay)
 {
-  struct mq_relay_loan_request ask
+  struct mq_relay_loan_request request
       = { .id = 1, .program = "p1", .limit = 80, .most = 8, .turn = "" };
 
-  return mq_relay_request_loan (relay, &ask, false);
+  return mq_relay_request_loan (relay, &request, false);
 }
 
-/* How many hosts the last question of STEPS goes to.  q: a question; k: it has
-   come to the lender; h: the lender is held up; l: it goes on; r: its answers
-   have been read; w: more time than an answer may take; s: as much, in which
-   the asker's loop stands still; p: the pause for a host that does not answer.
- */
+/* Runs STEPS and returns how many hosts got the last request.  q: send a
+   request; k: wait until it is received; h: block the lender; l: unblock it;
+   r: wait until its replies are read; w: let the timeout pass; s: the same,
+   without running the requester's event loop; p: let the backoff pass.  */
 static uint32_t
-play (struct mq_relay *relay, const char *steps)
+run_steps (struct mq_relay *relay, const char *steps)
 {
   size_t sent = 0;
-  uint32_t asked = 0;
+  uint32_t hosts = 0;
 
   for (; *steps != '\0'; steps++)
     switch (*steps)
       {
       case 'q':
-        asked = ask_lender (relay);
-        sent += asked;
+        hosts = request_loan (relay);
+        sent += hosts;
         break;
       case 'k':
-        EDGE_WAIT (site, lender->asked == sent);
+        EDGE_WAIT (site, lender->received == sent);
         break;
       case 'h':
-        lender->held_up = true;
+        lender->blocked = true;
         break;
       case 'l':
-        lender->held_up = false;
-        answer_all (lender);
+        lender->blocked = false;
+        answer_queued (lender);
         break;
       case 'r':
-        EDGE_WAIT (site, told == sent);
+        EDGE_WAIT (site, replies == sent);
         break;
       case 'w':
-        wait_ms (HELD_MS);
+        wait_ms (PAST_TIMEOUT_MS);
         break;
       case 's':
-        usleep (HELD_MS * 1000);
+        usleep (PAST_TIMEOUT_MS * 1000);
         break;
       case 'p':
         wait_ms (MQ_RELAY_BACKOFF_MS);
@@ -285,64 +284,62 @@
       default:
         cr_assert_fail ("%c", *steps);
       }
-  return asked;
+  return hosts;
 }
 
 /**
- * struct question_case - what happens before a question
- * @steps: see play; the last is the question
- * @asked: hosts that are asked
+ * struct request_case - events before a loan request
+ * @steps: see run_steps; the last one is the request
+ * @hosts: number of hosts that get the request
  */
-struct question_case
+struct request_case
 {
   const char *name;
   const char *steps;
-  uint32_t asked;
+  uint32_t hosts;
 };
 
-static const struct question_case question_cases[] = {
+static const struct request_case request_cases[] = {
   { "answers", "qkrwq", 1 },
-  { "is held up, goes on", "hqkwlrq", 1 },
-  { "is held up, is asked meanwhile, goes on", "hqkwqlrq", 1 },
-  { "answers while the asker is held up", "hqklsq", 1 },
+  { "blocked, answers late", "hqkwlrq", 1 },
+  { "blocked, gets a request meanwhile, answers late", "hqkwqlrq", 1 },
+  { "answers while the requester is blocked", "hqklsq", 1 },
   { "does not answer", "hqkwq", 0 },
-  { "does not answer, and the pause is not over", "hqkwqwq", 0 },
-  { "does not answer, the pause is over", "hqkwqpq", 1 },
-  { "goes on, then does not answer", "hqkwqlrhqkwq", 0 },
+  { "does not answer, backoff not over", "hqkwqwq", 0 },
+  { "does not answer, backoff over", "hqkwqpq", 1 },
+  { "answers late, then not at all", "hqkwqlrhqkwq", 0 },
 };
 
-/* A host that lends its tokens and histories in an outage was held up for
-   0.12 s.  Its answer came, and still it was left alone for a second as one
-   that is lost, so that turns whose history lies there were refused in 0 ms.
-   The same befell a host that had answered in time, where the asker itself had
-   been held up and had not read it.  A host that does not answer must go on
-   being left alone: else each turn waits for it.  */
-Test (relay_loan, host_that_answers_is_asked)
+/* A late reply ends the lender's backoff, and a reply that is in time but
+   unread does not start it; otherwise turns whose history it holds are
+   refused.  A lender that does not answer stays in backoff, so that turns
+   don't wait for it.  */
+Test (relay_loan, answering_host_gets_requests)
 {
-  struct mq_relay_owner owner = { .loan_reply = on_told };
+  struct mq_relay_owner owner = { .loan_reply = on_reply };
 
-  for (size_t i = 0; i < ROWS (question_cases); i++)
+  for (size_t i = 0; i < ROWS (request_cases); i++)
     {
-      const struct question_case *row = &question_cases[i];
+      const struct request_case *row = &request_cases[i];
       struct mq_relay *relay = mq_relay_create (site, site->ev, "127.0.0.1:0",
                                                 NULL, &owner, NULL);
-      uint32_t asked;
+      uint32_t hosts;
 
       cr_assert_not_null (relay);
-      lender->held_up = false;
-      lender->asked = 0;
+      lender->blocked = false;
+      lender->received = 0;
       lender->answered = 0;
-      told = 0;
+      replies = 0;
       mq_relay_add_seed (relay, lender->address);
-      asked = play (relay, row->steps);
-      cr_expect_eq (asked, row->asked, "%s: %u asked", row->name, asked);
+      hosts = run_steps (relay, row->steps);
+      cr_expect_eq (hosts, row->hosts, "%s: %u requests", row->name, hosts);
       mq_relay_destroy (relay);
       EDGE_WAIT (site, lender->links == 0);
     }
 }
 
-/* A turn that continues from PREVIOUS, with two seconds left: it does without
-   the table.  */
+/* Starts a turn that continues from PREVIOUS.  Its deadline of two seconds
+   lets it proceed without the table.  */
 static void
 begin_turn (const char *id, const char *program, const char *previous)
 {
@@ -357,7 +354,7 @@
   edge_call (site, &call, 0, text);
 }
 
-/* The answer so far has TEXT.  */
+/* Whether the response received so far contains TEXT.  */
 static bool
 call_has (const char *text)
 {
@@ -374,24 +371,23 @@
   return atoi (call.answer + strlen ("HTTP/1.1 "));
 }
 
-/* The table is away, and a program's history lies at a host that is held up
-   for a moment: turns that need it meanwhile are refused.  The host goes on
-   and answers; the next program's turn was refused all the same, in 0 ms, and
-   its caller had one try less.  */
-Test (relay_loan, turn_after_a_lender_was_held_up)
+/* While the table is unavailable and the lender blocked, turns that need its
+   histories are refused.  Once it has answered, the next turn must be served.
+   */
+Test (relay_loan, turn_served_after_lender_unblocks)
 {
   edge_kill (site, 0);
   site->seeds[0] = lender->address;
   edge_start (site, 0);
   rows_server_fault (site->rows, ROWS_BUSY);
   edge_run (site, 1200);
-  lender->held_up = true;
+  lender->blocked = true;
   cr_assert_eq (refused_turn ("u1", "p1", "t1"), 503, "%s", call.answer);
-  wait_ms (HELD_MS);
+  wait_ms (PAST_TIMEOUT_MS);
   cr_assert_eq (refused_turn ("u2", "p2", "t2"), 503, "%s", call.answer);
-  lender->held_up = false;
-  answer_all (lender);
-  wait_ms (HELD_MS);
+  lender->blocked = false;
+  answer_queued (lender);
+  wait_ms (PAST_TIMEOUT_MS);
   begin_turn ("u3", "p3", "t3");
   EDGE_WAIT (site, call_has ("data: e4") || call_has ("HTTP/1.1 503"));
   edge_hang_up (&call);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -10,7 +10,6 @@
 
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 
-/* One host and the table.  */
 struct site
 {
   struct tevent_context *ev;
@@ -26,20 +25,20 @@
 }
 
 static void
-on_over (void *data)
+on_timer (void *data)
 {
-  bool *over = data;
+  bool *done = data;
 
-  *over = true;
+  *done = true;
 }
 
 static void
 run_for (struct site *site, uint32_t ms)
 {
-  bool over = false;
+  bool done = false;
 
-  cr_assert_not_null (mq_timer_add (site->ev, site->ev, ms, on_over, &over));
-  while (!over)
+  cr_assert_not_null (mq_timer_add (site->ev, site->ev, ms, on_timer, &done));
+  while (!done)
     tevent_loop_once (site->ev);
 }
 
@@ -61,16 +60,15 @@
   return site;
 }
 
-/* A table in trouble turns calls away.  A thousand hosts that each try their
-   feeds again after a tenth of a second make 14,000 calls a second, seven
-   times what the table takes, and the calls of programs are turned away with
-   them.  Cause: the pause did not grow with the hosts.  */
-Test (rows, feeds_try_less_often_among_many_hosts)
+/* An overloaded table rejects calls.  The retry pause of feeds must grow with
+   the number of hosts, or their retries keep the table overloaded and
+   programs' calls are rejected too.  */
+Test (rows, feed_retries_slow_down_with_host_count)
 {
   static const struct
   {
     size_t hosts;
-    size_t most; /* tries in two seconds */
+    size_t retries_max; /* retries in two seconds */
   } cases[] = { { 1, 22 }, { 50, 22 }, { 200, 6 }, { 1100, 2 } };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -84,8 +82,8 @@
         run_for (site, 5);
       before = rows_server_feeds (site->server);
       run_for (site, 2000);
-      cr_assert_leq (rows_server_feeds (site->server) - before, cases[i].most,
-                     "%zu hosts", cases[i].hosts);
+      cr_assert_leq (rows_server_feeds (site->server) - before,
+                     cases[i].retries_max, "%zu hosts", cases[i].hosts);
       rows_server_fault (site->server, ROWS_WELL);
       while (!mq_rows_feeds_healthy (site->rows))
         run_for (site, 5);
