--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -43,7 +43,7 @@
 
 /**
  * struct part - queue of writes to one part of the table
- * @destination: TO_TABLE or TO_WRITER
+ * @destination: TO_TABLE or TO_BATCH_HOST
  * @waiting: oldest first
  * @batch: commits of the transaction in flight
  * @count: commits in @batch, 0 if no transaction is in flight
@@ -143,7 +143,7 @@
   return found == 0 ? count : found;
 }
 
-/* Outcomes */
+/* Results */
 
 static void
 end_commit (struct mq_commit *commit, const struct mq_rows_result *result)
@@ -300,13 +300,13 @@
 send_batch (struct part *part)
 {
   struct mq_commit_queue *queue = part->queue;
-  const char *writer = NULL;
+  const char *batch_host = NULL;
 
   if (part->destination == TO_BATCH_HOST)
-    writer = mq_relay_writer (queue->relay, part->rows[0].part);
-  if (writer != NULL)
-    mq_relay_commit_at (queue->relay, writer, FORWARD_TIMEOUT_MS, part->rows,
-                        part->row_count, on_forwarded, part);
+    batch_host = mq_relay_writer (queue->relay, part->rows[0].part);
+  if (batch_host != NULL)
+    mq_relay_commit_at (queue->relay, batch_host, FORWARD_TIMEOUT_MS,
+                        part->rows, part->row_count, on_forwarded, part);
   else if (mq_rows_down (queue->rows)
            && mq_relay_host_count (queue->relay) > 0)
     mq_relay_commit (queue->relay, part->rows, part->row_count, on_done, part);
--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -15,7 +15,7 @@
 /* Hosts tried per call.  */
 #define TRIES_MAX 2U
 /* Hash seed for the assignment of parts to batching hosts.  */
-#define WRITER_SEED 3U
+#define BATCH_HOST_SEED 3U
 /* Links accepted from other hosts.  */
 #define LINKS_MAX 256U
 
@@ -175,7 +175,7 @@
   served_call->id = request->id;
   served_call->next = relay->served_calls;
   relay->served_calls = served_call;
-  relay->served++;
+  relay->calls_served++;
   if (request->commit && relay->write != NULL)
     relay->write (request->entries, request->count, on_relayed_done,
                   served_call, relay->write_user);
@@ -455,7 +455,7 @@
     }
   call->link = link;
   call->sent = true;
-  relay->asked++;
+  relay->calls_sent++;
   mq_relay_link_send (link, call->frame);
   call->timer
       = mq_timer_add (call, relay->ev, call->wait_ms, on_call_timeout, call);
@@ -514,7 +514,7 @@
 const char *
 mq_relay_writer (const struct mq_relay *relay, const char *part)
 {
-  uint64_t key = mq_hash_bytes (part, strlen (part), WRITER_SEED);
+  uint64_t key = mq_hash_bytes (part, strlen (part), BATCH_HOST_SEED);
   uint64_t highest = mq_rendezvous_weight (relay->own_address, key);
   uint64_t now = mq_clock_ms ();
   const struct host *found = NULL;
@@ -762,11 +762,11 @@
 uint64_t
 mq_relay_calls_sent (const struct mq_relay *relay)
 {
-  return relay->asked;
+  return relay->calls_sent;
 }
 
 uint64_t
 mq_relay_calls_served (const struct mq_relay *relay)
 {
-  return relay->served;
+  return relay->calls_served;
 }
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -53,8 +53,8 @@
   char *own_address;
   uint64_t next_id;
   uint64_t random;
-  uint64_t asked;
-  uint64_t served;
+  uint64_t calls_sent;
+  uint64_t calls_served;
   int fd;
 };
 
