--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -303,7 +303,7 @@
   const char *batch_host = NULL;
 
   if (part->destination == TO_BATCH_HOST)
-    batch_host = mq_relay_writer (queue->relay, part->rows[0].part);
+    batch_host = mq_relay_batch_host (queue->relay, part->rows[0].part);
   if (batch_host != NULL)
     mq_relay_commit_at (queue->relay, batch_host, FORWARD_TIMEOUT_MS,
                         part->rows, part->row_count, on_forwarded, part);
@@ -414,7 +414,7 @@
                const struct mq_rows_entry *entry, mq_rows_done *done,
                void *user)
 {
-  bool forwards = mq_relay_writer (queue->relay, entry->part) != NULL;
+  bool forwards = mq_relay_batch_host (queue->relay, entry->part) != NULL;
 
   return add (
       get_part (queue, entry->part, forwards ? TO_BATCH_HOST : TO_TABLE),
--- a/src/router/commit_queue.h
+++ b/src/router/commit_queue.h
@@ -38,7 +38,7 @@
                                  const struct mq_rows_entry *entry,
                                  mq_rows_done *done, void *user);
 /* Queues a transaction forwarded by another host; all ENTRIES are of one part.
-   For mq_relay_set_write, with the queue as USER.  */
+   For mq_relay_set_write_handler, with the queue as USER.  */
 void mq_commit_add_relayed (const struct mq_rows_entry *entries, size_t count,
                             mq_rows_done *done, void *done_user, void *user);
 /* The callback is not called; a write already sent may still take effect.  */
--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -240,7 +240,7 @@
   if (host != NULL)
     start_call_backoff (host);
   if (host != NULL)
-    host->gather_after_ms = host->call_after_ms;
+    host->batch_after_ms = host->call_after_ms;
   call->link = NULL;
   try_call (call);
 }
@@ -385,7 +385,7 @@
   struct host *host = relay_find_host (call->relay, call->address);
 
   if (host != NULL)
-    host->gather_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
+    host->batch_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
   fail_call (call);
 }
 
@@ -505,14 +505,15 @@
 }
 
 void
-mq_relay_set_write (struct mq_relay *relay, mq_relay_write *write, void *user)
+mq_relay_set_write_handler (struct mq_relay *relay,
+                            mq_relay_write_handler *write, void *user)
 {
   relay->write = write;
   relay->write_user = user;
 }
 
 const char *
-mq_relay_writer (const struct mq_relay *relay, const char *part)
+mq_relay_batch_host (const struct mq_relay *relay, const char *part)
 {
   uint64_t key = mq_hash_bytes (part, strlen (part), BATCH_HOST_SEED);
   uint64_t highest = mq_rendezvous_weight (relay->own_address, key);
@@ -523,7 +524,7 @@
     {
       uint64_t weight;
 
-      if (!host->near || !host->listed || host->gather_after_ms > now
+      if (!host->near || !host->listed || host->batch_after_ms > now
           || host->call_after_ms > now)
         continue;
       weight = mq_rendezvous_weight (host->address, key);
--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -98,12 +98,14 @@
 /* Address of the host of this data centre that batches writes to PART, chosen
    by rendezvous hashing: hosts with the same list choose the same one.  NULL
    if it is this host or none is available.  */
-const char *mq_relay_writer (const struct mq_relay *relay, const char *part);
+const char *mq_relay_batch_host (const struct mq_relay *relay,
+                                 const char *part);
 /* WRITE executes the writes of other hosts instead of mq_rows_commit.  */
-typedef void mq_relay_write (const struct mq_rows_entry *entries, size_t count,
-                             mq_rows_done *done, void *done_user, void *user);
-void mq_relay_set_write (struct mq_relay *relay, mq_relay_write *write,
-                         void *user);
+typedef void mq_relay_write_handler (const struct mq_rows_entry *entries,
+                                     size_t count, mq_rows_done *done,
+                                     void *done_user, void *user);
+void mq_relay_set_write_handler (struct mq_relay *relay,
+                                 mq_relay_write_handler *write, void *user);
 /* Requests state newer than SYNC from one host.  */
 void mq_relay_request_sync (struct mq_relay *relay,
                             const struct mq_relay_sync *sync);
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -20,7 +20,7 @@
  * @listed: in the latest list of hosts
  * @near: in the same data centre
  * @recalled: has answered mq_relay_recall_quota
- * @gather_after_ms: end of the backoff for batching writes
+ * @batch_after_ms: end of the backoff for batching writes
  */
 struct host
 {
@@ -35,7 +35,7 @@
   bool listed;
   bool near;
   bool recalled;
-  uint64_t gather_after_ms;
+  uint64_t batch_after_ms;
 };
 
 struct mq_relay
@@ -44,7 +44,7 @@
   struct tevent_fd *event;
   struct mq_rows *rows;
   struct mq_relay_owner owner;
-  mq_relay_write *write;
+  mq_relay_write_handler *write;
   void *write_user;
   struct host *hosts;
   size_t accepted;
--- a/src/router/table_client.c
+++ b/src/router/table_client.c
@@ -57,7 +57,8 @@
   table_client->rows = rows;
   table_client->relay = relay;
   table_client->commits = mq_commit_queue_create (table_client, rows, relay);
-  mq_relay_set_write (relay, mq_commit_add_relayed, table_client->commits);
+  mq_relay_set_write_handler (relay, mq_commit_add_relayed,
+                              table_client->commits);
   return table_client;
 }
 
