--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -94,7 +94,7 @@
 
 /* Retries the calls that were sent on LINK at another host.  */
 static void
-fail_calls (struct mq_relay *relay, const struct mq_relay_link *link)
+retry_calls (struct mq_relay *relay, const struct mq_relay_link *link)
 {
   for (struct mq_relay_call *call = relay->calls; call != NULL;
        call = call->next)
@@ -123,7 +123,7 @@
        served_call != NULL; served_call = served_call->next)
     if (served_call->link == link)
       served_call->link = NULL;
-  fail_calls (relay, link);
+  retry_calls (relay, link);
   mq_relay_link_destroy (link);
 }
 
@@ -133,10 +133,10 @@
   drop_link (user, link);
 }
 
-/* Errands: calls that we make for another host */
+/* Calls made for other hosts */
 
 static void
-remove_relayed (struct served_call *served_call)
+remove_served (struct served_call *served_call)
 {
   for (struct served_call **at = &served_call->relay->served_calls;
        *at != NULL; at = &(*at)->next)
@@ -148,12 +148,12 @@
 }
 
 static void
-on_relayed_done (const struct mq_rows_result *result, void *user)
+on_served_done (const struct mq_rows_result *result, void *user)
 {
   struct served_call *served_call = user;
   struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REPLY };
 
-  remove_relayed (served_call);
+  remove_served (served_call);
   if (served_call->link != NULL)
     {
       frame.u.call_reply.id = served_call->id;
@@ -177,15 +177,15 @@
   relay->served_calls = served_call;
   relay->calls_served++;
   if (request->commit && relay->write != NULL)
-    relay->write (request->entries, request->count, on_relayed_done,
+    relay->write (request->entries, request->count, on_served_done,
                   served_call, relay->write_user);
   else if (request->commit)
     mq_rows_commit (relay->rows, request->entries, request->count,
-                    on_relayed_done, served_call);
+                    on_served_done, served_call);
   else
     mq_rows_get (relay->rows, request->entries[0].table,
                  request->entries[0].part, request->entries[0].key,
-                 on_relayed_done, served_call);
+                 on_served_done, served_call);
 }
 
 /* Calls made through another host */
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -159,9 +159,9 @@
   to.id = request->id;
   to.run = text_field (request->program);
   to.limit = request->limit;
-  to.most = request->most;
+  to.most = request->tokens;
   to.turn = text_field (request->turn);
-  to.issue = request->issue;
+  to.issue = request->may_issue;
   return pack (ctx, &frame);
 }
 
@@ -176,7 +176,7 @@
   to.id = reply->id;
   to.run = text_field (reply->program);
   to.tokens = reply->tokens;
-  to.over = reply->over;
+  to.over = reply->issue_forbidden;
   to.home = reply->home;
   to.turn = text_field (reply->turn);
   to.history.data = reply->history.data;
@@ -226,9 +226,9 @@
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_ASK;
   frame.quota_ask = &to;
   to.id = request->id;
-  to.host = request->host;
-  to.heard_ms = request->heard_ms;
-  to.server = request->server;
+  to.host = request->run_id;
+  to.heard_ms = request->acked_ms;
+  to.server = request->issuer_run_id;
   to.wants = make_wants (ctx, request->wants, request->want_count);
   to.n_wants = request->want_count;
   to.listed = request->listed;
@@ -266,8 +266,8 @@
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_TOLD;
   frame.quota_told = &to;
   to.id = reply->id;
-  to.server = reply->server;
-  to.told_ms = reply->told_ms;
+  to.server = reply->issuer_run_id;
+  to.told_ms = reply->sent_ms;
   to.gifts = make_gifts (ctx, reply->gifts, reply->gift_count);
   to.n_gifts = reply->gift_count;
   return pack (ctx, &frame);
@@ -281,7 +281,7 @@
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_RECALL;
   frame.quota_recall = &to;
-  to.server = recall->server;
+  to.server = recall->issuer_run_id;
   to.address = text_field (recall->address);
   return pack (ctx, &frame);
 }
@@ -405,9 +405,9 @@
     .id = from->id,
     .program = from->run,
     .limit = from->limit,
-    .most = from->most,
+    .tokens = from->most,
     .turn = from->turn,
-    .issue = from->issue,
+    .may_issue = from->issue,
   };
 }
 
@@ -419,7 +419,7 @@
     .id = from->id,
     .program = from->run,
     .tokens = from->tokens,
-    .over = from->over,
+    .issue_forbidden = from->over,
     .home = from->home,
     .turn = from->turn,
     .history = { from->history.data, from->history.len },
@@ -445,9 +445,9 @@
   to->kind = MQ_RELAY_QUOTA_REQUEST;
   to->u.quota_request = (struct mq_relay_quota_request){
     .id = from->id,
-    .host = from->host,
-    .heard_ms = from->heard_ms,
-    .server = from->server,
+    .run_id = from->host,
+    .acked_ms = from->heard_ms,
+    .issuer_run_id = from->server,
     .wants = wants,
     .want_count = from->n_wants,
     .listed = from->listed,
@@ -476,8 +476,8 @@
   to->kind = MQ_RELAY_QUOTA_REPLY;
   to->u.quota_reply = (struct mq_relay_quota_reply){
     .id = from->id,
-    .server = from->server,
-    .told_ms = from->told_ms,
+    .issuer_run_id = from->server,
+    .sent_ms = from->told_ms,
     .gifts = gifts,
     .gift_count = from->n_gifts,
   };
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -28,7 +28,7 @@
 };
 
 /**
- * struct mq_relay_call_request  - a call made for another host
+ * struct mq_relay_call_request - a call made for another host
  * @id: returned in the reply
  * @commit: writes all entries in a transaction, else reads the only one
  */
@@ -47,7 +47,7 @@
 };
 
 /**
- * struct mq_relay_sync  - versions that the requester has
+ * struct mq_relay_sync - versions that the requester has
  * @config_version: 0 if it has no configuration
  * @workers_digest: mq_fleet_digest of its workers, 0 if it has none
  */
@@ -58,7 +58,7 @@
 };
 
 /**
- * struct mq_relay_state  - state of a host whose feeds work
+ * struct mq_relay_state - state of a host whose feeds work
  * @config: empty if the requester's is not older
  * @same_workers: the requester has the same workers, which are omitted
  * @workers: else all listed workers
@@ -72,29 +72,28 @@
 };
 
 /**
- * struct mq_relay_loan_request  - request for a turn's missing tokens or
- * history
+ * struct mq_relay_loan_request - request for tokens or a history
  * @id: returned in the reply
  * @limit: budget limit of the program, tokens
- * @most: tokens requested
+ * @tokens: tokens requested
  * @turn: turn whose history is requested, "" if none
- * @issue: the lease holder of the program may issue unrecorded tokens
+ * @may_issue: the lease holder of the program may issue unrecorded tokens
  */
 struct mq_relay_loan_request
 {
   uint64_t id;
   const char *program;
   uint64_t limit;
-  uint64_t most;
+  uint64_t tokens;
   const char *turn;
-  bool issue;
+  bool may_issue;
 };
 
 /**
- * struct mq_relay_loan_reply  - reply to a loan request
+ * struct mq_relay_loan_reply - reply to a loan request
  * @tokens: tokens lent, already deducted from the lender's grant
- * @over: no tokens may be issued: the record exceeds the limit, or tokens were
- *        issued under a lease that has moved
+ * @issue_forbidden: the budget is overdrawn, or tokens were issued under a
+ * lease that has moved
  * @turn: turn of @history, "" if not found
  * @history: encoded as a row of the table, with the full text
  * @home: worker that holds the program's cache, 0 if unknown
@@ -104,7 +103,7 @@
   uint64_t id;
   const char *program;
   uint64_t tokens;
-  bool over;
+  bool issue_forbidden;
   const char *turn;
   struct mq_bytes history;
   uint64_t home;
@@ -118,21 +117,21 @@
 };
 
 /**
- * struct mq_relay_quota_request  - request for permits, and reply to a recall
+ * struct mq_relay_quota_request - request for permits, and reply to a recall
  * @id: returned in the reply
- * @host: id of the requester's run
- * @heard_ms: acknowledged @told_ms of the last reply from run @server
- * @server: id of the issuer's run that replied last
- * @wants: their heard_ms is not sent; it equals @heard_ms
+ * @run_id: id of the requester's run
+ * @acked_ms: sent_ms of the last reply from the run @issuer_run_id
+ * @issuer_run_id: id of the issuer's run that replied last
+ * @wants: their heard_ms is not sent; it equals @acked_ms
  * @listed: the requester has a row in the table of hosts
  * @recalled: the requester holds no rates from other runs of the issuer
  */
 struct mq_relay_quota_request
 {
   uint64_t id;
-  uint64_t host;
-  uint64_t heard_ms;
-  uint64_t server;
+  uint64_t run_id;
+  uint64_t acked_ms;
+  uint64_t issuer_run_id;
   const struct mq_quota_want *wants;
   size_t want_count;
   bool listed;
@@ -140,27 +139,27 @@
 };
 
 /**
- * struct mq_relay_quota_reply  - reply to a request for permits
- * @server: id of the issuer's run
- * @told_ms: send time, issuer's clock
+ * struct mq_relay_quota_reply - reply to a request for permits
+ * @issuer_run_id: id of the issuer's run
+ * @sent_ms: send time, issuer's clock
  */
 struct mq_relay_quota_reply
 {
   uint64_t id;
-  uint64_t server;
-  uint64_t told_ms;
+  uint64_t issuer_run_id;
+  uint64_t sent_ms;
   const struct mq_quota_gift *gifts;
   size_t gift_count;
 };
 
 /**
- * struct mq_relay_quota_recall  - recalls rates lent by earlier runs
- * @server: id of the issuer's run
+ * struct mq_relay_quota_recall - recalls rates lent by earlier runs
+ * @issuer_run_id: id of the issuer's run
  * @address: address of the issuer
  */
 struct mq_relay_quota_recall
 {
-  uint64_t server;
+  uint64_t issuer_run_id;
   const char *address;
 };
 
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -134,9 +134,9 @@
     .id = loan->id,
     .program = turn->program == NULL ? "" : turn->program,
     .limit = turn->limit,
-    .most = turn->budgeted ? turn->most : 0,
+    .tokens = turn->budgeted ? turn->most : 0,
     .turn = turn->missing,
-    .issue = loan->issue,
+    .may_issue = loan->issue,
   };
 
   send_request (loan, &request);
@@ -260,7 +260,7 @@
   struct mq_relay_loan_request request = { .id = loan->id,
                                            .program = program->id,
                                            .limit = limit,
-                                           .most = most,
+                                           .tokens = most,
                                            .turn = "" };
 
   loan->program = program;
@@ -341,7 +341,7 @@
     loan = loan->next;
   if (loan == NULL || loan->replies_due == 0)
     return;
-  loan->over = loan->over || reply->over;
+  loan->over = loan->over || reply->issue_forbidden;
   if (--loan->replies_due > 0 && !is_satisfied (loan))
     return;
   TALLOC_FREE (loan->timer);
@@ -357,7 +357,7 @@
 {
   struct mq_turns *turns = router->turns;
   bool may_issue
-      = request->issue && mq_reserve_may_issue (router, request->program);
+      = request->may_issue && mq_reserve_may_issue (router, request->program);
   struct mq_program *program = may_issue
                                    ? mq_program_get (turns, request->program)
                                    : mq_program_find (turns, request->program);
@@ -367,11 +367,12 @@
   program->used_ms = mq_clock_ms ();
   program->limit = request->limit;
   if (may_issue)
-    mq_budget_issue (&program->budget, request->limit, request->most);
-  reply->over = mq_budget_over (&program->budget, request->limit)
-                || (program->budget.issued > 0
-                    && !mq_reserve_may_issue (router, request->program));
-  reply->tokens = mq_budget_lend (&program->budget, request->most);
+    mq_budget_issue (&program->budget, request->limit, request->tokens);
+  reply->issue_forbidden
+      = mq_budget_over (&program->budget, request->limit)
+        || (program->budget.issued > 0
+            && !mq_reserve_may_issue (router, request->program));
+  reply->tokens = mq_budget_lend (&program->budget, request->tokens);
 }
 
 static void
@@ -401,7 +402,7 @@
 
   if (program != NULL)
     reply.home = program->home;
-  if (request->most > 0)
+  if (request->tokens > 0)
     lend_tokens (router, request, &reply);
   if (request->turn[0] != '\0')
     lend_history (ctx, router, request, &reply);
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -360,9 +360,9 @@
   struct mq_relay *relay = permits->router->relay;
   struct mq_relay_quota_request request
       = { .id = id,
-          .host = permits->run,
-          .heard_ms = contact->quota.told_ms,
-          .server = contact->quota.server,
+          .run_id = permits->run,
+          .acked_ms = contact->quota.told_ms,
+          .issuer_run_id = contact->quota.server,
           .wants = wants,
           .want_count = count,
           .listed = permits->router->row_written };
@@ -556,7 +556,7 @@
     }
   if (share->issuer == NULL || strcmp (share->issuer, address) != 0)
     mq_text_set (share, &share->issuer, address);
-  mq_quota_told (&share->quota, gift, reply->server,
+  mq_quota_told (&share->quota, gift, reply->issuer_run_id,
                  message_sent_ms (reply->id), now);
   grant_queued (share, gift, reply->id);
 }
@@ -574,8 +574,8 @@
   if (contact == NULL)
     return;
   in_time
-      = mq_quota_answered (&contact->quota, reply->server,
-                           message_sent_ms (reply->id), reply->told_ms, now);
+      = mq_quota_answered (&contact->quota, reply->issuer_run_id,
+                           message_sent_ms (reply->id), reply->sent_ms, now);
   for (size_t i = 0; i < reply->gift_count; i++)
     apply_grant (permits, &reply->gifts[i], reply, address, in_time, now);
 }
@@ -639,22 +639,23 @@
              const struct mq_relay_quota_request *request)
 {
   uint64_t now = mq_clock_boot_ms ();
-  uint64_t acked_ms = request->server == permits->run ? request->heard_ms : 0;
+  uint64_t acked_ms
+      = request->issuer_run_id == permits->run ? request->acked_ms : 0;
   struct mq_quota_gift *gifts = mq_must (
       talloc_array (ctx, struct mq_quota_gift, request->want_count + 1));
 
-  mq_quota_heard (permits->issuer, request->host, acked_ms, now);
+  mq_quota_heard (permits->issuer, request->run_id, acked_ms, now);
   for (size_t i = 0; i < request->want_count; i++)
     {
       struct mq_quota_want want = request->wants[i];
 
       want.heard_ms = acked_ms;
-      gifts[i] = issue_permits (permits, request->host, &want, request->listed,
-                                now);
+      gifts[i] = issue_permits (permits, request->run_id, &want,
+                                request->listed, now);
     }
   return (struct mq_relay_quota_reply){ .id = request->id,
-                                        .server = permits->run,
-                                        .told_ms = now,
+                                        .issuer_run_id = permits->run,
+                                        .sent_ms = now,
                                         .gifts = gifts,
                                         .gift_count = request->want_count };
 }
@@ -697,7 +698,7 @@
   uint64_t now = mq_clock_boot_ms ();
   struct mq_quota_want *wants = mq_must (talloc_zero_array (
       permits, struct mq_quota_want, mq_idmap_count (permits->shares) + 1));
-  struct mq_relay_quota_request request = { .host = permits->run,
+  struct mq_relay_quota_request request = { .run_id = permits->run,
                                             .wants = wants,
                                             .listed = router->row_written,
                                             .recalled = true };
@@ -707,7 +708,7 @@
   while ((share = mq_idmap_next (permits->shares, &position)) != NULL)
     if (share->issuer != NULL && strcmp (share->issuer, recall->address) == 0)
       {
-        mq_quota_surrender (&share->quota, recall->server, now);
+        mq_quota_surrender (&share->quota, recall->issuer_run_id, now);
         wants[request.want_count++]
             = mq_quota_want (&share->quota, &none, share->name, 0, 0, now);
       }
--- a/src/router/rows.h
+++ b/src/router/rows.h
@@ -14,7 +14,7 @@
 struct mq_rows_call;
 
 /**
- * struct mq_rows_entry  - a row that is read or written
+ * struct mq_rows_entry - a row that is read or written
  * @version: read: current version, 0 if the row is absent; write: version
  *           required, MQ_VERSION_ABSENT or MQ_VERSION_ANY
  * @remove: write: removes the row
@@ -30,7 +30,7 @@
 };
 
 /**
- * struct mq_rows_result  - result of a call; valid during the callback only
+ * struct mq_rows_result - result of a call; valid during the callback only
  * @status: OK, CONFLICT, DOWN (not executed) or LOST (outcome unknown)
  * @version: version of the transaction, or the newest version that a read saw
  * @rows: read: rows found; CONFLICT: current rows
@@ -46,7 +46,7 @@
 typedef void mq_rows_done (const struct mq_rows_result *result, void *user);
 
 /**
- * struct mq_rows_watcher  - callbacks for the rows of a table
+ * struct mq_rows_watcher - callbacks for the rows of a table
  * @list: a full list begins (true) or has ended (false); rows not reported in
  *        between no longer exist
  * @row: a row was added or changed
@@ -62,7 +62,7 @@
 };
 
 /**
- * struct mq_rows_counters  - calls to the table and their results
+ * struct mq_rows_counters - calls to the table and their results
  * @writes: transactions sent
  * @reads: reads sent, including feeds
  * @refused: calls rejected by the table
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -131,15 +131,16 @@
       cr_expect_eq (a->u.loan_request.id, b->u.loan_request.id);
       cr_expect_str_eq (a->u.loan_request.program, b->u.loan_request.program);
       cr_expect_eq (a->u.loan_request.limit, b->u.loan_request.limit);
-      cr_expect_eq (a->u.loan_request.most, b->u.loan_request.most);
+      cr_expect_eq (a->u.loan_request.tokens, b->u.loan_request.tokens);
       cr_expect_str_eq (a->u.loan_request.turn, b->u.loan_request.turn);
-      cr_expect_eq (a->u.loan_request.issue, b->u.loan_request.issue);
+      cr_expect_eq (a->u.loan_request.may_issue, b->u.loan_request.may_issue);
       return;
     case MQ_RELAY_LOAN_REPLY:
       cr_expect_eq (a->u.loan_reply.id, b->u.loan_reply.id);
       cr_expect_str_eq (a->u.loan_reply.program, b->u.loan_reply.program);
       cr_expect_eq (a->u.loan_reply.tokens, b->u.loan_reply.tokens);
-      cr_expect_eq (a->u.loan_reply.over, b->u.loan_reply.over);
+      cr_expect_eq (a->u.loan_reply.issue_forbidden,
+                    b->u.loan_reply.issue_forbidden);
       cr_expect_str_eq (a->u.loan_reply.turn, b->u.loan_reply.turn);
       cr_expect (
           same_bytes (a->u.loan_reply.history, b->u.loan_reply.history));
@@ -150,9 +151,10 @@
       return;
     case MQ_RELAY_QUOTA_REQUEST:
       cr_expect_eq (a->u.quota_request.id, b->u.quota_request.id);
-      cr_expect_eq (a->u.quota_request.host, b->u.quota_request.host);
-      cr_expect_eq (a->u.quota_request.heard_ms, b->u.quota_request.heard_ms);
-      cr_expect_eq (a->u.quota_request.server, b->u.quota_request.server);
+      cr_expect_eq (a->u.quota_request.run_id, b->u.quota_request.run_id);
+      cr_expect_eq (a->u.quota_request.acked_ms, b->u.quota_request.acked_ms);
+      cr_expect_eq (a->u.quota_request.issuer_run_id,
+                    b->u.quota_request.issuer_run_id);
       cr_expect_eq (a->u.quota_request.listed, b->u.quota_request.listed);
       cr_expect_eq (a->u.quota_request.recalled, b->u.quota_request.recalled);
       cr_assert_eq (a->u.quota_request.want_count,
@@ -162,14 +164,16 @@
       return;
     case MQ_RELAY_QUOTA_REPLY:
       cr_expect_eq (a->u.quota_reply.id, b->u.quota_reply.id);
-      cr_expect_eq (a->u.quota_reply.server, b->u.quota_reply.server);
-      cr_expect_eq (a->u.quota_reply.told_ms, b->u.quota_reply.told_ms);
+      cr_expect_eq (a->u.quota_reply.issuer_run_id,
+                    b->u.quota_reply.issuer_run_id);
+      cr_expect_eq (a->u.quota_reply.sent_ms, b->u.quota_reply.sent_ms);
       cr_assert_eq (a->u.quota_reply.gift_count, b->u.quota_reply.gift_count);
       expect_gifts (a->u.quota_reply.gifts, b->u.quota_reply.gifts,
                     a->u.quota_reply.gift_count);
       return;
     case MQ_RELAY_QUOTA_RECALL:
-      cr_expect_eq (a->u.quota_recall.server, b->u.quota_recall.server);
+      cr_expect_eq (a->u.quota_recall.issuer_run_id,
+                    b->u.quota_recall.issuer_run_id);
       cr_expect_str_eq (a->u.quota_recall.address, b->u.quota_recall.address);
       return;
     case MQ_RELAY_UNKNOWN:
@@ -231,19 +235,19 @@
   struct mq_relay_frame frames[] = {
     { .kind = MQ_RELAY_QUOTA_REQUEST,
       .u.quota_request = { .id = 1,
-                           .host = 2,
-                           .heard_ms = 3,
-                           .server = 4,
+                           .run_id = 2,
+                           .acked_ms = 3,
+                           .issuer_run_id = 4,
                            .wants = wants,
                            .want_count = 2,
                            .listed = true,
                            .recalled = true } },
     { .kind = MQ_RELAY_QUOTA_RECALL,
-      .u.quota_recall = { .server = 7, .address = "a:1" } },
+      .u.quota_recall = { .issuer_run_id = 7, .address = "a:1" } },
     { .kind = MQ_RELAY_QUOTA_REPLY,
       .u.quota_reply = { .id = 1,
-                         .server = 2,
-                         .told_ms = 3,
+                         .issuer_run_id = 2,
+                         .sent_ms = 3,
                          .gifts = gifts,
                          .gift_count = 2 } },
     { .kind = MQ_RELAY_CALL_REQUEST,
@@ -269,9 +273,9 @@
       .u.loan_request = { .id = 4,
                           .program = "p1",
                           .limit = 900,
-                          .most = 288,
+                          .tokens = 288,
                           .turn = "t1",
-                          .issue = true } },
+                          .may_issue = true } },
     { .kind = MQ_RELAY_LOAN_REPLY,
       .u.loan_reply = { .id = 4,
                         .program = "p1",
@@ -279,7 +283,8 @@
                         .turn = "t1",
                         .history = bytes ("history") } },
     { .kind = MQ_RELAY_LOAN_REPLY,
-      .u.loan_reply = { .id = 5, .program = "", .over = true, .turn = "" } },
+      .u.loan_reply
+      = { .id = 5, .program = "", .issue_forbidden = true, .turn = "" } },
     { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = { "p1", 200 } },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -443,7 +448,7 @@
   struct tevent_context *ev = tevent_context_init (NULL);
   struct mq_relay_owner owner = { .loan_reply = on_loan_reply };
   struct mq_relay_loan_request request
-      = { .id = 1, .program = "p", .limit = 9, .most = 1, .turn = "" };
+      = { .id = 1, .program = "p", .limit = 9, .tokens = 1, .turn = "" };
   struct mq_relay_frame reply
       = { .kind = MQ_RELAY_LOAN_REPLY,
           .u.loan_reply = { .id = 1, .program = "p", .turn = "" } };
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -80,7 +80,7 @@
   frame.u.loan_reply = (struct mq_relay_loan_reply){
     .id = request->id,
     .program = request->program,
-    .tokens = request->most,
+    .tokens = request->tokens,
     .turn = request->turn,
   };
   if (request->turn[0] != '\0')
@@ -237,7 +237,7 @@
 request_loan (struct mq_relay *relay)
 {
   struct mq_relay_loan_request request
-      = { .id = 1, .program = "p1", .limit = 80, .most = 8, .turn = "" };
+      = { .id = 1, .program = "p1", .limit = 80, .tokens = 8, .turn = "" };
 
   return mq_relay_request_loan (relay, &request, false);
 }
