--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -32,7 +32,7 @@
 struct mq_commit
 {
   struct mq_commit *next;
-  struct part *part;
+  struct part_queue *part;
   struct mq_rows_entry *entries;
   size_t count;
   bool sent;
@@ -42,14 +42,14 @@
 };
 
 /**
- * struct part - queue of writes to one part of the table
+ * struct part_queue - queue of writes to one part of the table
  * @destination: TO_TABLE or TO_BATCH_HOST
  * @waiting: oldest first
  * @batch: commits of the transaction in flight
  * @count: commits in @batch, 0 if no transaction is in flight
  * @rows: rows written by @batch
  */
-struct part
+struct part_queue
 {
   struct mq_commit_queue *queue;
   struct mq_id id;
@@ -69,7 +69,7 @@
   struct mq_histogram batch_rows;
 };
 
-static void send_next (struct part *part);
+static void send_next (struct part_queue *part);
 
 struct mq_commit_queue *
 mq_commit_queue_create (TALLOC_CTX *ctx, struct mq_rows *rows,
@@ -90,16 +90,16 @@
   return &queue->batch_rows;
 }
 
-static struct part *
+static struct part_queue *
 get_part (struct mq_commit_queue *queue, const char *name,
           uint32_t destination)
 {
   struct mq_id id = mq_id_text_hash (name);
-  struct part *part = mq_idmap_find (queue->parts, id, destination);
+  struct part_queue *part = mq_idmap_find (queue->parts, id, destination);
 
   if (part != NULL)
     return part;
-  part = mq_must (talloc_zero (queue, struct part));
+  part = mq_must (talloc_zero (queue, struct part_queue));
   part->queue = queue;
   part->id = id;
   part->destination = destination;
@@ -172,7 +172,8 @@
 
 /* Requeues commits that caused no conflict ahead of newer ones.  */
 static void
-requeue (struct part *part, struct mq_commit *const *commits, size_t count)
+requeue (struct part_queue *part, struct mq_commit *const *commits,
+         size_t count)
 {
   while (count-- > 0)
     {
@@ -194,7 +195,7 @@
 /* Stores the commits of the batch that are complete in ENDED, returns their
    number and requeues the others.  */
 static size_t
-split_batch (struct part *part, const struct mq_rows_result *result,
+split_batch (struct part_queue *part, const struct mq_rows_result *result,
              struct mq_commit *ended[MQ_COMMIT_ROWS_MAX])
 {
   struct mq_commit *retry[MQ_COMMIT_ROWS_MAX];
@@ -228,7 +229,7 @@
 static void
 on_done (const struct mq_rows_result *result, void *user)
 {
-  struct part *part = user;
+  struct part_queue *part = user;
   struct mq_commit *ended[MQ_COMMIT_ROWS_MAX];
   size_t count = split_batch (part, result, ended);
 
@@ -245,7 +246,7 @@
 /* Sending */
 
 static void
-enqueue (struct part *part, struct mq_commit *commit)
+enqueue (struct part_queue *part, struct mq_commit *commit)
 {
   struct mq_commit **at = &part->waiting;
 
@@ -262,7 +263,7 @@
 static void
 on_direct (const struct mq_rows_result *result, void *user)
 {
-  struct part *part = user;
+  struct part_queue *part = user;
   struct mq_commit_queue *queue = part->queue;
 
   if (result->status == MQ_STORE_DOWN && mq_relay_host_count (queue->relay) > 0
@@ -277,8 +278,8 @@
 static void
 on_forwarded (const struct mq_rows_result *result, void *user)
 {
-  struct part *part = user;
-  struct part *table;
+  struct part_queue *part = user;
+  struct part_queue *table;
 
   if (result->status != MQ_STORE_DOWN)
     {
@@ -297,7 +298,7 @@
 }
 
 static void
-send_batch (struct part *part)
+send_batch (struct part_queue *part)
 {
   struct mq_commit_queue *queue = part->queue;
   const char *batch_host = NULL;
@@ -327,7 +328,7 @@
 /* Whether COMMIT may join the batch: size limits hold, and no row is written
    twice in a transaction.  */
 static bool
-can_join_batch (const struct part *part, const struct mq_commit *commit,
+can_join_batch (const struct part_queue *part, const struct mq_commit *commit,
                 size_t bytes)
 {
   if (part->row_count + commit->count > MQ_COMMIT_ROWS_MAX
@@ -342,7 +343,7 @@
 }
 
 static void
-fill_batch (struct part *part)
+fill_batch (struct part_queue *part)
 {
   struct mq_commit **at = &part->waiting;
   size_t bytes = 0;
@@ -367,7 +368,7 @@
 }
 
 static void
-send_next (struct part *part)
+send_next (struct part_queue *part)
 {
   if (part->count > 0 || part->waiting == NULL)
     return;
@@ -391,8 +392,8 @@
 }
 
 static struct mq_commit *
-add (struct part *part, const struct mq_rows_entry *entries, size_t count,
-     mq_rows_done *done, void *user)
+add (struct part_queue *part, const struct mq_rows_entry *entries,
+     size_t count, mq_rows_done *done, void *user)
 {
   struct mq_commit *commit
       = mq_must (talloc_zero (part->queue, struct mq_commit));
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -92,8 +92,7 @@
 /**
  * struct mq_relay_loan_reply - reply to a loan request
  * @tokens: tokens lent, already deducted from the lender's grant
- * @issue_forbidden: the budget is overdrawn, or tokens were issued under a
- * lease that has moved
+ * @issue_forbidden: the budget is overdrawn, or its lease has moved
  * @turn: turn of @history, "" if not found
  * @history: encoded as a row of the table, with the full text
  * @home: worker that holds the program's cache, 0 if unknown
--- a/src/router/relay_loan.c
+++ b/src/router/relay_loan.c
@@ -68,7 +68,7 @@
 }
 
 /* Sends FRAME to hosts with an open link if LINKED, else to those without.
-   Returns SENT plus the number of hosts.  */
+   Returns SENT plus the number of requests sent.  */
 static uint32_t
 send_to_hosts (struct mq_relay *relay, struct mq_bytes frame, bool near,
                bool linked, uint32_t sent)
--- a/src/router/relay_state.h
+++ b/src/router/relay_state.h
@@ -12,8 +12,7 @@
  * struct host - another routing host
  * @link: NULL if none is open
  * @call_after_ms: end of the backoff for relayed calls
- * @loan_after_ms: end of the backoff for loan requests; a host that can't
- * reach the table may still lend
+ * @loan_after_ms: end of the backoff for loan requests
  * @loan_timer: timeout of an unanswered loan request, or NULL
  * @loan_late: a loan request has timed out
  * @seed: from the settings; kept even if not listed
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -158,8 +158,8 @@
   talloc_free (workers);
 }
 
-/* Applies another host's state, unless this host's own feeds work: they are
-   more recent.  */
+/* Applies another host's state, unless this host's own feeds work and
+   are thus more recent.  */
 void
 mq_feed_on_state (const struct mq_relay_state *state, void *user)
 {
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -30,7 +30,7 @@
  * @replies_due: replies outstanding
  * @near: sent to hosts of this data centre only, before a read of the table
  * @issue: asks the lease holder to issue tokens that no record counts yet
- * @over: a host reported that no tokens may be issued
+ * @issue_forbidden: a host reported that no tokens may be issued
  */
 struct mq_loan
 {
@@ -43,7 +43,7 @@
   uint32_t replies_due;
   bool near;
   bool issue;
-  bool over;
+  bool issue_forbidden;
 };
 
 static void
@@ -206,7 +206,7 @@
       turn->turns->router->counters.turns_lent++;
       finish_loan (loan, MQ_TURN_READY);
     }
-  else if (loan->issue || loan->over)
+  else if (loan->issue || loan->issue_forbidden)
     finish_loan (loan, MQ_TURN_NO_STORE);
   else
     request_issue (loan);
@@ -341,7 +341,7 @@
     loan = loan->next;
   if (loan == NULL || loan->replies_due == 0)
     return;
-  loan->over = loan->over || reply->issue_forbidden;
+  loan->issue_forbidden = loan->issue_forbidden || reply->issue_forbidden;
   if (--loan->replies_due > 0 && !is_satisfied (loan))
     return;
   TALLOC_FREE (loan->timer);
