--- a/src/router/commit_queue.h
+++ b/src/router/commit_queue.h
@@ -6,9 +6,9 @@
    sent at once.  A slow or overloaded table thus gets fewer, larger calls.
 
    Hosts of a data centre forward their writes for a part to one of them, which
-   batches them.  Every write is conditional, so hosts need not agree on the
-   batching host: a host that gets no answer reads the row again, as after any
-   lost answer.
+   batches them.  Conditions on row versions keep rows consistent, so hosts
+   need not agree on the batching host: a host that gets no answer reads the
+   row again, as after any lost answer.
 
    Each write keeps its own condition and outcome: a conflict of one does not
    fail the others of its batch.
--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -610,11 +610,11 @@
 }
 
 uint32_t
-mq_relay_recall_quota (struct mq_relay *relay, uint64_t server)
+mq_relay_recall_quota (struct mq_relay *relay, uint64_t run_id)
 {
   struct mq_relay_frame frame
       = { .kind = MQ_RELAY_QUOTA_RECALL,
-          .u.quota_recall = { server, relay->own_address } };
+          .u.quota_recall = { run_id, relay->own_address } };
   uint32_t unanswered = 0;
 
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
--- a/src/router/relay.h
+++ b/src/router/relay.h
@@ -88,19 +88,18 @@
                                     mq_rows_done *done, void *user);
 void mq_relay_cancel (struct mq_relay_call *call);
 /* As mq_relay_commit, through the host at ADDRESS only.  If it does not answer
-   within WAIT milliseconds, it is not used for batching until a backoff has
+   within TIMEOUT_MS, it is not used for batching until a backoff has
    passed.  */
-struct mq_relay_call *mq_relay_commit_at (struct mq_relay *relay,
-                                          const char *address, uint32_t wait,
-                                          const struct mq_rows_entry *entries,
-                                          size_t count, mq_rows_done *done,
-                                          void *user);
+struct mq_relay_call *
+mq_relay_commit_at (struct mq_relay *relay, const char *address,
+                    uint32_t timeout_ms, const struct mq_rows_entry *entries,
+                    size_t count, mq_rows_done *done, void *user);
 /* Address of the host of this data centre that batches writes to PART, chosen
    by rendezvous hashing: hosts with the same list choose the same one.  NULL
    if it is this host or none is available.  */
 const char *mq_relay_batch_host (const struct mq_relay *relay,
                                  const char *part);
-/* WRITE executes the writes of other hosts instead of mq_rows_commit.  */
+/* Executes writes of other hosts, instead of mq_rows_commit.  */
 typedef void mq_relay_write_handler (const struct mq_rows_entry *entries,
                                      size_t count, mq_rows_done *done,
                                      void *done_user, void *user);
@@ -119,8 +118,8 @@
    them for MQ_RELAY_BACKOFF_MS or until it answers, so that requests don't
    wait for a lost host.  */
 #define MQ_RELAY_LOAN_TIMEOUT_MS 100U
-/* Requests a loan from other hosts; returns the number of requests sent. NEAR:
-   only from hosts in the same data centre, and from none if they exceed
+/* Requests a loan from other hosts; returns the number of requests sent.
+   NEAR: only from hosts in the same data centre, and from none if they exceed
    MQ_RELAY_LOAN_HOSTS_MAX.  */
 uint32_t mq_relay_request_loan (struct mq_relay *relay,
                                 const struct mq_relay_loan_request *request,
@@ -142,8 +141,9 @@
                                 struct mq_relay_link *link,
                                 const struct mq_relay_quota_reply *reply);
 /* Recalls the rates lent by earlier runs of this host from all listed hosts
-   that have not answered yet; returns the number of those hosts.  */
-uint32_t mq_relay_recall_quota (struct mq_relay *relay, uint64_t server);
+   that have not answered yet; returns the number of those hosts.  RUN_ID: of
+   the current run.  */
+uint32_t mq_relay_recall_quota (struct mq_relay *relay, uint64_t run_id);
 /* Answers a recall received on LINK.  */
 void mq_relay_send_recall_reply (struct mq_relay *relay,
                                  struct mq_relay_link *link,
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -25,8 +25,8 @@
 #define EVICT_MAX 64U
 /* Organisations per message to an issuer.  */
 #define ORGS_PER_MESSAGE_MAX 256U
-/* A request id is its send time in ms above a sequence number of this many
-   bits.  */
+/* A message id is the send time in ms, shifted above a sequence number of this
+   many bits.  */
 #define SEQUENCE_BITS 16U
 
 /**
--- a/src/router/rows.h
+++ b/src/router/rows.h
@@ -1,7 +1,9 @@
 /* rows.h - client interface of the platform's table, implemented in platform/.
 
    A row is identified by table, part and key.  A transaction is confined to
-   one part. Needs: store.h, error.h, tevent.  */
+   one part.
+
+   Needs: store.h, error.h, tevent.  */
 
 #ifndef MQ_ROWS_H
 #define MQ_ROWS_H
@@ -95,7 +97,7 @@
 uint64_t mq_rows_clock_s (const struct mq_rows *rows);
 /* Samples the table's clock and this host's mq_clock_boot_ms, which includes
    time suspended.  BOOT_MS is not later than the request that returned
-   TABLE_MS. False if unknown.  */
+   TABLE_MS.  Returns false if unknown.  */
 bool mq_rows_sample_clocks (const struct mq_rows *rows, uint64_t *boot_ms,
                             uint64_t *table_ms);
 /* The callback is not called; a write already sent may still take effect.  */
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -337,8 +337,8 @@
   talloc_free (ctx);
 }
 
-/* During a rolling upgrade, a newer host may send unknown messages or
-   statuses. Neither may end the link, and an unknown status must not be taken
+/* During a rolling upgrade, a newer host may send unknown messages or status
+   values.  Neither may end the link, and an unknown status must not be taken
    as "not executed".  */
 Test (relay, newer_and_damaged_frames)
 {
