--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -125,7 +125,7 @@
   struct mq_rows_watcher config = { .row = on_config_row, .user = router };
   struct mq_rows_watcher workers = { .list = on_worker_list,
                                      .row = on_worker_row,
-                                     .gone = on_worker_removed,
+                                     .removed = on_worker_removed,
                                      .user = router };
 
   mq_rows_watch (router->rows, mq_wire_config_table, &config);
--- a/src/router/rows.h
+++ b/src/router/rows.h
@@ -52,14 +52,14 @@
  * @list: a full list begins (true) or has ended (false); rows not reported in
  *        between no longer exist
  * @row: a row was added or changed
- * @gone: a row was removed
+ * @removed: a row was removed
  * @user: passed to all callbacks
  */
 struct mq_rows_watcher
 {
   void (*list) (bool begins, void *user);
   void (*row) (const struct mq_rows_entry *row, void *user);
-  void (*gone) (const char *key, void *user);
+  void (*removed) (const char *key, void *user);
   void *user;
 };
 
