--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -224,8 +224,8 @@
 /* The target's process dies (kill -9) while a notice is being recorded, and
    comes back without memory or not at all.  Whether the notice went out
    can't be known: the program is told so and goes on, the operator sees the
-   call in the status, and it is never repeated.  The table_client call before
-   it is made slow too: killed during that one, the target leaves nothing
+   call in the status, and it is never repeated.  The ledger call before it
+   is made slow too: killed during that one, the target leaves nothing
    unknown, since an idempotent call is repeated.  */
 Test (process, target_killed_in_notice)
 {
