--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -12,20 +12,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Hosts that one call is tried at.  */
+/* Hosts tried per call.  */
 #define TRIES_MAX 2U
-/* Seed of the hash by which parts are given to writers.  */
-#define WRITER_SEED 3U
-/* Links that other hosts may keep to this one.  */
+/* Hash seed for the assignment of parts to batching hosts.  */
+#define BATCH_HOST_SEED 3U
+/* Links accepted from other hosts.  */
 #define LINKS_MAX 256U
 
 /**
- * struct mq_relay_call - a call that another host makes for us
- * @ask: its frame, packed
- * @link: that it was sent on, NULL: none yet
- * @sent: some host may have done it
- * @address: the host that is to make it, NULL: any
- * @wait_ms: for its answer
+ * struct mq_relay_call - a call that another host makes for this one
+ * @frame: packed request
+ * @link: link that it was sent on, or NULL
+ * @sent: a host may have executed it
+ * @address: the only host to use, NULL for any
+ * @wait_ms: timeout per host
  */
 struct mq_relay_call
 {
@@ -45,13 +45,13 @@
 };
 
 /**
- * struct errand - a call that we make for another host
- * @link: to answer on, NULL: it is gone
+ * struct served_call - a call that this host makes for another one
+ * @link: link for the reply, NULL if it has ended
  */
-struct errand
+struct served_call
 {
   struct mq_relay *relay;
-  struct errand *next;
+  struct served_call *next;
   struct mq_relay_link *link;
   uint64_t id;
 };
@@ -59,7 +59,7 @@
 static void try_call (struct mq_relay_call *call);
 
 struct host *
-relay_host_of (struct mq_relay *relay, const struct mq_relay_link *link)
+relay_host_of_link (struct mq_relay *relay, const struct mq_relay_link *link)
 {
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     if (host->link == link)
@@ -67,20 +67,19 @@
   return NULL;
 }
 
-/* HOST makes no calls for a while.  */
+/* Starts HOST's backoff for relayed calls.  */
 static void
-note_bad (struct host *host)
+start_call_backoff (struct host *host)
 {
-  host->bad_until_ms = mq_clock_ms () + MQ_RELAY_BAD_MS;
+  host->call_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
 }
 
-/* HOST gives no answer: it is left alone for a while.  */
 void
-relay_note_gone (struct host *host)
+relay_mark_unreachable (struct host *host)
 {
-  note_bad (host);
-  host->gone_until_ms = host->bad_until_ms;
-  relay_forget_loan (host);
+  start_call_backoff (host);
+  host->loan_after_ms = host->call_after_ms;
+  relay_clear_loan_request (host);
 }
 
 void
@@ -93,9 +92,9 @@
   talloc_free (bytes.data);
 }
 
-/* Calls that were sent on the link go to another host, if they may.  */
+/* Retries the calls that were sent on LINK at another host.  */
 static void
-fail_calls (struct mq_relay *relay, const struct mq_relay_link *link)
+retry_calls (struct mq_relay *relay, const struct mq_relay_link *link)
 {
   for (struct mq_relay_call *call = relay->calls; call != NULL;
        call = call->next)
@@ -107,24 +106,24 @@
     }
 }
 
-/* Nothing more comes over LINK: its errands have nobody to tell.  */
+/* Closes LINK, which has failed; replies due on it are dropped.  */
 static void
 drop_link (struct mq_relay *relay, struct mq_relay_link *link)
 {
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (host == NULL)
     relay->accepted--;
   else
     {
       host->link = NULL;
-      relay_note_gone (host);
+      relay_mark_unreachable (host);
     }
-  for (struct errand *errand = relay->errands; errand != NULL;
-       errand = errand->next)
-    if (errand->link == link)
-      errand->link = NULL;
-  fail_calls (relay, link);
+  for (struct served_call *served_call = relay->served_calls;
+       served_call != NULL; served_call = served_call->next)
+    if (served_call->link == link)
+      served_call->link = NULL;
+  retry_calls (relay, link);
   mq_relay_link_destroy (link);
 }
 
@@ -134,60 +133,62 @@
   drop_link (user, link);
 }
 
-/* Errands: calls that we make for another host */
+/* Calls made for other hosts */
 
 static void
-remove_errand (struct errand *errand)
+remove_served (struct served_call *served_call)
 {
-  for (struct errand **at = &errand->relay->errands; *at != NULL;
-       at = &(*at)->next)
-    if (*at == errand)
+  for (struct served_call **at = &served_call->relay->served_calls;
+       *at != NULL; at = &(*at)->next)
+    if (*at == served_call)
       {
-        *at = errand->next;
+        *at = served_call->next;
         return;
       }
 }
 
 static void
-on_errand_done (const struct mq_rows_result *result, void *user)
+on_served_done (const struct mq_rows_result *result, void *user)
 {
-  struct errand *errand = user;
-  struct mq_relay_frame frame = { .kind = MQ_RELAY_TOLD };
+  struct served_call *served_call = user;
+  struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REPLY };
 
-  remove_errand (errand);
-  if (errand->link != NULL)
+  remove_served (served_call);
+  if (served_call->link != NULL)
     {
-      frame.u.told.id = errand->id;
-      frame.u.told.result = *result;
-      relay_send_frame (errand->relay, errand->link, &frame);
+      frame.u.call_reply.id = served_call->id;
+      frame.u.call_reply.result = *result;
+      relay_send_frame (served_call->relay, served_call->link, &frame);
     }
-  talloc_free (errand);
+  talloc_free (served_call);
 }
 
 static void
-serve_ask (struct mq_relay *relay, struct mq_relay_link *link,
-           const struct mq_relay_ask *ask)
-{
-  struct errand *errand = mq_must (talloc_zero (relay, struct errand));
-
-  errand->relay = relay;
-  errand->link = link;
-  errand->id = ask->id;
-  errand->next = relay->errands;
-  relay->errands = errand;
-  relay->served++;
-  if (ask->commit && relay->write != NULL)
-    relay->write (ask->entries, ask->count, on_errand_done, errand,
-                  relay->write_user);
-  else if (ask->commit)
-    mq_rows_commit (relay->rows, ask->entries, ask->count, on_errand_done,
-                    errand);
+serve_call (struct mq_relay *relay, struct mq_relay_link *link,
+            const struct mq_relay_call_request *request)
+{
+  struct served_call *served_call
+      = mq_must (talloc_zero (relay, struct served_call));
+
+  served_call->relay = relay;
+  served_call->link = link;
+  served_call->id = request->id;
+  served_call->next = relay->served_calls;
+  relay->served_calls = served_call;
+  relay->calls_served++;
+  if (request->commit && relay->write != NULL)
+    relay->write (request->entries, request->count, on_served_done,
+                  served_call, relay->write_user);
+  else if (request->commit)
+    mq_rows_commit (relay->rows, request->entries, request->count,
+                    on_served_done, served_call);
   else
-    mq_rows_get (relay->rows, ask->entries[0].table, ask->entries[0].part,
-                 ask->entries[0].key, on_errand_done, errand);
+    mq_rows_get (relay->rows, request->entries[0].table,
+                 request->entries[0].part, request->entries[0].key,
+                 on_served_done, served_call);
 }
 
-/* Calls that another host makes for us */
+/* Calls made through another host */
 
 static void
 remove_call (struct mq_relay_call *call)
@@ -222,47 +223,47 @@
 }
 
 static void
-take_told (struct mq_relay *relay, const struct mq_relay_link *link,
-           const struct mq_relay_told *told)
+on_call_reply (struct mq_relay *relay, const struct mq_relay_link *link,
+               const struct mq_relay_call_reply *reply)
 {
-  struct mq_relay_call *call = find_call (relay, link, told->id);
-  struct host *host = relay_host_of (relay, link);
+  struct mq_relay_call *call = find_call (relay, link, reply->id);
+  struct host *host = relay_host_of_link (relay, link);
 
   if (call == NULL)
     return;
-  if (told->result.status != MQ_STORE_DOWN)
+  if (reply->result.status != MQ_STORE_DOWN)
     {
-      end_call (call, &told->result);
+      end_call (call, &reply->result);
       return;
     }
-  /* That host can't reach the table either.  */
+  /* The host can't reach the table either.  */
   if (host != NULL)
-    note_bad (host);
+    start_call_backoff (host);
   if (host != NULL)
-    host->slow_until_ms = host->bad_until_ms;
+    host->batch_after_ms = host->call_after_ms;
   call->link = NULL;
   try_call (call);
 }
 
 static void
-take_quota_ask (struct mq_relay *relay, struct mq_relay_link *link,
-                const struct mq_relay_quota_ask *ask)
+on_quota_request (struct mq_relay *relay, struct mq_relay_link *link,
+                  const struct mq_relay_quota_request *request)
 {
-  struct host *host = relay_host_of (relay, link);
+  struct host *host = relay_host_of_link (relay, link);
 
-  if (host != NULL && ask->recalled)
+  if (host != NULL && request->recalled)
     host->recalled = true;
-  relay->owner.quota_ask (ask, link, relay->owner.user);
+  relay->owner.quota_request (request, link, relay->owner.user);
 }
 
 static void
-take_quota (struct mq_relay *relay, const struct mq_relay_link *link,
-            const struct mq_relay_quota_told *told)
+on_quota_reply (struct mq_relay *relay, const struct mq_relay_link *link,
+                const struct mq_relay_quota_reply *reply)
 {
-  const struct host *host = relay_host_of (relay, link);
+  const struct host *host = relay_host_of_link (relay, link);
 
   if (host != NULL)
-    relay->owner.quota_told (told, host->address, relay->owner.user);
+    relay->owner.quota_reply (reply, host->address, relay->owner.user);
 }
 
 static void
@@ -274,11 +275,11 @@
 
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
-      serve_ask (relay, link, &frame->u.ask);
+    case MQ_RELAY_CALL_REQUEST:
+      serve_call (relay, link, &frame->u.call_request);
       return;
-    case MQ_RELAY_TOLD:
-      take_told (relay, link, &frame->u.told);
+    case MQ_RELAY_CALL_REPLY:
+      on_call_reply (relay, link, &frame->u.call_reply);
       return;
     case MQ_RELAY_SYNC:
       owner->sync (&frame->u.sync, link, owner->user);
@@ -286,32 +287,32 @@
     case MQ_RELAY_STATE:
       owner->state (&frame->u.state, owner->user);
       return;
-    case MQ_RELAY_LOAN_ASK:
-      owner->loan_ask (&frame->u.loan_ask, link, owner->user);
+    case MQ_RELAY_LOAN_REQUEST:
+      owner->loan_request (&frame->u.loan_request, link, owner->user);
       return;
-    case MQ_RELAY_LOAN_TOLD:
-      relay_take_loan (relay, link, &frame->u.loan_told);
+    case MQ_RELAY_LOAN_REPLY:
+      relay_on_loan_reply (relay, link, &frame->u.loan_reply);
       return;
-    case MQ_RELAY_LOAN_BACK:
-      owner->loan_back (&frame->u.loan_back, owner->user);
+    case MQ_RELAY_LOAN_RETURN:
+      owner->loan_return (&frame->u.loan_return, owner->user);
       return;
-    case MQ_RELAY_QUOTA_ASK:
-      take_quota_ask (relay, link, &frame->u.quota_ask);
+    case MQ_RELAY_QUOTA_REQUEST:
+      on_quota_request (relay, link, &frame->u.quota_request);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       owner->quota_recall (&frame->u.quota_recall, link, owner->user);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
-      take_quota (relay, link, &frame->u.quota_told);
+    case MQ_RELAY_QUOTA_REPLY:
+      on_quota_reply (relay, link, &frame->u.quota_reply);
       return;
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       return;
     }
 }
 
 void
-mq_relay_answer (struct mq_relay *relay, struct mq_relay_link *link,
-                 const struct mq_relay_state *state)
+mq_relay_send_state (struct mq_relay *relay, struct mq_relay_link *link,
+                     const struct mq_relay_state *state)
 {
   struct mq_relay_frame frame = { .kind = MQ_RELAY_STATE, .u.state = *state };
 
@@ -339,7 +340,6 @@
     relay->accepted++;
 }
 
-/* Link to HOST, opened if need be; NULL when that fails at once.  */
 struct mq_relay_link *
 relay_open_link (struct mq_relay *relay, struct host *host)
 {
@@ -351,12 +351,12 @@
     host->link
         = mq_relay_link_open (relay, relay->ev, host->address, &owner, &error);
   if (host->link == NULL)
-    relay_note_gone (host);
+    relay_mark_unreachable (host);
   return host->link;
 }
 
-/* A host that may be asked now: one with an open link before others, else any
-   of them by chance.  */
+/* Chooses a host that is not in backoff: one with an open link if any, else at
+   random.  */
 static struct host *
 choose_host (struct mq_relay *relay)
 {
@@ -366,7 +366,7 @@
 
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     {
-      if (host->bad_until_ms > now)
+      if (host->call_after_ms > now)
         continue;
       if (host->link != NULL)
         return host;
@@ -376,17 +376,17 @@
   return chosen;
 }
 
-static void give_up_call (struct mq_relay_call *call);
+static void fail_call (struct mq_relay_call *call);
 
-/* The host that gathers writes is slow; its link serves others as it is.  */
+/* The batching host timed out.  Its link stays open for other messages.  */
 static void
-end_slow (struct mq_relay_call *call)
+fail_slow_host (struct mq_relay_call *call)
 {
   struct host *host = relay_find_host (call->relay, call->address);
 
   if (host != NULL)
-    host->slow_until_ms = mq_clock_ms () + MQ_RELAY_BAD_MS;
-  give_up_call (call);
+    host->batch_after_ms = mq_clock_ms () + MQ_RELAY_BACKOFF_MS;
+  fail_call (call);
 }
 
 static void
@@ -397,7 +397,7 @@
 
   call->timer = NULL;
   if (call->address != NULL)
-    end_slow (call);
+    fail_slow_host (call);
   else if (link != NULL)
     drop_link (call->relay, link);
   else
@@ -405,7 +405,7 @@
 }
 
 static void
-give_up_call (struct mq_relay_call *call)
+fail_call (struct mq_relay_call *call)
 {
   struct mq_rows_result result = { .status = MQ_STORE_DOWN };
 
@@ -420,11 +420,11 @@
   struct mq_relay_call *call = data;
 
   call->timer = NULL;
-  give_up_call (call);
+  fail_call (call);
 }
 
 static struct host *
-host_for (struct mq_relay_call *call)
+next_host (struct mq_relay_call *call)
 {
   if (call->address == NULL)
     return choose_host (call->relay);
@@ -432,8 +432,8 @@
                           : NULL;
 }
 
-/* A write that some host may have done is not sent to another one: whoever
-   asked looks first whether it was done.  */
+/* A write that a host may have executed is not sent to another one: the caller
+   must first check whether it took effect.  */
 static void
 try_call (struct mq_relay_call *call)
 {
@@ -443,7 +443,7 @@
 
   TALLOC_FREE (call->timer);
   while (call->tries < TRIES_MAX && !(call->commit && call->sent)
-         && link == NULL && (host = host_for (call)) != NULL)
+         && link == NULL && (host = next_host (call)) != NULL)
     {
       call->tries++;
       link = relay_open_link (relay, host);
@@ -455,29 +455,29 @@
     }
   call->link = link;
   call->sent = true;
-  relay->asked++;
+  relay->calls_sent++;
   mq_relay_link_send (link, call->frame);
   call->timer
       = mq_timer_add (call, relay->ev, call->wait_ms, on_call_timeout, call);
 }
 
 static struct mq_relay_call *
-make_call (struct mq_relay *relay, const char *address, uint32_t wait,
+make_call (struct mq_relay *relay, const char *address, uint32_t timeout_ms,
            const struct mq_rows_entry *entries, size_t count, bool commit,
            mq_rows_done *done, void *user)
 {
   struct mq_relay_call *call
       = mq_must (talloc_zero (relay, struct mq_relay_call));
-  struct mq_relay_frame frame = { .kind = MQ_RELAY_ASK };
+  struct mq_relay_frame frame = { .kind = MQ_RELAY_CALL_REQUEST };
 
   call->relay = relay;
   call->id = ++relay->next_id;
   call->commit = commit;
   call->address = address == NULL ? NULL : mq_text_copy (call, address);
-  call->wait_ms = wait;
+  call->wait_ms = timeout_ms;
   call->done = done;
   call->user = user;
-  frame.u.ask = (struct mq_relay_ask){
+  frame.u.call_request = (struct mq_relay_call_request){
     .id = call->id, .commit = commit, .entries = entries, .count = count
   };
   call->frame = mq_relay_frame_pack (call, &frame);
@@ -491,30 +491,32 @@
 mq_relay_commit (struct mq_relay *relay, const struct mq_rows_entry *entries,
                  size_t count, mq_rows_done *done, void *user)
 {
-  return make_call (relay, NULL, MQ_RELAY_CALL_MS, entries, count, true, done,
-                    user);
+  return make_call (relay, NULL, MQ_RELAY_CALL_TIMEOUT_MS, entries, count,
+                    true, done, user);
 }
 
 struct mq_relay_call *
-mq_relay_commit_at (struct mq_relay *relay, const char *address, uint32_t wait,
-                    const struct mq_rows_entry *entries, size_t count,
-                    mq_rows_done *done, void *user)
+mq_relay_commit_at (struct mq_relay *relay, const char *address,
+                    uint32_t timeout_ms, const struct mq_rows_entry *entries,
+                    size_t count, mq_rows_done *done, void *user)
 {
-  return make_call (relay, address, wait, entries, count, true, done, user);
+  return make_call (relay, address, timeout_ms, entries, count, true, done,
+                    user);
 }
 
 void
-mq_relay_set_write (struct mq_relay *relay, mq_relay_write *write, void *user)
+mq_relay_set_write_handler (struct mq_relay *relay,
+                            mq_relay_write_handler *write, void *user)
 {
   relay->write = write;
   relay->write_user = user;
 }
 
 const char *
-mq_relay_writer (const struct mq_relay *relay, const char *part)
+mq_relay_batch_host (const struct mq_relay *relay, const char *part)
 {
-  uint64_t key = mq_hash_bytes (part, strlen (part), WRITER_SEED);
-  uint64_t most = mq_rendezvous_weight (relay->own_address, key);
+  uint64_t key = mq_hash_bytes (part, strlen (part), BATCH_HOST_SEED);
+  uint64_t highest = mq_rendezvous_weight (relay->own_address, key);
   uint64_t now = mq_clock_ms ();
   const struct host *found = NULL;
 
@@ -522,13 +524,13 @@
     {
       uint64_t weight;
 
-      if (!host->near || !host->listed || host->slow_until_ms > now
-          || host->bad_until_ms > now)
+      if (!host->near || !host->listed || host->batch_after_ms > now
+          || host->call_after_ms > now)
         continue;
       weight = mq_rendezvous_weight (host->address, key);
-      if (weight <= most)
+      if (weight <= highest)
         continue;
-      most = weight;
+      highest = weight;
       found = host;
     }
   return found == NULL ? NULL : found->address;
@@ -540,8 +542,8 @@
 {
   struct mq_rows_entry entry = { .table = table, .part = part, .key = key };
 
-  return make_call (relay, NULL, MQ_RELAY_CALL_MS, &entry, 1, false, done,
-                    user);
+  return make_call (relay, NULL, MQ_RELAY_CALL_TIMEOUT_MS, &entry, 1, false,
+                    done, user);
 }
 
 void
@@ -552,7 +554,8 @@
 }
 
 void
-mq_relay_ask_sync (struct mq_relay *relay, const struct mq_relay_sync *sync)
+mq_relay_request_sync (struct mq_relay *relay,
+                       const struct mq_relay_sync *sync)
 {
   struct host *host = choose_host (relay);
   struct mq_relay_link *link
@@ -574,7 +577,7 @@
   return NULL;
 }
 
-/* NULL for this host itself.  */
+/* Finds or adds the host at ADDRESS; NULL for this host itself.  */
 static struct host *
 add_host (struct mq_relay *relay, const char *address)
 {
@@ -591,11 +594,11 @@
 }
 
 bool
-mq_relay_ask_quota (struct mq_relay *relay, const char *address,
-                    const struct mq_relay_quota_ask *ask)
+mq_relay_request_quota (struct mq_relay *relay, const char *address,
+                        const struct mq_relay_quota_request *request)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_ASK, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *request };
   struct host *host = add_host (relay, address);
   struct mq_relay_link *link
       = host == NULL ? NULL : relay_open_link (relay, host);
@@ -607,12 +610,12 @@
 }
 
 uint32_t
-mq_relay_recall_quota (struct mq_relay *relay, uint64_t server)
+mq_relay_recall_quota (struct mq_relay *relay, uint64_t run_id)
 {
   struct mq_relay_frame frame
       = { .kind = MQ_RELAY_QUOTA_RECALL,
-          .u.quota_recall = { server, relay->own_address } };
-  uint32_t missing = 0;
+          .u.quota_recall = { run_id, relay->own_address } };
+  uint32_t unanswered = 0;
 
   for (struct host *host = relay->hosts; host != NULL; host = host->next)
     {
@@ -620,30 +623,30 @@
 
       if (!host->listed || host->recalled)
         continue;
-      missing++;
+      unanswered++;
       link = relay_open_link (relay, host);
       if (link != NULL)
         relay_send_frame (relay, link, &frame);
     }
-  return missing;
+  return unanswered;
 }
 
 void
-mq_relay_surrender (struct mq_relay *relay, struct mq_relay_link *link,
-                    const struct mq_relay_quota_ask *ask)
+mq_relay_send_recall_reply (struct mq_relay *relay, struct mq_relay_link *link,
+                            const struct mq_relay_quota_request *request)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_ASK, .u.quota_ask = *ask };
+      = { .kind = MQ_RELAY_QUOTA_REQUEST, .u.quota_request = *request };
 
   relay_send_frame (relay, link, &frame);
 }
 
 void
-mq_relay_tell_quota (struct mq_relay *relay, struct mq_relay_link *link,
-                     const struct mq_relay_quota_told *told)
+mq_relay_send_quota_reply (struct mq_relay *relay, struct mq_relay_link *link,
+                           const struct mq_relay_quota_reply *reply)
 {
   struct mq_relay_frame frame
-      = { .kind = MQ_RELAY_QUOTA_TOLD, .u.quota_told = *told };
+      = { .kind = MQ_RELAY_QUOTA_REPLY, .u.quota_reply = *reply };
 
   relay_send_frame (relay, link, &frame);
 }
@@ -675,8 +678,7 @@
   host->near = near;
 }
 
-/* A host with an open link has been heard of just now; it stays until the
-   link ends.  */
+/* A host with an open link is alive and stays until the link ends.  */
 void
 mq_relay_list_end (struct mq_relay *relay)
 {
@@ -759,13 +761,13 @@
 }
 
 uint64_t
-mq_relay_asked (const struct mq_relay *relay)
+mq_relay_calls_sent (const struct mq_relay *relay)
 {
-  return relay->asked;
+  return relay->calls_sent;
 }
 
 uint64_t
-mq_relay_served (const struct mq_relay *relay)
+mq_relay_calls_served (const struct mq_relay *relay)
 {
-  return relay->served;
+  return relay->calls_served;
 }
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -1,4 +1,4 @@
-/* relay_frame.c - what routing hosts say to each other, packed for the wire.
+/* relay_frame.c - encoding of messages between routing hosts.
 
    Needs: relay_frame.h, frame.h, memory.h, proto/relay.pb-c.h.  */
 
@@ -7,7 +7,7 @@
 #include "core/memory.h"
 #include "net/frame.h"
 
-/* protobuf-c wants texts that may be changed; it does not change them.  */
+/* protobuf-c declares strings as mutable but does not change them.  */
 static char *
 text_field (const char *text)
 {
@@ -27,7 +27,7 @@
   to->remove = from->remove;
 }
 
-/* List of COUNT pointers to COUNT messages of SIZE bytes, to be filled.  */
+/* Array of pointers to COUNT uninitialised messages of SIZE bytes.  */
 static void *
 make_list (TALLOC_CTX *ctx, size_t count, size_t size)
 {
@@ -87,33 +87,34 @@
 }
 
 static struct mq_bytes
-pack_ask (TALLOC_CTX *ctx, const struct mq_relay_ask *ask)
+pack_call_request (TALLOC_CTX *ctx,
+                   const struct mq_relay_call_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Ask to = MQRELAY__ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_ASK;
   frame.ask = &to;
-  to.id = ask->id;
-  to.commit = ask->commit;
-  to.entries = make_entries (ctx, ask->entries, ask->count);
-  to.n_entries = ask->count;
+  to.id = request->id;
+  to.commit = request->commit;
+  to.entries = make_entries (ctx, request->entries, request->count);
+  to.n_entries = request->count;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_told (TALLOC_CTX *ctx, const struct mq_relay_told *told)
+pack_call_reply (TALLOC_CTX *ctx, const struct mq_relay_call_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__Told to = MQRELAY__TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_TOLD;
   frame.told = &to;
-  to.id = told->id;
-  to.status = told->result.status;
-  to.version = told->result.version;
-  to.rows = make_entries (ctx, told->result.rows, told->result.row_count);
-  to.n_rows = told->result.row_count;
+  to.id = reply->id;
+  to.status = reply->result.status;
+  to.version = reply->result.version;
+  to.rows = make_entries (ctx, reply->result.rows, reply->result.row_count);
+  to.n_rows = reply->result.row_count;
   return pack (ctx, &frame);
 }
 
@@ -147,51 +148,52 @@
 }
 
 static struct mq_bytes
-pack_loan_ask (TALLOC_CTX *ctx, const struct mq_relay_loan_ask *ask)
+pack_loan_request (TALLOC_CTX *ctx,
+                   const struct mq_relay_loan_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanAsk to = MQRELAY__LOAN_ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_ASK;
   frame.loan_ask = &to;
-  to.id = ask->id;
-  to.run = text_field (ask->program);
-  to.limit = ask->limit;
-  to.most = ask->most;
-  to.turn = text_field (ask->turn);
-  to.issue = ask->issue;
+  to.id = request->id;
+  to.run = text_field (request->program);
+  to.limit = request->limit;
+  to.most = request->tokens;
+  to.turn = text_field (request->turn);
+  to.issue = request->may_issue;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_loan_told (TALLOC_CTX *ctx, const struct mq_relay_loan_told *told)
+pack_loan_reply (TALLOC_CTX *ctx, const struct mq_relay_loan_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanTold to = MQRELAY__LOAN_TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_TOLD;
   frame.loan_told = &to;
-  to.id = told->id;
-  to.run = text_field (told->program);
-  to.tokens = told->tokens;
-  to.over = told->over;
-  to.home = told->home;
-  to.turn = text_field (told->turn);
-  to.history.data = told->history.data;
-  to.history.len = told->history.len;
+  to.id = reply->id;
+  to.run = text_field (reply->program);
+  to.tokens = reply->tokens;
+  to.over = reply->issue_forbidden;
+  to.home = reply->home;
+  to.turn = text_field (reply->turn);
+  to.history.data = reply->history.data;
+  to.history.len = reply->history.len;
   return pack (ctx, &frame);
 }
 
 static struct mq_bytes
-pack_loan_back (TALLOC_CTX *ctx, const struct mq_relay_loan_back *back)
+pack_loan_return (TALLOC_CTX *ctx, const struct mq_relay_loan_return *returned)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__LoanBack to = MQRELAY__LOAN_BACK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_LOAN_BACK;
   frame.loan_back = &to;
-  to.run = text_field (back->program);
-  to.tokens = back->tokens;
+  to.run = text_field (returned->program);
+  to.tokens = returned->tokens;
   return pack (ctx, &frame);
 }
 
@@ -216,21 +218,22 @@
 }
 
 static struct mq_bytes
-pack_quota_ask (TALLOC_CTX *ctx, const struct mq_relay_quota_ask *ask)
+pack_quota_request (TALLOC_CTX *ctx,
+                    const struct mq_relay_quota_request *request)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaAsk to = MQRELAY__QUOTA_ASK__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_ASK;
   frame.quota_ask = &to;
-  to.id = ask->id;
-  to.host = ask->host;
-  to.heard_ms = ask->heard_ms;
-  to.server = ask->server;
-  to.wants = make_wants (ctx, ask->wants, ask->want_count);
-  to.n_wants = ask->want_count;
-  to.listed = ask->listed;
-  to.recalled = ask->recalled;
+  to.id = request->id;
+  to.host = request->run_id;
+  to.heard_ms = request->acked_ms;
+  to.server = request->issuer_run_id;
+  to.wants = make_wants (ctx, request->wants, request->want_count);
+  to.n_wants = request->want_count;
+  to.listed = request->listed;
+  to.recalled = request->recalled;
   return pack (ctx, &frame);
 }
 
@@ -256,18 +259,18 @@
 }
 
 static struct mq_bytes
-pack_quota_told (TALLOC_CTX *ctx, const struct mq_relay_quota_told *told)
+pack_quota_reply (TALLOC_CTX *ctx, const struct mq_relay_quota_reply *reply)
 {
   Mqrelay__Frame frame = MQRELAY__FRAME__INIT;
   Mqrelay__QuotaTold to = MQRELAY__QUOTA_TOLD__INIT;
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_TOLD;
   frame.quota_told = &to;
-  to.id = told->id;
-  to.server = told->server;
-  to.told_ms = told->told_ms;
-  to.gifts = make_gifts (ctx, told->gifts, told->gift_count);
-  to.n_gifts = told->gift_count;
+  to.id = reply->id;
+  to.server = reply->issuer_run_id;
+  to.told_ms = reply->sent_ms;
+  to.gifts = make_gifts (ctx, reply->gifts, reply->gift_count);
+  to.n_gifts = reply->gift_count;
   return pack (ctx, &frame);
 }
 
@@ -279,46 +282,45 @@
 
   frame.body_case = MQRELAY__FRAME__BODY_QUOTA_RECALL;
   frame.quota_recall = &to;
-  to.server = recall->server;
+  to.server = recall->issuer_run_id;
   to.address = text_field (recall->address);
   return pack (ctx, &frame);
 }
 
-/* The bytes and all that they are packed from, below CTX.  */
+/* Packs FRAME; the bytes and all temporary data are allocated below CTX.  */
 static struct mq_bytes
 pack_body (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
-      return pack_ask (ctx, &frame->u.ask);
-    case MQ_RELAY_TOLD:
-      return pack_told (ctx, &frame->u.told);
+    case MQ_RELAY_CALL_REQUEST:
+      return pack_call_request (ctx, &frame->u.call_request);
+    case MQ_RELAY_CALL_REPLY:
+      return pack_call_reply (ctx, &frame->u.call_reply);
     case MQ_RELAY_SYNC:
       return pack_sync (ctx, &frame->u.sync);
     case MQ_RELAY_STATE:
       return pack_state (ctx, &frame->u.state);
-    case MQ_RELAY_LOAN_ASK:
-      return pack_loan_ask (ctx, &frame->u.loan_ask);
-    case MQ_RELAY_LOAN_TOLD:
-      return pack_loan_told (ctx, &frame->u.loan_told);
-    case MQ_RELAY_LOAN_BACK:
-      return pack_loan_back (ctx, &frame->u.loan_back);
-    case MQ_RELAY_QUOTA_ASK:
-      return pack_quota_ask (ctx, &frame->u.quota_ask);
-    case MQ_RELAY_QUOTA_TOLD:
-      return pack_quota_told (ctx, &frame->u.quota_told);
+    case MQ_RELAY_LOAN_REQUEST:
+      return pack_loan_request (ctx, &frame->u.loan_request);
+    case MQ_RELAY_LOAN_REPLY:
+      return pack_loan_reply (ctx, &frame->u.loan_reply);
+    case MQ_RELAY_LOAN_RETURN:
+      return pack_loan_return (ctx, &frame->u.loan_return);
+    case MQ_RELAY_QUOTA_REQUEST:
+      return pack_quota_request (ctx, &frame->u.quota_request);
+    case MQ_RELAY_QUOTA_REPLY:
+      return pack_quota_reply (ctx, &frame->u.quota_reply);
     case MQ_RELAY_QUOTA_RECALL:
       return pack_quota_recall (ctx, &frame->u.quota_recall);
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       break;
     }
   return (struct mq_bytes){ NULL, 0 };
 }
 
-/* Failure: a host that answers others for weeks grows by the lists of rows and
-   workers that its answers were packed from; whoever packs frees the bytes
-   alone.  So the lists lie below a context that ends here.  */
+/* The caller frees the bytes only, so temporary data is freed here: otherwise
+   memory would grow with every frame.  */
 struct mq_bytes
 mq_relay_frame_pack (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
@@ -367,13 +369,13 @@
   return workers;
 }
 
-/* An outcome that this version does not know promises nothing.  */
+/* An unknown status is treated as LOST.  */
 static void
-read_told (struct mq_relay_frame *to, const Mqrelay__Told *from)
+read_call_reply (struct mq_relay_frame *to, const Mqrelay__Told *from)
 {
-  to->kind = MQ_RELAY_TOLD;
-  to->u.told.id = from->id;
-  to->u.told.result = (struct mq_rows_result){
+  to->kind = MQ_RELAY_CALL_REPLY;
+  to->u.call_reply.id = from->id;
+  to->u.call_reply.result = (struct mq_rows_result){
     .status = from->status > MQ_STORE_LOST
                   ? MQ_STORE_LOST
                   : (enum mq_store_status)from->status,
@@ -384,10 +386,10 @@
 }
 
 static bool
-read_ask (struct mq_relay_frame *to, const Mqrelay__Ask *from)
+read_call_request (struct mq_relay_frame *to, const Mqrelay__Ask *from)
 {
-  to->kind = MQ_RELAY_ASK;
-  to->u.ask = (struct mq_relay_ask){
+  to->kind = MQ_RELAY_CALL_REQUEST;
+  to->u.call_request = (struct mq_relay_call_request){
     .id = from->id,
     .commit = from->commit,
     .entries = read_entries (to, from->entries, from->n_entries),
@@ -397,28 +399,28 @@
 }
 
 static void
-read_loan_ask (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
+read_loan_request (struct mq_relay_frame *to, const Mqrelay__LoanAsk *from)
 {
-  to->kind = MQ_RELAY_LOAN_ASK;
-  to->u.loan_ask = (struct mq_relay_loan_ask){
+  to->kind = MQ_RELAY_LOAN_REQUEST;
+  to->u.loan_request = (struct mq_relay_loan_request){
     .id = from->id,
     .program = from->run,
     .limit = from->limit,
-    .most = from->most,
+    .tokens = from->most,
     .turn = from->turn,
-    .issue = from->issue,
+    .may_issue = from->issue,
   };
 }
 
 static void
-read_loan_told (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
+read_loan_reply (struct mq_relay_frame *to, const Mqrelay__LoanTold *from)
 {
-  to->kind = MQ_RELAY_LOAN_TOLD;
-  to->u.loan_told = (struct mq_relay_loan_told){
+  to->kind = MQ_RELAY_LOAN_REPLY;
+  to->u.loan_reply = (struct mq_relay_loan_reply){
     .id = from->id,
     .program = from->run,
     .tokens = from->tokens,
-    .over = from->over,
+    .issue_forbidden = from->over,
     .home = from->home,
     .turn = from->turn,
     .history = { from->history.data, from->history.len },
@@ -426,7 +428,7 @@
 }
 
 static void
-read_quota_ask (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
+read_quota_request (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
 {
   struct mq_quota_request *wants = mq_must (
       talloc_zero_array (to, struct mq_quota_request, from->n_wants + 1));
@@ -441,12 +443,12 @@
       .surrendered = from->wants[i]->surrendered,
       .holds = from->wants[i]->holds,
     };
-  to->kind = MQ_RELAY_QUOTA_ASK;
-  to->u.quota_ask = (struct mq_relay_quota_ask){
+  to->kind = MQ_RELAY_QUOTA_REQUEST;
+  to->u.quota_request = (struct mq_relay_quota_request){
     .id = from->id,
-    .host = from->host,
-    .heard_ms = from->heard_ms,
-    .server = from->server,
+    .run_id = from->host,
+    .acked_ms = from->heard_ms,
+    .issuer_run_id = from->server,
     .wants = wants,
     .want_count = from->n_wants,
     .listed = from->listed,
@@ -455,7 +457,7 @@
 }
 
 static void
-read_quota_told (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
+read_quota_reply (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
 {
   struct mq_quota_grant *gifts = mq_must (
       talloc_zero_array (to, struct mq_quota_grant, from->n_gifts + 1));
@@ -472,11 +474,11 @@
       .standing = from->gifts[i]->standing,
       .standing_ms = from->gifts[i]->standing_ms,
     };
-  to->kind = MQ_RELAY_QUOTA_TOLD;
-  to->u.quota_told = (struct mq_relay_quota_told){
+  to->kind = MQ_RELAY_QUOTA_REPLY;
+  to->u.quota_reply = (struct mq_relay_quota_reply){
     .id = from->id,
-    .server = from->server,
-    .told_ms = from->told_ms,
+    .issuer_run_id = from->server,
+    .sent_ms = from->told_ms,
     .gifts = gifts,
     .gift_count = from->n_gifts,
   };
@@ -488,9 +490,9 @@
   switch (from->body_case)
     {
     case MQRELAY__FRAME__BODY_ASK:
-      return read_ask (to, from->ask);
+      return read_call_request (to, from->ask);
     case MQRELAY__FRAME__BODY_TOLD:
-      read_told (to, from->told);
+      read_call_reply (to, from->told);
       return true;
     case MQRELAY__FRAME__BODY_SYNC:
       to->kind = MQ_RELAY_SYNC;
@@ -508,21 +510,22 @@
       };
       return true;
     case MQRELAY__FRAME__BODY_LOAN_ASK:
-      read_loan_ask (to, from->loan_ask);
+      read_loan_request (to, from->loan_ask);
       return true;
     case MQRELAY__FRAME__BODY_LOAN_TOLD:
-      read_loan_told (to, from->loan_told);
+      read_loan_reply (to, from->loan_told);
       return true;
     case MQRELAY__FRAME__BODY_LOAN_BACK:
-      to->kind = MQ_RELAY_LOAN_BACK;
-      to->u.loan_back = (struct mq_relay_loan_back){ from->loan_back->run,
-                                                     from->loan_back->tokens };
+      to->kind = MQ_RELAY_LOAN_RETURN;
+      to->u.loan_return
+          = (struct mq_relay_loan_return){ from->loan_back->run,
+                                           from->loan_back->tokens };
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_ASK:
-      read_quota_ask (to, from->quota_ask);
+      read_quota_request (to, from->quota_ask);
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_TOLD:
-      read_quota_told (to, from->quota_told);
+      read_quota_reply (to, from->quota_told);
       return true;
     case MQRELAY__FRAME__BODY_QUOTA_RECALL:
       to->kind = MQ_RELAY_QUOTA_RECALL;
@@ -531,13 +534,13 @@
                                             from->quota_recall->address };
       return true;
     default:
-      to->kind = MQ_RELAY_OTHER;
+      to->kind = MQ_RELAY_UNKNOWN;
       return true;
     }
 }
 
 /**
- * struct holder - the decoded message that a frame points into
+ * struct holder - owner of the decoded message that a frame points into
  */
 struct holder
 {
--- a/src/router/relay_frame.h
+++ b/src/router/relay_frame.h
@@ -1,4 +1,4 @@
-/* relay_frame.h - what routing hosts say to each other, packed for the wire.
+/* relay_frame.h - messages between routing hosts and their encoding.
 
    Needs: rows.h, fleet.h, quota.h, proto/relay.pb-c.h.  */
 
@@ -9,30 +9,30 @@
 #include "core/router/fleet.h"
 #include "rows.h"
 
-/* Frames are bounded by what a transaction may carry, and some more.  */
+/* Exceeds the largest transaction.  */
 #define MQ_RELAY_FRAME_MAX ((size_t)2 << 20)
 
 enum mq_relay_kind
 {
-  MQ_RELAY_ASK,          /* make this call to the platform's table */
-  MQ_RELAY_TOLD,         /* its outcome */
-  MQ_RELAY_SYNC,         /* tell what is newer than this */
-  MQ_RELAY_STATE,        /* the configuration and the workers */
-  MQ_RELAY_LOAN_ASK,     /* lend tokens and a history for a turn */
-  MQ_RELAY_LOAN_TOLD,    /* what is lent */
-  MQ_RELAY_LOAN_BACK,    /* what was not used of it */
-  MQ_RELAY_QUOTA_ASK,    /* issue permits for requests of organisations */
-  MQ_RELAY_QUOTA_TOLD,   /* what is issued */
-  MQ_RELAY_QUOTA_RECALL, /* surrender what earlier runs lent */
-  MQ_RELAY_OTHER /* of a newer version of this program, to be ignored */
+  MQ_RELAY_CALL_REQUEST,  /* call to the platform's table */
+  MQ_RELAY_CALL_REPLY,    /* result of the call */
+  MQ_RELAY_SYNC,          /* request for newer state */
+  MQ_RELAY_STATE,         /* configuration and workers */
+  MQ_RELAY_LOAN_REQUEST,  /* request for tokens and a history */
+  MQ_RELAY_LOAN_REPLY,    /* tokens and history lent */
+  MQ_RELAY_LOAN_RETURN,   /* unused tokens returned */
+  MQ_RELAY_QUOTA_REQUEST, /* request for permits */
+  MQ_RELAY_QUOTA_REPLY,   /* permits issued */
+  MQ_RELAY_QUOTA_RECALL,  /* recall of rates lent by earlier runs */
+  MQ_RELAY_UNKNOWN        /* from a newer version; ignored */
 };
 
 /**
- * struct mq_relay_ask - a call that the sender can't make itself
- * @id: of the call, for @told
- * @commit: a transaction on the entries, else a read of the one
+ * struct mq_relay_call_request - a call made for another host
+ * @id: returned in the reply
+ * @commit: writes all entries in a transaction, else reads the only one
  */
-struct mq_relay_ask
+struct mq_relay_call_request
 {
   uint64_t id;
   bool commit;
@@ -40,16 +40,16 @@
   size_t count;
 };
 
-struct mq_relay_told
+struct mq_relay_call_reply
 {
   uint64_t id;
   struct mq_rows_result result;
 };
 
 /**
- * struct mq_relay_sync - what the asker knows
- * @config_version: of its configuration, 0: none
- * @workers_digest: of its workers (mq_fleet_digest), 0: none
+ * struct mq_relay_sync - versions that the requester has
+ * @config_version: 0 if it has no configuration
+ * @workers_digest: mq_fleet_digest of its workers, 0 if it has none
  */
 struct mq_relay_sync
 {
@@ -58,11 +58,10 @@
 };
 
 /**
- * struct mq_relay_state - what a host whose own feeds are alive knows
- * @config: empty when the asker's is not older
- * @same_workers: the asker knows them: 6,000 workers are 600 kB, three times a
- *                second
- * @workers: else all that are listed
+ * struct mq_relay_state - state of a host whose feeds work
+ * @config: empty if the requester's is not older
+ * @same_workers: the requester has the same workers, which are omitted
+ * @workers: else all listed workers
  */
 struct mq_relay_state
 {
@@ -73,68 +72,65 @@
 };
 
 /**
- * struct mq_relay_loan_ask - what a turn lacks while the table is away
- * @id: of the question
- * @program: whose turn
- * @limit: of the program's budget
- * @most: tokens that are wanted
- * @turn: whose history is wanted, "": none
- * @issue: tokens may be issued by the host that holds the program's lease
+ * struct mq_relay_loan_request - request for tokens or a history
+ * @id: returned in the reply
+ * @limit: budget limit of the program, tokens
+ * @tokens: tokens requested
+ * @turn: turn whose history is requested, "" if none
+ * @may_issue: the lease holder of the program may issue unrecorded tokens
  */
-struct mq_relay_loan_ask
+struct mq_relay_loan_request
 {
   uint64_t id;
   const char *program;
   uint64_t limit;
-  uint64_t most;
+  uint64_t tokens;
   const char *turn;
-  bool issue;
+  bool may_issue;
 };
 
 /**
- * struct mq_relay_loan_told - the answer
- * @id: of the question
- * @program: as it was asked for
- * @tokens: lent; whoever lent them has them no more
- * @over: no tokens may be issued: the record counts more than the limit, or
- * some were issued under a lease that has moved on
- * @turn: whose history follows, "": it is not known
- * @history: as a row of the table, with the whole text
- * @home: worker that has the program's cache, 0: not known
+ * struct mq_relay_loan_reply - reply to a loan request
+ * @tokens: tokens lent, already deducted from the lender's grant
+ * @issue_forbidden: the budget is overdrawn, or its lease has moved
+ * @turn: turn of @history, "" if not found
+ * @history: encoded as a row of the table, with the full text
+ * @home: worker that holds the program's cache, 0 if unknown
  */
-struct mq_relay_loan_told
+struct mq_relay_loan_reply
 {
   uint64_t id;
   const char *program;
   uint64_t tokens;
-  bool over;
+  bool issue_forbidden;
   const char *turn;
   struct mq_bytes history;
   uint64_t home;
 };
 
-/* Unused tokens of a loan on their way back.  */
-struct mq_relay_loan_back
+/* Unused tokens of a loan, returned to the lender.  */
+struct mq_relay_loan_return
 {
   const char *program;
   uint64_t tokens;
 };
 
 /**
- * struct mq_relay_quota_ask - what a host wants of an issuer of permits
- * @id: of the question
- * @host: names this run of the asker
- * @heard_ms: what it heard last from the run @server of the issuer
- * @wants: their heard_ms is not told: it is that of the question
- * @listed: its row is in the table of hosts
- * @recalled: it holds nothing of other runs of the issuer
+ * struct mq_relay_quota_request - request for permits, and reply to a recall
+ * @id: returned in the reply
+ * @run_id: id of the requester's run
+ * @acked_ms: sent_ms of the last reply from the run @issuer_run_id
+ * @issuer_run_id: id of the issuer's run that replied last
+ * @wants: their heard_ms is not sent; it equals @acked_ms
+ * @listed: the requester has a row in the table of hosts
+ * @recalled: the requester holds no rates from other runs of the issuer
  */
-struct mq_relay_quota_ask
+struct mq_relay_quota_request
 {
   uint64_t id;
-  uint64_t host;
-  uint64_t heard_ms;
-  uint64_t server;
+  uint64_t run_id;
+  uint64_t acked_ms;
+  uint64_t issuer_run_id;
   const struct mq_quota_request *wants;
   size_t want_count;
   bool listed;
@@ -142,59 +138,57 @@
 };
 
 /**
- * struct mq_relay_quota_told - the answer
- * @id: of the question
- * @server: names this run of the issuer
- * @told_ms: by its clock
+ * struct mq_relay_quota_reply - reply to a request for permits
+ * @issuer_run_id: id of the issuer's run
+ * @sent_ms: send time, issuer's clock
  */
-struct mq_relay_quota_told
+struct mq_relay_quota_reply
 {
   uint64_t id;
-  uint64_t server;
-  uint64_t told_ms;
+  uint64_t issuer_run_id;
+  uint64_t sent_ms;
   const struct mq_quota_grant *gifts;
   size_t gift_count;
 };
 
 /**
- * struct mq_relay_quota_recall - an issuer asks what its earlier runs lent
- * @server: names this run
- * @address: where other hosts reach the issuer
+ * struct mq_relay_quota_recall - recalls rates lent by earlier runs
+ * @issuer_run_id: id of the issuer's run
+ * @address: address of the issuer
  */
 struct mq_relay_quota_recall
 {
-  uint64_t server;
+  uint64_t issuer_run_id;
   const char *address;
 };
 
 /**
  * struct mq_relay_frame - one message
- * @kind: which of @u
+ * @kind: selects the member of @u
  */
 struct mq_relay_frame
 {
   enum mq_relay_kind kind;
   union
   {
-    struct mq_relay_ask ask;
-    struct mq_relay_told told;
+    struct mq_relay_call_request call_request;
+    struct mq_relay_call_reply call_reply;
     struct mq_relay_sync sync;
     struct mq_relay_state state;
-    struct mq_relay_loan_ask loan_ask;
-    struct mq_relay_loan_told loan_told;
-    struct mq_relay_loan_back loan_back;
-    struct mq_relay_quota_ask quota_ask;
-    struct mq_relay_quota_told quota_told;
+    struct mq_relay_loan_request loan_request;
+    struct mq_relay_loan_reply loan_reply;
+    struct mq_relay_loan_return loan_return;
+    struct mq_relay_quota_request quota_request;
+    struct mq_relay_quota_reply quota_reply;
     struct mq_relay_quota_recall quota_recall;
   } u;
 };
 
-/* Bytes of FRAME with the length in front, below CTX; stops the process when
-   memory is out.  */
+/* Packs FRAME with a length prefix, below CTX.  Aborts if out of memory.  */
 struct mq_bytes mq_relay_frame_pack (TALLOC_CTX *ctx,
                                      const struct mq_relay_frame *frame);
-/* Frame of the bytes behind the length, below CTX with all that it points at;
-   NULL when they are none.  */
+/* Unpacks the bytes after the length prefix, below CTX with all data that the
+   frame points to; NULL if they are invalid.  */
 struct mq_relay_frame *mq_relay_frame_unpack (TALLOC_CTX *ctx,
                                               const uint8_t *data, size_t len);
 
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -135,11 +135,11 @@
   const struct mq_router_settings *settings = router->settings;
   struct mq_relay_owner owner = { .sync = mq_feed_on_sync,
                                   .state = mq_feed_on_state,
-                                  .loan_ask = mq_loan_on_ask,
-                                  .loan_told = mq_loan_on_told,
-                                  .loan_back = mq_loan_on_back,
-                                  .quota_ask = mq_permits_on_ask,
-                                  .quota_told = mq_permits_on_told,
+                                  .loan_request = mq_loan_on_ask,
+                                  .loan_reply = mq_loan_on_told,
+                                  .loan_return = mq_loan_on_back,
+                                  .quota_request = mq_permits_on_ask,
+                                  .quota_reply = mq_permits_on_told,
                                   .quota_recall = mq_permits_on_recall,
                                   .user = router };
 
@@ -155,11 +155,12 @@
                                    router->rows, &owner, error);
   if (router->relay == NULL)
     return false;
-  router->ledger = mq_ledger_create (router, router->rows, router->relay);
+  router->table_client
+      = mq_table_client_create (router, router->rows, router->relay);
   router->pool = mq_pool_create (router, router->ev, router->fleet);
   router->turns = mq_turns_create (router);
   router->permits = mq_permits_create (router);
-  return router->ledger != NULL && router->pool != NULL
+  return router->table_client != NULL && router->pool != NULL
          && router->turns != NULL;
 }
 
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -1,6 +1,6 @@
-/* fuzz_relay.c - frames of other routing hosts (relay_frame.c).
+/* fuzz_relay.c - frames from other routing hosts (relay_frame.c).
 
-   Input: the bytes of one frame behind its length.
+   Input: one frame without its length prefix.
    Needs: fuzz.h, relay_frame.h, frame.h.  */
 
 #include "fuzz.h"
@@ -26,53 +26,54 @@
 {
   switch (frame->kind)
     {
-    case MQ_RELAY_ASK:
-      FUZZ_CHECK (frame->u.ask.count > 0);
-      check_entries (frame->u.ask.entries, frame->u.ask.count);
+    case MQ_RELAY_CALL_REQUEST:
+      FUZZ_CHECK (frame->u.call_request.count > 0);
+      check_entries (frame->u.call_request.entries,
+                     frame->u.call_request.count);
       return;
-    case MQ_RELAY_TOLD:
-      FUZZ_CHECK (frame->u.told.result.status <= MQ_STORE_LOST);
-      check_entries (frame->u.told.result.rows,
-                     frame->u.told.result.row_count);
+    case MQ_RELAY_CALL_REPLY:
+      FUZZ_CHECK (frame->u.call_reply.result.status <= MQ_STORE_LOST);
+      check_entries (frame->u.call_reply.result.rows,
+                     frame->u.call_reply.result.row_count);
       return;
     case MQ_RELAY_STATE:
       for (size_t i = 0; i < frame->u.state.worker_count; i++)
         FUZZ_CHECK (frame->u.state.workers[i].address != NULL);
       return;
-    case MQ_RELAY_LOAN_ASK:
-      FUZZ_CHECK (frame->u.loan_ask.program != NULL);
-      FUZZ_CHECK (frame->u.loan_ask.turn != NULL);
+    case MQ_RELAY_LOAN_REQUEST:
+      FUZZ_CHECK (frame->u.loan_request.program != NULL);
+      FUZZ_CHECK (frame->u.loan_request.turn != NULL);
       return;
-    case MQ_RELAY_LOAN_TOLD:
-      FUZZ_CHECK (frame->u.loan_told.program != NULL);
-      FUZZ_CHECK (frame->u.loan_told.turn != NULL);
-      FUZZ_CHECK (frame->u.loan_told.history.len == 0
-                  || frame->u.loan_told.history.data != NULL);
+    case MQ_RELAY_LOAN_REPLY:
+      FUZZ_CHECK (frame->u.loan_reply.program != NULL);
+      FUZZ_CHECK (frame->u.loan_reply.turn != NULL);
+      FUZZ_CHECK (frame->u.loan_reply.history.len == 0
+                  || frame->u.loan_reply.history.data != NULL);
       return;
-    case MQ_RELAY_LOAN_BACK:
-      FUZZ_CHECK (frame->u.loan_back.program != NULL);
+    case MQ_RELAY_LOAN_RETURN:
+      FUZZ_CHECK (frame->u.loan_return.program != NULL);
       return;
-    case MQ_RELAY_QUOTA_ASK:
-      for (size_t i = 0; i < frame->u.quota_ask.want_count; i++)
-        FUZZ_CHECK (frame->u.quota_ask.wants[i].organisation != NULL);
+    case MQ_RELAY_QUOTA_REQUEST:
+      for (size_t i = 0; i < frame->u.quota_request.want_count; i++)
+        FUZZ_CHECK (frame->u.quota_request.wants[i].organisation != NULL);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
-      for (size_t i = 0; i < frame->u.quota_told.gift_count; i++)
-        FUZZ_CHECK (frame->u.quota_told.gifts[i].organisation != NULL);
+    case MQ_RELAY_QUOTA_REPLY:
+      for (size_t i = 0; i < frame->u.quota_reply.gift_count; i++)
+        FUZZ_CHECK (frame->u.quota_reply.gifts[i].organisation != NULL);
       return;
     case MQ_RELAY_QUOTA_RECALL:
       FUZZ_CHECK (frame->u.quota_recall.address != NULL);
       return;
     case MQ_RELAY_SYNC:
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       return;
     }
   FUZZ_CHECK (false);
 }
 
-/* What was read is packed into a frame that reads the same.  */
+/* Packing and unpacking an accepted frame is lossless.  */
 static void
-check_again (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
+check_round_trip (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
   struct mq_bytes bytes = mq_relay_frame_pack (ctx, frame);
   struct mq_relay_frame *again
@@ -91,12 +92,12 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_relay_frame *frame = mq_relay_frame_unpack (ctx, data, len);
-  bool accepted = frame != NULL && frame->kind != MQ_RELAY_OTHER;
+  bool accepted = frame != NULL && frame->kind != MQ_RELAY_UNKNOWN;
 
   if (frame != NULL)
     check_frame (frame);
   if (accepted)
-    check_again (ctx, frame);
+    check_round_trip (ctx, frame);
   talloc_free (ctx);
   return accepted;
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,4 +1,4 @@
-/* test_relay.c - what routing hosts say to each other.
+/* test_relay.c - messages and links between routing hosts.
 
    Needs: Criterion, relay.h, frame.h, listen.h.  */
 
@@ -98,19 +98,23 @@
   cr_assert_eq (a->kind, b->kind);
   switch (a->kind)
     {
-    case MQ_RELAY_ASK:
-      cr_expect_eq (a->u.ask.id, b->u.ask.id);
-      cr_expect_eq (a->u.ask.commit, b->u.ask.commit);
-      cr_assert_eq (a->u.ask.count, b->u.ask.count);
-      expect_entries (a->u.ask.entries, b->u.ask.entries, a->u.ask.count);
+    case MQ_RELAY_CALL_REQUEST:
+      cr_expect_eq (a->u.call_request.id, b->u.call_request.id);
+      cr_expect_eq (a->u.call_request.commit, b->u.call_request.commit);
+      cr_assert_eq (a->u.call_request.count, b->u.call_request.count);
+      expect_entries (a->u.call_request.entries, b->u.call_request.entries,
+                      a->u.call_request.count);
       return;
-    case MQ_RELAY_TOLD:
-      cr_expect_eq (a->u.told.id, b->u.told.id);
-      cr_expect_eq (a->u.told.result.status, b->u.told.result.status);
-      cr_expect_eq (a->u.told.result.version, b->u.told.result.version);
-      cr_assert_eq (a->u.told.result.row_count, b->u.told.result.row_count);
-      expect_entries (a->u.told.result.rows, b->u.told.result.rows,
-                      a->u.told.result.row_count);
+    case MQ_RELAY_CALL_REPLY:
+      cr_expect_eq (a->u.call_reply.id, b->u.call_reply.id);
+      cr_expect_eq (a->u.call_reply.result.status,
+                    b->u.call_reply.result.status);
+      cr_expect_eq (a->u.call_reply.result.version,
+                    b->u.call_reply.result.version);
+      cr_assert_eq (a->u.call_reply.result.row_count,
+                    b->u.call_reply.result.row_count);
+      expect_entries (a->u.call_reply.result.rows, b->u.call_reply.result.rows,
+                      a->u.call_reply.result.row_count);
       return;
     case MQ_RELAY_SYNC:
       cr_expect_eq (a->u.sync.config_version, b->u.sync.config_version);
@@ -123,57 +127,63 @@
       expect_workers (a->u.state.workers, b->u.state.workers,
                       a->u.state.worker_count);
       return;
-    case MQ_RELAY_LOAN_ASK:
-      cr_expect_eq (a->u.loan_ask.id, b->u.loan_ask.id);
-      cr_expect_str_eq (a->u.loan_ask.program, b->u.loan_ask.program);
-      cr_expect_eq (a->u.loan_ask.limit, b->u.loan_ask.limit);
-      cr_expect_eq (a->u.loan_ask.most, b->u.loan_ask.most);
-      cr_expect_str_eq (a->u.loan_ask.turn, b->u.loan_ask.turn);
-      cr_expect_eq (a->u.loan_ask.issue, b->u.loan_ask.issue);
+    case MQ_RELAY_LOAN_REQUEST:
+      cr_expect_eq (a->u.loan_request.id, b->u.loan_request.id);
+      cr_expect_str_eq (a->u.loan_request.program, b->u.loan_request.program);
+      cr_expect_eq (a->u.loan_request.limit, b->u.loan_request.limit);
+      cr_expect_eq (a->u.loan_request.tokens, b->u.loan_request.tokens);
+      cr_expect_str_eq (a->u.loan_request.turn, b->u.loan_request.turn);
+      cr_expect_eq (a->u.loan_request.may_issue, b->u.loan_request.may_issue);
       return;
-    case MQ_RELAY_LOAN_TOLD:
-      cr_expect_eq (a->u.loan_told.id, b->u.loan_told.id);
-      cr_expect_str_eq (a->u.loan_told.program, b->u.loan_told.program);
-      cr_expect_eq (a->u.loan_told.tokens, b->u.loan_told.tokens);
-      cr_expect_eq (a->u.loan_told.over, b->u.loan_told.over);
-      cr_expect_str_eq (a->u.loan_told.turn, b->u.loan_told.turn);
-      cr_expect (same_bytes (a->u.loan_told.history, b->u.loan_told.history));
+    case MQ_RELAY_LOAN_REPLY:
+      cr_expect_eq (a->u.loan_reply.id, b->u.loan_reply.id);
+      cr_expect_str_eq (a->u.loan_reply.program, b->u.loan_reply.program);
+      cr_expect_eq (a->u.loan_reply.tokens, b->u.loan_reply.tokens);
+      cr_expect_eq (a->u.loan_reply.issue_forbidden,
+                    b->u.loan_reply.issue_forbidden);
+      cr_expect_str_eq (a->u.loan_reply.turn, b->u.loan_reply.turn);
+      cr_expect (
+          same_bytes (a->u.loan_reply.history, b->u.loan_reply.history));
       return;
-    case MQ_RELAY_LOAN_BACK:
-      cr_expect_str_eq (a->u.loan_back.program, b->u.loan_back.program);
-      cr_expect_eq (a->u.loan_back.tokens, b->u.loan_back.tokens);
+    case MQ_RELAY_LOAN_RETURN:
+      cr_expect_str_eq (a->u.loan_return.program, b->u.loan_return.program);
+      cr_expect_eq (a->u.loan_return.tokens, b->u.loan_return.tokens);
       return;
-    case MQ_RELAY_QUOTA_ASK:
-      cr_expect_eq (a->u.quota_ask.id, b->u.quota_ask.id);
-      cr_expect_eq (a->u.quota_ask.host, b->u.quota_ask.host);
-      cr_expect_eq (a->u.quota_ask.heard_ms, b->u.quota_ask.heard_ms);
-      cr_expect_eq (a->u.quota_ask.server, b->u.quota_ask.server);
-      cr_expect_eq (a->u.quota_ask.listed, b->u.quota_ask.listed);
-      cr_expect_eq (a->u.quota_ask.recalled, b->u.quota_ask.recalled);
-      cr_assert_eq (a->u.quota_ask.want_count, b->u.quota_ask.want_count);
-      expect_wants (a->u.quota_ask.wants, b->u.quota_ask.wants,
-                    a->u.quota_ask.want_count);
+    case MQ_RELAY_QUOTA_REQUEST:
+      cr_expect_eq (a->u.quota_request.id, b->u.quota_request.id);
+      cr_expect_eq (a->u.quota_request.run_id, b->u.quota_request.run_id);
+      cr_expect_eq (a->u.quota_request.acked_ms, b->u.quota_request.acked_ms);
+      cr_expect_eq (a->u.quota_request.issuer_run_id,
+                    b->u.quota_request.issuer_run_id);
+      cr_expect_eq (a->u.quota_request.listed, b->u.quota_request.listed);
+      cr_expect_eq (a->u.quota_request.recalled, b->u.quota_request.recalled);
+      cr_assert_eq (a->u.quota_request.want_count,
+                    b->u.quota_request.want_count);
+      expect_wants (a->u.quota_request.wants, b->u.quota_request.wants,
+                    a->u.quota_request.want_count);
       return;
-    case MQ_RELAY_QUOTA_TOLD:
-      cr_expect_eq (a->u.quota_told.id, b->u.quota_told.id);
-      cr_expect_eq (a->u.quota_told.server, b->u.quota_told.server);
-      cr_expect_eq (a->u.quota_told.told_ms, b->u.quota_told.told_ms);
-      cr_assert_eq (a->u.quota_told.gift_count, b->u.quota_told.gift_count);
-      expect_gifts (a->u.quota_told.gifts, b->u.quota_told.gifts,
-                    a->u.quota_told.gift_count);
+    case MQ_RELAY_QUOTA_REPLY:
+      cr_expect_eq (a->u.quota_reply.id, b->u.quota_reply.id);
+      cr_expect_eq (a->u.quota_reply.issuer_run_id,
+                    b->u.quota_reply.issuer_run_id);
+      cr_expect_eq (a->u.quota_reply.sent_ms, b->u.quota_reply.sent_ms);
+      cr_assert_eq (a->u.quota_reply.gift_count, b->u.quota_reply.gift_count);
+      expect_gifts (a->u.quota_reply.gifts, b->u.quota_reply.gifts,
+                    a->u.quota_reply.gift_count);
       return;
     case MQ_RELAY_QUOTA_RECALL:
-      cr_expect_eq (a->u.quota_recall.server, b->u.quota_recall.server);
+      cr_expect_eq (a->u.quota_recall.issuer_run_id,
+                    b->u.quota_recall.issuer_run_id);
       cr_expect_str_eq (a->u.quota_recall.address, b->u.quota_recall.address);
       return;
-    case MQ_RELAY_OTHER:
+    case MQ_RELAY_UNKNOWN:
       cr_assert_fail ("a frame of our own is not known");
     }
 }
 
-/* What one host packs the other one reads, field by field: a version or a
-   condition that got lost on the way would let a write overtake another.  */
-Test (relay, frames_come_through)
+/* All fields survive packing and unpacking.  A lost version or condition would
+   let one write overwrite another.  */
+Test (relay, frames_round_trip)
 {
   struct mq_rows_entry entries[] = {
     { .table = "budget",
@@ -223,57 +233,59 @@
     { .organisation = "bolt", .unknown = true },
   };
   struct mq_relay_frame frames[] = {
-    { .kind = MQ_RELAY_QUOTA_ASK,
-      .u.quota_ask = { .id = 1,
-                       .host = 2,
-                       .heard_ms = 3,
-                       .server = 4,
-                       .wants = wants,
-                       .want_count = 2,
-                       .listed = true,
-                       .recalled = true } },
+    { .kind = MQ_RELAY_QUOTA_REQUEST,
+      .u.quota_request = { .id = 1,
+                           .run_id = 2,
+                           .acked_ms = 3,
+                           .issuer_run_id = 4,
+                           .wants = wants,
+                           .want_count = 2,
+                           .listed = true,
+                           .recalled = true } },
     { .kind = MQ_RELAY_QUOTA_RECALL,
-      .u.quota_recall = { .server = 7, .address = "a:1" } },
-    { .kind = MQ_RELAY_QUOTA_TOLD,
-      .u.quota_told = { .id = 1,
-                        .server = 2,
-                        .told_ms = 3,
-                        .gifts = gifts,
-                        .gift_count = 2 } },
-    { .kind = MQ_RELAY_ASK,
-      .u.ask = { .id = 1, .commit = true, .entries = entries, .count = 2 } },
-    { .kind = MQ_RELAY_ASK,
-      .u.ask = { .id = UINT64_MAX, .entries = entries, .count = 1 } },
-    { .kind = MQ_RELAY_TOLD,
-      .u.told = { .id = 2,
-                  .result = { .status = MQ_STORE_CONFLICT,
-                              .version = 9,
-                              .rows = entries,
-                              .row_count = 2 } } },
-    { .kind = MQ_RELAY_TOLD,
-      .u.told = { .id = 3, .result = { .status = MQ_STORE_LOST } } },
+      .u.quota_recall = { .issuer_run_id = 7, .address = "a:1" } },
+    { .kind = MQ_RELAY_QUOTA_REPLY,
+      .u.quota_reply = { .id = 1,
+                         .issuer_run_id = 2,
+                         .sent_ms = 3,
+                         .gifts = gifts,
+                         .gift_count = 2 } },
+    { .kind = MQ_RELAY_CALL_REQUEST,
+      .u.call_request
+      = { .id = 1, .commit = true, .entries = entries, .count = 2 } },
+    { .kind = MQ_RELAY_CALL_REQUEST,
+      .u.call_request = { .id = UINT64_MAX, .entries = entries, .count = 1 } },
+    { .kind = MQ_RELAY_CALL_REPLY,
+      .u.call_reply = { .id = 2,
+                        .result = { .status = MQ_STORE_CONFLICT,
+                                    .version = 9,
+                                    .rows = entries,
+                                    .row_count = 2 } } },
+    { .kind = MQ_RELAY_CALL_REPLY,
+      .u.call_reply = { .id = 3, .result = { .status = MQ_STORE_LOST } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, UINT64_MAX } },
     { .kind = MQ_RELAY_STATE,
       .u.state = { .config = bytes ("config"),
                    .workers = workers,
                    .worker_count = 2 } },
     { .kind = MQ_RELAY_STATE, .u.state = { .same_workers = true } },
-    { .kind = MQ_RELAY_LOAN_ASK,
-      .u.loan_ask = { .id = 4,
-                      .program = "p1",
-                      .limit = 900,
-                      .most = 288,
-                      .turn = "t1",
-                      .issue = true } },
-    { .kind = MQ_RELAY_LOAN_TOLD,
-      .u.loan_told = { .id = 4,
-                       .program = "p1",
-                       .tokens = 288,
-                       .turn = "t1",
-                       .history = bytes ("history") } },
-    { .kind = MQ_RELAY_LOAN_TOLD,
-      .u.loan_told = { .id = 5, .program = "", .over = true, .turn = "" } },
-    { .kind = MQ_RELAY_LOAN_BACK, .u.loan_back = { "p1", 200 } },
+    { .kind = MQ_RELAY_LOAN_REQUEST,
+      .u.loan_request = { .id = 4,
+                          .program = "p1",
+                          .limit = 900,
+                          .tokens = 288,
+                          .turn = "t1",
+                          .may_issue = true } },
+    { .kind = MQ_RELAY_LOAN_REPLY,
+      .u.loan_reply = { .id = 4,
+                        .program = "p1",
+                        .tokens = 288,
+                        .turn = "t1",
+                        .history = bytes ("history") } },
+    { .kind = MQ_RELAY_LOAN_REPLY,
+      .u.loan_reply
+      = { .id = 5, .program = "", .issue_forbidden = true, .turn = "" } },
+    { .kind = MQ_RELAY_LOAN_RETURN, .u.loan_return = { "p1", 200 } },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -290,26 +302,26 @@
   talloc_free (ctx);
 }
 
-/* A host answers what others ask of it: rows of the table, the workers it
-   knows.  What the frame was packed from stayed below the host's links for as
-   long as it ran: 8,080 bytes for each answer of 100 workers.  The bytes are
-   all that is left of a packed frame.  */
-Test (relay, packing_leaves_nothing_behind)
+/* Packing a frame allocates nothing but the returned bytes below the context;
+   otherwise every reply would leak memory.  */
+Test (relay, packing_does_not_leak)
 {
   static struct mq_fleet_member workers[100];
   static struct mq_rows_entry entries[2]
       = { { .table = "a" }, { .table = "b" } };
   const struct mq_relay_frame frames[] = {
-    { .kind = MQ_RELAY_ASK, .u.ask = { .entries = entries, .count = 2 } },
-    { .kind = MQ_RELAY_TOLD, .u.told = { .result = { .row_count = 0 } } },
-    { .kind = MQ_RELAY_TOLD,
-      .u.told = { .result = { .rows = entries, .row_count = 2 } } },
+    { .kind = MQ_RELAY_CALL_REQUEST,
+      .u.call_request = { .entries = entries, .count = 2 } },
+    { .kind = MQ_RELAY_CALL_REPLY,
+      .u.call_reply = { .result = { .row_count = 0 } } },
+    { .kind = MQ_RELAY_CALL_REPLY,
+      .u.call_reply = { .result = { .rows = entries, .row_count = 2 } } },
     { .kind = MQ_RELAY_SYNC, .u.sync = { 12, 0 } },
     { .kind = MQ_RELAY_STATE,
       .u.state = { .workers = workers, .worker_count = ROWS (workers) } },
-    { .kind = MQ_RELAY_LOAN_ASK,
-      .u.loan_ask = { .program = "p1", .turn = "t1" } },
-    { .kind = MQ_RELAY_OTHER },
+    { .kind = MQ_RELAY_LOAN_REQUEST,
+      .u.loan_request = { .program = "p1", .turn = "t1" } },
+    { .kind = MQ_RELAY_UNKNOWN },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -325,9 +337,9 @@
   talloc_free (ctx);
 }
 
-/* During a rolling change of versions a newer host says things, or gives
-   outcomes, that this one doesn't know.  Neither may cost the link, and an
-   unknown outcome must not pass for "not done".  */
+/* During a rolling upgrade, a newer host may send unknown messages or status
+   values.  Neither may end the link, and an unknown status must not be taken
+   as "not executed".  */
 Test (relay, newer_and_damaged_frames)
 {
   static const struct
@@ -338,12 +350,13 @@
     bool read;
     enum mq_relay_kind kind;
   } cases[] = {
-    { "nothing", "", 0, true, MQ_RELAY_OTHER },
-    { "unknown kind", "\x7a\x02\x08\x01", 4, true, MQ_RELAY_OTHER },
-    { "unknown outcome", "\x12\x04\x08\x05\x10\x63", 6, true, MQ_RELAY_TOLD },
-    { "a call without rows", "\x0a\x02\x08\x05", 4, false, MQ_RELAY_OTHER },
-    { "cut", "\x0a\x09\x08\x05", 4, false, MQ_RELAY_OTHER },
-    { "no message", "\xff\xff\xff", 3, false, MQ_RELAY_OTHER },
+    { "nothing", "", 0, true, MQ_RELAY_UNKNOWN },
+    { "unknown kind", "\x7a\x02\x08\x01", 4, true, MQ_RELAY_UNKNOWN },
+    { "unknown outcome", "\x12\x04\x08\x05\x10\x63", 6, true,
+      MQ_RELAY_CALL_REPLY },
+    { "a call without rows", "\x0a\x02\x08\x05", 4, false, MQ_RELAY_UNKNOWN },
+    { "cut", "\x0a\x09\x08\x05", 4, false, MQ_RELAY_UNKNOWN },
+    { "no message", "\xff\xff\xff", 3, false, MQ_RELAY_UNKNOWN },
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
 
@@ -356,51 +369,51 @@
       if (frame == NULL)
         continue;
       cr_assert_eq (frame->kind, cases[i].kind, "%s", cases[i].name);
-      if (frame->kind == MQ_RELAY_TOLD)
-        cr_assert_eq (frame->u.told.result.status, MQ_STORE_LOST);
+      if (frame->kind == MQ_RELAY_CALL_REPLY)
+        cr_assert_eq (frame->u.call_reply.result.status, MQ_STORE_LOST);
     }
   talloc_free (ctx);
 }
 
 /**
- * struct owing_case - a host that was asked for a loan, while this one is held
- * up for longer than the answer may take
- * @taken: the link is there before
- * @answers: what it says arrives meanwhile
- * @goes_on: this host goes on before the next question
- * @asked: hosts that the next question goes to
+ * struct timeout_case - a loan request, after which this host is blocked for
+ *                       longer than the timeout
+ * @connected: the link is established before
+ * @answers: the reply arrives meanwhile
+ * @runs_loop: this host runs its event loop before the next request
+ * @requests: number of hosts that get the next request
  */
-struct owing_case
+struct timeout_case
 {
   const char *name;
-  bool taken;
+  bool connected;
   bool answers;
-  bool goes_on;
-  uint32_t asked;
+  bool runs_loop;
+  uint32_t requests;
 };
 
-static const struct owing_case owing_cases[] = {
+static const struct timeout_case timeout_cases[] = {
   { "answered", true, true, false, 1 },
-  { "answered, goes on", true, true, true, 1 },
-  /* Whether it was silent shows when this host has looked.  */
+  { "answered, loop runs", true, true, true, 1 },
+  /* The timeout is detected once this host runs its event loop.  */
   { "silent", true, false, false, 1 },
-  { "silent, goes on", true, false, true, 0 },
-  { "link not looked at", false, false, false, 1 },
+  { "silent, loop runs", true, false, true, 0 },
+  { "connection not processed", false, false, false, 1 },
 };
 
 static void
-on_loan_told (const struct mq_relay_loan_told *told, const char *address,
-              void *user)
+on_loan_reply (const struct mq_relay_loan_reply *reply, const char *address,
+               void *user)
 {
-  (void)told;
+  (void)reply;
   (void)address;
   (void)user;
 }
 
-/* Reads some of the question on the other host's end, running the loop until
-   it is there.  */
+/* Runs the loop until the request arrives at the other host, and reads part of
+   it.  */
 static void
-hear_question (struct tevent_context *ev, int fd)
+receive_request (struct tevent_context *ev, int fd)
 {
   struct pollfd ready = { .fd = fd, .events = POLLIN };
   char bytes[512];
@@ -418,9 +431,9 @@
   *done = true;
 }
 
-/* Runs the loop until timers that are due now have come.  */
+/* Runs the loop until all timers that are due have run.  */
 static void
-go_on (struct tevent_context *ev)
+run_due_timers (struct tevent_context *ev)
 {
   bool done = false;
 
@@ -430,16 +443,16 @@
 }
 
 static void
-run_owing (const struct owing_case *row)
+run_timeout_case (const struct timeout_case *row)
 {
   struct tevent_context *ev = tevent_context_init (NULL);
-  struct mq_relay_owner owner = { .loan_told = on_loan_told };
-  struct mq_relay_loan_ask ask
-      = { .id = 1, .program = "p", .limit = 9, .most = 1, .turn = "" };
-  struct mq_relay_frame told
-      = { .kind = MQ_RELAY_LOAN_TOLD,
-          .u.loan_told = { .id = 1, .program = "p", .turn = "" } };
-  struct mq_bytes frame = mq_relay_frame_pack (ev, &told);
+  struct mq_relay_owner owner = { .loan_reply = on_loan_reply };
+  struct mq_relay_loan_request request
+      = { .id = 1, .program = "p", .limit = 9, .tokens = 1, .turn = "" };
+  struct mq_relay_frame reply
+      = { .kind = MQ_RELAY_LOAN_REPLY,
+          .u.loan_reply = { .id = 1, .program = "p", .turn = "" } };
+  struct mq_bytes frame = mq_relay_frame_pack (ev, &reply);
   int other = mq_listen_open ("127.0.0.1:0", NULL);
   struct pollfd listener = { .fd = other, .events = POLLIN };
   struct mq_error error = { .type = MQ_ERR_NONE };
@@ -452,31 +465,30 @@
                            mq_rows_create (ev, ev, address), &owner, &error);
   cr_assert_not_null (relay);
   mq_relay_add_seed (relay, address);
-  cr_assert_eq (mq_relay_ask_loan (relay, &ask, false), 1);
+  cr_assert_eq (mq_relay_request_loan (relay, &request, false), 1);
   cr_assert_eq (poll (&listener, 1, 20000), 1);
   fd = accept (other, NULL, NULL);
-  if (row->taken)
-    hear_question (ev, fd);
+  if (row->connected)
+    receive_request (ev, fd);
   if (row->answers)
     cr_assert_eq (send (fd, frame.data, frame.len, MSG_NOSIGNAL),
                   (ssize_t)frame.len);
-  usleep ((MQ_RELAY_LOAN_MS + 20) * 1000);
-  if (row->goes_on)
-    go_on (ev);
-  cr_expect_eq (mq_relay_ask_loan (relay, &ask, false), row->asked, "%s",
-                row->name);
+  usleep ((MQ_RELAY_LOAN_TIMEOUT_MS + 20) * 1000);
+  if (row->runs_loop)
+    run_due_timers (ev);
+  cr_expect_eq (mq_relay_request_loan (relay, &request, false), row->requests,
+                "%s", row->name);
   mq_relay_destroy (relay);
   talloc_free (ev);
   close (fd);
   close (other);
 }
 
-/* A host asks another one for a loan and is then held up; the answer, or the
-   link itself, comes meanwhile.  A caller's request that is read first asks
-   again, and the other host was taken for lost: a turn was refused for a
-   second though the host that had its tokens had answered in time.  */
-Test (relay, answer_that_lies_unread_is_no_silence)
+/* A reply or connection that arrived while this host was blocked, and is still
+   unread, must not start the backoff: turns would be refused although the
+   lender answered in time.  */
+Test (relay, unread_reply_is_no_timeout)
 {
-  for (size_t i = 0; i < ROWS (owing_cases); i++)
-    run_owing (&owing_cases[i]);
+  for (size_t i = 0; i < ROWS (timeout_cases); i++)
+    run_timeout_case (&timeout_cases[i]);
 }
