--- a/bench/capacity_owner.c
+++ b/bench/capacity_owner.c
@@ -94,14 +94,14 @@
 {
   for (uint32_t i = 0; i < GONE; i++)
     {
-      fleet_list (fleet, 0);
+      fleet_send_host_list (fleet, 0);
       fleet_load (fleet, 0, i % shape->targets);
-      fleet_gone (fleet, 0, 1);
+      fleet_caller_gone (fleet, 0, 1);
     }
 }
 
 static void
-read_costs (const struct fleet_use *use, struct result *result)
+read_costs (const struct fleet_usage *use, struct result *result)
 {
   const struct fleet_cost *cost = use->cost;
   uint64_t ns = cost[FLEET_REQUEST].ns + cost[FLEET_TOKEN].ns
@@ -151,24 +151,25 @@
   fleet = fleet_create (NULL, &options);
   fleet_run (fleet, OWN_US);
   before = capacity_memory (fleet_owner (fleet, 0));
-  fleet_reset (fleet);
+  fleet_reset_usage (fleet);
   open_all (fleet, shape);
-  result.open_us = mean_us (&fleet_read (fleet)->cost[FLEET_REQUEST]);
+  result.open_us = mean_us (&fleet_read_usage (fleet)->cost[FLEET_REQUEST]);
   result.memory = (double)(capacity_memory (fleet_owner (fleet, 0)) - before)
                   / shape->programs;
   counters = mq_owner_read_counters (fleet_owner (fleet, 0));
   commits = counters->commits;
   done = counters->calls_done;
-  fleet_reset (fleet);
+  fleet_reset_usage (fleet);
   take_turns (fleet, shape);
   check_turns (counters->calls_done - done);
   result.turns_a_commit = TURNS / (double)(counters->commits - commits);
-  read_costs (fleet_read (fleet), &result);
-  fleet_reset (fleet);
+  read_costs (fleet_read_usage (fleet), &result);
+  fleet_reset_usage (fleet);
   take_others (fleet, shape);
-  result.list_us = mean_us (&fleet_read (fleet)->cost[FLEET_HOSTS]);
-  result.load_us = mean_us (&fleet_read (fleet)->cost[FLEET_LOAD]);
-  result.gone_us = mean_us (&fleet_read (fleet)->cost[FLEET_GONE]);
+  result.list_us = mean_us (&fleet_read_usage (fleet)->cost[FLEET_HOSTS]);
+  result.load_us = mean_us (&fleet_read_usage (fleet)->cost[FLEET_LOAD]);
+  result.gone_us
+      = mean_us (&fleet_read_usage (fleet)->cost[FLEET_CALLER_GONE]);
   talloc_free (fleet);
   return result;
 }
--- a/bench/capacity_place.c
+++ b/bench/capacity_place.c
@@ -27,7 +27,7 @@
     {
       views[i].peer = (uint32_t)i + 1;
       views[i].name_hash = mq_random_next (&random);
-      views[i].data_centre_near = i % 12 == 0;
+      views[i].same_data_centre = i % 12 == 0;
       views[i].slots = 16;
       views[i].own_in_flight = mq_random_below (&random, 8);
       views[i].reported_busy = mq_random_below (&random, 16);
--- a/bench/capacity_takeover.c
+++ b/bench/capacity_takeover.c
@@ -23,7 +23,7 @@
 };
 
 static uint64_t
-cpu_ns (const struct fleet_use *use)
+cpu_ns (const struct fleet_usage *use)
 {
   uint64_t ns = 0;
 
@@ -36,12 +36,12 @@
 static double
 wait_owned (struct fleet *fleet, uint32_t partitions)
 {
-  uint64_t start_us = fleet_now (fleet);
+  uint64_t start_us = fleet_now_us (fleet);
 
   for (int i = 0; i < LOOKS_MAX; i++)
     {
-      if (fleet_owned (fleet) == partitions)
-        return (double)(fleet_now (fleet) - start_us) / SECOND_US;
+      if (fleet_partitions_owned (fleet) == partitions)
+        return (double)(fleet_now_us (fleet) - start_us) / SECOND_US;
       fleet_run (fleet, LOOK_US);
     }
   return -1;
@@ -73,7 +73,7 @@
                                    .partitions = 16,
                                    .answer_tokens = 24 };
   struct fleet *fleet = fleet_create (NULL, &options);
-  const struct fleet_use *use = fleet_read (fleet);
+  const struct fleet_usage *use = fleet_read_usage (fleet);
   struct takeover result;
 
   wait_owned (fleet, options.partitions);
@@ -85,7 +85,7 @@
     }
   fleet_run (fleet, REST_US);
   fleet_kill (fleet, 0);
-  fleet_reset (fleet);
+  fleet_reset_usage (fleet);
   fleet_start (fleet, 1);
   result.seconds = wait_owned (fleet, options.partitions);
   result.reads = (double)use->reads;
@@ -167,20 +167,20 @@
                                    .partitions = 100,
                                    .connected = true };
   struct fleet *fleet = fleet_create (NULL, &options);
-  const struct fleet_use *use = fleet_read (fleet);
+  const struct fleet_usage *use = fleet_read_usage (fleet);
   struct rest rest;
   uint64_t lost;
 
   fleet_run (fleet, SETTLE_US);
-  lost = fleet_lost (fleet);
-  fleet_reset (fleet);
+  lost = fleet_partitions_lost (fleet);
+  fleet_reset_usage (fleet);
   fleet_run (fleet, WINDOW_S * (uint64_t)SECOND_US);
   rest.reads = (double)use->reads / WINDOW_S;
   rest.writes = (double)use->writes / WINDOW_S;
   rest.read_bytes = (double)use->bytes_read / WINDOW_S / hosts;
   rest.cpu_percent = (double)cpu_ns (use) / 1e9 / WINDOW_S / hosts * 100;
-  rest.lost = (double)(fleet_lost (fleet) - lost);
-  rest.unowned = options.partitions - fleet_owned (fleet);
+  rest.lost = (double)(fleet_partitions_lost (fleet) - lost);
+  rest.unowned = options.partitions - fleet_partitions_owned (fleet);
   talloc_free (fleet);
   return rest;
 }
@@ -225,7 +225,7 @@
 {
   for (uint32_t i = 1; i <= CUT_PROGRAMS; i++)
     {
-      uint32_t home = fleet_home (fleet, i);
+      uint32_t home = fleet_find_owner (fleet, i);
 
       if (home != UINT32_MAX)
         fleet_open (fleet, home, i, 1000, false);
@@ -245,7 +245,7 @@
                                    .answer_tokens = 24,
                                    .connected = true };
   struct fleet *fleet = fleet_create (NULL, &options);
-  const struct fleet_use *use = fleet_read (fleet);
+  const struct fleet_usage *use = fleet_read_usage (fleet);
   double first = wait_owned (fleet, options.partitions);
   uint32_t moved;
   uint64_t lost;
@@ -253,11 +253,11 @@
 
   fleet_run (fleet, SETTLE_US);
   open_everywhere (fleet);
-  lost = fleet_lost (fleet);
+  lost = fleet_partitions_lost (fleet);
   for (uint32_t i = 0; i < ended; i++)
     fleet_kill (fleet, i * (CUT_HOSTS / ended));
-  moved = CUT_PARTITIONS - fleet_owned (fleet);
-  fleet_reset (fleet);
+  moved = CUT_PARTITIONS - fleet_partitions_owned (fleet);
+  fleet_reset_usage (fleet);
   seconds = wait_owned (fleet, options.partitions);
   printf ("cut.%-12s %2u of %d owners: %u partitions of %d in %.1f s, "
           "%.0f reads/s, %.0f writes/s, peak %llu/s, %.3g bytes read, "
@@ -267,7 +267,7 @@
           (double)use->reads / seconds, (double)use->writes / seconds,
           (unsigned long long)use->peak, (double)use->bytes_read,
           (double)cpu_ns (use) / SECOND_US / seconds / CUT_HOSTS,
-          (unsigned long long)(fleet_lost (fleet) - lost), first);
+          (unsigned long long)(fleet_partitions_lost (fleet) - lost), first);
   fflush (stdout);
   talloc_free (fleet);
 }
--- a/examples/place_call.c
+++ b/examples/place_call.c
@@ -13,7 +13,7 @@
 static struct mq_worker_view
 view_of (const char *host, uint32_t busy)
 {
-  struct mq_worker_view view = { .slots = 8, .data_centre_near = true };
+  struct mq_worker_view view = { .slots = 8, .same_data_centre = true };
 
   view.name_hash = mq_rendezvous_weight (host, 0);
   view.reported_busy = busy;
--- a/include/mimosaquay.h
+++ b/include/mimosaquay.h
@@ -132,8 +132,9 @@
                       struct mq_actions *actions);          /* one input in */
 uint64_t mq_owner_next_tick (const struct mq_owner *owner); /* microseconds */
 bool mq_owner_is_drained (const struct mq_owner *owner);    /* after LEAVE */
-bool mq_owner_has (const struct mq_owner *owner,
-                   uint32_t partition); /* ours, as far as it knows */
+bool
+mq_owner_owns_partition (const struct mq_owner *owner,
+                         uint32_t partition); /* ours, as far as it knows */
 const char *mq_owner_address (const struct mq_owner *owner,
                               uint32_t partition); /* NULL: unknown */
 char *mq_owner_status (TALLOC_CTX *ctx,
--- a/src/core/owner/front.c
+++ b/src/core/owner/front.c
@@ -172,7 +172,7 @@
 /* Events to the caller.  */
 
 void
-front_give_event (struct mq_actions *actions, const struct mq_event_msg *event)
+front_send_event (struct mq_actions *actions, const struct mq_event_msg *event)
 {
   struct mq_action *action = mq_actions_add (actions, MQ_ACT_EVENT);
   struct mq_message from = { .type = MQ_MSG_FORWARD_EVENT };
@@ -194,11 +194,11 @@
   event.ran = ran;
   event.retry_after_ms = MQ_FRONT_RETRY_MAX_MS;
   front->counters.refusals++;
-  front_give_event (actions, &event);
+  front_send_event (actions, &event);
 }
 
 void
-front_give_reset (struct mq_front *front, struct mq_actions *actions,
+front_send_reset (struct mq_front *front, struct mq_actions *actions,
                   const struct front_request *request, uint32_t call)
 {
   struct mq_event_msg event
@@ -208,7 +208,7 @@
   event.number = call << CALL_SHIFT;
   event.body = mq_must (talloc_asprintf (actions, "{\"call\":%u}", call));
   front->counters.resets++;
-  front_give_event (actions, &event);
+  front_send_event (actions, &event);
 }
 
 /* Sending.  */
@@ -224,8 +224,8 @@
 
 /* Back to waiting, for a jittered pause that doubles each time.  */
 void
-front_wait_again (struct mq_front *front, struct front_request *request,
-                  uint64_t now_us, uint32_t at_least_ms)
+front_schedule_retry (struct mq_front *front, struct front_request *request,
+                      uint64_t now_us, uint32_t at_least_ms)
 {
   uint32_t pause_ms = request->pause_ms;
 
@@ -264,16 +264,16 @@
   if (!found)
     {
       front->counters.waits++;
-      front_wait_again (front, request, now_us, 0);
+      front_schedule_retry (front, request, now_us, 0);
       return;
     }
   front_set_text (request, &request->known, address);
-  if (request->sent_ever)
+  if (request->sent_before)
     front->counters.resends++;
   front->counters.forwards++;
-  request->attached_anew = request->sent_ever;
+  request->reattached = request->sent_before;
   request->sent = true;
-  request->sent_ever = true;
+  request->sent_before = true;
   message.u.forward.handle = request->handle;
   message.u.forward.request = request->request;
   mq_actions_send (actions, request->peer, &message);
@@ -311,9 +311,10 @@
   mq_request_copy (request, &request->request, input->u.request);
   insert_request (front, request);
   wake_at (front, request->deadline_us);
-  if (front->check_us == 0)
-    front->check_us = input->now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
-  wake_at (front, front->check_us);
+  if (front->owner_check_us == 0)
+    front->owner_check_us
+        = input->now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
+  wake_at (front, front->owner_check_us);
   try_send (front, request, input->now_us, actions);
 }
 
@@ -347,7 +348,7 @@
       struct front_request *request = front->requests[i];
 
       if (request->sent && request->peer == input->peer)
-        front_wait_again (front, request, input->now_us, 0);
+        front_schedule_retry (front, request, input->now_us, 0);
     }
 }
 
@@ -374,7 +375,7 @@
   front->counters.timeouts++;
   if (request->sent)
     send_close (actions, request);
-  if (request->sent_ever)
+  if (request->sent_before)
     give_refusal (front, actions, request->handle, MQ_ERR_TIMEOUT,
                   MQ_RAN_UNKNOWN);
   else
@@ -433,17 +434,17 @@
 handle_tick (struct mq_front *front, uint64_t now_us,
              struct mq_actions *actions)
 {
-  bool check = front->check_us != 0 && now_us >= front->check_us;
+  bool check = front->owner_check_us != 0 && now_us >= front->owner_check_us;
 
   front->next_us = UINT64_MAX;
   if (check)
-    front->check_us = now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
+    front->owner_check_us = now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
   /* From the end: giving up a request closes the gap behind it.  */
   for (size_t i = front->count; i > 0; i--)
     tick_request (front, front->requests[i - 1], now_us, check, actions);
   if (front->count == 0)
-    front->check_us = 0;
-  wake_at (front, front->check_us);
+    front->owner_check_us = 0;
+  wake_at (front, front->owner_check_us);
 }
 
 void
--- a/src/core/owner/front_events.c
+++ b/src/core/owner/front_events.c
@@ -17,9 +17,10 @@
 static bool
 holds_tokens (const struct front_request *request, uint32_t call)
 {
-  uint32_t mark = request->last & STEP_MARK;
+  uint32_t mark = request->last & STEP_EVENT_INDEX;
 
-  return call_of (request->last) == call && mark != 0 && mark != STEP_MARK;
+  return call_of (request->last) == call && mark != 0
+         && mark != STEP_EVENT_INDEX;
 }
 
 static void
@@ -29,7 +30,7 @@
   if (event->number != 0)
     request->last = event->number;
   request->pause_ms = MQ_FRONT_RETRY_BASE_MS;
-  front_give_event (actions, event);
+  front_send_event (actions, event);
 }
 
 static bool
@@ -49,12 +50,12 @@
 {
   uint32_t call = call_of (request->last);
 
-  if (request->attached_anew && holds_tokens (request, call))
+  if (request->reattached && holds_tokens (request, call))
     {
-      front_give_reset (front, actions, request, call);
+      front_send_reset (front, actions, request, call);
       request->last = call << CALL_SHIFT;
     }
-  request->attached_anew = false;
+  request->reattached = false;
 }
 
 /* True when EVENT is the first token of its call, or the one behind the last
@@ -63,7 +64,7 @@
 continues (const struct front_request *request,
            const struct mq_event_msg *event)
 {
-  return (event->number & STEP_MARK) == 1
+  return (event->number & STEP_EVENT_INDEX) == 1
          || event->number == request->last + 1;
 }
 
@@ -102,14 +103,14 @@
 handle_reset (struct mq_front *front, struct front_request *request,
               const struct mq_event_msg *event, struct mq_actions *actions)
 {
-  request->attached_anew = false;
+  request->reattached = false;
   if (!holds_tokens (request, event->call))
     {
       front->counters.events_doubled++;
       return;
     }
   front->counters.resets++;
-  front_give_event (actions, event);
+  front_send_event (actions, event);
   request->last = event->call << CALL_SHIFT;
 }
 
@@ -146,14 +147,14 @@
   if (!can_go_elsewhere (event))
     {
       front->counters.refusals++;
-      front_give_event (actions, event);
+      front_send_event (actions, event);
       front_remove_request (front, request);
       return;
     }
   front->counters.redirects++;
   if (front_text_bytes (event->redirect) > 0)
     front_set_text (request, &request->hint, event->redirect);
-  front_wait_again (front, request, input->now_us, event->retry_after_ms);
+  front_schedule_retry (front, request, input->now_us, event->retry_after_ms);
 }
 
 void
@@ -187,7 +188,7 @@
       break;
     case MQ_EVENT_FINAL:
       front->counters.finals++;
-      front_give_event (actions, event);
+      front_send_event (actions, event);
       front_remove_request (front, request);
       break;
     case MQ_EVENT_REFUSED:
--- a/src/core/owner/front_state.h
+++ b/src/core/owner/front_state.h
@@ -14,7 +14,7 @@
   /* Event numbers: the call in the upper bits, the event of the call in the
      lower ones; tokens count from 1, the end of a call is all ones.  */
   CALL_SHIFT = 16,
-  STEP_MARK = 0xffff
+  STEP_EVENT_INDEX = 0xffff
 };
 
 struct front_peer
@@ -31,14 +31,14 @@
  * @request: what is sent
  * @bytes: memory that it counts for
  * @sent: it is with @peer, which serves it
- * @sent_ever: it was with some peer before
+ * @sent_before: it was with some peer before
  * @peer: serving peer
  * @known: address that the map gave when it was sent
  * @hint: address that a refusal named, NULL when none
  * @next_us: while waiting: when it is sent again
  * @pause_ms: next pause, doubles with each failure
  * @accepted: the caller has heard ACCEPTED
- * @attached_anew: sent again, and no token or step has come since
+ * @reattached: sent again, and no token or step has come since
  * @last: number of the last event that the caller has
  */
 struct front_request
@@ -49,14 +49,14 @@
   struct mq_request_msg request;
   size_t bytes;
   bool sent;
-  bool sent_ever;
+  bool sent_before;
   uint32_t peer;
   char *known;
   char *hint;
   uint64_t next_us;
   uint32_t pause_ms;
   bool accepted;
-  bool attached_anew;
+  bool reattached;
   uint32_t last;
 };
 
@@ -71,8 +71,8 @@
   struct front_peer *peers;
   size_t peer_count;
   size_t peer_room;
-  uint64_t next_us;  /* not later than the first thing due */
-  uint64_t check_us; /* when the map is compared next */
+  uint64_t next_us;        /* not later than the first thing due */
+  uint64_t owner_check_us; /* when the map is compared next */
   struct mq_front_counters counters;
 };
 
@@ -82,12 +82,13 @@
                                           uint64_t handle);
 void front_remove_request (struct mq_front *front,
                            struct front_request *request);
-void front_give_event (struct mq_actions *actions,
+void front_send_event (struct mq_actions *actions,
                        const struct mq_event_msg *event);
-void front_give_reset (struct mq_front *front, struct mq_actions *actions,
+void front_send_reset (struct mq_front *front, struct mq_actions *actions,
                        const struct front_request *request, uint32_t call);
-void front_wait_again (struct mq_front *front, struct front_request *request,
-                       uint64_t now_us, uint32_t at_least_ms);
+void front_schedule_retry (struct mq_front *front,
+                           struct front_request *request, uint64_t now_us,
+                           uint32_t at_least_ms);
 void front_set_text (void *ctx, char **text, const char *value);
 size_t front_text_bytes (const char *text);
 
--- a/src/core/owner/owner.c
+++ b/src/core/owner/owner.c
@@ -69,9 +69,9 @@
 }
 
 void
-owner_span (struct mq_owner *owner, const struct running *running,
-            const char *name, uint32_t call, uint64_t start_us,
-            enum mq_error_type error)
+owner_record_span (struct mq_owner *owner, const struct running *running,
+                   const char *name, uint32_t call, uint64_t start_us,
+                   enum mq_error_type error)
 {
   struct mq_action *action = mq_actions_add (owner->actions, MQ_ACT_SPAN);
 
@@ -86,7 +86,8 @@
 }
 
 struct mq_store_request *
-owner_store (struct mq_owner *owner, enum mq_store_kind kind, uint64_t id)
+owner_add_store_request (struct mq_owner *owner, enum mq_store_kind kind,
+                         uint64_t id)
 {
   struct mq_action *action = mq_actions_add (owner->actions, MQ_ACT_STORE);
 
@@ -146,8 +147,8 @@
 }
 
 void
-owner_wake_at (struct mq_owner *owner, struct running *running,
-               uint64_t when_us)
+owner_set_timer (struct mq_owner *owner, struct running *running,
+                 uint64_t when_us)
 {
   if (when_us <= owner->now_us)
     when_us = owner->now_us + 1;
@@ -155,12 +156,13 @@
       && running->wake_us > owner->now_us)
     return;
   running->wake_us = when_us;
-  if (owner->timer_count == owner->timer_room)
+  if (owner->timer_count == owner->timer_capacity)
     {
-      owner->timer_room
-          = owner->timer_room == 0 ? TIMERS_FIRST_ROOM : 2 * owner->timer_room;
+      owner->timer_capacity = owner->timer_capacity == 0
+                                  ? TIMERS_FIRST_ROOM
+                                  : 2 * owner->timer_capacity;
       owner->timers = talloc_realloc (owner, owner->timers, struct timer,
-                                      (unsigned int)owner->timer_room);
+                                      (unsigned int)owner->timer_capacity);
       if (owner->timers == NULL)
         abort ();
     }
@@ -286,7 +288,7 @@
     case MQ_OWNER_TICK:
       handle_tick (owner);
       break;
-    case MQ_OWNER_TEXT:
+    case MQ_OWNER_CONFIG:
       handle_text (owner, input->u.text);
       break;
     case MQ_OWNER_HOSTS:
@@ -331,8 +333,9 @@
 
   if (owner->timer_count > 0 && owner->timers[0].when_us < next)
     next = owner->timers[0].when_us;
-  if (owner->flight.state == FLIGHT_WAIT && owner->flight.retry_us < next)
-    next = owner->flight.retry_us;
+  if (owner->pending_commit.state == COMMIT_BACKOFF
+      && owner->pending_commit.retry_us < next)
+    next = owner->pending_commit.retry_us;
   return next;
 }
 
@@ -341,11 +344,11 @@
 bool
 mq_owner_is_drained (const struct mq_owner *owner)
 {
-  return tick_is_drained (owner) && owner->flight.state == FLIGHT_NONE;
+  return tick_is_drained (owner) && owner->pending_commit.state == COMMIT_IDLE;
 }
 
 bool
-mq_owner_has (const struct mq_owner *owner, uint32_t partition)
+mq_owner_owns_partition (const struct mq_owner *owner, uint32_t partition)
 {
   return partition < owner->partition_count
          && owner->partitions[partition].state == PARTITION_ACTIVE;
@@ -373,13 +376,13 @@
 {
   switch (state)
     {
-    case PARTITION_OTHER:
+    case PARTITION_NOT_OWNED:
       return "other";
     case PARTITION_CLAIMING:
       return "claiming";
     case PARTITION_READING:
       return "reading";
-    case PARTITION_RECOVER:
+    case PARTITION_RECOVERING:
       return "recovering";
     case PARTITION_ACTIVE:
       return "active";
@@ -402,7 +405,7 @@
                             : mq_idmap_count (partition->programs);
       json_t *item;
 
-      if (partition->state == PARTITION_OTHER)
+      if (partition->state == PARTITION_NOT_OWNED)
         continue;
       item = json_object ();
       json_object_set_new (item, "partition", json_integer (i));
--- a/src/core/owner/owner.h
+++ b/src/core/owner/owner.h
@@ -48,7 +48,7 @@
 enum mq_owner_input_type
 {
   MQ_OWNER_TICK,
-  MQ_OWNER_TEXT,        /* a newer configuration is in force here */
+  MQ_OWNER_CONFIG,      /* a newer configuration is in force here */
   MQ_OWNER_HOSTS,       /* the platform's list was read again */
   MQ_OWNER_PEER_UP,     /* a connection to a host is ready */
   MQ_OWNER_PEER_DOWN,   /* it is gone or silent */
@@ -103,7 +103,8 @@
 /* True once every partition was handed over after LEAVE.  */
 bool mq_owner_is_drained (const struct mq_owner *owner);
 /* True when this process owns PARTITION as far as it knows.  */
-bool mq_owner_has (const struct mq_owner *owner, uint32_t partition);
+bool mq_owner_owns_partition (const struct mq_owner *owner,
+                              uint32_t partition);
 /* Address of the host that owns PARTITION as far as is known, or that
    should own it; NULL when nothing is known.  */
 const char *mq_owner_address (const struct mq_owner *owner,
--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -25,7 +25,7 @@
   if (running->clock_us == 0)
     running->clock_us = owner->now_us;
   if (budget_ms > 0)
-    owner_wake_at (
+    owner_set_timer (
         owner, running,
         owner->now_us
             + 1000 * (budget_ms > elapsed ? budget_ms - elapsed : 0));
@@ -85,11 +85,11 @@
   record.body_case = MQLOG__RECORD__BODY_FORFEITED;
   record.forfeited = true;
   log_append (owner, running, &record);
-  running->discard_mark = owner->appended;
+  running->forfeit_position = owner->appended;
 }
 
 uint64_t
-budget_tokens_left (const struct running *running)
+budget_remaining_tokens (const struct running *running)
 {
   uint64_t left = UINT64_MAX;
 
@@ -107,7 +107,7 @@
 }
 
 bool
-budget_turns_are_left (const struct running *running)
+budget_has_turns (const struct running *running)
 {
   for (const struct running *r = running; r != NULL; r = r->parent)
     if (r->program->turns >= r->program->budget.turns)
@@ -116,8 +116,7 @@
 }
 
 bool
-budget_time_is_left (const struct mq_owner *owner,
-                     const struct running *running)
+budget_has_time (const struct mq_owner *owner, const struct running *running)
 {
   const struct mq_program *program = running->program;
 
@@ -136,7 +135,7 @@
   body.tokens = granted;
   record.body_case = MQLOG__RECORD__BODY_GRANTED;
   record.granted = &body;
-  running->grant_wanted = granted;
+  running->grant_pending = granted;
   log_append (owner, running, &record);
 }
 
@@ -156,8 +155,8 @@
    durable before they are drawn on, and a successor counts them as spent
    unless targets' processes report what really was.  */
 bool
-budget_has_grant (struct mq_owner *owner, struct running *running,
-                  uint32_t max_tokens)
+budget_ensure_grant (struct mq_owner *owner, struct running *running,
+                     uint32_t max_tokens)
 {
   bool covered = true;
 
@@ -167,18 +166,18 @@
 
       if (need > r->grant_durable)
         covered = false;
-      if (need > r->grant_durable && need > r->grant_wanted
-          && grant_for (r, max_tokens) > r->grant_wanted)
+      if (need > r->grant_durable && need > r->grant_pending
+          && grant_for (r, max_tokens) > r->grant_pending)
         {
           append_grant (owner, r, grant_for (r, max_tokens));
           log_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
-              = r->grant_wanted;
+              = r->grant_pending;
         }
     }
   /* Whoever waits goes on when the last of them is durable.  */
-  if (!covered && !running->grant_asked)
+  if (!covered && !running->grant_requested)
     {
-      running->grant_asked = true;
+      running->grant_requested = true;
       log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return covered;
--- a/src/core/owner/owner_calls.c
+++ b/src/core/owner/owner_calls.c
@@ -81,7 +81,7 @@
 /* The target's process that took the call is gone, and with it the only
    record of whether the call ran.  It is never repeated.  */
 void
-calls_give_up_unknown (struct mq_owner *owner, struct running *running)
+calls_fail_unknown (struct mq_owner *owner, struct running *running)
 {
   note_unknown (owner, running);
   place_leave_target (owner, running);
@@ -121,9 +121,9 @@
 /* ---- Outcomes ---- */
 
 void
-calls_forget (struct mq_owner *owner, struct mq_id program, uint32_t number,
-              uint32_t attempt, uint32_t partition, uint64_t fence,
-              const char *host)
+calls_send_forget (struct mq_owner *owner, struct mq_id program,
+                   uint32_t number, uint32_t attempt, uint32_t partition,
+                   uint64_t fence, const char *host)
 {
   struct mq_message message = { .type = MQ_MSG_FORGET };
   struct target *target
@@ -144,10 +144,10 @@
    was spent.  So the outcome is kept until all that is known of the program
    is durable.  */
 void
-calls_forget_later (struct mq_owner *owner, struct running *running,
-                    uint32_t number, uint32_t attempt, const char *host)
+calls_forget_when_durable (struct mq_owner *owner, struct running *running,
+                           uint32_t number, uint32_t attempt, const char *host)
 {
-  log_hook (owner, running, HOOK_FORGET, number, attempt, host);
+  log_hook (owner, running, HOOK_FORGET_OUTCOME, number, attempt, host);
 }
 
 static void
@@ -160,7 +160,7 @@
   running->sticky = call->target;
   running->sticky_worker = call->worker;
   running->sticky_tokens = outcome->tokens_in + outcome->tokens_out;
-  running->known_tokens = running->sticky_tokens;
+  running->reusable_tokens = running->sticky_tokens;
 }
 
 /* True when the prefix was computed for this owner before; it is from now
@@ -168,12 +168,12 @@
 static bool
 note_prefix (struct mq_owner *owner, uint64_t hash)
 {
-  struct known_prefix *prefix;
+  struct computed_prefix *prefix;
 
   for (prefix = owner->prefixes; prefix != NULL; prefix = prefix->next)
     if (prefix->hash == hash)
       return true;
-  prefix = talloc_zero (owner, struct known_prefix);
+  prefix = talloc_zero (owner, struct computed_prefix);
   if (prefix == NULL)
     abort ();
   prefix->hash = hash;
@@ -190,7 +190,7 @@
               const struct mq_outcome_msg *outcome)
 {
   struct shared_prompt shared = place_find_shared (owner, running);
-  uint32_t known = running->known_tokens;
+  uint32_t known = running->reusable_tokens;
 
   if (!running->call->model || outcome->error != MQ_ERR_NONE)
     return;
@@ -218,12 +218,12 @@
       owner->next_scan_us = owner->now_us;
       return;
     }
-  owner_span (owner, running, "call", call->number, call->sent_us,
-              outcome->error);
+  owner_record_span (owner, running, "call", call->number, call->sent_us,
+                     outcome->error);
   count_prompt (owner, running, outcome);
   remember_sticky (running, outcome);
   place_leave_target (owner, running);
-  if (!call->prepaid)
+  if (!call->already_charged)
     running->pending_charge += outcome->tokens_out;
   if (outcome->error == MQ_ERR_NONE)
     {
@@ -241,15 +241,16 @@
     }
   /* The refused attempt has no further use at the target's process.  */
   if (outcome->ran == MQ_RAN_NOT_RUN || call->idempotent)
-    calls_forget_later (owner, running, call->number, call->attempt, host);
+    calls_forget_when_durable (owner, running, call->number, call->attempt,
+                               host);
   calls_fail_or_retry (owner, running, outcome->error, outcome->ran,
                        outcome->retry_after_ms, host);
 }
 
 void
-calls_keep_recovered (struct running *running, struct target *target,
-                      bool is_running, struct mq_call_ref ref,
-                      const struct mq_outcome_msg *outcome)
+calls_add_recovered (struct running *running, struct target *target,
+                     bool is_running, struct mq_call_ref ref,
+                     const struct mq_outcome_msg *outcome)
 {
   struct recovered *kept = talloc_zero (running, struct recovered);
 
@@ -280,12 +281,13 @@
 
   owner->counters.answers_dropped++;
   if (settled)
-    calls_forget_later (owner, running, outcome->ref.call,
-                        outcome->ref.attempt, target->host);
+    calls_forget_when_durable (owner, running, outcome->ref.call,
+                               outcome->ref.attempt, target->host);
   else if (running == NULL)
-    calls_forget (owner, outcome->ref.program, outcome->ref.call,
-                  outcome->ref.attempt, outcome->partition,
-                  owner->partitions[outcome->partition].fence, target->host);
+    calls_send_forget (owner, outcome->ref.program, outcome->ref.call,
+                       outcome->ref.attempt, outcome->partition,
+                       owner->partitions[outcome->partition].fence,
+                       target->host);
 }
 
 bool
@@ -310,17 +312,17 @@
     return;
   partition = &owner->partitions[outcome->partition];
   if (partition->state != PARTITION_ACTIVE
-      && partition->state != PARTITION_RECOVER)
+      && partition->state != PARTITION_RECOVERING)
     {
       /* Not ours now: its owner will ask for it.  */
       owner->counters.answers_dropped++;
       return;
     }
   running = chain_find (owner, outcome->ref.program);
-  if (partition->state == PARTITION_RECOVER)
+  if (partition->state == PARTITION_RECOVERING)
     {
       if (running != NULL)
-        calls_keep_recovered (running, target, false, outcome->ref, outcome);
+        calls_add_recovered (running, target, false, outcome->ref, outcome);
       return;
     }
   if (running == NULL || !calls_matches (running, target, outcome->ref))
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -51,7 +51,8 @@
 }
 
 uint32_t
-chain_live_of (const struct mq_owner *owner, const char *organisation)
+chain_count_organisation (const struct mq_owner *owner,
+                          const char *organisation)
 {
   const struct organisation_count *count = find_count (owner, organisation);
 
@@ -155,7 +156,7 @@
 chain_cap_tokens (const struct running *running,
                   const struct mq_service *model, uint32_t wanted)
 {
-  uint64_t left = budget_tokens_left (running);
+  uint64_t left = budget_remaining_tokens (running);
   uint64_t cap = model->max_tokens;
 
   if (wanted != 0 && wanted < cap)
@@ -166,10 +167,10 @@
 /* Lowers the cap of the call under way to what is left; false when that is
    nothing.  */
 bool
-chain_fit_call (struct running *running)
+chain_limit_call (struct running *running)
 {
   struct call *call = running->call;
-  uint64_t left = budget_tokens_left (running);
+  uint64_t left = budget_remaining_tokens (running);
 
   if (call->max_tokens > left)
     call->max_tokens = (uint32_t)left;
@@ -205,7 +206,7 @@
   call = chain_new_call (running, model, NULL);
   if (!chain_prepare_model (running, call, 0, NULL))
     {
-      end_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
       return;
     }
   if (place)
@@ -323,7 +324,7 @@
   struct mq_id id = mq_id_child (running->program->id, running->call->number);
   struct running *child = chain_find (owner, id);
 
-  running->call->state = CALL_CHILD;
+  running->call->state = CALL_IN_SUBPROGRAM;
   if (child == NULL)
     {
       start_child (owner, running, agent, arguments);
@@ -372,7 +373,7 @@
     }
   if (call->model && !chain_prepare_model (running, call, 0, body))
     {
-      end_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
       return;
     }
   if (!call->model)
@@ -403,17 +404,18 @@
                    running->program->last_content);
       return;
     }
-  if (!budget_turns_are_left (running))
+  if (!budget_has_turns (running))
     {
-      end_stop (owner, running, MQ_ERR_BUDGET_TURNS);
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TURNS);
       return;
     }
-  if (!budget_time_is_left (owner, running))
+  if (!budget_has_time (owner, running))
     {
-      end_stop (owner, running, MQ_ERR_BUDGET_TIME);
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TIME);
       return;
     }
-  if (owner->options.commit_each_step && running->undurable > 0 && place)
+  if (owner->options.commit_each_step && running->uncommitted_records > 0
+      && place)
     {
       log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL);
       return;
@@ -461,7 +463,7 @@
 grant_is_durable (struct mq_owner *owner, struct running *running,
                   uint64_t granted)
 {
-  running->grant_asked = false;
+  running->grant_requested = false;
   if (granted > running->grant_durable)
     running->grant_durable = granted;
   if (running->call == NULL)
@@ -480,9 +482,9 @@
                    uint64_t since_us)
 {
   if (running->program->state == MQ_PROGRAM_RUNNING
-      || owner->settled < running->answer_mark)
+      || owner->settled < running->answer_position)
     return;
-  owner_span (owner, running, "commit", 0, since_us, MQ_ERR_NONE);
+  owner_record_span (owner, running, "commit", 0, since_us, MQ_ERR_NONE);
   if (running->program->state == MQ_PROGRAM_ENDED)
     evict_start (owner, running);
   events_final (owner, running);
@@ -493,10 +495,10 @@
 {
   struct running *running = chain_find (owner, hook->program);
 
-  if (hook->type == HOOK_STEP || hook->type == HOOK_FORGET)
-    calls_forget (owner, hook->program, hook->call, hook->attempt,
-                  hook->partition, owner->partitions[hook->partition].fence,
-                  hook->host);
+  if (hook->type == HOOK_OUTCOME_DURABLE || hook->type == HOOK_FORGET_OUTCOME)
+    calls_send_forget (owner, hook->program, hook->call, hook->attempt,
+                       hook->partition,
+                       owner->partitions[hook->partition].fence, hook->host);
   if (running == NULL)
     return;
   switch (hook->type)
@@ -511,9 +513,9 @@
       if (running->partition->state == PARTITION_ACTIVE)
         place_intent_durable (owner, running, hook->call, hook->attempt);
       break;
-    case HOOK_FORGET:
+    case HOOK_FORGET_OUTCOME:
       break;
-    case HOOK_STEP:
+    case HOOK_OUTCOME_DURABLE:
       events_step_done (owner, running, hook->call);
       break;
     case HOOK_ANSWERED:
@@ -538,20 +540,20 @@
     {
       if (running->evicting && owner->now_us >= running->evict_us)
         evict_send (owner, running);
-      if (!running->evicting && running->undurable == 0
+      if (!running->evicting && running->uncommitted_records == 0
           && owner->now_us - running->ended_us >= 1000ULL * MQ_ENDED_KEEP_MS)
         chain_remove (owner, running);
       else
-        owner_wake_at (owner, running,
-                       running->evicting
-                           ? running->evict_us
-                           : running->ended_us + 1000ULL * MQ_ENDED_KEEP_MS);
+        owner_set_timer (owner, running,
+                         running->evicting
+                             ? running->evict_us
+                             : running->ended_us + 1000ULL * MQ_ENDED_KEEP_MS);
       return;
     }
   if (program->state == MQ_PROGRAM_RUNNING
-      && !budget_time_is_left (owner, running))
+      && !budget_has_time (owner, running))
     {
-      end_stop (owner, running, MQ_ERR_BUDGET_TIME);
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TIME);
       if (program->state == MQ_PROGRAM_ENDED)
         return;
     }
@@ -561,5 +563,5 @@
   if (running->caches != NULL && owner->now_us >= running->lease_us)
     evict_renew_leases (owner, running);
   else if (running->caches != NULL)
-    owner_wake_at (owner, running, running->lease_us);
+    owner_set_timer (owner, running, running->lease_us);
 }
--- a/src/core/owner/owner_drive.c
+++ b/src/core/owner/owner_drive.c
@@ -83,9 +83,9 @@
 
   if (service == NULL || service->kind == MQ_SERVICE_AGENT)
     return MQ_ERR_NOT_FOUND;
-  if (!budget_turns_are_left (running))
+  if (!budget_has_turns (running))
     return MQ_ERR_BUDGET_TURNS;
-  if (!budget_time_is_left (owner, running))
+  if (!budget_has_time (owner, running))
     return MQ_ERR_BUDGET_TIME;
   if (service->kind == MQ_SERVICE_PLAIN)
     {
@@ -115,7 +115,7 @@
 
 /* The next of the caller's calls that came ahead of their turn.  */
 void
-drive_next (struct mq_owner *owner, struct running *running)
+drive_start_queued_step (struct mq_owner *owner, struct running *running)
 {
   uint32_t number = running->program->calls + 1;
 
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -23,7 +23,8 @@
           at = &segment->next;
           continue;
         }
-      request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+      request = owner_add_store_request (owner, MQ_STORE_DROP,
+                                         owner_new_id (owner));
       request->key = talloc_strdup (owner->actions, segment->object);
       *at = segment->next;
       talloc_free (segment);
@@ -37,7 +38,8 @@
 
   if (key == NULL || key[0] == '\0')
     return;
-  request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+  request
+      = owner_add_store_request (owner, MQ_STORE_DROP, owner_new_id (owner));
   request->key = talloc_strdup (owner->actions, key);
 }
 
@@ -61,7 +63,8 @@
   struct mq_store_request *request;
 
   partition->snapshot_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_PUT, partition->snapshot_id);
+  request
+      = owner_add_store_request (owner, MQ_STORE_PUT, partition->snapshot_id);
   request->key = talloc_strdup (owner->actions, partition->snapshot_key);
   request->value.data = talloc_memdup (
       owner->actions, partition->snapshot.data, partition->snapshot.len);
@@ -69,7 +72,7 @@
 }
 
 static void
-start_snapshot (struct mq_owner *owner, struct flight_part *part)
+start_snapshot (struct mq_owner *owner, struct commit_part *part)
 {
   struct partition *partition = part->partition;
 
@@ -77,7 +80,7 @@
   partition->snapshot_key
       = talloc_asprintf (partition->memory, "ckpt/%05u/%012llu-%016llx",
                          partition->number, (unsigned long long)part->sequence,
-                         (unsigned long long)owner->flight.batch);
+                         (unsigned long long)owner->pending_commit.batch);
   partition->snapshot.data
       = talloc_steal (partition->memory, part->snapshot.data);
   partition->snapshot.len = part->snapshot.len;
@@ -86,15 +89,15 @@
 }
 
 static void
-part_applied (struct mq_owner *owner, struct flight_part *part,
+part_applied (struct mq_owner *owner, struct commit_part *part,
               uint64_t version)
 {
   struct partition *partition = part->partition;
 
-  partition->in_flight = false;
+  partition->in_commit = false;
   partition->row_version = version;
   partition->sequence = part->sequence;
-  partition->batch = owner->flight.batch;
+  partition->batch = owner->pending_commit.batch;
   partition->senders[0] = owner->run;
   partition->sender_count = 1;
   partition->first = part->first;
@@ -125,15 +128,15 @@
       struct running *running = chain_find (owner, r->program);
 
       owner->counters.commit_records++;
-      if (running != NULL && running->undurable > 0)
-        running->undurable--;
+      if (running != NULL && running->uncommitted_records > 0)
+        running->uncommitted_records--;
     }
 }
 
-/* Failure: a flight of which every partition was lost also carried hooks of
-   partitions that had no record in it; they went with it, and a call that
-   waited for such a hook waited for ever.  Hooks of what was lost are gone by
-   now; these follow the next commit.  */
+/* Failure: a pending_commit of which every partition was lost also carried
+   hooks of partitions that had no record in it; they went with it, and a call
+   that waited for such a hook waited for ever.  Hooks of what was lost are
+   gone by now; these follow the next commit.  */
 static void
 gather_hooks_again (struct mq_owner *owner, struct hook *first)
 {
@@ -149,16 +152,16 @@
   owner->hooks_first = first;
 }
 
-/* Ends the flight; its hooks run only when its records are durable.  */
+/* Ends the pending_commit; its hooks run only when its records are durable. */
 static void
 finish_flight (struct mq_owner *owner, bool applied)
 {
-  struct hook *hook = owner->flight.hooks;
-  TALLOC_CTX *memory = owner->flight.memory;
-  struct record *records = owner->flight.records;
+  struct hook *hook = owner->pending_commit.hooks;
+  TALLOC_CTX *memory = owner->pending_commit.memory;
+  struct record *records = owner->pending_commit.records;
 
-  owner->settled = owner->flight.mark;
-  memset (&owner->flight, 0, sizeof owner->flight);
+  owner->settled = owner->pending_commit.mark;
+  memset (&owner->pending_commit, 0, sizeof owner->pending_commit);
   if (applied)
     {
       owner->counters.commits++;
@@ -181,12 +184,12 @@
 }
 
 static size_t
-parts_left (const struct flight *flight)
+parts_left (const struct pending_commit *pending_commit)
 {
   size_t left = 0;
 
-  for (size_t i = 0; i < flight->count; i++)
-    if (flight->parts[i].partition != NULL)
+  for (size_t i = 0; i < pending_commit->count; i++)
+    if (pending_commit->parts[i].partition != NULL)
       left++;
   return left;
 }
@@ -194,10 +197,10 @@
 void
 durable_drop_partition (struct mq_owner *owner, struct partition *partition)
 {
-  for (size_t i = 0; i < owner->flight.count; i++)
-    if (owner->flight.parts[i].partition == partition)
-      owner->flight.parts[i].partition = NULL;
-  partition->in_flight = false;
+  for (size_t i = 0; i < owner->pending_commit.count; i++)
+    if (owner->pending_commit.parts[i].partition == partition)
+      owner->pending_commit.parts[i].partition = NULL;
+  partition->in_commit = false;
   for (struct record *r = partition->pending_first; r != NULL; r = r->next)
     {
       owner->gathered--;
@@ -217,7 +220,7 @@
 /* ---- Results ---- */
 
 void
-durable_store_failed (struct mq_owner *owner)
+durable_store_unavailable (struct mq_owner *owner)
 {
   if (owner->store_down)
     return;
@@ -227,7 +230,7 @@
 }
 
 void
-durable_store_worked (struct mq_owner *owner)
+durable_store_up (struct mq_owner *owner)
 {
   if (!owner->store_down)
     return;
@@ -237,29 +240,30 @@
 }
 
 static void
-wait_and_resume (struct mq_owner *owner, enum flight_state resume)
+wait_and_resume (struct mq_owner *owner, enum commit_state resume)
 {
-  struct flight *flight = &owner->flight;
-
-  flight->resume = resume;
-  flight->state = FLIGHT_WAIT;
-  flight->retry_us
-      = owner->now_us
-        + 1000ULL
-              * owner_jitter_ms (owner, MQ_STORE_RETRY_MS, flight->tries++,
-                                 MQ_STORE_RETRY_MAX_MS);
+  struct pending_commit *pending_commit = &owner->pending_commit;
+
+  pending_commit->resume = resume;
+  pending_commit->state = COMMIT_BACKOFF;
+  pending_commit->retry_us = owner->now_us
+                             + 1000ULL
+                                   * owner_jitter_ms (owner, MQ_STORE_RETRY_MS,
+                                                      pending_commit->tries++,
+                                                      MQ_STORE_RETRY_MAX_MS);
 }
 
 static void
 send_settle (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   struct mq_store_request *request;
 
-  flight->state = FLIGHT_SETTLE;
-  flight->request_id = owner_new_id (owner);
+  pending_commit->state = COMMIT_VERIFYING;
+  pending_commit->request_id = owner_new_id (owner);
   owner->counters.store_reads++;
-  request = owner_store (owner, MQ_STORE_SCAN, flight->request_id);
+  request = owner_add_store_request (owner, MQ_STORE_SCAN,
+                                     pending_commit->request_id);
   request->key = talloc_strdup (owner->actions, "part/");
   request->limit = MQ_PARTITIONS_MAX;
 }
@@ -282,7 +286,7 @@
 };
 
 static struct settled
-settle_part (struct mq_owner *owner, const struct flight_part *part,
+settle_part (struct mq_owner *owner, const struct commit_part *part,
              const struct mq_store_result *result)
 {
   struct settled settled = { 0 };
@@ -298,7 +302,7 @@
     return settled;
   settled.present = true;
   settled.version = row->version;
-  settled.applied = value->batch == owner->flight.batch;
+  settled.applied = value->batch == owner->pending_commit.batch;
   settled.ours = value->fence == part->partition->fence
                  && value->owner_boot == owner->options.boot;
   mqlog__partition_row__free_unpacked (value, NULL);
@@ -316,22 +320,22 @@
 static void
 settle (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   struct settled *settled;
   bool applied = false;
 
   settled = talloc_zero_array (owner->actions, struct settled,
-                               (unsigned int)flight->count);
-  for (size_t i = 0; i < flight->count; i++)
+                               (unsigned int)pending_commit->count);
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      if (flight->parts[i].partition == NULL)
+      if (pending_commit->parts[i].partition == NULL)
         continue;
-      settled[i] = settle_part (owner, &flight->parts[i], result);
+      settled[i] = settle_part (owner, &pending_commit->parts[i], result);
       applied = applied || settled[i].applied;
     }
-  for (size_t i = 0; i < flight->count; i++)
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      struct partition *partition = flight->parts[i].partition;
+      struct partition *partition = pending_commit->parts[i].partition;
 
       if (partition == NULL)
         continue;
@@ -343,27 +347,27 @@
       if (!settled[i].present || !settled[i].ours)
         take_lose (owner, partition);
       else if (settled[i].applied)
-        part_applied (owner, &flight->parts[i], settled[i].version);
+        part_applied (owner, &pending_commit->parts[i], settled[i].version);
     }
-  if (applied || parts_left (flight) == 0)
+  if (applied || parts_left (pending_commit) == 0)
     {
       finish_flight (owner, applied);
       log_flush (owner);
       return;
     }
-  flight->object_next = 0;
-  wait_and_resume (owner, FLIGHT_OBJECTS);
+  pending_commit->object_next = 0;
+  wait_and_resume (owner, COMMIT_WRITING_OBJECTS);
 }
 
 static void
 transaction_applied (struct mq_owner *owner,
                      const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  for (size_t i = 0; i < flight->count; i++)
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      struct flight_part *part = &flight->parts[i];
+      struct commit_part *part = &pending_commit->parts[i];
 
       if (part->partition == NULL)
         continue;
@@ -382,36 +386,36 @@
 static void
 flight_result (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   bool failed
       = result->status == MQ_STORE_DOWN || result->status == MQ_STORE_LOST;
 
   if (failed)
-    durable_store_failed (owner);
+    durable_store_unavailable (owner);
   else
-    durable_store_worked (owner);
-  if (parts_left (flight) == 0)
+    durable_store_up (owner);
+  if (parts_left (pending_commit) == 0)
     {
       finish_flight (owner, false);
       log_flush (owner);
       return;
     }
-  switch (flight->state)
+  switch (pending_commit->state)
     {
-    case FLIGHT_OBJECTS:
+    case COMMIT_WRITING_OBJECTS:
       if (result->status != MQ_STORE_OK)
         {
-          wait_and_resume (owner, FLIGHT_OBJECTS);
+          wait_and_resume (owner, COMMIT_WRITING_OBJECTS);
           return;
         }
-      flight->object_next++;
+      pending_commit->object_next++;
       log_send_objects (owner);
       return;
-    case FLIGHT_TXN:
+    case COMMIT_IN_TRANSACTION:
       if (result->status == MQ_STORE_OK)
         transaction_applied (owner, result);
       else if (result->status == MQ_STORE_DOWN)
-        wait_and_resume (owner, FLIGHT_TXN);
+        wait_and_resume (owner, COMMIT_IN_TRANSACTION);
       else
         {
           if (result->status == MQ_STORE_CONFLICT)
@@ -421,14 +425,14 @@
           send_settle (owner);
         }
       return;
-    case FLIGHT_SETTLE:
+    case COMMIT_VERIFYING:
       if (result->status != MQ_STORE_OK)
-        wait_and_resume (owner, FLIGHT_SETTLE);
+        wait_and_resume (owner, COMMIT_VERIFYING);
       else
         settle (owner, result);
       return;
-    case FLIGHT_NONE:
-    case FLIGHT_WAIT:
+    case COMMIT_IDLE:
+    case COMMIT_BACKOFF:
       return;
     }
 }
@@ -461,10 +465,11 @@
 bool
 durable_result (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  if (flight->state != FLIGHT_NONE && flight->state != FLIGHT_WAIT
-      && flight->request_id == result->id)
+  if (pending_commit->state != COMMIT_IDLE
+      && pending_commit->state != COMMIT_BACKOFF
+      && pending_commit->request_id == result->id)
     {
       flight_result (owner, result);
       return true;
@@ -475,15 +480,16 @@
 void
 durable_tick (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  if (flight->state == FLIGHT_WAIT && owner->now_us >= flight->retry_us)
+  if (pending_commit->state == COMMIT_BACKOFF
+      && owner->now_us >= pending_commit->retry_us)
     {
-      if (parts_left (flight) == 0)
+      if (parts_left (pending_commit) == 0)
         finish_flight (owner, false);
-      else if (flight->resume == FLIGHT_OBJECTS)
+      else if (pending_commit->resume == COMMIT_WRITING_OBJECTS)
         log_send_objects (owner);
-      else if (flight->resume == FLIGHT_SETTLE)
+      else if (pending_commit->resume == COMMIT_VERIFYING)
         send_settle (owner);
       else
         log_send_transaction (owner);
--- a/src/core/owner/owner_end.c
+++ b/src/core/owner/owner_end.c
@@ -77,7 +77,7 @@
   record.body_case = MQLOG__RECORD__BODY_OUTCOME;
   record.outcome = &outcome;
   log_append (owner, running, &record);
-  log_hook (owner, running, HOOK_STEP, outcome.call, attempt, host);
+  log_hook (owner, running, HOOK_OUTCOME_DURABLE, outcome.call, attempt, host);
   owner->counters.calls_done++;
 }
 
@@ -89,7 +89,8 @@
 
   /* What the target's process keeps is settled by the program's end.  */
   if (call != NULL)
-    log_hook (owner, running, HOOK_STEP, call->number, call->attempt, host);
+    log_hook (owner, running, HOOK_OUTCOME_DURABLE, call->number,
+              call->attempt, host);
   running->call = NULL;
   end_program (owner, running,
                running->stop != MQ_ERR_NONE ? running->stop : error, ran, "");
@@ -123,7 +124,7 @@
   if (program->mode == MQ_MODE_STEPS)
     {
       budget_stop_clock (owner, running);
-      drive_next (owner, running);
+      drive_start_queued_step (owner, running);
       return;
     }
   chain_advance (owner, running);
@@ -160,7 +161,7 @@
   record.body_case = MQLOG__RECORD__BODY_ANSWERED;
   record.answered = &answered;
   log_append (owner, running, &record);
-  running->answer_mark = owner->appended;
+  running->answer_position = owner->appended;
   budget_stop_clock (owner, running);
   running->ended_us = owner->now_us;
   if (error == MQ_ERR_BUDGET_TOKENS || error == MQ_ERR_BUDGET_TURNS
@@ -175,8 +176,8 @@
 
 /* Ends the program for WHY as soon as what is under way allows it.  */
 void
-end_stop (struct mq_owner *owner, struct running *running,
-          enum mq_error_type why)
+end_begin_stop (struct mq_owner *owner, struct running *running,
+                enum mq_error_type why)
 {
   if (running->program->state == MQ_PROGRAM_ENDED
       || running->stop != MQ_ERR_NONE)
@@ -184,7 +185,7 @@
   running->stop = why;
   if (running->child != NULL)
     {
-      end_stop (owner, running->child, why);
+      end_begin_stop (owner, running->child, why);
       return;
     }
   if (settle_cancel (owner, running))
--- a/src/core/owner/owner_evict.c
+++ b/src/core/owner/owner_evict.c
@@ -36,7 +36,7 @@
       running->lease_us
           = owner->now_us
             + 1000ULL * owner->text->cache_lease_ms / LEASE_DIVISOR;
-      owner_wake_at (owner, running, running->lease_us);
+      owner_set_timer (owner, running, running->lease_us);
     }
 }
 
@@ -45,11 +45,11 @@
 void
 evict_send (struct mq_owner *owner, struct running *running)
 {
-  struct cache_place **at = &running->caches;
+  struct cache_location **at = &running->caches;
 
   while (*at != NULL)
     {
-      struct cache_place *place = *at;
+      struct cache_location *place = *at;
 
       if (place->target->boot != place->boot)
         {
@@ -67,7 +67,7 @@
       return;
     }
   running->evict_us = owner->now_us + 1000ULL * EVICT_AGAIN_MS;
-  owner_wake_at (owner, running, running->evict_us);
+  owner_set_timer (owner, running, running->evict_us);
 }
 
 void
@@ -88,7 +88,7 @@
 
   if (running == NULL || !running->evicting)
     return;
-  for (struct cache_place **at = &running->caches; *at != NULL;
+  for (struct cache_location **at = &running->caches; *at != NULL;
        at = &(*at)->next)
     if ((*at)->target == target)
       {
@@ -108,10 +108,10 @@
   const struct call *call = running->call;
   bool active = call != NULL && call->model;
 
-  for (struct cache_place *p = running->caches; p != NULL; p = p->next)
+  for (struct cache_location *p = running->caches; p != NULL; p = p->next)
     send_lease (owner, running, p->target,
                 active ? MQ_LEASE_ACTIVE : MQ_LEASE_PAUSED);
   running->lease_us
       = owner->now_us + 1000ULL * owner->text->cache_lease_ms / LEASE_DIVISOR;
-  owner_wake_at (owner, running, running->lease_us);
+  owner_set_timer (owner, running, running->lease_us);
 }
--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -46,7 +46,7 @@
   memset (view, 0, sizeof *view);
   view->worker = worker->index;
   view->name_hash = mq_rendezvous_weight (worker->target->host, worker->index);
-  view->data_centre_near
+  view->same_data_centre
       = strcmp (worker->target->data_centre, owner->options.data_centre) == 0;
 }
 
@@ -90,9 +90,9 @@
   former->host = mq_text_copy (former, target->host);
   former->boot = target->sent_boot;
   target->sent_boot = 0;
-  former->next = owner->formers;
-  owner->formers = former;
-  owner->formers_mark = owner->appended;
+  former->next = owner->former_runs;
+  owner->former_runs = former;
+  owner->former_runs_position = owner->appended;
   owner->targets_dirty = true;
 }
 
@@ -119,26 +119,26 @@
 void
 hosts_formers_tick (struct mq_owner *owner)
 {
-  if (owner->formers == NULL)
+  if (owner->former_runs == NULL)
     return;
   if (is_row_needed (owner))
     {
-      owner->formers_needed = true;
+      owner->former_runs_needed = true;
       return;
     }
-  if (owner->formers_needed)
+  if (owner->former_runs_needed)
     {
       /* Taking a partition back may have charged for them just now.  */
-      owner->formers_needed = false;
-      owner->formers_mark = owner->appended;
+      owner->former_runs_needed = false;
+      owner->former_runs_position = owner->appended;
     }
-  if (owner->settled < owner->formers_mark)
+  if (owner->settled < owner->former_runs_position)
     return;
-  while (owner->formers != NULL)
+  while (owner->former_runs != NULL)
     {
-      struct former_run *former = owner->formers;
+      struct former_run *former = owner->former_runs;
 
-      owner->formers = former->next;
+      owner->former_runs = former->next;
       talloc_free (former);
     }
   owner->targets_dirty = true;
@@ -283,7 +283,7 @@
 
   while ((running = mq_idmap_next (owner->running, &position)) != NULL)
     {
-      struct cache_place **at = &running->caches;
+      struct cache_location **at = &running->caches;
 
       if (running->sticky == target)
         running->sticky = NULL;
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -62,7 +62,7 @@
   owner->appended++;
   owner->gathered++;
   owner->gathered_bytes += item->len;
-  running->undurable++;
+  running->uncommitted_records++;
   read_apply (owner, partition, record);
 }
 
@@ -110,13 +110,14 @@
 }
 
 /* What was to follow the commit of records that another owner's fence has
-   made void must not follow the commit of the others' in the same flight.
-   Failure: FORGET, under the new owner's fence that we have read by then,
-   for outcomes that no log holds.  */
+   made void must not follow the commit of the others' in the same
+   pending_commit. Failure: FORGET, under the new owner's fence that we have
+   read by then, for outcomes that no log holds.  */
 void
 log_drop_hooks (struct mq_owner *owner, const struct partition *partition)
 {
-  struct hook **lists[] = { &owner->flight.hooks, &owner->hooks_first };
+  struct hook **lists[]
+      = { &owner->pending_commit.hooks, &owner->hooks_first };
 
   for (size_t i = 0; i < sizeof lists / sizeof lists[0]; i++)
     for (struct hook **at = lists[i]; *at != NULL;)
@@ -161,14 +162,14 @@
 }
 
 static void
-pack_batch (struct mq_owner *owner, struct flight_part *part)
+pack_batch (struct mq_owner *owner, struct commit_part *part)
 {
   struct partition *partition = part->partition;
   Mqlog__Batch batch = MQLOG__BATCH__INIT;
-  TALLOC_CTX *memory = owner->flight.memory;
+  TALLOC_CTX *memory = owner->pending_commit.memory;
   size_t i = 0;
 
-  batch.batch = owner->flight.batch;
+  batch.batch = owner->pending_commit.batch;
   batch.fence = partition->fence;
   batch.sequence = part->sequence;
   batch.n_records = partition->pending_count;
@@ -187,16 +188,16 @@
     abort ();
   mqlog__batch__pack (&batch, part->bytes.data);
   if (part->bytes.len > owner->options.commit_inline_bytes)
-    part->object = talloc_asprintf (memory, "seg/%05u/%012llu-%016llx",
-                                    partition->number,
-                                    (unsigned long long)part->sequence,
-                                    (unsigned long long)owner->flight.batch);
+    part->object = talloc_asprintf (
+        memory, "seg/%05u/%012llu-%016llx", partition->number,
+        (unsigned long long)part->sequence,
+        (unsigned long long)owner->pending_commit.batch);
 }
 
 /* A checkpoint as of the batch that is being sealed: memory holds just the
    records up to its end.  */
 static void
-pack_snapshot (struct mq_owner *owner, struct flight_part *part)
+pack_snapshot (struct mq_owner *owner, struct commit_part *part)
 {
   struct partition *partition = part->partition;
   TALLOC_CTX *memory = talloc_new (owner);
@@ -212,7 +213,7 @@
     checkpoint.programs[checkpoint.n_programs++]
         = mq_program_pack (memory, running->program);
   part->snapshot.len = mqlog__checkpoint__get_packed_size (&checkpoint);
-  part->snapshot.data = talloc_array (owner->flight.memory, uint8_t,
+  part->snapshot.data = talloc_array (owner->pending_commit.memory, uint8_t,
                                       (unsigned int)part->snapshot.len);
   if (part->snapshot.data == NULL)
     abort ();
@@ -228,9 +229,9 @@
   if (last == NULL)
     return;
   for (struct record *r = partition->pending_first; r != NULL; r = r->next)
-    talloc_steal (owner->flight.memory, r);
-  last->next = owner->flight.records;
-  owner->flight.records = partition->pending_first;
+    talloc_steal (owner->pending_commit.memory, r);
+  last->next = owner->pending_commit.records;
+  owner->pending_commit.records = partition->pending_first;
   partition->records_since_checkpoint += partition->pending_count;
   partition->pending_first = NULL;
   partition->pending_last = NULL;
@@ -240,8 +241,8 @@
 static void
 seal_partition (struct mq_owner *owner, struct partition *partition)
 {
-  struct flight *flight = &owner->flight;
-  struct flight_part *part = &flight->parts[flight->count++];
+  struct pending_commit *pending_commit = &owner->pending_commit;
+  struct commit_part *part = &pending_commit->parts[pending_commit->count++];
 
   memset (part, 0, sizeof *part);
   part->partition = partition;
@@ -258,8 +259,8 @@
   if (partition->pending_first != NULL)
     {
       part->sequence++;
-      part->log_key = format_key (flight->memory, "log", partition->number,
-                                  part->sequence);
+      part->log_key = format_key (pending_commit->memory, "log",
+                                  partition->number, part->sequence);
       pack_batch (owner, part);
     }
   move_records (owner, partition);
@@ -267,12 +268,12 @@
       && partition->records_since_checkpoint
              >= owner->options.checkpoint_records)
     pack_snapshot (owner, part);
-  partition->in_flight = true;
+  partition->in_commit = true;
 }
 
 static void
 add_row_ops (struct mq_owner *owner, struct mq_store_request *request,
-             struct flight_part *part)
+             struct commit_part *part)
 {
   struct partition *partition = part->partition;
   Mqlog__PartitionRow row = MQLOG__PARTITION_ROW__INIT;
@@ -287,7 +288,7 @@
   row.n_senders = 1;
   row.senders = &owner->run;
   row.sequence = part->sequence;
-  row.batch = owner->flight.batch;
+  row.batch = owner->pending_commit.batch;
   row.checkpoint = part->checkpoint;
   row.checkpoint_key = part->checkpoint_key == NULL
                            ? (char *)""
@@ -313,7 +314,7 @@
         {
           Mqlog__Batch reference = MQLOG__BATCH__INIT;
 
-          reference.batch = owner->flight.batch;
+          reference.batch = owner->pending_commit.batch;
           reference.fence = partition->fence;
           reference.sequence = part->sequence;
           reference.object = part->object;
@@ -338,20 +339,21 @@
 void
 log_send_transaction (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   struct mq_store_request *request;
 
-  flight->state = FLIGHT_TXN;
-  flight->request_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_TXN, flight->request_id);
+  pending_commit->state = COMMIT_IN_TRANSACTION;
+  pending_commit->request_id = owner_new_id (owner);
+  request = owner_add_store_request (owner, MQ_STORE_TXN,
+                                     pending_commit->request_id);
   request->ops = talloc_zero_array (
       owner->actions, struct mq_store_op,
-      (unsigned int)(flight->count * (2 + REMOVE_ROWS_MAX)));
+      (unsigned int)(pending_commit->count * (2 + REMOVE_ROWS_MAX)));
   if (request->ops == NULL)
     abort ();
-  for (size_t i = 0; i < flight->count; i++)
-    if (flight->parts[i].partition != NULL)
-      add_row_ops (owner, request, &flight->parts[i]);
+  for (size_t i = 0; i < pending_commit->count; i++)
+    if (pending_commit->parts[i].partition != NULL)
+      add_row_ops (owner, request, &pending_commit->parts[i]);
 }
 
 /* Writes the next large batch to its object, or goes on to the
@@ -360,23 +362,26 @@
 void
 log_send_objects (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   struct mq_store_request *request;
-  struct flight_part *part;
-
-  flight->state = FLIGHT_OBJECTS;
-  while (flight->object_next < flight->count
-         && (flight->parts[flight->object_next].partition == NULL
-             || flight->parts[flight->object_next].object == NULL))
-    flight->object_next++;
-  if (flight->object_next == flight->count)
+  struct commit_part *part;
+
+  pending_commit->state = COMMIT_WRITING_OBJECTS;
+  while (
+      pending_commit->object_next < pending_commit->count
+      && (pending_commit->parts[pending_commit->object_next].partition == NULL
+          || pending_commit->parts[pending_commit->object_next].object
+                 == NULL))
+    pending_commit->object_next++;
+  if (pending_commit->object_next == pending_commit->count)
     {
       log_send_transaction (owner);
       return;
     }
-  part = &flight->parts[flight->object_next];
-  flight->request_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_PUT, flight->request_id);
+  part = &pending_commit->parts[pending_commit->object_next];
+  pending_commit->request_id = owner_new_id (owner);
+  request = owner_add_store_request (owner, MQ_STORE_PUT,
+                                     pending_commit->request_id);
   request->key = talloc_strdup (owner->actions, part->object);
   request->value.data
       = talloc_memdup (owner->actions, part->bytes.data, part->bytes.len);
@@ -402,10 +407,10 @@
 void
 log_flush (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   size_t count = 0;
 
-  if (flight->state != FLIGHT_NONE)
+  if (pending_commit->state != COMMIT_IDLE)
     return;
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (wants_commit (&owner->partitions[i]))
@@ -415,19 +420,19 @@
       run_hooks (owner);
       return;
     }
-  memset (flight, 0, sizeof *flight);
-  flight->memory = talloc_new (owner);
-  flight->batch = mq_random_next (&owner->random);
-  flight->started_us = owner->now_us;
-  flight->mark = owner->appended;
-  flight->parts
-      = talloc_array (flight->memory, struct flight_part, (unsigned int)count);
-  if (flight->parts == NULL)
+  memset (pending_commit, 0, sizeof *pending_commit);
+  pending_commit->memory = talloc_new (owner);
+  pending_commit->batch = mq_random_next (&owner->random);
+  pending_commit->started_us = owner->now_us;
+  pending_commit->mark = owner->appended;
+  pending_commit->parts = talloc_array (
+      pending_commit->memory, struct commit_part, (unsigned int)count);
+  if (pending_commit->parts == NULL)
     abort ();
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (wants_commit (&owner->partitions[i]))
       seal_partition (owner, &owner->partitions[i]);
-  flight->hooks = owner->hooks_first;
+  pending_commit->hooks = owner->hooks_first;
   owner->hooks_first = NULL;
   owner->hooks_last = NULL;
   owner->gathered = 0;
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -33,7 +33,7 @@
       = mq_text_find_organisation (owner->text, request->organisation);
   uint32_t hosts = owner->live_hosts == 0 ? 1 : owner->live_hosts;
 
-  *retry_after_ms = RETRY_LATER_MS;
+  *retry_after_ms = UNAVAILABLE_RETRY_MS;
   if (owner->leaving)
     return MQ_ERR_LEAVING;
   if (organisation == NULL)
@@ -45,7 +45,7 @@
   if (owner->live >= owner->options.max_programs)
     return MQ_ERR_OVERLOADED;
   if (organisation->max_programs > 0
-      && chain_live_of (owner, request->organisation)
+      && chain_count_organisation (owner, request->organisation)
              >= (organisation->max_programs + hosts - 1) / hosts)
     return MQ_ERR_OVERLOADED;
   return MQ_ERR_NONE;
@@ -98,7 +98,7 @@
           before->program->messages == NULL ? "" : before->program->messages,
           before->program->messages_len);
       scratch->messages_len = before->program->messages_len;
-      scratch->messages_room = before->program->messages_len + 1;
+      scratch->messages_capacity = before->program->messages_len + 1;
       scratch->message_count = before->program->message_count;
       opening->opened.follow_up = true;
     }
@@ -206,7 +206,7 @@
   if (max_tokens > running->program->budget.tokens)
     max_tokens = (uint32_t)running->program->budget.tokens;
   if (max_tokens > 0)
-    budget_has_grant (owner, running, max_tokens);
+    budget_ensure_grant (owner, running, max_tokens);
 }
 
 /* A history that carries over has been computed before.  */
@@ -218,7 +218,7 @@
       = mq_id_is_zero (continues) ? NULL : chain_find (owner, continues);
 
   if (before != NULL)
-    running->known_tokens = before->known_tokens;
+    running->reusable_tokens = before->reusable_tokens;
 }
 
 void
@@ -244,7 +244,7 @@
   events_add_waiter (running, peer, handle, request, 0);
   grant_first (owner, running);
   log_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
-      = running->grant_wanted;
+      = running->grant_pending;
   if (running->program->mode != MQ_MODE_STEPS)
     budget_start_clock (owner, running);
   log_flush (owner);
@@ -267,7 +267,7 @@
       return;
     }
   events_add_waiter (running, peer, handle, request, 0);
-  if (running->undurable > 0)
+  if (running->uncommitted_records > 0)
     {
       /* What it waits for is durable soon; then it is told.  */
       if (program->state != MQ_PROGRAM_RUNNING)
--- a/src/core/owner/owner_parts.h
+++ b/src/core/owner/owner_parts.h
@@ -21,13 +21,14 @@
 uint64_t owner_new_id (struct mq_owner *owner);
 void owner_state (struct mq_owner *owner, enum mq_state_change change,
                   uint64_t number, const char *subject);
-void owner_span (struct mq_owner *owner, const struct running *running,
-                 const char *name, uint32_t call, uint64_t start_us,
-                 enum mq_error_type error);
-void owner_wake_at (struct mq_owner *owner, struct running *running,
-                    uint64_t when_us);
-struct mq_store_request *owner_store (struct mq_owner *owner,
-                                      enum mq_store_kind kind, uint64_t id);
+void owner_record_span (struct mq_owner *owner, const struct running *running,
+                        const char *name, uint32_t call, uint64_t start_us,
+                        enum mq_error_type error);
+void owner_set_timer (struct mq_owner *owner, struct running *running,
+                      uint64_t when_us);
+struct mq_store_request *owner_add_store_request (struct mq_owner *owner,
+                                                  enum mq_store_kind kind,
+                                                  uint64_t id);
 uint32_t owner_jitter_ms (struct mq_owner *owner, uint32_t base_ms,
                           uint32_t tries, uint32_t most_ms);
 
@@ -132,8 +133,8 @@
                      const struct mq_store_result *result);
 void durable_drop_partition (struct mq_owner *owner,
                              struct partition *partition);
-void durable_store_failed (struct mq_owner *owner);
-void durable_store_worked (struct mq_owner *owner);
+void durable_store_unavailable (struct mq_owner *owner);
+void durable_store_up (struct mq_owner *owner);
 
 /* owner_budget.c */
 
@@ -141,17 +142,17 @@
                     uint64_t tokens);
 void budget_reserve (struct running *running, uint64_t tokens);
 void budget_release (struct running *running, uint64_t tokens);
-bool budget_has_grant (struct mq_owner *owner, struct running *running,
-                       uint32_t max_tokens);
+bool budget_ensure_grant (struct mq_owner *owner, struct running *running,
+                          uint32_t max_tokens);
 uint64_t budget_elapsed_ms (const struct mq_owner *owner,
                             const struct running *running);
 void budget_start_clock (struct mq_owner *owner, struct running *running);
 void budget_forfeit (struct mq_owner *owner, struct running *running);
 void budget_stop_clock (struct mq_owner *owner, struct running *running);
-uint64_t budget_tokens_left (const struct running *running);
-bool budget_turns_are_left (const struct running *running);
-bool budget_time_is_left (const struct mq_owner *owner,
-                          const struct running *running);
+uint64_t budget_remaining_tokens (const struct running *running);
+bool budget_has_turns (const struct running *running);
+bool budget_has_time (const struct mq_owner *owner,
+                      const struct running *running);
 
 /* owner_chain.c */
 
@@ -163,14 +164,14 @@
 void chain_advance (struct mq_owner *owner, struct running *running);
 void chain_count_live (struct mq_owner *owner, const struct running *running,
                        int change);
-uint32_t chain_live_of (const struct mq_owner *owner,
-                        const char *organisation);
+uint32_t chain_count_organisation (const struct mq_owner *owner,
+                                   const char *organisation);
 struct running *chain_open (struct mq_owner *owner,
                             struct partition *partition, struct mq_id id,
                             const Mqlog__Opened *opened);
 void chain_tick (struct mq_owner *owner, struct running *running);
 void chain_hook (struct mq_owner *owner, struct hook *hook);
-bool chain_fit_call (struct running *running);
+bool chain_limit_call (struct running *running);
 struct call *chain_new_call (struct running *running,
                              const struct mq_service *service,
                              const struct mq_route *route);
@@ -187,8 +188,8 @@
 void end_program (struct mq_owner *owner, struct running *running,
                   enum mq_error_type error, enum mq_ran ran,
                   const char *answer);
-void end_stop (struct mq_owner *owner, struct running *running,
-               enum mq_error_type why);
+void end_begin_stop (struct mq_owner *owner, struct running *running,
+                     enum mq_error_type why);
 void end_child (struct mq_owner *owner, struct running *child);
 
 /* owner_evict.c */
@@ -206,7 +207,7 @@
 enum mq_error_type drive_step (struct mq_owner *owner, struct running *running,
                                const struct mq_request_msg *request);
 uint64_t drive_digest (const struct mq_request_msg *request);
-void drive_next (struct mq_owner *owner, struct running *running);
+void drive_start_queued_step (struct mq_owner *owner, struct running *running);
 
 /* owner_place.c */
 
@@ -234,22 +235,23 @@
                     const struct mq_outcome_msg *outcome);
 void calls_token (struct mq_owner *owner, struct target *target,
                   const struct mq_token_msg *token);
-void calls_forget_later (struct mq_owner *owner, struct running *running,
-                         uint32_t call, uint32_t attempt, const char *host);
-void calls_forget (struct mq_owner *owner, struct mq_id program, uint32_t call,
-                   uint32_t attempt, uint32_t partition, uint64_t fence,
-                   const char *host);
+void calls_forget_when_durable (struct mq_owner *owner,
+                                struct running *running, uint32_t call,
+                                uint32_t attempt, const char *host);
+void calls_send_forget (struct mq_owner *owner, struct mq_id program,
+                        uint32_t call, uint32_t attempt, uint32_t partition,
+                        uint64_t fence, const char *host);
 void calls_retry_call (struct mq_owner *owner, struct running *running,
                        uint32_t wait_ms);
-void calls_give_up_unknown (struct mq_owner *owner, struct running *running);
+void calls_fail_unknown (struct mq_owner *owner, struct running *running);
 void calls_fail_or_retry (struct mq_owner *owner, struct running *running,
                           enum mq_error_type error, enum mq_ran ran,
                           uint32_t retry_after_ms, const char *host);
 void calls_accept_outcome (struct mq_owner *owner, struct running *running,
                            const struct mq_outcome_msg *outcome);
-void calls_keep_recovered (struct running *running, struct target *target,
-                           bool is_running, struct mq_call_ref ref,
-                           const struct mq_outcome_msg *outcome);
+void calls_add_recovered (struct running *running, struct target *target,
+                          bool is_running, struct mq_call_ref ref,
+                          const struct mq_outcome_msg *outcome);
 bool calls_matches (const struct running *running, const struct target *target,
                     struct mq_call_ref ref);
 
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -106,7 +106,7 @@
   uint32_t ours = 0;
 
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (owner->partitions[i].state != PARTITION_OTHER)
+    if (owner->partitions[i].state != PARTITION_NOT_OWNED)
       ours++;
   return ours;
 }
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -126,12 +126,12 @@
 place_remember_cache (struct mq_owner *owner, struct running *running,
                       struct target *target)
 {
-  struct cache_place *place;
+  struct cache_location *place;
 
   for (place = running->caches; place != NULL; place = place->next)
     if (place->target == target && place->boot == target->boot)
       return;
-  place = talloc_zero (running, struct cache_place);
+  place = talloc_zero (running, struct cache_location);
   if (place == NULL)
     abort ();
   place->target = target;
@@ -234,9 +234,9 @@
   place_send_call (owner, running);
   if (call->model)
     place_remember_cache (owner, running, call->target);
-  owner_wake_at (owner, running,
-                 owner->now_us + 1000ULL * call->service->timeout_ms
-                     + 1000ULL * GUARD_MS);
+  owner_set_timer (owner, running,
+                   owner->now_us + 1000ULL * call->service->timeout_ms
+                       + 1000ULL * OUTCOME_GRACE_MS);
 }
 
 static void
@@ -253,7 +253,7 @@
   intent.worker = call->worker;
   record.body_case = MQLOG__RECORD__BODY_INTENT;
   record.intent = &intent;
-  call->state = CALL_INTENT;
+  call->state = CALL_AWAITING_INTENT;
   log_append (owner, running, &record);
   log_hook (owner, running, HOOK_INTENT, call->number, call->attempt, NULL);
 }
@@ -263,9 +263,9 @@
 {
   struct call *call = running->call;
 
-  call->state = CALL_PLACE;
+  call->state = CALL_AWAITING_WORKER;
   call->retry_us = owner->now_us + 1000ULL * wait_ms;
-  owner_wake_at (owner, running, call->retry_us);
+  owner_set_timer (owner, running, call->retry_us);
 }
 
 /* Failure: a call under our fence voids at its target what the earlier
@@ -275,11 +275,11 @@
 static bool
 discards_are_durable (struct mq_owner *owner, struct running *running)
 {
-  if (owner->settled >= running->discard_mark)
+  if (owner->settled >= running->forfeit_position)
     return true;
-  if (!running->grant_asked)
+  if (!running->grant_requested)
     {
-      running->grant_asked = true;
+      running->grant_requested = true;
       log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return false;
@@ -293,19 +293,19 @@
 
   if (!discards_are_durable (owner, running))
     {
-      call->state = CALL_GRANT;
+      call->state = CALL_AWAITING_GRANT;
       return;
     }
   /* An earlier attempt may have been charged since the cap was set.  */
-  if (call->model && !chain_fit_call (running))
+  if (call->model && !chain_limit_call (running))
     {
-      call->state = CALL_PLACE;
-      end_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
+      call->state = CALL_AWAITING_WORKER;
+      end_begin_stop (owner, running, MQ_ERR_BUDGET_TOKENS);
       return;
     }
-  if (call->model && !budget_has_grant (owner, running, call->max_tokens))
+  if (call->model && !budget_ensure_grant (owner, running, call->max_tokens))
     {
-      call->state = CALL_GRANT;
+      call->state = CALL_AWAITING_GRANT;
       return;
     }
   worker = choose_worker (owner, running);
@@ -338,8 +338,9 @@
 
   if (call == NULL)
     return;
-  if (call->state == CALL_GRANT
-      || (call->state == CALL_PLACE && owner->now_us >= call->retry_us))
+  if (call->state == CALL_AWAITING_GRANT
+      || (call->state == CALL_AWAITING_WORKER
+          && owner->now_us >= call->retry_us))
     place_call (owner, running);
 }
 
@@ -351,8 +352,8 @@
 {
   struct call *call = running->call;
 
-  if (call == NULL || call->state != CALL_INTENT || call->number != number
-      || call->attempt != attempt)
+  if (call == NULL || call->state != CALL_AWAITING_INTENT
+      || call->number != number || call->attempt != attempt)
     return;
   if (call->target->peer == 0 || call->target->boot != call->boot
       || call->target->leaving)
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -17,7 +17,7 @@
 static void
 read_again_later (struct mq_owner *owner, struct partition *partition)
 {
-  durable_store_failed (owner);
+  durable_store_unavailable (owner);
   partition->retry_us
       = owner->now_us
         + 1000ULL * owner_jitter_ms (owner, MQ_STORE_RETRY_MS, 1, 1000);
@@ -30,7 +30,7 @@
 
   partition->read_id = owner_new_id (owner);
   owner->counters.store_reads++;
-  request = owner_store (owner, MQ_STORE_GET, partition->read_id);
+  request = owner_add_store_request (owner, MQ_STORE_GET, partition->read_id);
   request->key = talloc_strdup (owner->actions, key);
 }
 
@@ -42,7 +42,7 @@
 
   partition->read_id = owner_new_id (owner);
   owner->counters.store_reads++;
-  request = owner_store (owner, MQ_STORE_SCAN, partition->read_id);
+  request = owner_add_store_request (owner, MQ_STORE_SCAN, partition->read_id);
   request->key = prefix;
   request->after = talloc_strdup (owner->actions, after);
   request->limit = limit;
@@ -58,21 +58,21 @@
 
   switch (take->step)
     {
-    case TAKE_CHECKPOINT:
+    case TAKEOVER_READ_CHECKPOINT:
       if (partition->checkpoint_key != NULL
           && partition->checkpoint_key[0] != '\0')
         {
           send_get (owner, partition, partition->checkpoint_key);
           return;
         }
-      take->step = TAKE_ROWS;
+      take->step = TAKEOVER_READ_LOG;
       break;
-    case TAKE_ROWS:
-    case TAKE_OBJECTS:
-    case TAKE_TARGETS:
+    case TAKEOVER_READ_LOG:
+    case TAKEOVER_READ_OBJECTS:
+    case TAKEOVER_READ_TARGETS:
       break;
     }
-  if (take->step == TAKE_ROWS)
+  if (take->step == TAKEOVER_READ_LOG)
     {
       send_scan (
           owner, partition,
@@ -80,7 +80,7 @@
           take->after, LOG_PAGE);
       return;
     }
-  if (take->step == TAKE_OBJECTS)
+  if (take->step == TAKEOVER_READ_OBJECTS)
     {
       while (take->row_next < take->row_count
              && take->rows[take->row_next].object == NULL)
@@ -90,7 +90,7 @@
           send_get (owner, partition, take->rows[take->row_next].object);
           return;
         }
-      take->step = TAKE_TARGETS;
+      take->step = TAKEOVER_READ_TARGETS;
     }
   send_scan (owner, partition,
              talloc_asprintf (owner->actions, "targets/%s",
@@ -112,7 +112,7 @@
   take = talloc_zero (partition->memory, struct takeover);
   if (take == NULL)
     abort ();
-  take->step = TAKE_CHECKPOINT;
+  take->step = TAKEOVER_READ_CHECKPOINT;
   take->after = talloc_asprintf (take, "log/%05u/%012llu", partition->number,
                                  (unsigned long long)partition->checkpoint);
   partition->takeover = take;
@@ -229,9 +229,9 @@
 static void
 add_wait (struct takeover *take, const char *host, uint64_t boot)
 {
-  struct recover_wait *wait;
+  struct recovery_wait *wait;
 
-  take->waits = talloc_realloc (take, take->waits, struct recover_wait,
+  take->waits = talloc_realloc (take, take->waits, struct recovery_wait,
                                 (unsigned int)take->wait_count + 1);
   if (take->waits == NULL)
     abort ();
@@ -277,24 +277,24 @@
       read_again_later (owner, partition);
       return;
     }
-  durable_store_worked (owner);
+  durable_store_up (owner);
   switch (take->step)
     {
-    case TAKE_CHECKPOINT:
+    case TAKEOVER_READ_CHECKPOINT:
       if (!read_checkpoint (owner, partition, result))
         {
           read_afresh (owner, partition);
           return;
         }
-      take->step = TAKE_ROWS;
+      take->step = TAKEOVER_READ_LOG;
       break;
-    case TAKE_ROWS:
+    case TAKEOVER_READ_LOG:
       for (size_t i = 0; i < result->row_count; i++)
         keep_log_row (take, &result->rows[i]);
       if (!result->more)
-        take->step = TAKE_OBJECTS;
+        take->step = TAKEOVER_READ_OBJECTS;
       break;
-    case TAKE_OBJECTS:
+    case TAKEOVER_READ_OBJECTS:
       {
         struct read_batch *row = &take->rows[take->row_next++];
 
@@ -303,7 +303,7 @@
         row->bytes.len = result->value.len;
         break;
       }
-    case TAKE_TARGETS:
+    case TAKEOVER_READ_TARGETS:
       keep_targets (partition, result);
       if (++take->sender_next < partition->sender_count)
         break;
@@ -368,7 +368,7 @@
 static void
 start_recover (struct mq_owner *owner, struct partition *partition)
 {
-  partition->state = PARTITION_RECOVER;
+  partition->state = PARTITION_RECOVERING;
   partition->takeover->recover_until_us
       = owner->now_us + 1000ULL * MQ_RECOVER_MS;
   for (struct target *t = owner->targets; t != NULL; t = t->next)
@@ -395,7 +395,7 @@
     }
   for (size_t i = 0; i < recovered->running_count; i++)
     settle_adopt (owner, target, recovered->running[i], partition->number);
-  if (partition->state != PARTITION_RECOVER)
+  if (partition->state != PARTITION_RECOVERING)
     return;
   for (size_t i = 0; i < partition->takeover->wait_count; i++)
     if (strcmp (partition->takeover->waits[i].host, target->host) == 0
@@ -414,7 +414,7 @@
     {
       struct partition *partition = &owner->partitions[i];
 
-      if (partition->state == PARTITION_RECOVER
+      if (partition->state == PARTITION_RECOVERING
           || partition->state == PARTITION_ACTIVE)
         send_recover (owner, partition, target);
     }
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -21,7 +21,7 @@
 {
   if (running->program->state == MQ_PROGRAM_RUNNING)
     return;
-  if (running->undurable == 0)
+  if (running->uncommitted_records == 0)
     events_final (owner, running);
   else
     log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
@@ -162,7 +162,7 @@
   events_add_waiter (running, peer, handle, request, sequence);
   if (sequence <= running->program->calls)
     {
-      if (running->undurable == 0)
+      if (running->uncommitted_records == 0)
         events_step_done (owner, running, sequence);
       return;
     }
@@ -206,7 +206,7 @@
   if (running == NULL)
     return;
   /* A later answer came meanwhile, and its commit is still to come.  */
-  if (owner->settled < running->answer_mark)
+  if (owner->settled < running->answer_position)
     {
       log_hook_reply (owner, running, hook->peer, hook->handle)->history
           = hook->history;
@@ -228,7 +228,7 @@
       return;
     }
   /* Nothing is shown that a takeover could still undo.  */
-  if (running->undurable > 0)
+  if (running->uncommitted_records > 0)
     {
       log_hook_reply (owner, running, peer, handle)->history = history;
       return;
@@ -254,12 +254,12 @@
           || running->call != NULL))
     {
       events_refuse (owner, running->partition, peer, handle,
-                     MQ_ERR_OUT_OF_ORDER, RETRY_LATER_MS);
+                     MQ_ERR_OUT_OF_ORDER, UNAVAILABLE_RETRY_MS);
       return;
     }
   events_add_waiter (running, peer, handle, request, 0);
   if (why == MQ_ERR_CANCELLED)
-    end_stop (owner, running, why);
+    end_begin_stop (owner, running, why);
   else
     {
       /* The last answer stays the program's answer.  */
--- a/src/core/owner/owner_rows.c
+++ b/src/core/owner/owner_rows.c
@@ -66,7 +66,7 @@
     return;
   if (partition->state == PARTITION_CLAIMING)
     return;
-  if (partition->state == PARTITION_OTHER)
+  if (partition->state == PARTITION_NOT_OWNED)
     {
       if (!copy_row (owner, partition, row))
         return;
@@ -158,7 +158,7 @@
 {
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     s->counter_us = owner->now_us;
-  durable_store_failed (owner);
+  durable_store_unavailable (owner);
 }
 
 /* This process stood still until NOW_US.  */
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -69,7 +69,7 @@
   struct call *call = running->call;
 
   call->down_us = 0;
-  if (call->state == CALL_INTENT)
+  if (call->state == CALL_AWAITING_INTENT)
     return;
   if (target->boot == call->boot)
     {
@@ -88,7 +88,7 @@
     }
   if (!call->idempotent)
     {
-      calls_give_up_unknown (owner, running);
+      calls_fail_unknown (owner, running);
       return;
     }
   place_abandon (owner, running);
@@ -134,8 +134,8 @@
   for (size_t i = 0; i < count; i++)
     {
       list[i]->call->down_us = owner->now_us;
-      owner_wake_at (owner, list[i],
-                     owner->now_us + 1000ULL * MQ_ATTEMPT_RESEND_MS);
+      owner_set_timer (owner, list[i],
+                       owner->now_us + 1000ULL * MQ_ATTEMPT_RESEND_MS);
     }
 }
 
@@ -155,14 +155,15 @@
       return;
     }
   if (gone || down_ms >= 2ULL * MQ_GONE_MS)
-    calls_give_up_unknown (owner, running);
+    calls_fail_unknown (owner, running);
 }
 
 static void
 tick_overdue (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
-  uint64_t limit_us = 1000ULL * call->service->timeout_ms + 1000ULL * GUARD_MS;
+  uint64_t limit_us
+      = 1000ULL * call->service->timeout_ms + 1000ULL * OUTCOME_GRACE_MS;
 
   if (call->service->timeout_ms == 0
       || owner->now_us - call->sent_us < limit_us)
@@ -190,10 +191,10 @@
     return;
   switch (call->state)
     {
-    case CALL_PLACE:
+    case CALL_AWAITING_WORKER:
       /* An earlier wake of the program may have taken this one's place.  */
       if (owner->now_us < call->retry_us)
-        owner_wake_at (owner, running, call->retry_us);
+        owner_set_timer (owner, running, call->retry_us);
       else
         place_continue (owner, running);
       break;
@@ -204,14 +205,14 @@
       else
         tick_overdue (owner, running);
       break;
-    case CALL_GRANT:
-    case CALL_INTENT:
-    case CALL_CHILD:
+    case CALL_AWAITING_GRANT:
+    case CALL_AWAITING_INTENT:
+    case CALL_IN_SUBPROGRAM:
       break;
     }
   call = running->call;
   if (call != NULL && call->target != NULL)
-    owner_wake_at (owner, running, owner->now_us + 1000000);
+    owner_set_timer (owner, running, owner->now_us + 1000000);
 }
 
 /* True when nothing can be under way any more at once.  */
@@ -239,14 +240,14 @@
       place_abandon (owner, running);
       break;
     case CALL_SEALING:
-    case CALL_CHILD:
+    case CALL_IN_SUBPROGRAM:
       return false;
-    case CALL_INTENT:
+    case CALL_AWAITING_INTENT:
       /* Not sent, and it won't be.  */
       place_leave_target (owner, running);
       break;
-    case CALL_GRANT:
-    case CALL_PLACE:
+    case CALL_AWAITING_GRANT:
+    case CALL_AWAITING_WORKER:
       break;
     }
   running->call = NULL;
@@ -263,9 +264,9 @@
   struct partition *partition = &owner->partitions[partition_number];
   struct mq_message message = { .type = MQ_MSG_CANCEL };
 
-  if (partition->state == PARTITION_RECOVER && running != NULL)
+  if (partition->state == PARTITION_RECOVERING && running != NULL)
     {
-      calls_keep_recovered (running, target, true, ref, NULL);
+      calls_add_recovered (running, target, true, ref, NULL);
       return;
     }
   if (partition->state != PARTITION_ACTIVE
@@ -329,10 +330,10 @@
       && r->outcome.tokens_out > 0)
     {
       budget_charge (owner, running, r->outcome.tokens_out);
-      running->discard_mark = owner->appended;
+      running->forfeit_position = owner->appended;
     }
-  calls_forget_later (owner, running, r->ref.call, r->ref.attempt,
-                      r->target->host);
+  calls_forget_when_durable (owner, running, r->ref.call, r->ref.attempt,
+                             r->target->host);
 }
 
 static void
@@ -358,7 +359,7 @@
   call->sent_us = owner->now_us;
   if (target == NULL)
     {
-      calls_give_up_unknown (owner, running);
+      calls_fail_unknown (owner, running);
       return;
     }
   call->target = target;
@@ -366,16 +367,16 @@
   if (target->peer == 0)
     {
       call->down_us = owner->now_us;
-      owner_wake_at (owner, running, owner->now_us + 1000000);
+      owner_set_timer (owner, running, owner->now_us + 1000000);
       return;
     }
   if (target->boot != call->boot)
     {
-      calls_give_up_unknown (owner, running);
+      calls_fail_unknown (owner, running);
       return;
     }
   send_seal (owner, running);
-  owner_wake_at (owner, running, owner->now_us + 1000000);
+  owner_set_timer (owner, running, owner->now_us + 1000000);
 }
 
 static void
@@ -389,15 +390,15 @@
   call->boot = best->target->boot;
   call->state = CALL_SENT;
   call->sent_us = owner->now_us;
-  call->prepaid = running->forfeited;
+  call->already_charged = running->forfeited;
   place_count (owner, call, 1);
   if (call->model)
     {
-      call->reserved = call->prepaid ? 0 : call->max_tokens;
+      call->reserved = call->already_charged ? 0 : call->max_tokens;
       budget_reserve (running, call->reserved);
       place_remember_cache (owner, running, call->target);
     }
-  owner_wake_at (owner, running, owner->now_us + 1000000);
+  owner_set_timer (owner, running, owner->now_us + 1000000);
 }
 
 /* Failure: an attempt of the earlier owner that we have no use for still runs;
@@ -438,13 +439,13 @@
     {
       budget_start_clock (owner, running);
       chain_resume_call (owner, running);
-      if (running->call != NULL && running->call->state != CALL_CHILD)
+      if (running->call != NULL && running->call->state != CALL_IN_SUBPROGRAM)
         {
           if (best != NULL && !best->running)
             {
               running->call->target = best->target;
               running->call->attempt = best->ref.attempt;
-              running->call->prepaid = running->forfeited;
+              running->call->already_charged = running->forfeited;
               place_count (owner, running->call, 1);
               calls_accept_outcome (owner, running, &best->outcome);
               best = NULL;
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -15,9 +15,9 @@
 enum
 {
   /* Beyond a service's own timeout a call's outcome is doubtful.  */
-  GUARD_MS = 5000,
+  OUTCOME_GRACE_MS = 5000,
   /* A caller who can't be served for a while comes back after so long.  */
-  RETRY_LATER_MS = 1000
+  UNAVAILABLE_RETRY_MS = 1000
 };
 
 /* The prompt that all programs of a service begin with.  */
@@ -29,10 +29,10 @@
 
 enum partition_state
 {
-  PARTITION_OTHER,    /* another host's, or nobody's */
-  PARTITION_CLAIMING, /* our transaction that raises the fence is out */
-  PARTITION_READING,  /* checkpoint, log rows, objects */
-  PARTITION_RECOVER,  /* targets' processes are asked what they keep */
+  PARTITION_NOT_OWNED,  /* another host's, or nobody's */
+  PARTITION_CLAIMING,   /* our transaction that raises the fence is out */
+  PARTITION_READING,    /* checkpoint, log rows, objects */
+  PARTITION_RECOVERING, /* targets' processes are asked what they keep */
   PARTITION_ACTIVE,
   PARTITION_RELEASING /* no new records; the row is released last */
 };
@@ -47,10 +47,10 @@
 
 enum takeover_step
 {
-  TAKE_CHECKPOINT, /* its object is read */
-  TAKE_ROWS,       /* the log's rows after it are read */
-  TAKE_OBJECTS,    /* objects of large batches are read */
-  TAKE_TARGETS     /* the targets row of the previous owner is read */
+  TAKEOVER_READ_CHECKPOINT, /* its object is read */
+  TAKEOVER_READ_LOG,        /* the log's rows after it are read */
+  TAKEOVER_READ_OBJECTS,    /* objects of large batches are read */
+  TAKEOVER_READ_TARGETS     /* the targets row of the previous owner is read */
 };
 
 /* A takeover in progress.  */
@@ -65,11 +65,11 @@
   bool targets_known; /* the previous owner's targets were read */
   bool exact;         /* every target that may hold work answered */
   uint64_t recover_until_us;
-  struct recover_wait *waits;
+  struct recovery_wait *waits;
   size_t wait_count;
 };
 
-struct recover_wait
+struct recovery_wait
 {
   char *host;
   uint64_t boot;
@@ -101,7 +101,7 @@
   struct record *pending_first;
   struct record *pending_last;
   size_t pending_count;
-  bool in_flight; /* part of the batch under way */
+  bool in_commit; /* part of the batch under way */
   uint64_t records_since_checkpoint;
   uint64_t snapshot_sequence; /* checkpoint object being written, 0: none */
   char *snapshot_key;
@@ -132,13 +132,13 @@
 
 enum hook_type
 {
-  HOOK_ACCEPTED, /* tell callers that the program is durable */
-  HOOK_GRANTED,  /* go on with the program */
-  HOOK_INTENT,   /* send the call */
-  HOOK_FORGET,   /* the target's process may drop an outcome */
-  HOOK_STEP,     /* the call's outcome is durable: events, FORGET */
-  HOOK_ANSWERED, /* the answer is durable: events, evictions */
-  HOOK_REPLY     /* one caller's question can be answered */
+  HOOK_ACCEPTED,        /* tell callers that the program is durable */
+  HOOK_GRANTED,         /* go on with the program */
+  HOOK_INTENT,          /* send the call */
+  HOOK_FORGET_OUTCOME,  /* the target's process may drop an outcome */
+  HOOK_OUTCOME_DURABLE, /* the call's outcome is durable: events, FORGET */
+  HOOK_ANSWERED,        /* the answer is durable: events, evictions */
+  HOOK_REPLY            /* one caller's question can be answered */
 };
 
 /* What to do when the records before it are durable.  */
@@ -159,7 +159,7 @@
 };
 
 /* One partition's share of the transaction under way.  */
-struct flight_part
+struct commit_part
 {
   struct partition *partition; /* NULL: lost meanwhile */
   uint64_t sequence;           /* after the transaction */
@@ -174,24 +174,24 @@
   size_t row_op; /* index of its row in the transaction */
 };
 
-enum flight_state
+enum commit_state
 {
-  FLIGHT_NONE,
-  FLIGHT_OBJECTS, /* large batches are being written */
-  FLIGHT_TXN,     /* the transaction is out */
-  FLIGHT_SETTLE,  /* the rows are read to learn what became of it */
-  FLIGHT_WAIT     /* a pause before the next try of what failed */
+  COMMIT_IDLE,
+  COMMIT_WRITING_OBJECTS, /* large batches are being written */
+  COMMIT_IN_TRANSACTION,  /* the transaction is out */
+  COMMIT_VERIFYING,       /* the rows are read to learn what became of it */
+  COMMIT_BACKOFF          /* a pause before the next try of what failed */
 };
 
 /* The transaction under way; at most one.  */
-struct flight
+struct pending_commit
 {
-  enum flight_state state;
-  enum flight_state resume; /* WAIT: what to try again */
+  enum commit_state state;
+  enum commit_state resume; /* WAIT: what to try again */
   TALLOC_CTX *memory;
   uint64_t batch;
   uint64_t request_id;
-  struct flight_part *parts;
+  struct commit_part *parts;
   size_t count;
   size_t object_next; /* part whose object is being written */
   struct hook *hooks;
@@ -204,12 +204,12 @@
 
 enum call_state
 {
-  CALL_GRANT,   /* waits for the grant's commit */
-  CALL_INTENT,  /* waits for the intent's commit */
-  CALL_PLACE,   /* waits for a worker or for a retry's time */
-  CALL_SENT,    /* at a target's process */
-  CALL_SEALING, /* to be settled with the target's process */
-  CALL_CHILD    /* a sub-program runs */
+  CALL_AWAITING_GRANT,  /* waits for the grant's commit */
+  CALL_AWAITING_INTENT, /* waits for the intent's commit */
+  CALL_AWAITING_WORKER, /* waits for a worker or for a retry's time */
+  CALL_SENT,            /* at a target's process */
+  CALL_SEALING,         /* to be settled with the target's process */
+  CALL_IN_SUBPROGRAM    /* a sub-program runs */
 };
 
 /* The one call of a program that is under way.  */
@@ -238,7 +238,7 @@
   uint64_t retry_us;
   uint32_t tries;
   uint32_t tokens_seen;
-  bool prepaid; /* its tokens were forfeited in a takeover */
+  bool already_charged; /* its tokens were forfeited in a takeover */
 };
 
 struct waiter
@@ -270,9 +270,9 @@
 };
 
 /* Where a program's cache may be.  */
-struct cache_place
+struct cache_location
 {
-  struct cache_place *next;
+  struct cache_location *next;
   struct target *target;
   uint64_t boot;
 };
@@ -286,15 +286,15 @@
   struct call *call;
   struct waiter *waiters;
   struct queued_step *steps;
-  struct cache_place *caches;
+  struct cache_location *caches;
   bool evicting;           /* ended; caches lists what is not confirmed */
   enum mq_error_type stop; /* why the program is being stopped */
   uint64_t reserved; /* tokens of attempts under way, sub-programs' too */
   uint64_t pending_charge; /* charged, not yet in a record */
-  uint64_t grant_wanted;   /* granted in a record that is not durable */
+  uint64_t grant_pending;  /* granted in a record that is not durable */
   uint64_t grant_durable;
-  uint64_t clock_us;  /* running since, 0: the clock stands */
-  uint64_t undurable; /* records not yet durable */
+  uint64_t clock_us;            /* running since, 0: the clock stands */
+  uint64_t uncommitted_records; /* records not yet durable */
   uint64_t ended_us;
   uint64_t wake_us;  /* timer in the heap, 0: none */
   uint64_t lease_us; /* next renewal */
@@ -302,14 +302,15 @@
   struct target *sticky;
   uint32_t sticky_worker;
   uint32_t sticky_tokens;
-  uint32_t known_tokens; /* of its next prompt, computed before somewhere */
+  uint32_t reusable_tokens; /* of its next prompt, computed before somewhere */
   uint64_t loop_digest;
   uint32_t loop_count;
-  bool grant_asked; /* a hook goes on when grants are durable */
-  bool forfeited;   /* what was granted before the takeover is spent */
+  bool grant_requested; /* a hook goes on when grants are durable */
+  bool forfeited;       /* what was granted before the takeover is spent */
   struct recovered *recovered; /* what targets reported in a takeover */
-  uint64_t discard_mark;       /* charges that are durable before it calls */
-  uint64_t answer_mark; /* the last answer is durable when this is settled */
+  uint64_t forfeit_position;   /* charges that are durable before it calls */
+  uint64_t
+      answer_position; /* the last answer is durable when this is settled */
 };
 
 /* A worker in the pool of its service.  */
@@ -414,9 +415,9 @@
 };
 
 /* A service's prompt that some engine has computed for this owner.  */
-struct known_prefix
+struct computed_prefix
 {
-  struct known_prefix *next;
+  struct computed_prefix *next;
   uint64_t hash;
 };
 
@@ -438,7 +439,7 @@
   struct pool *pools;
   struct mq_place_state *place;
   /* Commits.  */
-  struct flight flight;
+  struct pending_commit pending_commit;
   struct hook *hooks_first; /* of the batch that gathers */
   struct hook *hooks_last;
   size_t gathered;
@@ -461,12 +462,13 @@
   uint64_t row_counter;
   uint64_t targets_id; /* write of our targets row */
   bool targets_dirty;
-  struct former_run *formers; /* stay in the row, newest first */
-  uint64_t formers_mark;      /* records that must be durable before they go */
-  bool formers_needed;        /* by whoever has a partition that we had */
-  uint64_t appended;          /* records so far */
-  uint64_t settled;           /* of these, durable or given up */
-  char *run;                  /* "HOST/BOOT" */
+  struct former_run *former_runs; /* stay in the row, newest first */
+  uint64_t
+      former_runs_position; /* records that must be durable before they go */
+  bool former_runs_needed;  /* by whoever has a partition that we had */
+  uint64_t appended;        /* records so far */
+  uint64_t settled;         /* of these, durable or given up */
+  char *run;                /* "HOST/BOOT" */
   uint64_t targets_retry_us;
   uint32_t claiming;
   bool eligible;       /* this host may own partitions */
@@ -475,13 +477,13 @@
   /* Timers of programs: a binary heap.  */
   struct timer *timers;
   size_t timer_count;
-  size_t timer_room;
+  size_t timer_capacity;
   bool leaving;
   uint64_t release_us; /* next partition given up for balance */
   struct organisation_count *organisations;
   struct unknown_call *unknown;
   size_t unknown_count;
-  struct known_prefix *prefixes;
+  struct computed_prefix *prefixes;
   struct mq_owner_counters counters;
 };
 
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -39,10 +39,10 @@
 {
   if (partition->state == PARTITION_CLAIMING
       || partition->state == PARTITION_READING
-      || partition->state == PARTITION_RECOVER)
+      || partition->state == PARTITION_RECOVERING)
     owner->claiming--;
   durable_drop_partition (owner, partition);
-  partition->state = PARTITION_OTHER;
+  partition->state = PARTITION_NOT_OWNED;
   partition->read_id = 0;
   partition->takeover = NULL;
   drop_programs (owner, partition);
@@ -143,7 +143,7 @@
   add_sender (owner, partition);
   row.n_senders = partition->sender_count;
   row.senders = partition->senders;
-  request = owner_store (owner, MQ_STORE_TXN, partition->read_id);
+  request = owner_add_store_request (owner, MQ_STORE_TXN, partition->read_id);
   request->ops = talloc_zero_array (owner->actions, struct mq_store_op, 1);
   request->op_count = 1;
   op = &request->ops[0];
@@ -182,7 +182,7 @@
   uint32_t rank;
   uint64_t wait_us;
 
-  if (partition->state != PARTITION_OTHER
+  if (partition->state != PARTITION_NOT_OWNED
       || owner->now_us < partition->retry_us)
     return;
   if (!owner_seems_gone (owner, partition))
@@ -219,16 +219,16 @@
       mq_text_set (owner->partitions, &partition->owner, owner->options.host);
       mq_text_set (owner->partitions, &partition->address,
                    owner->options.address);
-      partition->state = PARTITION_OTHER;
+      partition->state = PARTITION_NOT_OWNED;
       owner->claiming--;
       read_start (owner, partition);
       return;
     }
   if (result->status == MQ_STORE_DOWN || result->status == MQ_STORE_LOST)
-    durable_store_failed (owner);
+    durable_store_unavailable (owner);
   /* Lost or too late: the next scan shows who owns it, perhaps we.  */
   owner->claiming--;
-  partition->state = PARTITION_OTHER;
+  partition->state = PARTITION_NOT_OWNED;
   partition->retry_us
       = owner->now_us
         + 1000ULL * owner_jitter_ms (owner, MQ_STORE_RETRY_MS, 1, 1000);
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -30,7 +30,7 @@
   row.leaving = owner->leaving;
   row.data_centre = (char *)owner->options.data_centre;
   owner->renew_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_TXN, owner->renew_id);
+  request = owner_add_store_request (owner, MQ_STORE_TXN, owner->renew_id);
   request->ops = talloc_zero_array (owner->actions, struct mq_store_op, 1);
   request->op_count = 1;
   op = &request->ops[0];
@@ -56,7 +56,7 @@
 
   for (struct target *t = owner->targets; t != NULL; t = t->next)
     count++;
-  for (struct former_run *f = owner->formers; f != NULL; f = f->next)
+  for (struct former_run *f = owner->former_runs; f != NULL; f = f->next)
     count++;
   row.hosts = talloc_array (owner->actions, char *, count);
   row.boots = talloc_array (owner->actions, uint64_t, count);
@@ -68,14 +68,14 @@
       row.boots[row.n_boots++] = t->boot;
       row.hosts[row.n_hosts++] = t->host;
     }
-  for (struct former_run *f = owner->formers; f != NULL; f = f->next)
+  for (struct former_run *f = owner->former_runs; f != NULL; f = f->next)
     {
       row.boots[row.n_boots++] = f->boot;
       row.hosts[row.n_hosts++] = f->host;
     }
   owner->targets_dirty = false;
   owner->targets_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_TXN, owner->targets_id);
+  request = owner_add_store_request (owner, MQ_STORE_TXN, owner->targets_id);
   request->ops = talloc_zero_array (owner->actions, struct mq_store_op, 1);
   request->op_count = 1;
   op = &request->ops[0];
@@ -110,7 +110,8 @@
   struct mq_store_request *request;
 
   owner->owners_scan_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_SCAN, owner->owners_scan_id);
+  request
+      = owner_add_store_request (owner, MQ_STORE_SCAN, owner->owners_scan_id);
   request->key = talloc_strdup (owner->actions, "owner/");
   if (owner->owners_after != NULL)
     request->after = talloc_strdup (owner->actions, owner->owners_after);
@@ -167,7 +168,8 @@
     s->seen = false;
   tick_scan_owners (owner);
   owner->partitions_scan_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_SCAN, owner->partitions_scan_id);
+  request = owner_add_store_request (owner, MQ_STORE_SCAN,
+                                     owner->partitions_scan_id);
   request->key = talloc_strdup (owner->actions, "part/");
   request->limit = MQ_PARTITIONS_MAX;
 }
@@ -185,7 +187,7 @@
       = owner->now_us + 1000ULL * MQ_CONFIRM_MS * (1 + owner->live_hosts);
   owner->counters.store_reads++;
   owner->confirm_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_SCAN, owner->confirm_id);
+  request = owner_add_store_request (owner, MQ_STORE_SCAN, owner->confirm_id);
   request->key = talloc_strdup (owner->actions, "part/");
   request->limit = MQ_PARTITIONS_MAX;
 }
@@ -199,7 +201,7 @@
       rows_scan_failed (owner);
       return;
     }
-  durable_store_worked (owner);
+  durable_store_up (owner);
   rows_read_partitions (owner, result);
   events_confirmed (owner, owner->confirm_sent_us);
 }
@@ -256,7 +258,7 @@
   if (!owner->leaving)
     return false;
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (owner->partitions[i].state != PARTITION_OTHER)
+    if (owner->partitions[i].state != PARTITION_NOT_OWNED)
       return false;
   return true;
 }
@@ -266,7 +268,7 @@
 {
   switch (partition->state)
     {
-    case PARTITION_OTHER:
+    case PARTITION_NOT_OWNED:
       if (!owner->leaving && owner->eligible && owner->renewed
           && owner->scanned)
         take_consider_claim (owner, partition);
@@ -275,7 +277,7 @@
       if (partition->read_id == 0 && owner->now_us >= partition->retry_us)
         read_next (owner, partition);
       break;
-    case PARTITION_RECOVER:
+    case PARTITION_RECOVERING:
       if (owner->now_us >= partition->takeover->recover_until_us)
         read_activate (owner, partition);
       break;
@@ -327,7 +329,7 @@
       rows_scan_failed (owner);
       return;
     }
-  durable_store_worked (owner);
+  durable_store_up (owner);
   if (owners)
     {
       rows_read_owners (owner, result);
@@ -361,7 +363,7 @@
       if (result->status == MQ_STORE_OK)
         owner->renewed = true;
       else
-        durable_store_failed (owner);
+        durable_store_unavailable (owner);
       return true;
     }
   if (result->id == owner->targets_id)
@@ -424,7 +426,7 @@
   if (owner->claiming > 0 || owner->leaving)
     next = earlier (next, owner->now_us + 20000);
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (owner->partitions[i].state == PARTITION_OTHER
+    if (owner->partitions[i].state == PARTITION_NOT_OWNED
         && owner->partitions[i].unowned_us != 0)
       next = earlier (next, owner->now_us + 50000);
   return next;
--- a/src/core/owner/place.c
+++ b/src/core/owner/place.c
@@ -208,7 +208,7 @@
   if (views[at].avoid)
     return;
   finish = predict_finish (&views[at], call, cached, now_us);
-  if (!views[at].data_centre_near)
+  if (!views[at].same_data_centre)
     finish += finish / 50;
   if (best->index >= 0 && finish >= best->finish)
     return;
--- a/src/core/owner/place.h
+++ b/src/core/owner/place.h
@@ -22,7 +22,7 @@
  * @peer: connection of its gate
  * @worker: index on that host
  * @name_hash: stable hash of host and index
- * @data_centre_near: in the caller's data centre
+ * @same_data_centre: in the caller's data centre
  * @slots: calls that run side by side
  * @own_in_flight: calls sent from here and not ended
  * @own_tokens: prompt tokens still to compute of these, estimated
@@ -38,7 +38,7 @@
   uint32_t peer;
   uint32_t worker;
   uint64_t name_hash;
-  bool data_centre_near;
+  bool same_data_centre;
   uint32_t slots;
   uint32_t own_in_flight;
   uint64_t own_tokens;
--- a/src/core/owner/program.c
+++ b/src/core/owner/program.c
@@ -19,17 +19,18 @@
 {
   size_t need = program->messages_len + len + 1;
 
-  if (need > program->messages_room)
+  if (need > program->messages_capacity)
     {
-      size_t room = program->messages_room == 0 ? MESSAGES_FIRST_ROOM
-                                                : program->messages_room;
+      size_t room = program->messages_capacity == 0
+                        ? MESSAGES_FIRST_ROOM
+                        : program->messages_capacity;
       while (room < need)
         room *= 2;
       program->messages
           = talloc_realloc (program, program->messages, char, room);
       if (program->messages == NULL)
         abort ();
-      program->messages_room = room;
+      program->messages_capacity = room;
     }
   memcpy (program->messages + program->messages_len, text, len);
   program->messages_len += len;
--- a/src/core/owner/program.h
+++ b/src/core/owner/program.h
@@ -111,7 +111,7 @@
   struct mq_budget budget;
   char *messages;
   size_t messages_len;
-  size_t messages_room;
+  size_t messages_capacity;
   uint32_t message_count;
   const char *input;
   uint32_t calls;
--- a/src/entry/entry_action.c
+++ b/src/entry/entry_action.c
@@ -142,7 +142,7 @@
 take_text (struct mq_entry *entry)
 {
   const char *source = mq_spread_text (entry->spread);
-  struct mq_owner_input input = { .type = MQ_OWNER_TEXT };
+  struct mq_owner_input input = { .type = MQ_OWNER_CONFIG };
   struct mq_text_errors errors = { 0 };
   struct mq_text *older = entry->text;
   struct mq_text *text
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -86,7 +86,7 @@
   size_t heap_room;
   uint64_t next_number;
   uint64_t clock_ns; /* what reading the clock costs */
-  struct fleet_use use;
+  struct fleet_usage use;
 };
 
 /* ---- Events ---- */
@@ -180,7 +180,7 @@
 count_request (struct fleet *fleet, const struct mq_store_request *request,
                const struct mq_store_result *result)
 {
-  struct fleet_use *use = &fleet->use;
+  struct fleet_usage *use = &fleet->use;
 
   if (use->second != fleet->now_us / SECOND_US)
     {
@@ -449,7 +449,7 @@
 /* ---- Connections and lists ---- */
 
 void
-fleet_list (struct fleet *fleet, uint32_t host)
+fleet_send_host_list (struct fleet *fleet, uint32_t host)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_HOSTS };
 
@@ -515,7 +515,7 @@
 {
   struct host *host = &fleet->hosts[number];
   struct mq_owner_options options = { .data_centre = "dc" };
-  struct mq_owner_input input = { .type = MQ_OWNER_TEXT };
+  struct mq_owner_input input = { .type = MQ_OWNER_CONFIG };
 
   if (number >= fleet->host_count)
     fleet->host_count = number + 1;
@@ -531,7 +531,7 @@
   host->owner = mq_owner_create (fleet, &options);
   input.u.text = fleet->text;
   feed (fleet, number, FLEET_OTHER, &input);
-  fleet_list (fleet, number);
+  fleet_send_host_list (fleet, number);
   connect_targets (fleet, number);
   if (fleet->options.connected)
     connect_siblings (fleet, number);
@@ -627,19 +627,19 @@
 }
 
 uint64_t
-fleet_now (const struct fleet *fleet)
+fleet_now_us (const struct fleet *fleet)
 {
   return fleet->now_us;
 }
 
 void
-fleet_reset (struct fleet *fleet)
+fleet_reset_usage (struct fleet *fleet)
 {
   memset (&fleet->use, 0, sizeof fleet->use);
 }
 
-const struct fleet_use *
-fleet_read (const struct fleet *fleet)
+const struct fleet_usage *
+fleet_read_usage (const struct fleet *fleet)
 {
   return &fleet->use;
 }
@@ -651,13 +651,14 @@
 }
 
 uint32_t
-fleet_owned (const struct fleet *fleet)
+fleet_partitions_owned (const struct fleet *fleet)
 {
   uint32_t owned = 0;
 
   for (uint32_t p = 0; p < fleet->options.partitions; p++)
     for (uint32_t i = 0; i < fleet->host_count; i++)
-      if (fleet->hosts[i].alive && mq_owner_has (fleet->hosts[i].owner, p))
+      if (fleet->hosts[i].alive
+          && mq_owner_owns_partition (fleet->hosts[i].owner, p))
         {
           owned++;
           break;
@@ -666,7 +667,7 @@
 }
 
 uint64_t
-fleet_lost (const struct fleet *fleet)
+fleet_partitions_lost (const struct fleet *fleet)
 {
   uint64_t lost = 0;
 
@@ -689,14 +690,14 @@
 }
 
 uint32_t
-fleet_home (const struct fleet *fleet, uint64_t number)
+fleet_find_owner (const struct fleet *fleet, uint64_t number)
 {
   uint32_t partition
       = mq_id_partition (program_id (number), fleet->options.partitions);
 
   for (uint32_t i = 0; i < fleet->host_count; i++)
     if (fleet->hosts[i].alive
-        && mq_owner_has (fleet->hosts[i].owner, partition))
+        && mq_owner_owns_partition (fleet->hosts[i].owner, partition))
       return i;
   return UINT32_MAX;
 }
@@ -757,10 +758,10 @@
 }
 
 void
-fleet_gone (struct fleet *fleet, uint32_t host, uint64_t number)
+fleet_caller_gone (struct fleet *fleet, uint32_t host, uint64_t number)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_CALLER_GONE };
 
   input.handle = number;
-  feed (fleet, host, FLEET_GONE, &input);
+  feed (fleet, host, FLEET_CALLER_GONE, &input);
 }
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -21,7 +21,7 @@
   FLEET_STORE,
   FLEET_HOSTS,
   FLEET_LOAD,
-  FLEET_GONE,
+  FLEET_CALLER_GONE,
   FLEET_OTHER,
   FLEET_KINDS
 };
@@ -35,7 +35,7 @@
 };
 
 /**
- * struct fleet_use - what was used since fleet_reset
+ * struct fleet_usage - what was used since fleet_reset_usage
  * @cost: by kind of input, of all hosts
  * @reads: scans and object reads
  * @writes: transactions, object writes and removals
@@ -45,7 +45,7 @@
  * @sent: frames by message type, of owners to targets and other owners
  * @sent_bytes: their bytes
  */
-struct fleet_use
+struct fleet_usage
 {
   struct fleet_cost cost[FLEET_KINDS];
   uint64_t reads;
@@ -91,16 +91,16 @@
 struct fleet *fleet_create (TALLOC_CTX *ctx,
                             const struct fleet_options *options);
 void fleet_run (struct fleet *fleet, uint64_t for_us);
-uint64_t fleet_now (const struct fleet *fleet);
-void fleet_reset (struct fleet *fleet);
-const struct fleet_use *fleet_read (const struct fleet *fleet);
+uint64_t fleet_now_us (const struct fleet *fleet);
+void fleet_reset_usage (struct fleet *fleet);
+const struct fleet_usage *fleet_read_usage (const struct fleet *fleet);
 struct mq_owner *fleet_owner (const struct fleet *fleet, uint32_t host);
 /* Partitions that some living host owns.  */
-uint32_t fleet_owned (const struct fleet *fleet);
+uint32_t fleet_partitions_owned (const struct fleet *fleet);
 /* Living host that owns the partition of program NUMBER, or UINT32_MAX.  */
-uint32_t fleet_home (const struct fleet *fleet, uint64_t number);
+uint32_t fleet_find_owner (const struct fleet *fleet, uint64_t number);
 /* Partitions lost by hosts that lived all the time.  */
-uint64_t fleet_lost (const struct fleet *fleet);
+uint64_t fleet_partitions_lost (const struct fleet *fleet);
 /* The process of HOST ends, its connections with it.  */
 void fleet_kill (struct fleet *fleet, uint32_t host);
 /* A planned stop of HOST begins.  */
@@ -114,9 +114,9 @@
 void fleet_turn (struct fleet *fleet, uint32_t host, uint64_t number,
                  uint32_t turn);
 /* Its caller goes away.  */
-void fleet_gone (struct fleet *fleet, uint32_t host, uint64_t number);
+void fleet_caller_gone (struct fleet *fleet, uint32_t host, uint64_t number);
 /* The list of hosts is read; a LOAD of one target comes.  */
-void fleet_list (struct fleet *fleet, uint32_t host);
+void fleet_send_host_list (struct fleet *fleet, uint32_t host);
 void fleet_load (struct fleet *fleet, uint32_t host, uint32_t target);
 
 #endif
--- a/tests/fuzz/fuzz_owner.c
+++ b/tests/fuzz/fuzz_owner.c
@@ -364,7 +364,7 @@
                                .http = "" } };
   struct mq_host_list list = { hosts, 2 };
   struct mq_text_errors errors = { 0 };
-  struct mq_owner_input input = { .type = MQ_OWNER_TEXT };
+  struct mq_owner_input input = { .type = MQ_OWNER_CONFIG };
   struct mq_text *text
       = mq_text_parse (bench->ctx, site, strlen (site), &errors);
 
--- a/tests/test_ownership.c
+++ b/tests/test_ownership.c
@@ -60,15 +60,16 @@
       uint64_t writes;
 
       run_s (fleet, SETTLE_S);
-      lost = fleet_lost (fleet);
-      fleet_reset (fleet);
+      lost = fleet_partitions_lost (fleet);
+      fleet_reset_usage (fleet);
       run_s (fleet, SETTLE_S);
-      writes = fleet_read (fleet)->writes;
-      cr_expect_eq (fleet_owned (fleet), PARTITIONS, "%s: %u owned",
-                    calm_cases[i].name, fleet_owned (fleet));
-      cr_expect_eq (fleet_lost (fleet), lost, "%s: %llu lost",
-                    calm_cases[i].name,
-                    (unsigned long long)(fleet_lost (fleet) - lost));
+      writes = fleet_read_usage (fleet)->writes;
+      cr_expect_eq (fleet_partitions_owned (fleet), PARTITIONS, "%s: %u owned",
+                    calm_cases[i].name, fleet_partitions_owned (fleet));
+      cr_expect_eq (
+          fleet_partitions_lost (fleet), lost, "%s: %llu lost",
+          calm_cases[i].name,
+          (unsigned long long)(fleet_partitions_lost (fleet) - lost));
       cr_expect_leq (writes, (uint64_t)calm_cases[i].writes_s * SETTLE_S,
                      "%s: %llu written", calm_cases[i].name,
                      (unsigned long long)writes);
@@ -105,15 +106,15 @@
       for (uint32_t j = 0; j < last_cases[i].more; j++)
         fleet_start (fleet, last_cases[i].hosts + j);
       run_s (fleet, last_cases[i].more > 0 ? 5 : 0);
-      victim = fleet_home (fleet, 1);
+      victim = fleet_find_owner (fleet, 1);
       cr_assert_neq (victim, UINT32_MAX);
       if (last_cases[i].leaving > 0)
         fleet_leave (fleet, victim);
       fleet_run (fleet, SECOND_US / 1000);
       fleet_kill (fleet, victim);
       run_s (fleet, SOON_S);
-      cr_expect_eq (fleet_owned (fleet), PARTITIONS, "%s: %u owned",
-                    last_cases[i].name, fleet_owned (fleet));
+      cr_expect_eq (fleet_partitions_owned (fleet), PARTITIONS, "%s: %u owned",
+                    last_cases[i].name, fleet_partitions_owned (fleet));
       talloc_free (ctx);
     }
 }
@@ -132,7 +133,7 @@
   for (uint32_t i = 0; i < 5; i++)
     fleet_start (fleet, MQ_OWNERS_MAX + 5 + i);
   run_s (fleet, MQ_OWNER_FORGET_MS / 1000 + SETTLE_S);
-  cr_expect_eq (fleet_owned (fleet), PARTITIONS, "%u owned",
-                fleet_owned (fleet));
+  cr_expect_eq (fleet_partitions_owned (fleet), PARTITIONS, "%u owned",
+                fleet_partitions_owned (fleet));
   talloc_free (ctx);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -194,8 +194,8 @@
       const struct host *host = &world->hosts[i];
 
       if (host->alive && host->text != NULL
-          && mq_owner_has (host->owner,
-                           mq_id_partition (program, host->text->partitions)))
+          && mq_owner_owns_partition (
+              host->owner, mq_id_partition (program, host->text->partitions)))
         return i;
     }
   return NOBODY;
@@ -411,7 +411,7 @@
 note_unowned (struct world *world, const struct host *host)
 {
   for (uint32_t p = 0; host->owner != NULL && p < PARTITIONS; p++)
-    if (mq_owner_has (host->owner, p) || world->unowned_us[p] != 0)
+    if (mq_owner_owns_partition (host->owner, p) || world->unowned_us[p] != 0)
       world->unowned_us[p] = world->now_us;
 }
 
@@ -461,8 +461,8 @@
 
       for (int i = 0; i < ENTRIES; i++)
         owners += world->hosts[i].owner != NULL
-                  && mq_owner_has (world->hosts[i].owner, p);
-      if (owners == 1 && mq_owner_has (world->hosts[host].owner, p))
+                  && mq_owner_owns_partition (world->hosts[i].owner, p);
+      if (owners == 1 && mq_owner_owns_partition (world->hosts[host].owner, p))
         world->unowned_us[p] = 0;
     }
 }
@@ -855,7 +855,7 @@
   struct mq_text_errors errors = { 0 };
   struct mq_text *former = host->text;
   struct mq_owner_input input
-      = { .type = MQ_OWNER_TEXT, .now_us = world->now_us };
+      = { .type = MQ_OWNER_CONFIG, .now_us = world->now_us };
 
   host->text = mq_text_parse (world, source, strlen (source), &errors);
   if (host->text == NULL)
