--- a/src/core/owner/owner.h
+++ b/src/core/owner/owner.h
@@ -1,11 +1,11 @@
-/* owner.h - the partition owner: programs, their order, history, budget,
-   placement and commits.
+/* owner.h - the partition owner: program order, history, budgets, placement
+   and commits.
 
-   Every entry host runs one.  It takes partitions over by compare-and-swap
-   in the platform's table, replays their log, drives the chains of their
-   programs and gives each caller its own whole answer.  Pure: one input
-   with the time in, a list of actions out; the same inputs give the same
-   actions.
+   Every entry host runs one.  It claims partitions by compare-and-swap in
+   the platform's table, replays their logs, runs the calls of their programs
+   and sends events and answers to callers.  It does no I/O and reads no
+   clock: it takes one input with the time and returns a list of actions;
+   the same inputs give the same actions.
    Needs: action.h, host.h, text.h, message.h, store.h.  */
 
 #ifndef MQ_OWNER_H
@@ -20,15 +20,15 @@
 /**
  * struct mq_owner_options - fixed for the life of a process
  * @host: name of this host
- * @data_centre: where it stands
+ * @data_centre: data centre of this host
  * @address: "IP:PORT" at which other hosts reach this process
- * @boot: random id of this run of the process
- * @seed: seed of the jitter
- * @policy: placement policy, see place.h
- * @commit_each_step: commit before every step (for comparison)
- * @max_programs: programs kept in memory, 0: MQ_OWNER_PROGRAMS_MAX
- * @checkpoint_records: between checkpoints, 0: MQ_CHECKPOINT_RECORDS
- * @commit_inline_bytes: larger batches go to an object, 0:
+ * @boot: random id of this process, new at each start
+ * @seed: seed of backoff jitter and placement
+ * @policy: enum mq_policy
+ * @commit_each_step: commit before every call; for benchmarks
+ * @max_programs: limit of programs in memory, 0: MQ_OWNER_PROGRAMS_MAX
+ * @checkpoint_records: records between checkpoints, 0: MQ_CHECKPOINT_RECORDS
+ * @commit_inline_bytes: larger batches are stored as an object, 0:
  *                       MQ_COMMIT_INLINE_BYTES
  */
 struct mq_owner_options
@@ -48,27 +48,26 @@
 enum mq_owner_input_type
 {
   MQ_OWNER_TICK,
-  MQ_OWNER_CONFIG,      /* a newer configuration is in force here */
-  MQ_OWNER_HOSTS,       /* the platform's list was read again */
-  MQ_OWNER_PEER_UP,     /* a connection to a host is ready */
-  MQ_OWNER_PEER_DOWN,   /* it is gone or silent */
-  MQ_OWNER_MESSAGE,     /* from a connected host */
+  MQ_OWNER_CONFIG,      /* a new configuration takes effect */
+  MQ_OWNER_HOSTS,       /* the platform's host list was read */
+  MQ_OWNER_PEER_UP,     /* a connection to a host was established */
+  MQ_OWNER_PEER_DOWN,   /* the connection was lost or timed out */
+  MQ_OWNER_MESSAGE,     /* message from a connected host */
   MQ_OWNER_STORE,       /* result of a store request */
-  MQ_OWNER_REQUEST,     /* caller's request, own or forwarded */
-  MQ_OWNER_CALLER_GONE, /* that caller went away */
-  MQ_OWNER_LEAVE        /* planned stop: hand over, then drained */
+  MQ_OWNER_REQUEST,     /* a caller's request, local or forwarded */
+  MQ_OWNER_CALLER_GONE, /* the caller disconnected */
+  MQ_OWNER_LEAVE        /* graceful shutdown: hand over all partitions */
 };
 
 /**
- * struct mq_owner_input - one thing that happened
- * @type: which
- * @now_us: monotonic time of this process
+ * struct mq_owner_input - one input event
+ * @now_us: monotonic clock of this process
  * @peer: PEER_UP, PEER_DOWN, MESSAGE: connection; REQUEST and CALLER_GONE:
- *        connection that forwarded it or MQ_PEER_SELF
- * @handle: REQUEST, CALLER_GONE: handle at @peer
+ *        connection that forwarded it, MQ_PEER_SELF for local callers
+ * @handle: REQUEST, CALLER_GONE: id of the caller, unique at @peer
  *
- * Everything pointed to is borrowed for the duration of the call, but the
- * text, which stays valid until the next TEXT input.
+ * Pointers are borrowed for the duration of the call, except the
+ * configuration, which must stay valid until the next CONFIG input.
  */
 struct mq_owner_input
 {
@@ -98,21 +97,22 @@
 void mq_owner_handle (struct mq_owner *owner,
                       const struct mq_owner_input *input,
                       struct mq_actions *actions);
-/* When the next TICK is due, on the clock of the inputs.  */
+/* Time at which the next TICK is due, microseconds of mq_owner_input.now_us.
+ */
 uint64_t mq_owner_next_tick (const struct mq_owner *owner);
-/* True once every partition was handed over after LEAVE.  */
+/* True once every partition has been handed over after LEAVE.  */
 bool mq_owner_is_drained (const struct mq_owner *owner);
-/* True when this process owns PARTITION as far as it knows.  */
+/* True when this process owns PARTITION as of its last read of the row.  */
 bool mq_owner_owns_partition (const struct mq_owner *owner,
                               uint32_t partition);
-/* Address of the host that owns PARTITION as far as is known, or that
-   should own it; NULL when nothing is known.  */
+/* Address of the last known owner of PARTITION, or of the expected one while
+   it is handed over; NULL when unknown.  */
 const char *mq_owner_address (const struct mq_owner *owner,
                               uint32_t partition);
-/* Status for operators as a JSON text below CTX.  */
+/* Status for operators as JSON, allocated below CTX.  */
 char *mq_owner_status (TALLOC_CTX *ctx, const struct mq_owner *owner);
 
-/* Counters, one name each, read by the daemon.  */
+/* Counters: field and help text of the metric.  */
 #define MQ_OWNER_COUNTER_LIST(X)                                              \
   X (programs_opened, "programs opened")                                      \
   X (programs_ended, "programs ended")                                        \
--- a/src/core/owner/owner_parts.h
+++ b/src/core/owner/owner_parts.h
@@ -1,14 +1,15 @@
-/* owner_parts.h - functions that the owner's files call of each other.
+/* owner_parts.h - internal functions of the partition owner.
 
-   Each file's functions begin with the word after owner_:
+   Function names begin with the part of the file name after "owner_":
 
-   owner.c                                     inputs, ticks, status
-   owner_request.c, _open.c, _drive.c          callers
+   owner.c                                     inputs, timers, status
+   owner_request.c, _open.c, _drive.c          requests of callers
    owner_chain.c, _end.c, _budget.c, _evict.c  programs
    owner_calls.c, _place.c, _settle.c          attempts of calls
-   owner_take.c, _read.c, _tick.c, _rows.c     partitions
-   owner_log.c, _durable.c                     the log
-   owner_events.c, _hosts.c, _peers.c          callers, targets and hosts told
+   owner_take.c, _read.c, _tick.c, _rows.c     partitions, takeover
+   owner_log.c, _durable.c                     commits
+   owner_events.c                              events to callers
+   owner_hosts.c, _peers.c                     targets and other entry hosts
    Needs: owner_state.h.  */
 
 #ifndef MQ_OWNER_PARTS_H
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -1,5 +1,5 @@
-/* owner_state.h - the owner's tables, shared by the owner*.c files only; their
-   functions are in owner_parts.h.
+/* owner_state.h - private data structures of the partition owner, shared by
+   the owner*.c files.  Their functions are declared in owner_parts.h.
 
    Needs: owner.h, program.h, idmap.h, place.h, limits.h.  */
 
@@ -14,13 +14,13 @@
 
 enum
 {
-  /* Beyond a service's own timeout a call's outcome is doubtful.  */
+  /* Added to a service's timeout before a call's outcome is unknown.  */
   OUTCOME_GRACE_MS = 5000,
-  /* A caller who can't be served for a while comes back after so long.  */
+  /* Sent to refused callers as the time after which to retry.  */
   UNAVAILABLE_RETRY_MS = 1000
 };
 
-/* The prompt that all programs of a service begin with.  */
+/* Prompt prefix common to all programs of a service.  */
 struct shared_prompt
 {
   uint64_t hash;
@@ -29,15 +29,15 @@
 
 enum partition_state
 {
-  PARTITION_NOT_OWNED,  /* another host's, or nobody's */
-  PARTITION_CLAIMING,   /* our transaction that raises the fence is out */
-  PARTITION_READING,    /* checkpoint, log rows, objects */
-  PARTITION_RECOVERING, /* targets' processes are asked what they keep */
+  PARTITION_NOT_OWNED,  /* another host's, or without an owner */
+  PARTITION_CLAIMING,   /* transaction that raises the fence in progress */
+  PARTITION_READING,    /* replays checkpoint, log rows and objects */
+  PARTITION_RECOVERING, /* collects calls and outcomes from targets */
   PARTITION_ACTIVE,
-  PARTITION_RELEASING /* no new records; the row is released last */
+  PARTITION_RELEASING /* accepts no records; releases the row last */
 };
 
-/* One batch row read in a takeover; its records may be in an object.  */
+/* A log row read in a takeover.  Records of a large batch are in @object.  */
 struct read_batch
 {
   uint64_t sequence;
@@ -47,28 +47,29 @@
 
 enum takeover_step
 {
-  TAKEOVER_READ_CHECKPOINT, /* its object is read */
-  TAKEOVER_READ_LOG,        /* the log's rows after it are read */
-  TAKEOVER_READ_OBJECTS,    /* objects of large batches are read */
-  TAKEOVER_READ_TARGETS     /* the targets row of the previous owner is read */
+  TAKEOVER_READ_CHECKPOINT, /* reads the checkpoint object */
+  TAKEOVER_READ_LOG,        /* reads the log rows after the checkpoint */
+  TAKEOVER_READ_OBJECTS,    /* reads the objects of large batches */
+  TAKEOVER_READ_TARGETS     /* reads the previous owners' rows of targets */
 };
 
-/* A takeover in progress.  */
 struct takeover
 {
   enum takeover_step step;
-  struct read_batch *rows; /* in order */
+  struct read_batch *rows; /* by sequence */
   size_t row_count;
-  size_t row_next;    /* first one whose object is not yet read */
-  size_t sender_next; /* first one whose targets are not yet read */
-  char *after;        /* last log row read */
-  bool targets_known; /* the previous owner's targets were read */
-  bool exact;         /* every target that may hold work answered */
+  size_t row_next;    /* first row whose object is not yet read */
+  size_t sender_next; /* first sender whose targets are not yet read */
+  char *after;        /* key of the last log row read */
+  bool targets_known; /* all previous owners' targets are read */
+  bool exact;         /* every target that may have calls has answered */
   uint64_t recover_until_us;
   struct recovery_wait *waits;
   size_t wait_count;
 };
 
+/* A target whose RECOVERED answer a takeover waits for.  */
+
 struct recovery_wait
 {
   char *host;
@@ -80,7 +81,7 @@
 {
   uint32_t number;
   enum partition_state state;
-  /* As last read or written.  */
+  /* Its row as last read or written.  */
   bool row_known;
   uint64_t row_version;
   uint64_t fence;
@@ -92,28 +93,29 @@
   uint64_t checkpoint;
   char *checkpoint_key;
   uint64_t first;
-  /* Ours.  */
+  /* Only while this host owns it or takes it over.  */
   struct takeover *takeover;
-  uint64_t read_id;  /* store request under way for this partition */
-  uint64_t retry_us; /* when to try the next step again */
+  uint64_t read_id;  /* pending store request, 0: none */
+  uint64_t retry_us; /* when to retry the current step */
   struct mq_idmap *programs;
-  TALLOC_CTX *memory; /* programs hang below it */
+  TALLOC_CTX *memory; /* parent of its programs */
   struct record *pending_first;
   struct record *pending_last;
   size_t pending_count;
-  bool in_commit; /* part of the batch under way */
+  bool in_commit; /* has a part in the pending commit */
   uint64_t records_since_checkpoint;
-  uint64_t snapshot_sequence; /* checkpoint object being written, 0: none */
+  uint64_t snapshot_sequence; /* of the checkpoint being written, 0: none */
   char *snapshot_key;
-  struct mq_bytes snapshot; /* its bytes until they are written */
-  uint64_t snapshot_id;     /* store request that writes it */
+  struct mq_bytes snapshot; /* checkpoint bytes until written */
+  uint64_t snapshot_id;     /* store request that writes it, 0: none pending */
   bool snapshot_written;
-  struct segment *segments; /* objects of large batches still needed */
-  char **senders;           /* runs, "HOST/BOOT", that may have calls for it */
+  struct segment *segments; /* batch objects newer than the checkpoint */
+  char **senders; /* "HOST/BOOT" of owners whose calls may still run */
   size_t sender_count;
-  uint64_t unowned_us; /* since when its owner seems to be gone */
+  uint64_t unowned_us; /* first seen without a live owner, 0: has one */
 };
 
+/* Object that holds the records of a large batch.  */
 struct segment
 {
   struct segment *next;
@@ -121,7 +123,7 @@
   char *object;
 };
 
-/* A packed record that waits for its batch.  */
+/* A packed record that is not yet committed.  */
 struct record
 {
   struct record *next;
@@ -132,16 +134,16 @@
 
 enum hook_type
 {
-  HOOK_ACCEPTED,        /* tell callers that the program is durable */
-  HOOK_GRANTED,         /* go on with the program */
-  HOOK_INTENT,          /* send the call */
-  HOOK_FORGET_OUTCOME,  /* the target's process may drop an outcome */
-  HOOK_OUTCOME_DURABLE, /* the call's outcome is durable: events, FORGET */
-  HOOK_ANSWERED,        /* the answer is durable: events, evictions */
-  HOOK_REPLY            /* one caller's question can be answered */
+  HOOK_ACCEPTED,        /* the program is durable: send ACCEPTED */
+  HOOK_GRANTED,         /* a grant is durable: resume the program */
+  HOOK_INTENT,          /* the intent is durable: send the call */
+  HOOK_FORGET_OUTCOME,  /* send FORGET for an outcome */
+  HOOK_OUTCOME_DURABLE, /* a call's outcome is durable: send STEP and FORGET */
+  HOOK_ANSWERED,        /* the answer is durable: send FINAL, evict caches */
+  HOOK_REPLY            /* answer one caller's request */
 };
 
-/* What to do when the records before it are durable.  */
+/* Action that runs once all records appended before it are durable.  */
 struct hook
 {
   struct hook *next;
@@ -150,44 +152,44 @@
   uint32_t partition;
   uint32_t call;
   uint32_t attempt;
-  char *host;    /* STEP: target that keeps the outcome, may be NULL */
+  char *host;    /* OUTCOME_DURABLE: target that holds the outcome, or NULL */
   uint32_t peer; /* REPLY */
   uint64_t handle;
-  bool history;    /* REPLY: with the history */
-  uint64_t tokens; /* ACCEPTED, GRANTED: what is granted then */
+  bool history;    /* REPLY: include the history */
+  uint64_t tokens; /* ACCEPTED, GRANTED: total tokens granted */
   uint64_t since_us;
 };
 
-/* One partition's share of the transaction under way.  */
+/* One partition's part of the pending commit.  */
 struct commit_part
 {
-  struct partition *partition; /* NULL: lost meanwhile */
-  uint64_t sequence;           /* after the transaction */
-  char *log_key;               /* NULL: no records, no log row */
-  char *object;                /* key of a large batch's object, or NULL */
+  struct partition *partition; /* NULL: lost since the commit was sent */
+  uint64_t sequence;           /* of the log after this commit */
+  char *log_key;               /* NULL: no records */
+  char *object;                /* key of the batch object, NULL: inline */
   struct mq_bytes bytes;       /* packed batch */
-  struct mq_bytes snapshot;    /* checkpoint as of this batch, or empty */
+  struct mq_bytes snapshot;    /* checkpoint after this batch, empty: none */
   uint64_t checkpoint;
   const char *checkpoint_key;
   uint64_t first;
   bool release;
-  size_t row_op; /* index of its row in the transaction */
+  size_t row_op; /* index of the partition row in the transaction */
 };
 
 enum commit_state
 {
   COMMIT_IDLE,
-  COMMIT_WRITING_OBJECTS, /* large batches are being written */
-  COMMIT_IN_TRANSACTION,  /* the transaction is out */
-  COMMIT_VERIFYING,       /* the rows are read to learn what became of it */
-  COMMIT_BACKOFF          /* a pause before the next try of what failed */
+  COMMIT_WRITING_OBJECTS, /* writes the objects of large batches */
+  COMMIT_IN_TRANSACTION,  /* waits for the transaction's result */
+  COMMIT_VERIFYING,       /* reads the rows to find whether it applied */
+  COMMIT_BACKOFF          /* waits before a retry */
 };
 
-/* The transaction under way; at most one.  */
+/* The commit in progress; at most one at a time.  */
 struct pending_commit
 {
   enum commit_state state;
-  enum commit_state resume; /* WAIT: what to try again */
+  enum commit_state resume; /* BACKOFF: state to return to */
   TALLOC_CTX *memory;
   uint64_t batch;
   uint64_t request_id;
@@ -196,7 +198,7 @@
   size_t object_next; /* part whose object is being written */
   struct hook *hooks;
   struct record *records;
-  uint64_t mark; /* records appended when it was sealed */
+  uint64_t mark; /* log position: value of mq_owner.appended that it covers */
   uint64_t started_us;
   uint64_t retry_us;
   uint32_t tries;
@@ -204,15 +206,15 @@
 
 enum call_state
 {
-  CALL_AWAITING_GRANT,  /* waits for the grant's commit */
-  CALL_AWAITING_INTENT, /* waits for the intent's commit */
-  CALL_AWAITING_WORKER, /* waits for a worker or for a retry's time */
-  CALL_SENT,            /* at a target's process */
-  CALL_SEALING,         /* to be settled with the target's process */
-  CALL_IN_SUBPROGRAM    /* a sub-program runs */
+  CALL_AWAITING_GRANT,  /* for the commit of a budget grant */
+  CALL_AWAITING_INTENT, /* for the commit of its intent */
+  CALL_AWAITING_WORKER, /* for a free worker or the retry time */
+  CALL_SENT,            /* at a target */
+  CALL_SEALING,      /* the target is to report the outcome or bar the call */
+  CALL_IN_SUBPROGRAM /* a sub-program runs in its place */
 };
 
-/* The one call of a program that is under way.  */
+/* The current call of a program; a program has one call at a time.  */
 struct call
 {
   enum call_state state;
@@ -221,37 +223,38 @@
   const struct mq_service *service;
   bool model;
   bool idempotent;
-  char *body;  /* for the target */
-  char *input; /* caller-driven: what the caller sent */
+  char *body;  /* sent to the target */
+  char *input; /* MODE_STEPS: the caller's input */
   uint64_t digest;
   bool own_messages;
   uint32_t max_tokens;
-  uint64_t reserved; /* tokens reserved for the attempt under way */
+  uint64_t reserved; /* tokens reserved for the current attempt */
   uint32_t prompt_tokens;
-  uint32_t uncached_tokens; /* of these, to be computed where it went */
+  uint32_t uncached_tokens; /* of these, not cached at the worker */
   struct target *target;
   uint32_t worker;
   uint64_t boot;
   uint64_t sent_us;
   uint64_t started_us;
-  uint64_t down_us; /* when the target's connection was lost, 0: up */
+  uint64_t down_us; /* when the target's connection was lost, 0: connected */
   uint64_t retry_us;
   uint32_t tries;
   uint32_t tokens_seen;
   bool already_charged; /* its tokens were forfeited in a takeover */
 };
 
+/* A caller that receives the events of a program.  */
 struct waiter
 {
   struct waiter *next;
   uint32_t peer;
   uint64_t handle;
   bool stream;
-  uint32_t call;  /* STEP: answer of this call ends the wait, 0: final */
-  uint32_t after; /* events up to this number were already received */
+  uint32_t call;  /* remove after the outcome of this call, 0: after FINAL */
+  uint32_t after; /* last event number that the caller has */
 };
 
-/* A caller's STEP that waits for its predecessors.  */
+/* A STEP request received before those that precede it.  */
 struct queued_step
 {
   struct queued_step *next;
@@ -259,17 +262,17 @@
   struct mq_request_msg request;
 };
 
-/* An attempt that a target's process reported in a takeover.  */
+/* An attempt that a target reported during a takeover.  */
 struct recovered
 {
   struct recovered *next;
   struct target *target;
-  bool running; /* else it ended, as told by the outcome */
+  bool running; /* false: ended with @outcome */
   struct mq_call_ref ref;
   struct mq_outcome_msg outcome;
 };
 
-/* Where a program's cache may be.  */
+/* A target process that may hold cache of a program.  */
 struct cache_location
 {
   struct cache_location *next;
@@ -277,51 +280,51 @@
   uint64_t boot;
 };
 
+/* Run-time state of a program, which is not logged.  */
 struct running
 {
   struct mq_program *program;
   struct partition *partition;
-  struct running *parent; /* NULL: top */
-  struct running *child;  /* sub-program of the call under way */
+  struct running *parent; /* NULL: opened by a caller */
+  struct running *child;  /* sub-program of the current call */
   struct call *call;
   struct waiter *waiters;
   struct queued_step *steps;
   struct cache_location *caches;
-  bool evicting;           /* ended; caches lists what is not confirmed */
-  enum mq_error_type stop; /* why the program is being stopped */
-  uint64_t reserved; /* tokens of attempts under way, sub-programs' too */
-  uint64_t pending_charge; /* charged, not yet in a record */
-  uint64_t grant_pending;  /* granted in a record that is not durable */
+  bool evicting;           /* ended; caches lists unconfirmed evictions */
+  enum mq_error_type stop; /* reason of a stop in progress, or NONE */
+  uint64_t reserved; /* tokens of attempts in progress, with sub-programs */
+  uint64_t pending_charge; /* tokens to charge with the next record */
+  uint64_t grant_pending;  /* total granted by records appended so far */
   uint64_t grant_durable;
-  uint64_t clock_us;            /* running since, 0: the clock stands */
-  uint64_t uncommitted_records; /* records not yet durable */
+  uint64_t clock_us; /* start of the time not in elapsed_ms, 0: stopped */
+  uint64_t uncommitted_records;
   uint64_t ended_us;
-  uint64_t wake_us;  /* timer in the heap, 0: none */
-  uint64_t lease_us; /* next renewal */
-  uint64_t evict_us;
-  struct target *sticky;
+  uint64_t wake_us;      /* time of its timer, 0: none */
+  uint64_t lease_us;     /* next renewal of cache leases */
+  uint64_t evict_us;     /* next retry of evictions */
+  struct target *sticky; /* target of the last model call */
   uint32_t sticky_worker;
   uint32_t sticky_tokens;
-  uint32_t reusable_tokens; /* of its next prompt, computed before somewhere */
+  uint32_t reusable_tokens; /* of the next prompt, computed before */
   uint64_t loop_digest;
   uint32_t loop_count;
-  bool grant_requested; /* a hook goes on when grants are durable */
-  bool forfeited;       /* what was granted before the takeover is spent */
-  struct recovered *recovered; /* what targets reported in a takeover */
-  uint64_t forfeit_position;   /* charges that are durable before it calls */
-  uint64_t
-      answer_position; /* the last answer is durable when this is settled */
+  bool grant_requested; /* a HOOK_GRANTED that resumes it is queued */
+  bool forfeited;       /* grants made before the takeover count as spent */
+  struct recovered *recovered; /* attempts reported during a takeover */
+  uint64_t forfeit_position;   /* log position to be durable before it calls */
+  uint64_t answer_position;    /* log position of its last answer */
 };
 
-/* A worker in the pool of its service.  */
 struct worker
 {
   struct target *target;
   uint32_t index;
   struct pool *pool;
-  size_t view; /* its place in the pool */
+  size_t view; /* index in pool->views and pool->workers */
 };
 
+/* Workers of one service.  */
 struct pool
 {
   struct pool *next;
@@ -329,30 +332,31 @@
   struct mq_worker_view *views;
   struct worker **workers;
   size_t count;
-  double retry_credit; /* retries that may be made now */
+  double retry_credit; /* retries allowed now; grows by a share of the calls */
 };
 
+/* A target host and its current process.  */
 struct target
 {
   struct target *next;
   char *host;
   char *data_centre;
-  bool listed; /* in the platform's list */
+  bool listed; /* in the platform's host list */
   bool leaving;
-  uint64_t durable_boot; /* of it in our targets row, 0: not there */
-  uint64_t sent_boot;    /* in the targets row that is being written */
-  bool settled;          /* gone without an attempt of ours: not in it */
-  uint64_t unlisted_us;  /* since when it is not in the list */
+  uint64_t durable_boot; /* its boot in the stored targets row, 0: absent */
+  uint64_t sent_boot;    /* its boot in the targets row being written */
+  bool settled;          /* gone with no attempt left: omitted from the row */
+  uint64_t unlisted_us;  /* when it left the list */
   uint32_t peer;         /* 0: no connection */
   uint64_t boot;
   uint64_t down_us;
   struct worker **workers;
   size_t worker_count;
-  uint32_t calls; /* attempts under way there */
+  uint32_t calls; /* attempts in progress there */
 };
 
-/* A run of a target's process that calls may have gone to and that is no
-   longer the one known there; our targets row still names it.  */
+/* An earlier process of a target that may have received calls.  It stays in
+   this host's targets row, so that a successor asks it too.  */
 struct former_run
 {
   struct former_run *next;
@@ -370,15 +374,15 @@
   bool listed;
   uint32_t peer;
   uint64_t peer_down_us;
-  /* Its owner row.  */
+  /* From its owner row.  */
   bool row_known;
   uint64_t counter;
   uint64_t boot;
   bool leaving;
-  uint64_t counter_us; /* when the counter was first seen at this value */
-  bool seen;           /* in the scan that is being read */
-  bool eligible;       /* among the hosts that may own partitions */
-  uint32_t owned;      /* partitions by the last scan */
+  uint64_t counter_us; /* when this value was first observed */
+  bool seen;           /* found by the scan in progress */
+  bool eligible;       /* may own partitions */
+  uint32_t owned;      /* partitions owned as of the last scan */
 };
 
 struct timer
@@ -387,8 +391,8 @@
   struct mq_id program;
 };
 
-/* An answer from memory that waits until a later read of the partitions'
-   rows shows that this host still owns the partition.  */
+/* An answer from memory.  It is sent once a later read of the partition rows
+   confirms that this host still owns the partition.  */
 struct reply
 {
   struct reply *next;
@@ -398,7 +402,7 @@
   struct mq_event_msg event;
 };
 
-/* Programs of one organisation that are under way at this owner.  */
+/* Programs of one organisation at this owner that have not ended.  */
 struct organisation_count
 {
   struct organisation_count *next;
@@ -406,6 +410,7 @@
   uint32_t live;
 };
 
+/* A call that may not be repeated and whose outcome is unknown.  */
 struct unknown_call
 {
   struct mq_id program;
@@ -414,7 +419,7 @@
   char *target;
 };
 
-/* A service's prompt that some engine has computed for this owner.  */
+/* Prompt prefix of a service that some engine has computed.  */
 struct computed_prefix
 {
   struct computed_prefix *next;
@@ -427,59 +432,58 @@
   const struct mq_text *text;
   uint64_t now_us;
   uint64_t random;
-  struct mq_actions *actions; /* of the input being handled */
+  struct mq_actions *actions; /* output of mq_owner_handle, NULL outside it */
   struct partition *partitions;
   uint32_t partition_count;
-  struct mq_idmap *running; /* all programs of active partitions */
-  uint32_t live;            /* of these, not ended */
+  struct mq_idmap *running; /* programs of owned partitions, by id */
+  uint32_t live;            /* programs that have not ended */
   struct target *targets;
   struct mq_idmap *targets_by_peer;
-  struct mq_idmap *targets_by_name; /* keyed by the hash of the name */
+  struct mq_idmap *targets_by_name; /* keyed by the hash of the host name */
   struct sibling *siblings;
   struct pool *pools;
   struct mq_place_state *place;
   /* Commits.  */
   struct pending_commit pending_commit;
-  struct hook *hooks_first; /* of the batch that gathers */
+  struct hook *hooks_first; /* for the next commit */
   struct hook *hooks_last;
-  size_t gathered;
+  size_t gathered; /* records for the next commit */
   size_t gathered_bytes;
   /* Store.  */
   uint64_t next_request;
   bool store_down;
   uint64_t store_down_us;
   uint64_t owners_scan_id, partitions_scan_id, settle_scan_id;
-  uint64_t owners_scanned_us; /* last success */
+  uint64_t owners_scanned_us; /* last successful scan */
   uint64_t next_scan_us;
-  bool scanned;          /* both scans succeeded once */
+  bool scanned;          /* owners and partitions were scanned at least once */
   struct reply *replies; /* newest first */
-  uint64_t confirm_id;   /* read that confirms what waits since before */
+  uint64_t confirm_id; /* pending read that confirms older replies, 0: none */
   uint64_t confirm_sent_us;
   uint64_t next_confirm_us;
-  char *owners_after; /* last row of the page of owners read so far */
+  char *owners_after; /* last owner row of the pages read so far */
   uint64_t renew_id;
   uint64_t next_renew_us;
   uint64_t row_counter;
-  uint64_t targets_id; /* write of our targets row */
+  uint64_t targets_id; /* pending write of this host's targets row, 0: none */
   bool targets_dirty;
-  struct former_run *former_runs; /* stay in the row, newest first */
-  uint64_t
-      former_runs_position; /* records that must be durable before they go */
-  bool former_runs_needed;  /* by whoever has a partition that we had */
-  uint64_t appended;        /* records so far */
-  uint64_t settled;         /* of these, durable or given up */
-  char *run;                /* "HOST/BOOT" */
+  struct former_run *former_runs; /* kept in the targets row, newest first */
+  uint64_t former_runs_position;  /* to be durable before removal */
+  bool former_runs_needed;        /* a takeover elsewhere would read the row */
+  uint64_t appended;              /* log position: records appended so far */
+  uint64_t settled; /* log position: records durable or dropped */
+  char *run;        /* "HOST/BOOT" of this process */
   uint64_t targets_retry_us;
-  uint32_t claiming;
-  bool eligible;       /* this host may own partitions */
-  bool renewed;        /* its row was written since it may */
-  uint32_t live_hosts; /* hosts that may, this one included */
-  /* Timers of programs: a binary heap.  */
+  uint32_t claiming; /* takeovers not yet active */
+  bool eligible;
+  bool renewed; /* owner row was written since the host became eligible */
+  uint32_t live_hosts; /* eligible hosts, this one included */
+  /* Timers of programs, a binary heap by when_us.  */
   struct timer *timers;
   size_t timer_count;
   size_t timer_capacity;
   bool leaving;
-  uint64_t release_us; /* next partition given up for balance */
+  uint64_t release_us; /* when to release for balance next */
   struct organisation_count *organisations;
   struct unknown_call *unknown;
   size_t unknown_count;
--- a/src/core/owner/program.c
+++ b/src/core/owner/program.c
@@ -1,4 +1,4 @@
-/* program.c - one program: its history, budget and next step.
+/* program.c - state of one program: history, budget and next call.
 
    Needs: program.h, id.h, jansson.  */
 
@@ -11,18 +11,18 @@
 
 enum
 {
-  MESSAGES_FIRST_ROOM = 512
+  MESSAGES_INITIAL_CAPACITY = 512
 };
 
 static void
-append_raw (struct mq_program *program, const char *text, size_t len)
+append_bytes (struct mq_program *program, const char *text, size_t len)
 {
   size_t need = program->messages_len + len + 1;
 
   if (need > program->messages_capacity)
     {
       size_t room = program->messages_capacity == 0
-                        ? MESSAGES_FIRST_ROOM
+                        ? MESSAGES_INITIAL_CAPACITY
                         : program->messages_capacity;
       while (room < need)
         room *= 2;
@@ -45,17 +45,17 @@
   if (text == NULL)
     abort ();
   if (program->message_count > 0)
-    append_raw (program, ",", 1);
-  append_raw (program, text, strlen (text));
+    append_bytes (program, ",", 1);
+  append_bytes (program, text, strlen (text));
   program->message_count++;
   free (text);
   json_decref (message);
 }
 
-/* A text from outside may hold bytes that are not UTF-8; JSON can't carry
-   them, so they are replaced, never dropped with the whole message.  */
+/* JSON string of TEXT.  If TEXT is not valid UTF-8, its non-ASCII bytes are
+   replaced by '?', so that the message is kept.  */
 static json_t *
-text_value (const char *text)
+json_text (const char *text)
 {
   json_t *value = json_string (text == NULL ? "" : text);
   char *copy;
@@ -82,40 +82,38 @@
 
   json_object_set_new (message, "role", json_string (role));
   if (name != NULL)
-    json_object_set_new (message, "name", text_value (name));
+    json_object_set_new (message, "name", json_text (name));
   if (tool_call_id != NULL)
-    json_object_set_new (message, "tool_call_id", text_value (tool_call_id));
-  json_object_set_new (message, "content", text_value (text));
+    json_object_set_new (message, "tool_call_id", json_text (tool_call_id));
+  json_object_set_new (message, "content", json_text (text));
   append_message (program, message);
 }
 
-/* What a log of another version holds may be in no table here.  */
+/* A log written by another version may hold values unknown here.  */
 static enum mq_error_type
-known_error (uint32_t error)
+error_from_log (uint32_t error)
 {
   return error < MQ_ERR_COUNT ? (enum mq_error_type)error : MQ_ERR_BAD_FRAME;
 }
 
 static enum mq_ran
-known_ran (uint32_t ran)
+ran_from_log (uint32_t ran)
 {
   return ran <= MQ_RAN_UNKNOWN ? (enum mq_ran)ran : MQ_RAN_UNKNOWN;
 }
 
 static bool
-opened_is_readable (const Mqlog__Opened *opened)
+opened_is_valid (const Mqlog__Opened *opened)
 {
   return opened != NULL && opened->mode <= MQ_MODE_SINGLE
          && opened->priority < MQ_PRIORITY_COUNT;
 }
 
-/* Guards against a log or checkpoint that does not say how a program was
-   opened, or says it in values of another version: its host would stop at
-   once, and so would every host that takes the partition over after it; or
-   the program would run on without the history that it began with.  It ends
-   instead, and whether it took effect is unknown.  */
+/* Ends a program whose OPENED record is missing or holds values of another
+   version.  Otherwise every host that takes the partition over would crash,
+   or the program would continue without its history.  */
 static void
-end_unreadable (struct mq_program *program)
+end_as_unreadable (struct mq_program *program)
 {
   program->unreadable = true;
   program->state = MQ_PROGRAM_ENDED;
@@ -147,7 +145,7 @@
       program->budget.turns = opened->budget->turns;
       program->budget.seconds = opened->budget->seconds;
     }
-  append_raw (program, opened->messages, strlen (opened->messages));
+  append_bytes (program, opened->messages, strlen (opened->messages));
   program->message_count = opened->message_count;
 }
 
@@ -156,7 +154,7 @@
 {
   static const Mqlog__Opened absent = MQLOG__OPENED__INIT;
   struct mq_program *program = talloc_zero (ctx, struct mq_program);
-  bool readable = opened_is_readable (opened);
+  bool readable = opened_is_valid (opened);
 
   if (program == NULL)
     abort ();
@@ -165,7 +163,7 @@
   program->state = program->mode == MQ_MODE_STEPS ? MQ_PROGRAM_WAITING
                                                   : MQ_PROGRAM_RUNNING;
   if (!readable)
-    end_unreadable (program);
+    end_as_unreadable (program);
   return program;
 }
 
@@ -181,7 +179,7 @@
 }
 
 static const char *
-member_text (TALLOC_CTX *ctx, json_t *object, const char *key)
+member_as_text (TALLOC_CTX *ctx, json_t *object, const char *key)
 {
   json_t *value = json_object_get (object, key);
 
@@ -214,17 +212,18 @@
       json_t *call = json_array_get (calls, i);
       struct mq_tool_call *pending = &program->pending[i];
 
-      pending->id = member_text (program->pending, call, "id");
-      pending->name = member_text (program->pending, call, "name");
-      pending->arguments = member_text (program->pending, call, "arguments");
+      pending->id = member_as_text (program->pending, call, "id");
+      pending->name = member_as_text (program->pending, call, "name");
+      pending->arguments
+          = member_as_text (program->pending, call, "arguments");
     }
   text = json_dumps (calls, JSON_COMPACT);
   program->pending_text = mq_text_copy (program, text);
   free (text);
 }
 
-/* The model's answer becomes an assistant message; what it asks for becomes
-   the pending tool calls.  */
+/* Appends the model's answer as an assistant message and makes its tool
+   calls pending.  */
 static void
 apply_model_answer (struct mq_program *program, const char *body)
 {
@@ -235,7 +234,7 @@
       = json_string_value (json_object_get (answer, "content"));
 
   json_object_set_new (message, "role", json_string ("assistant"));
-  json_object_set_new (message, "content", text_value (content));
+  json_object_set_new (message, "content", json_text (content));
   if (json_is_array (calls) && json_array_size (calls) > 0)
     json_object_set (message, "tool_calls", calls);
   append_message (program, message);
@@ -257,7 +256,7 @@
 apply_chain_outcome (struct mq_program *program, const Mqlog__Outcome *outcome)
 {
   const struct mq_tool_call *pending = mq_program_pending (program);
-  enum mq_error_type error = known_error (outcome->error);
+  enum mq_error_type error = error_from_log (outcome->error);
   char *failure;
 
   if (outcome->model)
@@ -267,7 +266,7 @@
     }
   if (pending == NULL)
     return;
-  failure = failure_text (program, error, known_ran (outcome->ran));
+  failure = failure_text (program, error, ran_from_log (outcome->ran));
   mq_program_add_message (program, "tool", pending->name, pending->id,
                           error == MQ_ERR_NONE ? outcome->body : failure);
   talloc_free (failure);
@@ -275,8 +274,9 @@
 }
 
 static void
-add_step (struct mq_program *program, const char *service, const char *input,
-          const char *body, uint64_t digest, uint32_t error, uint32_t ran)
+append_step (struct mq_program *program, const char *service,
+             const char *input, const char *body, uint64_t digest,
+             uint32_t error, uint32_t ran)
 {
   struct mq_step *step;
 
@@ -289,15 +289,15 @@
   step->service = mq_text_copy (program, service);
   step->input = mq_text_copy (program, input);
   step->body = mq_text_copy (program, body);
-  step->error = known_error (error);
-  step->ran = known_ran (ran);
+  step->error = error_from_log (error);
+  step->ran = ran_from_log (ran);
 }
 
 static void
 apply_step_outcome (struct mq_program *program, const Mqlog__Outcome *outcome)
 {
-  add_step (program, outcome->service, outcome->input, outcome->body,
-            outcome->digest, outcome->error, outcome->ran);
+  append_step (program, outcome->service, outcome->input, outcome->body,
+               outcome->digest, outcome->error, outcome->ran);
   if (!outcome->model || outcome->own_messages
       || outcome->error != MQ_ERR_NONE)
     return;
@@ -352,8 +352,8 @@
 apply_answered (struct mq_program *program, const Mqlog__Answered *answered)
 {
   program->state = answered->ended ? MQ_PROGRAM_ENDED : MQ_PROGRAM_WAITING;
-  program->error = known_error (answered->error);
-  program->ran = known_ran (answered->ran);
+  program->error = error_from_log (answered->error);
+  program->ran = ran_from_log (answered->ran);
   talloc_free (program->answer);
   program->answer = mq_text_copy (program, answered->answer);
 }
@@ -426,7 +426,7 @@
       json_t *message = json_object ();
 
       json_object_set_new (message, "role", json_string ("user"));
-      json_object_set_new (message, "content", text_value (extra_input));
+      json_object_set_new (message, "content", json_text (extra_input));
       extra = json_dumps (message, JSON_COMPACT);
       json_decref (message);
     }
@@ -590,11 +590,11 @@
   if (packed->answered != NULL)
     apply_answered (program, packed->answered);
   for (size_t i = 0; i < packed->n_steps; i++)
-    add_step (program, packed->steps[i]->service, packed->steps[i]->input,
-              packed->steps[i]->body, packed->steps[i]->digest,
-              packed->steps[i]->error, packed->steps[i]->ran);
+    append_step (program, packed->steps[i]->service, packed->steps[i]->input,
+                 packed->steps[i]->body, packed->steps[i]->digest,
+                 packed->steps[i]->error, packed->steps[i]->ran);
   if (program->unreadable || packed->state > MQ_PROGRAM_ENDED)
-    end_unreadable (program);
+    end_as_unreadable (program);
   else
     program->state = (enum mq_program_state)packed->state;
   return program;
@@ -611,9 +611,9 @@
       json_t *item = json_object ();
 
       json_object_set_new (item, "call", json_integer ((json_int_t)i + 1));
-      json_object_set_new (item, "service", text_value (step->service));
-      json_object_set_new (item, "input", text_value (step->input));
-      json_object_set_new (item, "answer", text_value (step->body));
+      json_object_set_new (item, "service", json_text (step->service));
+      json_object_set_new (item, "input", json_text (step->input));
+      json_object_set_new (item, "answer", json_text (step->body));
       json_object_set_new (item, "error",
                            json_string (mq_error_name (step->error)));
       json_array_append_new (steps, item);
--- a/src/core/owner/program.h
+++ b/src/core/owner/program.h
@@ -1,8 +1,9 @@
-/* program.h - one program: its history, budget and next step.
+/* program.h - state of one program: history, budget and next call.
 
-   State changes only by applying records of the partition log, so that a
-   replay of the log gives the same program.  What is not logged (attempts
-   under way, callers that wait) lives in the owner.
+   A program is a conversation or task made of model and tool calls.  Its
+   state changes only by applying records of the partition log, so that
+   replaying the log restores it.  State that is not logged (attempts in
+   progress, waiting callers) is kept by the owner in struct running.
    Needs: text.h, types.h, jansson, proto/log.pb-c.h.  */
 
 #ifndef MQ_PROGRAM_H
@@ -13,19 +14,19 @@
 
 enum mq_program_mode
 {
-  MQ_MODE_CHAIN, /* the system drives it */
-  MQ_MODE_STEPS, /* its caller drives it */
-  MQ_MODE_SINGLE /* one call of a model, plain service or tool */
+  MQ_MODE_CHAIN, /* the owner makes the calls that the model asks for */
+  MQ_MODE_STEPS, /* the caller requests each call */
+  MQ_MODE_SINGLE /* a single call of a model, plain service or tool */
 };
 
 enum mq_program_state
 {
   MQ_PROGRAM_RUNNING,
-  MQ_PROGRAM_WAITING, /* for a person's next turn, or its caller's call */
+  MQ_PROGRAM_WAITING, /* for the next turn, or the caller's next STEP */
   MQ_PROGRAM_ENDED
 };
 
-/* A tool call that the model's last answer asks for.  */
+/* A tool call requested by the model's last answer.  */
 struct mq_tool_call
 {
   const char *id;
@@ -33,7 +34,7 @@
   const char *arguments;
 };
 
-/* One call of a caller-driven program, kept for repeats of its request.  */
+/* A finished call of a MODE_STEPS program; answers repeated requests.  */
 struct mq_step
 {
   uint64_t digest;
@@ -44,7 +45,7 @@
   enum mq_ran ran;
 };
 
-/* A call that may not be repeated and may have been sent.  */
+/* A non-idempotent call that may have been sent.  */
 struct mq_intent
 {
   uint32_t call; /* 0: none */
@@ -56,41 +57,33 @@
 
 /**
  * struct mq_program - the logged state of one program
- * @id: its id
- * @parent: program whose call it is, zero when none
- * @parent_call: that call
- * @organisation: who opened it
- * @service: its service
+ * @parent: program that opened it as a sub-program, zero: opened by a caller
+ * @parent_call: number of the call of @parent
+ * @organisation: organisation of the caller
  * @route: MODE_SINGLE: route of a plain service, else empty
- * @mode: who drives it
- * @state: running, waiting, ended
- * @priority: priority class
- * @keep_open: waits for further turns after an answer
- * @follow_up: it answers a person's further turn
+ * @keep_open: accepts further turns after an answer
+ * @follow_up: it answers a further turn
  * @digest: of the request that opened it
- * @turn_digest: of the last further turn, 0 when none
+ * @turn_digest: of the last further turn, 0: none
  * @traceparent: W3C trace context
- * @budget: what it may spend
- * @messages: history as JSON objects separated by commas
- * @messages_len: bytes of it
- * @message_count: messages in it
+ * @messages: history as comma-separated JSON objects, NULL: empty
+ * @messages_len: bytes of @messages without the final NUL
  * @input: MODE_SINGLE: body of the call
- * @calls: calls that have ended
- * @turns: calls that count towards the budget, sub-programs' included
- * @spent: tokens charged, sub-programs' included
- * @granted: tokens that may be spent without a further record
- * @elapsed_ms: running time as last recorded
- * @pending: tool calls of the last answer
- * @pending_next: the first of them that has not ended
- * @pending_text: the same as JSON, for checkpoints
+ * @calls: number of calls that have ended
+ * @turns: calls that count towards the budget, including sub-programs'
+ * @spent: tokens charged, including sub-programs'
+ * @granted: total tokens that may be spent before a further GRANTED record
+ * @elapsed_ms: running time as of the last record
+ * @pending: tool calls requested by the last answer
+ * @pending_next: index of the first one that has not ended
+ * @pending_text: @pending as JSON, for checkpoints
  * @last_content: content of the model's last answer
- * @answer_ready: that answer asks for no call, it is the program's
- * @intent: call that may not be repeated and is not settled
- * @steps: MODE_STEPS: calls so far
- * @error: how it ended
- * @ran: whether what ended it took effect
- * @answer: its last answer, NULL before
- * @unreadable: the log does not say how it was opened; it has ended
+ * @answer_ready: @last_content is the program's answer
+ * @intent: non-idempotent call without an outcome
+ * @steps: MODE_STEPS: calls that have ended
+ * @ran: whether the call that ended it with @error took effect
+ * @answer: its last answer, NULL: none yet
+ * @unreadable: the log or checkpoint lacks a valid OPENED; it has ended
  */
 struct mq_program
 {
@@ -136,36 +129,40 @@
 
 enum mq_next_type
 {
-  MQ_NEXT_NONE,  /* waits or has ended */
+  MQ_NEXT_NONE,  /* program waits or has ended */
   MQ_NEXT_MODEL, /* call the service's model */
   MQ_NEXT_CALL,  /* call a tool, plain service or sub-program */
-  MQ_NEXT_ANSWER /* the model's last answer is the program's */
+  MQ_NEXT_ANSWER /* end with the model's last answer */
 };
 
-/* Program below CTX from its OPENED record.  */
+/* Creates a program from its OPENED record, allocated below CTX.  */
 struct mq_program *mq_program_open (TALLOC_CTX *ctx, struct mq_id id,
                                     const Mqlog__Opened *opened);
-/* Applies any further record of the program.  */
+/* Applies a record that follows OPENED.  */
 void mq_program_apply (struct mq_program *program,
                        const Mqlog__Record *record);
 enum mq_next_type mq_program_next (const struct mq_program *program);
-/* The pending tool call, NULL when there is none.  */
+/* The next pending tool call, NULL: none.  */
 const struct mq_tool_call *
 mq_program_pending (const struct mq_program *program);
-/* JSON body for a model call, below CTX.  */
+/* JSON body of a model call with the history, allocated below CTX.
+   EXTRA_INPUT: user message to append, or NULL.  */
 char *mq_program_model_body (TALLOC_CTX *ctx, const struct mq_program *program,
                              const char *model, uint32_t max_tokens,
                              const char *extra_input);
-/* Appends one message to a history: TEXT is JSON-escaped.  */
+/* Appends a message to the history and JSON-escapes its text.  NAME and
+   TOOL_CALL_ID may be NULL.  */
 void mq_program_add_message (struct mq_program *program, const char *role,
                              const char *name, const char *tool_call_id,
                              const char *text);
-/* Packs the program for a checkpoint / restores it.  */
+/* Packs a program for a checkpoint.  The result is allocated below CTX and
+   borrows strings of PROGRAM.  */
 Mqlog__Program *mq_program_pack (TALLOC_CTX *ctx,
                                  const struct mq_program *program);
+/* Restores a program from a checkpoint, allocated below CTX.  */
 struct mq_program *mq_program_unpack (TALLOC_CTX *ctx,
                                       const Mqlog__Program *packed);
-/* History as a JSON object text, below CTX.  */
+/* History as a JSON object, allocated below CTX.  */
 char *mq_program_history (TALLOC_CTX *ctx, const struct mq_program *program);
 
 #endif
