--- a/src/core/owner/front.c
+++ b/src/core/owner/front.c
@@ -1,12 +1,11 @@
-/* front.c - callers' requests on their way to the partition's owner.
-
-   A request is either waiting (for an owner to be known and connected, or
-   for a pause to pass) or sent to one peer, which then serves it.  Only
-   events of the serving peer count.  Whatever happens to that peer, the
-   request goes back to waiting and is sent again; the owner makes that
-   harmless (an open has the same derived id, a turn and a step the same
-   key).  It ends with FINAL, a refusal that another owner can't mend, its
-   deadline, or its caller's leaving.
+/* front.c - forwards callers' requests to the owner of their partition.
+
+   A request is either waiting (for a known and connected owner, or for its
+   backoff) or sent to one peer.  Events of other peers are dropped.  When
+   the peer is lost or redirects, the request is resent; owners recognise
+   repeats by the derived id of an open and the key of a turn or step.  A
+   request ends with FINAL, a refusal that can't be retried, its deadline or
+   the caller's disconnection.
    Needs: front.h, limits.h, id.h.  */
 
 #include "front_state.h"
@@ -34,16 +33,16 @@
 }
 
 static void
-wake_at (struct mq_front *front, uint64_t when_us)
+lower_next_tick (struct mq_front *front, uint64_t when_us)
 {
   if (when_us != 0 && when_us < front->next_us)
     front->next_us = when_us;
 }
 
-/* Table of requests, sorted by handle.  */
+/* Requests, sorted by handle.  */
 
 static size_t
-request_place (const struct mq_front *front, uint64_t handle)
+request_position (const struct mq_front *front, uint64_t handle)
 {
   size_t low = 0;
   size_t high = front->count;
@@ -63,27 +62,28 @@
 struct front_request *
 front_find_request (const struct mq_front *front, uint64_t handle)
 {
-  size_t place = request_place (front, handle);
+  size_t position = request_position (front, handle);
 
-  if (place == front->count || front->requests[place]->handle != handle)
+  if (position == front->count || front->requests[position]->handle != handle)
     return NULL;
-  return front->requests[place];
+  return front->requests[position];
 }
 
 static void
 insert_request (struct mq_front *front, struct front_request *request)
 {
-  size_t place = request_place (front, request->handle);
+  size_t position = request_position (front, request->handle);
 
-  if (front->count == front->room)
+  if (front->count == front->capacity)
     {
-      front->room = front->room == 0 ? FIRST_ROOM : 2 * front->room;
+      front->capacity
+          = front->capacity == 0 ? INITIAL_CAPACITY : 2 * front->capacity;
       front->requests = mq_must (talloc_realloc (
-          front, front->requests, struct front_request *, front->room));
+          front, front->requests, struct front_request *, front->capacity));
     }
-  memmove (&front->requests[place + 1], &front->requests[place],
-           (front->count - place) * sizeof (struct front_request *));
-  front->requests[place] = request;
+  memmove (&front->requests[position + 1], &front->requests[position],
+           (front->count - position) * sizeof (struct front_request *));
+  front->requests[position] = request;
   front->count++;
   front->bytes += request->bytes;
 }
@@ -91,12 +91,12 @@
 void
 front_remove_request (struct mq_front *front, struct front_request *request)
 {
-  size_t place = request_place (front, request->handle);
+  size_t position = request_position (front, request->handle);
 
   front->count--;
   front->bytes -= request->bytes;
-  memmove (&front->requests[place], &front->requests[place + 1],
-           (front->count - place) * sizeof (struct front_request *));
+  memmove (&front->requests[position], &front->requests[position + 1],
+           (front->count - position) * sizeof (struct front_request *));
   talloc_free (request);
 }
 
@@ -126,34 +126,37 @@
 static void
 add_peer (struct mq_front *front, uint32_t peer, const char *address)
 {
-  struct front_peer *row;
-  const struct front_peer *older = find_address (front, address);
+  struct front_peer *entry;
+  const struct front_peer *existing = find_address (front, address);
 
-  if (older != NULL)
-    remove_peer (front, older->peer);
-  if (front->peer_count == front->peer_room)
+  if (existing != NULL)
+    remove_peer (front, existing->peer);
+  if (front->peer_count == front->peer_capacity)
     {
-      front->peer_room
-          = front->peer_room == 0 ? FIRST_ROOM : 2 * front->peer_room;
+      front->peer_capacity = front->peer_capacity == 0
+                                 ? INITIAL_CAPACITY
+                                 : 2 * front->peer_capacity;
       front->peers = mq_must (talloc_realloc (
-          front, front->peers, struct front_peer, front->peer_room));
+          front, front->peers, struct front_peer, front->peer_capacity));
     }
-  row = &front->peers[front->peer_count++];
-  row->peer = peer;
-  row->address = mq_must (talloc_strdup (front, address));
+  entry = &front->peers[front->peer_count++];
+  entry->peer = peer;
+  entry->address = mq_must (talloc_strdup (front, address));
 }
 
 static const char *
-map_address (const struct mq_front *front, const struct front_request *request)
+owner_address_of (const struct mq_front *front,
+                  const struct front_request *request)
 {
   return front->lookup.owner_address (front->lookup.data, request->partition);
 }
 
-/* Sets *PEER to the connection of the owner at ADDRESS.  */
+/* Sets *PEER to the connection to ADDRESS; false when not connected.  */
 static bool
-reach (const struct mq_front *front, const char *address, uint32_t *peer)
+find_owner_peer (const struct mq_front *front, const char *address,
+                 uint32_t *peer)
 {
-  const struct front_peer *row;
+  const struct front_peer *entry;
 
   if (address == NULL)
     return false;
@@ -162,14 +165,14 @@
       *peer = MQ_PEER_SELF;
       return true;
     }
-  row = find_address (front, address);
-  if (row == NULL)
+  entry = find_address (front, address);
+  if (entry == NULL)
     return false;
-  *peer = row->peer;
+  *peer = entry->peer;
   return true;
 }
 
-/* Events to the caller.  */
+/* Events to callers.  */
 
 void
 front_send_event (struct mq_actions *actions, const struct mq_event_msg *event)
@@ -185,7 +188,7 @@
 }
 
 static void
-give_refusal (struct mq_front *front, struct mq_actions *actions,
+send_refusal (struct mq_front *front, struct mq_actions *actions,
               uint64_t handle, enum mq_error_type error, enum mq_ran ran)
 {
   struct mq_event_msg event = { .handle = handle, .type = MQ_EVENT_REFUSED };
@@ -222,23 +225,23 @@
   mq_actions_send (actions, request->peer, &message);
 }
 
-/* Back to waiting, for a jittered pause that doubles each time.  */
+/* Makes the request wait for a jittered exponential backoff.  */
 void
 front_schedule_retry (struct mq_front *front, struct front_request *request,
                       uint64_t now_us, uint32_t at_least_ms)
 {
-  uint32_t pause_ms = request->pause_ms;
+  uint32_t backoff_ms = request->backoff_ms;
 
   request->sent = false;
-  if (pause_ms < at_least_ms)
-    pause_ms = at_least_ms;
-  if (pause_ms > MQ_FRONT_RETRY_MAX_MS)
-    pause_ms = MQ_FRONT_RETRY_MAX_MS;
+  if (backoff_ms < at_least_ms)
+    backoff_ms = at_least_ms;
+  if (backoff_ms > MQ_FRONT_RETRY_MAX_MS)
+    backoff_ms = MQ_FRONT_RETRY_MAX_MS;
   request->next_us
-      = now_us + (uint64_t)pause_ms * US_PER_MS / 2
-        + mq_random_below (&front->random, pause_ms * US_PER_MS + 1);
-  request->pause_ms = 2 * pause_ms;
-  wake_at (front, request->next_us);
+      = now_us + (uint64_t)backoff_ms * US_PER_MS / 2
+        + mq_random_below (&front->random, backoff_ms * US_PER_MS + 1);
+  request->backoff_ms = 2 * backoff_ms;
+  lower_next_tick (front, request->next_us);
 }
 
 void
@@ -248,26 +251,27 @@
   *text = value == NULL ? NULL : mq_must (talloc_strdup (ctx, value));
 }
 
-/* Sends the request to the host that a refusal named, else to the owner by
-   the map; waits when neither is connected.  */
+/* Sends the request to the owner named by a redirect, else to the owner by
+   the lookup.  Waits when neither is connected.  */
 static void
 try_send (struct mq_front *front, struct front_request *request,
           uint64_t now_us, struct mq_actions *actions)
 {
   struct mq_message message = { .type = MQ_MSG_FORWARD };
-  const char *address = map_address (front, request);
-  bool found = reach (front, request->hint, &request->peer);
+  const char *address = owner_address_of (front, request);
+  bool found
+      = find_owner_peer (front, request->redirect_address, &request->peer);
 
-  front_set_text (request, &request->hint, NULL);
+  front_set_text (request, &request->redirect_address, NULL);
   if (!found)
-    found = reach (front, address, &request->peer);
+    found = find_owner_peer (front, address, &request->peer);
   if (!found)
     {
       front->counters.waits++;
       front_schedule_retry (front, request, now_us, 0);
       return;
     }
-  front_set_text (request, &request->known, address);
+  front_set_text (request, &request->known_address, address);
   if (request->sent_before)
     front->counters.resends++;
   front->counters.forwards++;
@@ -297,7 +301,7 @@
   if (front->count >= MQ_FRONT_REQUESTS_MAX
       || front->bytes + bytes > MQ_FRONT_BYTES_MAX)
     {
-      give_refusal (front, actions, input->handle, MQ_ERR_OVERLOADED,
+      send_refusal (front, actions, input->handle, MQ_ERR_OVERLOADED,
                     MQ_RAN_NOT_RUN);
       return;
     }
@@ -306,19 +310,19 @@
   request->partition = input->partition;
   request->deadline_us = input->deadline_us;
   request->bytes = bytes;
-  request->pause_ms = MQ_FRONT_RETRY_BASE_MS;
-  request->last = input->u.request->after;
+  request->backoff_ms = MQ_FRONT_RETRY_BASE_MS;
+  request->last_event = input->u.request->after;
   mq_request_copy (request, &request->request, input->u.request);
   insert_request (front, request);
-  wake_at (front, request->deadline_us);
+  lower_next_tick (front, request->deadline_us);
   if (front->owner_check_us == 0)
     front->owner_check_us
         = input->now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
-  wake_at (front, front->owner_check_us);
+  lower_next_tick (front, front->owner_check_us);
   try_send (front, request, input->now_us, actions);
 }
 
-/* Peers come and go.  */
+/* Connections.  */
 
 static void
 handle_peer_up (struct mq_front *front, const struct mq_front_input *input)
@@ -327,15 +331,15 @@
   for (size_t i = 0; i < front->count; i++)
     {
       struct front_request *request = front->requests[i];
-      uint64_t soon_us
+      uint64_t retry_us
           = input->now_us
             + mq_random_below (&front->random,
                                MQ_FRONT_RETRY_BASE_MS * US_PER_MS + 1);
 
-      if (request->sent || request->next_us <= soon_us)
+      if (request->sent || request->next_us <= retry_us)
         continue;
-      request->next_us = soon_us;
-      wake_at (front, soon_us);
+      request->next_us = retry_us;
+      lower_next_tick (front, retry_us);
     }
 }
 
@@ -366,41 +370,41 @@
   front_remove_request (front, request);
 }
 
-/* Time.  */
+/* Timers.  */
 
 static void
-give_up (struct mq_front *front, struct front_request *request,
-         struct mq_actions *actions)
+expire_request (struct mq_front *front, struct front_request *request,
+                struct mq_actions *actions)
 {
   front->counters.timeouts++;
   if (request->sent)
     send_close (actions, request);
   if (request->sent_before)
-    give_refusal (front, actions, request->handle, MQ_ERR_TIMEOUT,
+    send_refusal (front, actions, request->handle, MQ_ERR_TIMEOUT,
                   MQ_RAN_UNKNOWN);
   else
-    give_refusal (front, actions, request->handle, MQ_ERR_NOT_READY,
+    send_refusal (front, actions, request->handle, MQ_ERR_NOT_READY,
                   MQ_RAN_NOT_RUN);
   front_remove_request (front, request);
 }
 
-/* The map shows another owner than when the request was sent, and it is not
-   the one that serves it.  */
+/* True when the lookup gives another owner than when the request was sent,
+   and that owner is not the peer that serves it.  */
 static bool
 owner_moved (const struct mq_front *front, const struct front_request *request)
 {
-  const char *address = map_address (front, request);
+  const char *address = owner_address_of (front, request);
   uint32_t peer;
 
-  if (!reach (front, address, &peer) || peer == request->peer)
+  if (!find_owner_peer (front, address, &peer) || peer == request->peer)
     return false;
-  return request->known == NULL || strcmp (request->known, address) != 0;
+  return request->known_address == NULL
+         || strcmp (request->known_address, address) != 0;
 }
 
-/* An owner that lost its partition stops and says nothing, and its
-   connection stays up: the caller would wait for ever.  The map's change
-   shows it; the request follows.  Should the map be behind, the new owner
-   refuses with a hint.  */
+/* Resends the request after a change of owner.  An owner that lost the
+   partition sends nothing more while its connection stays up, so the caller
+   would wait for ever.  If the lookup is stale, the peer redirects.  */
 static void
 follow_owner (struct mq_front *front, struct front_request *request,
               uint64_t now_us, struct mq_actions *actions)
@@ -418,14 +422,14 @@
 {
   if (request->deadline_us != 0 && now_us >= request->deadline_us)
     {
-      give_up (front, request, actions);
+      expire_request (front, request, actions);
       return;
     }
-  wake_at (front, request->deadline_us);
+  lower_next_tick (front, request->deadline_us);
   if (!request->sent && now_us >= request->next_us)
     try_send (front, request, now_us, actions);
   else if (!request->sent)
-    wake_at (front, request->next_us);
+    lower_next_tick (front, request->next_us);
   else if (check)
     follow_owner (front, request, now_us, actions);
 }
@@ -439,12 +443,12 @@
   front->next_us = UINT64_MAX;
   if (check)
     front->owner_check_us = now_us + (uint64_t)MQ_FRONT_CHECK_MS * US_PER_MS;
-  /* From the end: giving up a request closes the gap behind it.  */
+  /* In reverse order, since a timed-out request is removed.  */
   for (size_t i = front->count; i > 0; i--)
     tick_request (front, front->requests[i - 1], now_us, check, actions);
   if (front->count == 0)
     front->owner_check_us = 0;
-  wake_at (front, front->owner_check_us);
+  lower_next_tick (front, front->owner_check_us);
 }
 
 void
--- a/src/core/owner/front.h
+++ b/src/core/owner/front.h
@@ -1,10 +1,10 @@
-/* front.h - callers' requests on their way to the partition's owner.
+/* front.h - forwards callers' requests to the owner of their partition.
 
-   Every entry host runs one beside its owner.  It keeps each caller's
-   request until its answer has ended, sends it to whoever owns the
-   partition now, and after a lost connection, a redirect or a new owner
-   sends it again: opens with the same derived id, others as they were.
-   A caller is re-attached, not failed.  Pure, like owner.h.
+   Every entry host runs one.  It keeps each request until the caller has the
+   final answer, sends it to the current owner of the partition and resends
+   it after a lost connection, a redirect or a change of owner.  Owners treat
+   a resent request as a repeat.  It does no I/O and reads no clock, like
+   owner.h.
    Needs: action.h, message.h.  */
 
 #ifndef MQ_FRONT_H
@@ -17,17 +17,19 @@
 enum mq_front_input_type
 {
   MQ_FRONT_TICK,
-  MQ_FRONT_REQUEST, /* from a caller of this host */
-  MQ_FRONT_EVENT,   /* from the owner here or at a peer */
+  MQ_FRONT_REQUEST, /* from a caller at this host */
+  MQ_FRONT_EVENT,   /* from the local owner or one at a peer */
   MQ_FRONT_PEER_UP,
   MQ_FRONT_PEER_DOWN,
   MQ_FRONT_CALLER_GONE
 };
 
 /**
- * struct mq_front_input - one thing that happened
- * @handle: REQUEST, CALLER_GONE: the caller's handle at this host
- * @deadline_us: REQUEST: when the caller's request is given up, 0: never
+ * struct mq_front_input - one input event
+ * @now_us: monotonic clock of this process
+ * @peer: PEER_UP, PEER_DOWN, EVENT: connection, MQ_PEER_SELF: local owner
+ * @handle: REQUEST, CALLER_GONE: id of the caller, unique at this host
+ * @deadline_us: REQUEST: when the request times out, 0: never
  * @partition: REQUEST: partition of its program
  */
 struct mq_front_input
@@ -46,8 +48,8 @@
   } u;
 };
 
-/* Where the front looks up owners: address of the owner of a partition,
-   empty for this process, NULL when unknown.  */
+/* Finds the address of a partition's owner: empty for this process, NULL when
+   unknown.  */
 struct mq_front_lookup
 {
   const char *(*owner_address) (const void *data, uint32_t partition);
@@ -58,16 +60,17 @@
                                   const struct mq_front_lookup *lookup,
                                   uint64_t seed);
 void mq_front_destroy (struct mq_front *front);
-/* Actions: SEND of FORWARD and FORWARD_CLOSE to peers; EVENT with peer
-   MQ_PEER_SELF to the caller; SEND of FORWARD or FORWARD_CLOSE to
-   MQ_PEER_SELF is for the owner in this process.  */
+/* Actions: SEND of FORWARD or FORWARD_CLOSE to an owner, at MQ_PEER_SELF for
+   the owner in this process; EVENT at MQ_PEER_SELF to the caller.  */
 void mq_front_handle (struct mq_front *front,
                       const struct mq_front_input *input,
                       struct mq_actions *actions);
+/* Time at which the next TICK is due, microseconds.  */
 uint64_t mq_front_next_tick (const struct mq_front *front);
+/* Requests that have not ended.  */
 size_t mq_front_count (const struct mq_front *front);
 
-/* Counters, one name each, read by the daemon.  */
+/* Counters: field and help text of the metric.  */
 #define MQ_FRONT_COUNTER_LIST(X)                                              \
   X (requests, "callers' requests taken")                                     \
   X (finals, "final answers given to callers")                                \
--- a/src/core/owner/front_events.c
+++ b/src/core/owner/front_events.c
@@ -1,117 +1,113 @@
-/* front_events.c - what the owner of a program tells, passed on to its caller.
+/* front_events.c - forwards the owner's events to callers.
 
    Needs: front_state.h.  */
 
 #include "front_state.h"
 #include "../limits.h"
 
-/* Events of the owner.  */
-
 static uint32_t
 call_of (uint32_t number)
 {
   return number >> CALL_SHIFT;
 }
 
-/* True when the caller holds tokens of CALL that no STEP has closed.  */
+/* True when the caller has tokens of CALL but not its STEP.  */
 static bool
-holds_tokens (const struct front_request *request, uint32_t call)
+has_partial_answer (const struct front_request *request, uint32_t call)
 {
-  uint32_t mark = request->last & STEP_EVENT_INDEX;
+  uint32_t index = request->last_event & STEP_EVENT_INDEX;
 
-  return call_of (request->last) == call && mark != 0
-         && mark != STEP_EVENT_INDEX;
+  return call_of (request->last_event) == call && index != 0
+         && index != STEP_EVENT_INDEX;
 }
 
 static void
-pass (struct front_request *request, const struct mq_event_msg *event,
-      struct mq_actions *actions)
+forward_event (struct front_request *request, const struct mq_event_msg *event,
+               struct mq_actions *actions)
 {
   if (event->number != 0)
-    request->last = event->number;
-  request->pause_ms = MQ_FRONT_RETRY_BASE_MS;
+    request->last_event = event->number;
+  request->backoff_ms = MQ_FRONT_RETRY_BASE_MS;
   front_send_event (actions, event);
 }
 
 static bool
-already_given (const struct front_request *request,
-               const struct mq_event_msg *event)
+is_duplicate (const struct front_request *request,
+              const struct mq_event_msg *event)
 {
-  return event->number != 0 && event->number <= request->last;
+  return event->number != 0 && event->number <= request->last_event;
 }
 
-/* The owner died in the middle of an answer.  The next one runs that call
-   again, with other words from the first one on, or takes up the stream at
-   a later token; either way its tokens do not continue what the caller has.
-   So that is declared void before anything else of the answer comes.  */
+/* Sends RESET for a call that was streaming when the request was resent.  The
+   new owner either repeats the call or resumes the stream at a later token,
+   so its tokens do not continue those that the caller has.  */
 static void
-void_cut_answer (struct mq_front *front, struct front_request *request,
-                 struct mq_actions *actions)
+reset_partial_answer (struct mq_front *front, struct front_request *request,
+                      struct mq_actions *actions)
 {
-  uint32_t call = call_of (request->last);
+  uint32_t call = call_of (request->last_event);
 
-  if (request->reattached && holds_tokens (request, call))
+  if (request->reattached && has_partial_answer (request, call))
     {
       front_send_reset (front, actions, request, call);
-      request->last = call << CALL_SHIFT;
+      request->last_event = call << CALL_SHIFT;
     }
   request->reattached = false;
 }
 
-/* True when EVENT is the first token of its call, or the one behind the last
-   that the caller has.  */
+/* True when EVENT is the first token of its call or follows the last event
+   sent to the caller.  */
 static bool
-continues (const struct front_request *request,
-           const struct mq_event_msg *event)
+is_contiguous (const struct front_request *request,
+               const struct mq_event_msg *event)
 {
   return (event->number & STEP_EVENT_INDEX) == 1
-         || event->number == request->last + 1;
+         || event->number == request->last_event + 1;
 }
 
-/* An owner keeps no tokens: to a request that comes in the middle of a call
-   it gives the rest of the call's tokens.  The text without its beginning
-   would pass for the whole, so it is left out, up to the call's end or its
-   new start.  */
+/* Drops tokens after a gap.  Owners do not store tokens, so a request
+   attached during a call receives only the rest of them, which the caller
+   would take for the complete text.  */
 static void
 handle_token (struct mq_front *front, struct front_request *request,
               const struct mq_event_msg *event, struct mq_actions *actions)
 {
-  void_cut_answer (front, request, actions);
-  if (already_given (request, event))
+  reset_partial_answer (front, request, actions);
+  if (is_duplicate (request, event))
     front->counters.events_doubled++;
-  else if (!continues (request, event))
+  else if (!is_contiguous (request, event))
     front->counters.events_partial++;
   else
-    pass (request, event, actions);
+    forward_event (request, event, actions);
 }
 
 static void
 handle_step (struct mq_front *front, struct front_request *request,
              const struct mq_event_msg *event, struct mq_actions *actions)
 {
-  if (already_given (request, event))
+  if (is_duplicate (request, event))
     {
       front->counters.events_doubled++;
       return;
     }
-  void_cut_answer (front, request, actions);
-  pass (request, event, actions);
+  reset_partial_answer (front, request, actions);
+  forward_event (request, event, actions);
 }
 
-/* The owner itself started the call again.  */
+/* The owner repeats the call.  */
 static void
 handle_reset (struct mq_front *front, struct front_request *request,
               const struct mq_event_msg *event, struct mq_actions *actions)
 {
   request->reattached = false;
-  if (!holds_tokens (request, event->call))
+  if (!has_partial_answer (request, event->call))
     {
       front->counters.events_doubled++;
       return;
     }
   front->counters.resets++;
   front_send_event (actions, event);
-  request->last = event->call << CALL_SHIFT;
+  request->last_event = event->call << CALL_SHIFT;
 }
 
 static void
@@ -124,12 +120,12 @@
       return;
     }
   request->accepted = true;
-  pass (request, event, actions);
+  forward_event (request, event, actions);
 }
 
-/* Another owner, or the same one later, can still serve the request.  */
+/* True when another owner, or the same one later, can serve the request.  */
 static bool
-can_go_elsewhere (const struct mq_event_msg *event)
+is_retryable (const struct mq_event_msg *event)
 {
   if (event->ran != MQ_RAN_NOT_RUN)
     return false;
@@ -144,7 +140,7 @@
 {
   const struct mq_event_msg *event = input->u.event;
 
-  if (!can_go_elsewhere (event))
+  if (!is_retryable (event))
     {
       front->counters.refusals++;
       front_send_event (actions, event);
@@ -153,7 +149,7 @@
     }
   front->counters.redirects++;
   if (front_text_bytes (event->redirect) > 0)
-    front_set_text (request, &request->hint, event->redirect);
+    front_set_text (request, &request->redirect_address, event->redirect);
   front_schedule_retry (front, request, input->now_us, event->retry_after_ms);
 }
 
@@ -164,9 +160,8 @@
   const struct mq_event_msg *event = input->u.event;
   struct front_request *request = front_find_request (front, event->handle);
 
-  /* An owner that was paused or cut off goes on answering when it comes
-     back, after the request went to its successor.  Taken in, its events
-     would mix with the successor's.  */
+  /* A previous owner that was paused or disconnected may still send events
+     after the request was resent; they must not mix with the new owner's.  */
   if (request == NULL || !request->sent || request->peer != input->peer)
     {
       front->counters.events_foreign++;
--- a/src/core/owner/front_state.h
+++ b/src/core/owner/front_state.h
@@ -1,4 +1,4 @@
-/* front_state.h - the front's tables, shared by the front*.c files only.
+/* front_state.h - private data structures and functions of the front.
 
    Needs: front.h.  */
 
@@ -10,11 +10,11 @@
 enum
 {
   US_PER_MS = 1000,
-  FIRST_ROOM = 16,
-  /* Event numbers: the call in the upper bits, the event of the call in the
-     lower ones; tokens count from 1, the end of a call is all ones.  */
+  INITIAL_CAPACITY = 16,
+  /* Event numbers: call number in the upper bits, index within the call in
+     the lower CALL_SHIFT bits.  Tokens count from 1.  */
   CALL_SHIFT = 16,
-  STEP_EVENT_INDEX = 0xffff
+  STEP_EVENT_INDEX = 0xffff /* index of STEP, the last event of a call */
 };
 
 struct front_peer
@@ -24,22 +24,21 @@
 };
 
 /**
- * struct front_request - one caller's request until its answer has ended
- * @handle: its caller
+ * struct front_request - a caller's request that has not ended
+ * @handle: id of the caller
  * @partition: partition of its program
- * @deadline_us: when it is given up, 0 never
- * @request: what is sent
- * @bytes: memory that it counts for
- * @sent: it is with @peer, which serves it
- * @sent_before: it was with some peer before
- * @peer: serving peer
- * @known: address that the map gave when it was sent
- * @hint: address that a refusal named, NULL when none
- * @next_us: while waiting: when it is sent again
- * @pause_ms: next pause, doubles with each failure
- * @accepted: the caller has heard ACCEPTED
- * @reattached: sent again, and no token or step has come since
- * @last: number of the last event that the caller has
+ * @deadline_us: when it times out, 0: never
+ * @bytes: memory charged to mq_front.bytes
+ * @sent: sent to @peer, which serves it; false: waiting
+ * @sent_before: sent at least once
+ * @peer: connection of the owner that serves it
+ * @known_address: owner's address by the lookup when it was sent
+ * @redirect_address: owner's address named by a redirect, NULL: none
+ * @next_us: while waiting: time of the next attempt
+ * @backoff_ms: next backoff, doubled after each failure
+ * @accepted: ACCEPTED was sent to the caller
+ * @reattached: resent, and no TOKEN or STEP received since
+ * @last_event: number of the last event sent to the caller
  */
 struct front_request
 {
@@ -51,13 +50,13 @@
   bool sent;
   bool sent_before;
   uint32_t peer;
-  char *known;
-  char *hint;
+  char *known_address;
+  char *redirect_address;
   uint64_t next_us;
-  uint32_t pause_ms;
+  uint32_t backoff_ms;
   bool accepted;
   bool reattached;
-  uint32_t last;
+  uint32_t last_event;
 };
 
 struct mq_front
@@ -66,13 +65,13 @@
   uint64_t random;
   struct front_request **requests; /* sorted by handle */
   size_t count;
-  size_t room;
+  size_t capacity;
   size_t bytes;
   struct front_peer *peers;
   size_t peer_count;
-  size_t peer_room;
-  uint64_t next_us;        /* not later than the first thing due */
-  uint64_t owner_check_us; /* when the map is compared next */
+  size_t peer_capacity;
+  uint64_t next_us;        /* next tick; not later than the first deadline */
+  uint64_t owner_check_us; /* next check for changed owners, 0: no request */
   struct mq_front_counters counters;
 };
 
--- a/src/core/owner/owner.c
+++ b/src/core/owner/owner.c
@@ -1,4 +1,4 @@
-/* owner.c - inputs, timers and status of the partition owner.
+/* owner.c - input dispatch, timers and status of the partition owner.
 
    Needs: owner_parts.h, id.h, jansson.  */
 
@@ -10,7 +10,7 @@
 
 enum
 {
-  TIMERS_FIRST_ROOM = 256
+  TIMERS_INITIAL_CAPACITY = 256
 };
 
 struct mq_owner *
@@ -49,7 +49,7 @@
   talloc_free (owner);
 }
 
-/* ---- Helpers of the other files ---- */
+/* ---- Shared helpers ---- */
 
 uint64_t
 owner_new_id (struct mq_owner *owner)
@@ -96,7 +96,8 @@
   return &action->u.store;
 }
 
-/* Full jitter over an exponential backoff, never less than half.  */
+/* Exponential backoff with jitter: a random time between half and all of
+   BASE_MS * 2^TRIES, of which MOST_MS is the maximum.  */
 uint32_t
 owner_jitter_ms (struct mq_owner *owner, uint32_t base_ms, uint32_t tries,
                  uint32_t most_ms)
@@ -109,7 +110,7 @@
          + mq_random_below (&owner->random, (uint32_t)(wait / 2) + 1);
 }
 
-/* ---- Timers of programs ---- */
+/* ---- Timers of programs: a binary heap ---- */
 
 static void
 sift_up (struct timer *timers, size_t at)
@@ -159,7 +160,7 @@
   if (owner->timer_count == owner->timer_capacity)
     {
       owner->timer_capacity = owner->timer_capacity == 0
-                                  ? TIMERS_FIRST_ROOM
+                                  ? TIMERS_INITIAL_CAPACITY
                                   : 2 * owner->timer_capacity;
       owner->timers = talloc_realloc (owner, owner->timers, struct timer,
                                       (unsigned int)owner->timer_capacity);
@@ -182,7 +183,7 @@
       owner->timers[0] = owner->timers[--owner->timer_count];
       sift_down (owner->timers, owner->timer_count);
       running = chain_find (owner, timer.program);
-      /* A later timer took its place.  */
+      /* Ended, or replaced by another timer.  */
       if (running == NULL || running->wake_us != timer.when_us)
         continue;
       running->wake_us = 0;
@@ -276,8 +277,8 @@
                  struct mq_actions *actions)
 {
   owner->actions = actions;
-  /* Ticks come far more often than that: this process was paused, and what
-     it did not see of others meanwhile must not count against them.  */
+  /* A gap between inputs means that this process was paused.  Other hosts must
+     not count as dead for renewals that it could not observe.  */
   if (owner->now_us != 0
       && input->now_us > owner->now_us + 1000ULL * MQ_OWNER_RENEW_MS)
     rows_paused (owner, input->now_us);
@@ -339,7 +340,7 @@
   return next;
 }
 
-/* ---- Questions ---- */
+/* ---- Queries ---- */
 
 bool
 mq_owner_is_drained (const struct mq_owner *owner)
--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -1,4 +1,4 @@
-/* owner_budget.c - time, turns and tokens that a program may still spend.
+/* owner_budget.c - budgets of programs: time, turns and tokens.
 
    Needs: owner_parts.h.  */
 
@@ -38,7 +38,7 @@
   running->clock_us = 0;
 }
 
-/* ---- Budget ---- */
+/* ---- Turns and tokens ---- */
 
 void
 budget_reserve (struct running *running, uint64_t tokens)
@@ -68,9 +68,8 @@
   log_append (owner, running, &record);
 }
 
-/* After a takeover in which some target that the earlier owner may have
-   used did not answer: it may still spend what was granted, so that counts
-   as spent.  */
+/* Charges the unused part of a grant after a takeover in which some target
+   did not answer, since calls there may still use it.  */
 void
 budget_forfeit (struct mq_owner *owner, struct running *running)
 {
@@ -140,7 +139,7 @@
 }
 
 static uint64_t
-grant_for (const struct running *running, uint64_t need)
+grant_size (const struct running *running, uint64_t need)
 {
   uint64_t used = running->program->spent + running->reserved;
   uint64_t wanted = used + need * MQ_GRANT_CALLS;
@@ -149,11 +148,11 @@
   return wanted < budget ? wanted : budget;
 }
 
-/* True when durable grants of the program and of those it is part of cover
-   MAX_TOKENS more.  Failure: an owner dies with calls under way that no log
-   knows, and its successor spends the same budget again.  Grants are
-   durable before they are drawn on, and a successor counts them as spent
-   unless targets' processes report what really was.  */
+/* True when durable grants of the program and its ancestors cover MAX_TOKENS
+   more; else requests grants and resumes the program once they are durable.
+   A grant is durable before it is used and counts as spent after a takeover
+   unless targets report actual use, so that a takeover can't spend the same
+   budget twice.  */
 bool
 budget_ensure_grant (struct mq_owner *owner, struct running *running,
                      uint32_t max_tokens)
@@ -167,14 +166,14 @@
       if (need > r->grant_durable)
         covered = false;
       if (need > r->grant_durable && need > r->grant_pending
-          && grant_for (r, max_tokens) > r->grant_pending)
+          && grant_size (r, max_tokens) > r->grant_pending)
         {
-          append_grant (owner, r, grant_for (r, max_tokens));
+          append_grant (owner, r, grant_size (r, max_tokens));
           log_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
               = r->grant_pending;
         }
     }
-  /* Whoever waits goes on when the last of them is durable.  */
+  /* Runs after the grants appended above are durable.  */
   if (!covered && !running->grant_requested)
     {
       running->grant_requested = true;
--- a/src/core/owner/owner_calls.c
+++ b/src/core/owner/owner_calls.c
@@ -1,9 +1,9 @@
-/* owner_calls.c - attempts of calls: outcomes and retries.
+/* owner_calls.c - outcomes and retries of call attempts.
 
-   A call that may be repeated is placed again after any doubt; what the
-   doubtful attempt may have spent is charged in full.  A call that may not
-   be repeated is sent only after its intent is durable, and goes elsewhere
-   only after the target's process has refused it for good.
+   An idempotent call is retried when an outcome is unknown, and the tokens
+   that the lost attempt may have used are charged in full.  A non-idempotent
+   call is sent only after its intent is durable, and goes to another target
+   only after the first one has refused it permanently.
    Needs: owner_parts.h, id.h.  */
 
 #include "owner_parts.h"
@@ -12,10 +12,10 @@
 
 /* ---- Retries ---- */
 
-/* Retries of a service are a share of its calls, so that they can't
-   multiply the load of one that is down.  */
+/* Retries of a service are limited to a share of its calls, so that they do
+   not multiply the load of a failing service.  */
 static bool
-take_retry (struct mq_owner *owner, const struct call *call)
+use_retry_credit (struct mq_owner *owner, const struct call *call)
 {
   struct pool *pool = hosts_pool (owner, call->service->name);
 
@@ -26,7 +26,7 @@
 }
 
 static void
-earn_retry (struct mq_owner *owner, const struct call *call)
+add_retry_credit (struct mq_owner *owner, const struct call *call)
 {
   struct pool *pool = hosts_pool (owner, call->service->name);
   double most = 10;
@@ -44,11 +44,11 @@
   uint32_t backoff = owner_jitter_ms (owner, MQ_RETRY_BASE_MS, call->tries++,
                                       MQ_RETRY_MAX_MS);
 
-  if (!take_retry (owner, call) && backoff < MQ_RETRY_MAX_MS / 4)
+  if (!use_retry_credit (owner, call) && backoff < MQ_RETRY_MAX_MS / 4)
     backoff += MQ_RETRY_MAX_MS / 4;
   if (call->tokens_seen > 0)
     {
-      /* What callers saw of the first attempt is void.  */
+      /* Callers must drop the tokens of the failed attempt.  */
       events_tell (owner, running, MQ_EVENT_RESET, call->number << 16,
                    call->number, "{}");
       call->tokens_seen = 0;
@@ -57,7 +57,7 @@
 }
 
 static void
-note_unknown (struct mq_owner *owner, const struct running *running)
+record_unknown_call (struct mq_owner *owner, const struct running *running)
 {
   const struct call *call = running->call;
   struct unknown_call *unknown;
@@ -78,12 +78,12 @@
   owner_state (owner, MQ_STATE_UNKNOWN_CALL, call->number, id);
 }
 
-/* The target's process that took the call is gone, and with it the only
-   record of whether the call ran.  It is never repeated.  */
+/* Ends a non-idempotent call whose target process is gone, and with it the
+   only record of whether the call ran.  It is never retried.  */
 void
 calls_fail_unknown (struct mq_owner *owner, struct running *running)
 {
-  note_unknown (owner, running);
+  record_unknown_call (owner, running);
   place_leave_target (owner, running);
   end_call (owner, running, MQ_ERR_TARGET_UNKNOWN, MQ_RAN_UNKNOWN, "", NULL);
 }
@@ -112,7 +112,7 @@
     }
   if (!call->idempotent && ran == MQ_RAN_UNKNOWN)
     {
-      note_unknown (owner, running);
+      record_unknown_call (owner, running);
       error = MQ_ERR_TARGET_UNKNOWN;
     }
   end_call (owner, running, error, ran, "", host);
@@ -139,10 +139,9 @@
   hosts_send (owner, target, &message);
 }
 
-/* Failure: a target's process drops an outcome whose charge is not yet in
-   the log; the owner dies, and its successor neither finds nor charges what
-   was spent.  So the outcome is kept until all that is known of the program
-   is durable.  */
+/* Sends FORGET once the records appended so far are durable.  A target that
+   drops an outcome earlier leaves its tokens uncharged if this host dies
+   before the commit.  */
 void
 calls_forget_when_durable (struct mq_owner *owner, struct running *running,
                            uint32_t number, uint32_t attempt, const char *host)
@@ -151,7 +150,8 @@
 }
 
 static void
-remember_sticky (struct running *running, const struct mq_outcome_msg *outcome)
+record_sticky_worker (struct running *running,
+                      const struct mq_outcome_msg *outcome)
 {
   struct call *call = running->call;
 
@@ -163,10 +163,10 @@
   running->reusable_tokens = running->sticky_tokens;
 }
 
-/* True when the prefix was computed for this owner before; it is from now
-   on.  There are as many as the text has had prompts.  */
+/* Records that an engine has computed the prefix; true when it was known.
+   Entries are bounded by the prompts of all configurations seen.  */
 static bool
-note_prefix (struct mq_owner *owner, uint64_t hash)
+record_prefix (struct mq_owner *owner, uint64_t hash)
 {
   struct computed_prefix *prefix;
 
@@ -182,19 +182,19 @@
   return false;
 }
 
-/* The measure of prompt tokens computed again: what some engine has computed
-   for this program, or the service's prompt for another one, and this engine
-   did not find in its cache.  */
+/* Counts prompt, cached and recomputed tokens.  Recomputed: computed before by
+   some engine, for this program or as the service's prompt, and not found in
+   this engine's cache.  */
 static void
-count_prompt (struct mq_owner *owner, const struct running *running,
-              const struct mq_outcome_msg *outcome)
+count_prompt_tokens (struct mq_owner *owner, const struct running *running,
+                     const struct mq_outcome_msg *outcome)
 {
   struct shared_prompt shared = place_find_shared (owner, running);
   uint32_t known = running->reusable_tokens;
 
   if (!running->call->model || outcome->error != MQ_ERR_NONE)
     return;
-  if (note_prefix (owner, shared.hash) && known < shared.tokens)
+  if (record_prefix (owner, shared.hash) && known < shared.tokens)
     known = shared.tokens;
   if (known > outcome->tokens_in)
     known = outcome->tokens_in;
@@ -213,21 +213,21 @@
 
   if (outcome->error == MQ_ERR_STALE_FENCE)
     {
-      /* Someone took the partition over; the row will say so.  What became
-         of the call is for the new owner to find out.  */
+      /* Another host has taken the partition over and recovers the call; the
+         next scan shows its row.  */
       owner->next_scan_us = owner->now_us;
       return;
     }
   owner_record_span (owner, running, "call", call->number, call->sent_us,
                      outcome->error);
-  count_prompt (owner, running, outcome);
-  remember_sticky (running, outcome);
+  count_prompt_tokens (owner, running, outcome);
+  record_sticky_worker (running, outcome);
   place_leave_target (owner, running);
   if (!call->already_charged)
     running->pending_charge += outcome->tokens_out;
   if (outcome->error == MQ_ERR_NONE)
     {
-      earn_retry (owner, call);
+      add_retry_credit (owner, call);
       end_call (owner, running, MQ_ERR_NONE, MQ_RAN_RAN, outcome->body, host);
       return;
     }
@@ -239,7 +239,7 @@
       running->pending_charge = 0;
       budget_charge (owner, running, tokens);
     }
-  /* The refused attempt has no further use at the target's process.  */
+  /* The outcome of the refused attempt is no longer needed.  */
   if (outcome->ran == MQ_RAN_NOT_RUN || call->idempotent)
     calls_forget_when_durable (owner, running, call->number, call->attempt,
                                host);
@@ -268,7 +268,7 @@
   running->recovered = kept;
 }
 
-/* An answer to no open attempt: late, doubled or foreign.  */
+/* Drops an outcome that is late, a duplicate or of an unknown program.  */
 static void
 drop_outcome (struct mq_owner *owner, struct running *running,
               struct target *target, const struct mq_outcome_msg *outcome)
@@ -314,7 +314,7 @@
   if (partition->state != PARTITION_ACTIVE
       && partition->state != PARTITION_RECOVERING)
     {
-      /* Not ours now: its owner will ask for it.  */
+      /* The partition's owner will recover it from the target.  */
       owner->counters.answers_dropped++;
       return;
     }
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -1,8 +1,9 @@
-/* owner_chain.c - programs: their table, next steps and answers.
+/* owner_chain.c - table of programs, their next calls and what follows
+   commits.
 
-   Three things wait for a commit: a budget grant, a call that may not be
-   repeated (its intent), and the final answer.  The rest goes ahead of the
-   store; a takeover does it again or finds it at the targets' processes.
+   A budget grant, the intent of a non-idempotent call and the final answer
+   wait for a commit.  Everything else runs ahead of the store; a takeover
+   repeats it or recovers it from the targets.
    Needs: owner_parts.h, id.h, jansson.  */
 
 #include "owner_parts.h"
@@ -11,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- The table of programs ---- */
+/* ---- Table of programs ---- */
 
 struct running *
 chain_find (struct mq_owner *owner, struct mq_id id)
@@ -20,7 +21,7 @@
 }
 
 static struct organisation_count *
-find_count (const struct mq_owner *owner, const char *name)
+find_organisation_count (const struct mq_owner *owner, const char *name)
 {
   struct organisation_count *count;
 
@@ -35,7 +36,7 @@
                   int change)
 {
   const char *name = running->program->organisation;
-  struct organisation_count *count = find_count (owner, name);
+  struct organisation_count *count = find_organisation_count (owner, name);
 
   owner->live += (uint32_t)change;
   if (count == NULL)
@@ -54,7 +55,8 @@
 chain_count_organisation (const struct mq_owner *owner,
                           const char *organisation)
 {
-  const struct organisation_count *count = find_count (owner, organisation);
+  const struct organisation_count *count
+      = find_organisation_count (owner, organisation);
 
   return count == NULL ? 0 : count->live;
 }
@@ -93,7 +95,7 @@
   talloc_free (running);
 }
 
-/* ---- Next steps ---- */
+/* ---- Next calls ---- */
 
 static const struct mq_service *
 find_model (const struct mq_owner *owner, const struct mq_service *agent)
@@ -109,7 +111,7 @@
   return NULL;
 }
 
-/* The call keeps its own copy: the text may change while it runs.  */
+/* Copies what a call needs, since the configuration may change meanwhile.  */
 static struct mq_service *
 copy_service (TALLOC_CTX *ctx, const struct mq_service *service)
 {
@@ -164,8 +166,7 @@
   return (uint32_t)(left < cap ? left : cap);
 }
 
-/* Lowers the cap of the call under way to what is left; false when that is
-   nothing.  */
+/* Limits the current call to the remaining tokens; false when none remain. */
 bool
 chain_limit_call (struct running *running)
 {
@@ -177,7 +178,8 @@
   return call->max_tokens > 0;
 }
 
-/* Fills in a model call; false when no token is left for it.  */
+/* Sets the token limit and body of a model call; false when no tokens
+   remain.  */
 bool
 chain_prepare_model (struct running *running, struct call *call,
                      uint32_t wanted, const char *extra_input)
@@ -215,7 +217,8 @@
     running->call = call;
 }
 
-/* "service" or "service.route"; NULL when the program may not call it.  */
+/* Finds the callee by "service" or "service.route"; NULL when unknown or not a
+   dependency of the program's service.  */
 static const struct mq_service *
 resolve_name (const struct mq_owner *owner, const struct running *running,
               const char *name, const struct mq_route **route)
@@ -255,8 +258,8 @@
 }
 
 static char *
-first_messages (TALLOC_CTX *ctx, const struct mq_service *agent,
-                const char *input, uint32_t *count)
+initial_messages (TALLOC_CTX *ctx, const struct mq_service *agent,
+                  const char *input, uint32_t *count)
 {
   struct mq_program *scratch = talloc_zero (ctx, struct mq_program);
 
@@ -307,16 +310,16 @@
   opened.follow_up = parent->follow_up;
   opened.traceparent = (char *)parent->traceparent;
   opened.budget = &budget;
-  opened.messages = first_messages (owner->actions, agent,
-                                    child_input (owner->actions, arguments),
-                                    &opened.message_count);
+  opened.messages = initial_messages (owner->actions, agent,
+                                      child_input (owner->actions, arguments),
+                                      &opened.message_count);
   child = chain_open (owner, running->partition, id, &opened);
   budget_start_clock (owner, child);
   running->child = child;
   chain_advance (owner, child);
 }
 
-/* A sub-program that an earlier owner opened, or a new one.  */
+/* Continues a sub-program opened by a previous owner, or opens one.  */
 static void
 start_or_join_child (struct mq_owner *owner, struct running *running,
                      const struct mq_service *agent, const char *arguments)
@@ -360,7 +363,7 @@
     }
   if (service == NULL)
     {
-      /* The model named something that is not there: it is told so.  */
+      /* Reported to the model as the outcome of its tool call.  */
       end_call (owner, running, MQ_ERR_NOT_FOUND, MQ_RAN_NOT_RUN, "", NULL);
       return;
     }
@@ -385,7 +388,7 @@
 }
 
 static void
-go_on (struct mq_owner *owner, struct running *running, bool place)
+start_next_call (struct mq_owner *owner, struct running *running, bool place)
 {
   enum mq_next_type next = mq_program_next (running->program);
 
@@ -429,20 +432,20 @@
 void
 chain_advance (struct mq_owner *owner, struct running *running)
 {
-  go_on (owner, running, true);
+  start_next_call (owner, running, true);
 }
 
-/* After a takeover: the call that is due, without placing it yet.  */
+/* After a takeover: creates the current call without placing it.  */
 void
 chain_resume_call (struct mq_owner *owner, struct running *running)
 {
-  go_on (owner, running, false);
+  start_next_call (owner, running, false);
 }
 
-/* ---- What follows a commit ---- */
+/* ---- After commits ---- */
 
 static void
-accepted_is_durable (struct mq_owner *owner, struct running *running,
+on_accepted_durable (struct mq_owner *owner, struct running *running,
                      uint64_t granted)
 {
   char id[MQ_ID_TEXT];
@@ -460,7 +463,7 @@
 }
 
 static void
-grant_is_durable (struct mq_owner *owner, struct running *running,
+on_grant_durable (struct mq_owner *owner, struct running *running,
                   uint64_t granted)
 {
   running->grant_requested = false;
@@ -472,13 +475,11 @@
     place_continue (owner, running);
 }
 
-/* Failure: a repeated request waits for the commit of an answer; before
-   that commit is through, a person's next turn begins, or even has its answer;
-   its caller is given the state of a running program as the answer, or one
-   that no log holds yet.  So only an answer that is still the last word, and
-   is durable itself, is told.  */
+/* Sends the answer unless a further turn has begun since, or the latest answer
+   is not durable yet.  Otherwise a caller could get the state of a running
+   program, or an answer that a takeover would lose.  */
 static void
-answer_is_durable (struct mq_owner *owner, struct running *running,
+on_answer_durable (struct mq_owner *owner, struct running *running,
                    uint64_t since_us)
 {
   if (running->program->state == MQ_PROGRAM_RUNNING
@@ -504,10 +505,10 @@
   switch (hook->type)
     {
     case HOOK_ACCEPTED:
-      accepted_is_durable (owner, running, hook->tokens);
+      on_accepted_durable (owner, running, hook->tokens);
       break;
     case HOOK_GRANTED:
-      grant_is_durable (owner, running, hook->tokens);
+      on_grant_durable (owner, running, hook->tokens);
       break;
     case HOOK_INTENT:
       if (running->partition->state == PARTITION_ACTIVE)
@@ -519,7 +520,7 @@
       events_step_done (owner, running, hook->call);
       break;
     case HOOK_ANSWERED:
-      answer_is_durable (owner, running, hook->since_us);
+      on_answer_durable (owner, running, hook->since_us);
       break;
     case HOOK_REPLY:
       request_reply (owner, hook);
@@ -558,7 +559,7 @@
         return;
     }
   else if (running->clock_us != 0)
-    budget_start_clock (owner, running); /* sets the timer again */
+    budget_start_clock (owner, running); /* restarts the timer */
   settle_tick (owner, running);
   if (running->caches != NULL && owner->now_us >= running->lease_us)
     evict_renew_leases (owner, running);
--- a/src/core/owner/owner_drive.c
+++ b/src/core/owner/owner_drive.c
@@ -1,4 +1,4 @@
-/* owner_drive.c - programs whose steps their caller makes.
+/* owner_drive.c - MODE_STEPS programs: each call is requested by the caller.
 
    Needs: owner_parts.h.  */
 
@@ -8,8 +8,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- Caller-driven programs ---- */
-
 static bool
 fill_step (struct mq_owner *owner, struct running *running, struct call *call,
            const struct mq_request_msg *request)
@@ -31,7 +29,7 @@
     }
   else if (json_is_array (messages))
     {
-      /* The caller keeps its own history and sends it whole.  */
+      /* The caller sends the complete history.  */
       call->max_tokens
           = chain_cap_tokens (running, call->service, request->max_tokens);
       dump = json_dumps (messages, JSON_COMPACT);
@@ -59,7 +57,7 @@
   uint64_t digest = mq_hash_bytes (request->body, strlen (request->body), 1);
 
   digest = mq_hash_bytes (request->service, strlen (request->service), digest);
-  /* Without a number only the key tells a repeat from a new call.  */
+  /* Without a sequence number only the key identifies a repeat.  */
   if (request->sequence == 0)
     digest = mq_hash_bytes (request->key, strlen (request->key), digest);
   return mq_hash_bytes (request->route, strlen (request->route), digest);
@@ -71,7 +69,7 @@
   return step_digest (request);
 }
 
-/* Starts the call that REQUEST asks for; an error when it can't.  */
+/* Starts the requested call; returns MQ_ERR_NONE or the reason of refusal.  */
 enum mq_error_type
 drive_step (struct mq_owner *owner, struct running *running,
             const struct mq_request_msg *request)
@@ -103,7 +101,7 @@
   budget_start_clock (owner, running);
   if (running->program->intent.call == call->number)
     {
-      /* An earlier owner may have sent it: settled first.  */
+      /* A previous owner may have sent it.  */
       running->call = call;
       call->started_us = owner->now_us;
       settle_intent (owner, running);
@@ -113,7 +111,7 @@
   return MQ_ERR_NONE;
 }
 
-/* The next of the caller's calls that came ahead of their turn.  */
+/* Starts the next call if its STEP request was received early.  */
 void
 drive_start_queued_step (struct mq_owner *owner, struct running *running)
 {
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -1,15 +1,17 @@
-/* owner_durable.c - what follows once records are durable, or certainly are
-   not.
+/* owner_durable.c - results of commits and checkpoints.
+
+   Runs hooks once records are durable, retries after store failures and
+   verifies commits whose result is unknown.
 
    Needs: owner_parts.h.  */
 
 #include "owner_parts.h"
 #include <string.h>
 
-/* ---- After the transaction ---- */
+/* ---- Checkpoints and applied commits ---- */
 
 static void
-forget_segments (struct mq_owner *owner, struct partition *partition)
+drop_old_segments (struct mq_owner *owner, struct partition *partition)
 {
   struct segment **at = &partition->segments;
 
@@ -54,7 +56,7 @@
   partition->snapshot_key = NULL;
   partition->snapshot_sequence = 0;
   partition->snapshot_written = false;
-  forget_segments (owner, partition);
+  drop_old_segments (owner, partition);
 }
 
 static void
@@ -89,8 +91,8 @@
 }
 
 static void
-part_applied (struct mq_owner *owner, struct commit_part *part,
-              uint64_t version)
+on_part_applied (struct mq_owner *owner, struct commit_part *part,
+                 uint64_t version)
 {
   struct partition *partition = part->partition;
 
@@ -133,12 +135,11 @@
     }
 }
 
-/* Failure: a pending_commit of which every partition was lost also carried
-   hooks of partitions that had no record in it; they went with it, and a call
-   that waited for such a hook waited for ever.  Hooks of what was lost are
-   gone by now; these follow the next commit.  */
+/* Moves the hooks of a dropped commit to the next one.  Hooks of lost
+   partitions are already removed; the rest belong to partitions without a
+   record in the commit, whose calls would otherwise wait for ever.  */
 static void
-gather_hooks_again (struct mq_owner *owner, struct hook *first)
+requeue_hooks (struct mq_owner *owner, struct hook *first)
 {
   struct hook *last = first;
 
@@ -152,9 +153,9 @@
   owner->hooks_first = first;
 }
 
-/* Ends the pending_commit; its hooks run only when its records are durable. */
+/* Ends the pending commit and, if it was applied, runs its hooks.  */
 static void
-finish_flight (struct mq_owner *owner, bool applied)
+finish_commit (struct mq_owner *owner, bool applied)
 {
   struct hook *hook = owner->pending_commit.hooks;
   TALLOC_CTX *memory = owner->pending_commit.memory;
@@ -169,7 +170,7 @@
     }
   else
     {
-      gather_hooks_again (owner, hook);
+      requeue_hooks (owner, hook);
       hook = NULL;
     }
   while (hook != NULL)
@@ -184,7 +185,7 @@
 }
 
 static size_t
-parts_left (const struct pending_commit *pending_commit)
+count_live_parts (const struct pending_commit *pending_commit)
 {
   size_t left = 0;
 
@@ -240,7 +241,7 @@
 }
 
 static void
-wait_and_resume (struct mq_owner *owner, enum commit_state resume)
+back_off (struct mq_owner *owner, enum commit_state resume)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
 
@@ -254,7 +255,7 @@
 }
 
 static void
-send_settle (struct mq_owner *owner)
+send_verification_scan (struct mq_owner *owner)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
   struct mq_store_request *request;
@@ -277,61 +278,61 @@
   return NULL;
 }
 
-struct settled
+/* What a partition row says about the pending commit.  */
+struct part_status
 {
   bool present;
-  bool applied; /* our batch is the row's last */
-  bool ours;    /* nobody raised the fence since */
+  bool applied; /* the row names the commit's batch */
+  bool ours;    /* the fence has not been raised */
   uint64_t version;
 };
 
-static struct settled
-settle_part (struct mq_owner *owner, const struct commit_part *part,
-             const struct mq_store_result *result)
+static struct part_status
+read_part_status (struct mq_owner *owner, const struct commit_part *part,
+                  const struct mq_store_result *result)
 {
-  struct settled settled = { 0 };
+  struct part_status row_status = { 0 };
   char *key
       = talloc_asprintf (owner->actions, "part/%05u", part->partition->number);
   const struct mq_row *row = find_row (result, key);
   Mqlog__PartitionRow *value;
 
   if (row == NULL)
-    return settled;
+    return row_status;
   value = mqlog__partition_row__unpack (NULL, row->value.len, row->value.data);
   if (value == NULL)
-    return settled;
-  settled.present = true;
-  settled.version = row->version;
-  settled.applied = value->batch == owner->pending_commit.batch;
-  settled.ours = value->fence == part->partition->fence
-                 && value->owner_boot == owner->options.boot;
+    return row_status;
+  row_status.present = true;
+  row_status.version = row->version;
+  row_status.applied = value->batch == owner->pending_commit.batch;
+  row_status.ours = value->fence == part->partition->fence
+                    && value->owner_boot == owner->options.boot;
   mqlog__partition_row__free_unpacked (value, NULL);
-  return settled;
+  return row_status;
 }
 
-/* A commit whose answer was lost, or that met a conflict: the rows tell.
-   Failure: the table applied it but the caller would wait for ever, or be
-   told twice.  All rows were written in one transaction, so our batch id in
-   any of them means that all of it happened.  Our fence and the old version
-   mean that it has not happened yet; the same conditions are sent again, so
-   that even if the first one still takes effect later, only one of the two
-   applies.  A higher fence means that another owner holds the partition:
-   it can't take effect any more, and we say nothing.  */
+/* Finds from the rows whether a commit applied whose result was lost or was a
+   conflict.  All rows are written in one transaction: the batch id in any row
+   means that it applied.  With the fence unchanged and another batch id it
+   has not applied yet; it is sent again on the same row versions, so that at
+   most one of both applies.  A raised fence means that another host owns the
+   partition, and the commit can no longer apply to it.  */
 static void
-settle (struct mq_owner *owner, const struct mq_store_result *result)
+verify_commit (struct mq_owner *owner, const struct mq_store_result *result)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
-  struct settled *settled;
+  struct part_status *row_status;
   bool applied = false;
 
-  settled = talloc_zero_array (owner->actions, struct settled,
-                               (unsigned int)pending_commit->count);
+  row_status = talloc_zero_array (owner->actions, struct part_status,
+                                  (unsigned int)pending_commit->count);
   for (size_t i = 0; i < pending_commit->count; i++)
     {
       if (pending_commit->parts[i].partition == NULL)
         continue;
-      settled[i] = settle_part (owner, &pending_commit->parts[i], result);
-      applied = applied || settled[i].applied;
+      row_status[i]
+          = read_part_status (owner, &pending_commit->parts[i], result);
+      applied = applied || row_status[i].applied;
     }
   for (size_t i = 0; i < pending_commit->count; i++)
     {
@@ -339,29 +340,28 @@
 
       if (partition == NULL)
         continue;
-      /* Failure: our batch applied, and another owner claimed the partition
-         before we read the row; its claim keeps our batch id.  Going on from
-         the version that we read, our next commit would pass its condition
-         and put the old fence back over the new one.  So whose fence it is
-         decides; what is durable the new owner tells.  */
-      if (!settled[i].present || !settled[i].ours)
+      /* The fence decides, not the batch id: a claim by another owner keeps
+         the batch id.  Continuing from the version just read, the next commit
+         would pass its condition and restore the old fence.  */
+      if (!row_status[i].present || !row_status[i].ours)
         take_lose (owner, partition);
-      else if (settled[i].applied)
-        part_applied (owner, &pending_commit->parts[i], settled[i].version);
+      else if (row_status[i].applied)
+        on_part_applied (owner, &pending_commit->parts[i],
+                         row_status[i].version);
     }
-  if (applied || parts_left (pending_commit) == 0)
+  if (applied || count_live_parts (pending_commit) == 0)
     {
-      finish_flight (owner, applied);
+      finish_commit (owner, applied);
       log_flush (owner);
       return;
     }
   pending_commit->object_next = 0;
-  wait_and_resume (owner, COMMIT_WRITING_OBJECTS);
+  back_off (owner, COMMIT_WRITING_OBJECTS);
 }
 
 static void
-transaction_applied (struct mq_owner *owner,
-                     const struct mq_store_result *result)
+on_transaction_applied (struct mq_owner *owner,
+                        const struct mq_store_result *result)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
 
@@ -373,18 +373,18 @@
         continue;
       if (part->row_op >= result->row_count)
         {
-          /* An answer without versions can't be relied on: read them.  */
-          send_settle (owner);
+          /* The result lacks row versions: read them.  */
+          send_verification_scan (owner);
           return;
         }
-      part_applied (owner, part, result->rows[part->row_op].version);
+      on_part_applied (owner, part, result->rows[part->row_op].version);
     }
-  finish_flight (owner, true);
+  finish_commit (owner, true);
   log_flush (owner);
 }
 
 static void
-flight_result (struct mq_owner *owner, const struct mq_store_result *result)
+commit_result (struct mq_owner *owner, const struct mq_store_result *result)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
   bool failed
@@ -394,9 +394,9 @@
     durable_store_unavailable (owner);
   else
     durable_store_up (owner);
-  if (parts_left (pending_commit) == 0)
+  if (count_live_parts (pending_commit) == 0)
     {
-      finish_flight (owner, false);
+      finish_commit (owner, false);
       log_flush (owner);
       return;
     }
@@ -405,7 +405,7 @@
     case COMMIT_WRITING_OBJECTS:
       if (result->status != MQ_STORE_OK)
         {
-          wait_and_resume (owner, COMMIT_WRITING_OBJECTS);
+          back_off (owner, COMMIT_WRITING_OBJECTS);
           return;
         }
       pending_commit->object_next++;
@@ -413,23 +413,23 @@
       return;
     case COMMIT_IN_TRANSACTION:
       if (result->status == MQ_STORE_OK)
-        transaction_applied (owner, result);
+        on_transaction_applied (owner, result);
       else if (result->status == MQ_STORE_DOWN)
-        wait_and_resume (owner, COMMIT_IN_TRANSACTION);
+        back_off (owner, COMMIT_IN_TRANSACTION);
       else
         {
           if (result->status == MQ_STORE_CONFLICT)
             owner->counters.commit_conflicts++;
           else
             owner->counters.commit_lost++;
-          send_settle (owner);
+          send_verification_scan (owner);
         }
       return;
     case COMMIT_VERIFYING:
       if (result->status != MQ_STORE_OK)
-        wait_and_resume (owner, COMMIT_VERIFYING);
+        back_off (owner, COMMIT_VERIFYING);
       else
-        settle (owner, result);
+        verify_commit (owner, result);
       return;
     case COMMIT_IDLE:
     case COMMIT_BACKOFF:
@@ -455,7 +455,7 @@
           log_flush (owner);
         }
       else
-        /* The same key and bytes again, on a tick.  */
+        /* The next tick retries with the same key and bytes.  */
         partition->snapshot_id = 0;
       return true;
     }
@@ -471,7 +471,7 @@
       && pending_commit->state != COMMIT_BACKOFF
       && pending_commit->request_id == result->id)
     {
-      flight_result (owner, result);
+      commit_result (owner, result);
       return true;
     }
   return snapshot_result (owner, result);
@@ -485,12 +485,12 @@
   if (pending_commit->state == COMMIT_BACKOFF
       && owner->now_us >= pending_commit->retry_us)
     {
-      if (parts_left (pending_commit) == 0)
-        finish_flight (owner, false);
+      if (count_live_parts (pending_commit) == 0)
+        finish_commit (owner, false);
       else if (pending_commit->resume == COMMIT_WRITING_OBJECTS)
         log_send_objects (owner);
       else if (pending_commit->resume == COMMIT_VERIFYING)
-        send_settle (owner);
+        send_verification_scan (owner);
       else
         log_send_transaction (owner);
     }
--- a/src/core/owner/owner_end.c
+++ b/src/core/owner/owner_end.c
@@ -1,4 +1,4 @@
-/* owner_end.c - how calls and programs end.
+/* owner_end.c - end of calls and programs.
 
    Needs: owner_parts.h.  */
 
@@ -7,12 +7,11 @@
 #include <jansson.h>
 #include <string.h>
 
-/* ---- Ends of calls ---- */
+/* ---- Calls ---- */
 
-/* The same call again and again is how an endless program looks.  Its
-   budget ends it; this reports it early.  */
+/* Reports a program that repeats the same call, before its budget ends it.  */
 static void
-watch_for_loop (struct mq_owner *owner, struct running *running)
+detect_loop (struct mq_owner *owner, struct running *running)
 {
   const struct mq_tool_call *pending = mq_program_pending (running->program);
   uint64_t digest;
@@ -82,12 +81,13 @@
 }
 
 static void
-end_after_failure (struct mq_owner *owner, struct running *running,
-                   enum mq_error_type error, enum mq_ran ran, const char *host)
+end_program_after_failure (struct mq_owner *owner, struct running *running,
+                           enum mq_error_type error, enum mq_ran ran,
+                           const char *host)
 {
   const struct call *call = running->call;
 
-  /* What the target's process keeps is settled by the program's end.  */
+  /* The record of the program's end replaces that of the outcome.  */
   if (call != NULL)
     log_hook (owner, running, HOOK_OUTCOME_DURABLE, call->number,
               call->attempt, host);
@@ -96,7 +96,8 @@
                running->stop != MQ_ERR_NONE ? running->stop : error, ran, "");
 }
 
-/* The call under way has ended for good.  */
+/* Ends the current call and continues or ends the program.  HOST: target that
+   holds the outcome, or NULL.  */
 void
 end_call (struct mq_owner *owner, struct running *running,
           enum mq_error_type error, enum mq_ran ran, const char *body,
@@ -115,10 +116,10 @@
   if (fatal
       || (running->stop != MQ_ERR_NONE && call != NULL && call->idempotent))
     {
-      end_after_failure (owner, running, error, ran, host);
+      end_program_after_failure (owner, running, error, ran, host);
       return;
     }
-  watch_for_loop (owner, running);
+  detect_loop (owner, running);
   append_outcome (owner, running, error, ran, body, host);
   running->call = NULL;
   if (program->mode == MQ_MODE_STEPS)
@@ -144,7 +145,7 @@
             program->answer == NULL ? "" : program->answer, NULL);
 }
 
-/* ---- Ends of programs ---- */
+/* ---- Programs ---- */
 
 void
 end_program (struct mq_owner *owner, struct running *running,
@@ -174,7 +175,8 @@
     end_child (owner, running);
 }
 
-/* Ends the program for WHY as soon as what is under way allows it.  */
+/* Stops the program with error WHY, once its current call can be
+   cancelled.  */
 void
 end_begin_stop (struct mq_owner *owner, struct running *running,
                 enum mq_error_type why)
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -69,7 +69,6 @@
 };
 
 /* A target whose RECOVERED answer a takeover waits for.  */
-
 struct recovery_wait
 {
   char *host;
@@ -88,11 +87,11 @@
   char *owner;
   char *address;
   uint64_t owner_boot;
-  uint64_t sequence;
-  uint64_t batch;
-  uint64_t checkpoint;
+  uint64_t sequence;   /* last log row */
+  uint64_t batch;      /* id of the last commit */
+  uint64_t checkpoint; /* log sequence that it covers */
   char *checkpoint_key;
-  uint64_t first;
+  uint64_t first; /* first log row kept */
   /* Only while this host owns it or takes it over.  */
   struct takeover *takeover;
   uint64_t read_id;  /* pending store request, 0: none */
--- a/src/core/owner/place.c
+++ b/src/core/owner/place.c
@@ -1,9 +1,9 @@
-/* place.c - which worker a call should go to.
+/* place.c - placement of calls on workers.
 
-   The policy "finish" predicts when the call would end at a handful of
-   candidates: the worker that holds the program's cache, the one that holds
-   the service's common prefix, and a few random ones.  Random choices keep
-   many owners with the same stale loads from all picking the same worker.
+   The policy "finish" predicts when the call would end at some candidates:
+   the worker that holds the program's cache, the one that holds the service's
+   common prompt prefix, and some random ones.  Random candidates keep owners
+   with the same stale load reports from choosing the same worker.
    Needs: place.h, id.h.  */
 
 #include "place.h"
@@ -13,11 +13,11 @@
 
 enum
 {
-  RANDOM_CHOICES = 4,        /* besides sticky and home */
-  DEFAULT_PREFILL = 8000,    /* tokens a second, until measured */
-  DEFAULT_DECODE_US = 10000, /* a token, until measured */
-  REPORT_FRESH_US = 2000000, /* an older load report counts half */
-  BOUNDED_LOAD_PERCENT = 125 /* of the mean: policy prefix_hash */
+  RANDOM_CHOICES = 4,          /* candidates */
+  DEFAULT_PREFILL_RATE = 8000, /* tokens per second */
+  DEFAULT_DECODE_US = 10000,   /* per token */
+  REPORT_FRESH_US = 2000000,   /* older load reports count half */
+  LOAD_BOUND_PERCENT = 125     /* of the mean load */
 };
 
 struct mq_place_state
@@ -88,8 +88,8 @@
   return (uint32_t)b;
 }
 
-/* Calls at the worker: what we sent, or what it reported if that is more;
-   an old report counts half.  */
+/* Estimated calls at the worker: the larger of those sent by this owner and
+   those reported.  */
 static uint32_t
 estimate_busy (const struct mq_worker_view *view, uint64_t now_us)
 {
@@ -104,7 +104,7 @@
 prefill_us (const struct mq_worker_view *view, uint64_t tokens)
 {
   uint64_t rate
-      = view->prefill_rate == 0 ? DEFAULT_PREFILL : view->prefill_rate;
+      = view->prefill_rate == 0 ? DEFAULT_PREFILL_RATE : view->prefill_rate;
 
   return tokens * 1000000 / rate;
 }
@@ -122,8 +122,7 @@
       = call->prompt_tokens > cached ? call->prompt_tokens - cached : 0;
   uint64_t finish = generate + prefill_us (view, uncached + view->own_tokens);
 
-  /* Each running call slows the others a little; calls over the slots wait
-     for one to end.  */
+  /* Concurrent calls slow each other; calls beyond the slots are queued.  */
   finish += generate * (busy < slots ? busy : slots) / (4ULL * slots);
   if (busy >= slots)
     finish += generate * (busy + 1 - slots) / slots;
@@ -166,8 +165,8 @@
   return best;
 }
 
-/* The worker that the program's first tokens hash to, or the next one whose
-   load is within the bound.  */
+/* The worker that the program hashes to, or the next one with a load within
+   the bound.  */
 static int32_t
 choose_prefix_hash (const struct mq_worker_view *views, size_t count,
                     const struct mq_place_call *call, uint64_t now_us)
@@ -187,21 +186,22 @@
         continue;
       if (fallback < 0)
         fallback = (int32_t)at;
-      if (busy * count * 100 <= total * BOUNDED_LOAD_PERCENT)
+      if (busy * count * 100 <= total * LOAD_BOUND_PERCENT)
         return (int32_t)at;
     }
   return fallback;
 }
 
-struct best
+struct candidate
 {
   int32_t index;
   uint64_t finish;
 };
 
 static void
-consider (struct best *best, const struct mq_worker_view *views, size_t at,
-          const struct mq_place_call *call, uint32_t cached, uint64_t now_us)
+compare_candidate (struct candidate *best, const struct mq_worker_view *views,
+                   size_t at, const struct mq_place_call *call,
+                   uint32_t cached, uint64_t now_us)
 {
   uint64_t finish;
 
@@ -221,13 +221,14 @@
                const struct mq_worker_view *views, size_t count,
                const struct mq_place_call *call, uint64_t now_us)
 {
-  struct best best = { -1, 0 };
+  struct candidate best = { -1, 0 };
   uint32_t home = jump_hash (call->shared_prefix, (uint32_t)count);
 
-  consider (&best, views, home, call, call->shared_tokens, now_us);
+  compare_candidate (&best, views, home, call, call->shared_tokens, now_us);
   for (int i = 0; i < RANDOM_CHOICES; i++)
-    consider (&best, views, mq_random_below (&state->random, (uint32_t)count),
-              call, 0, now_us);
+    compare_candidate (&best, views,
+                       mq_random_below (&state->random, (uint32_t)count), call,
+                       0, now_us);
   if (call->sticky >= 0 && (size_t)call->sticky < count
       && !views[call->sticky].avoid)
     {
@@ -235,8 +236,8 @@
       uint64_t finish
           = predict_finish (sticky, call, call->sticky_tokens, now_us);
 
-      /* A move throws cache away, here and at the worker that it crowds, and
-         the prediction is rough: it must halve the time.  */
+      /* Moving loses the program's cache and evicts others' at the new worker,
+         so it must at least halve the predicted time.  */
       if (best.index < 0 || 2 * best.finish >= finish)
         return call->sticky;
     }
--- a/src/core/owner/place.h
+++ b/src/core/owner/place.h
@@ -1,6 +1,6 @@
-/* place.h - which worker a call should go to.
+/* place.h - placement of calls on workers.
 
-   Scores workers on plain values; a wrong guess costs latency only.
+   Policies work on estimates; a wrong estimate costs latency only.
    Needs: types.h.  */
 
 #ifndef MQ_PLACE_H
@@ -10,28 +10,28 @@
 
 enum mq_policy
 {
-  MQ_POLICY_FINISH,       /* predicted finish, sticky, two choices */
+  MQ_POLICY_FINISH,       /* earliest predicted finish, with cache affinity */
   MQ_POLICY_ROUND_ROBIN,  /* baseline */
   MQ_POLICY_LEAST_LOADED, /* baseline */
-  MQ_POLICY_PREFIX_HASH,  /* baseline: consistent hash, bounded load */
+  MQ_POLICY_PREFIX_HASH,  /* baseline: consistent hash with bounded load */
   MQ_POLICY_COUNT
 };
 
 /**
- * struct mq_worker_view - what the owner believes of one worker
- * @peer: connection of its gate
- * @worker: index on that host
+ * struct mq_worker_view - the owner's view of one worker
+ * @peer: connection to its host
+ * @worker: index of the worker on that host
  * @name_hash: stable hash of host and index
- * @same_data_centre: in the caller's data centre
- * @slots: calls that run side by side
- * @own_in_flight: calls sent from here and not ended
- * @own_tokens: prompt tokens still to compute of these, estimated
- * @reported_busy: running and queued as last reported
- * @reported_us: when, on the caller's clock; 0: never
- * @cache_free: free cache tokens as last reported
- * @prefill_rate: tokens a second, 0: unknown
- * @decode_us: time of one token, 0: unknown
- * @avoid: leaving, silent or just refused
+ * @same_data_centre: in the data centre of the owner
+ * @slots: maximum of concurrent calls
+ * @own_in_flight: calls sent by this owner that have not ended
+ * @own_tokens: estimated prompt tokens of these still to be computed
+ * @reported_busy: running and queued calls in the last report
+ * @reported_us: time of the last report, owner's clock; 0: none
+ * @cache_free: free cache, tokens, in the last report
+ * @prefill_rate: prompt tokens per second, 0: unknown
+ * @decode_us: time per generated token, 0: unknown
+ * @avoid: not to be chosen: leaving, disconnected or just refused a call
  */
 struct mq_worker_view
 {
@@ -51,15 +51,14 @@
 };
 
 /**
- * struct mq_place_call - what is known of the call to be placed
- * @prompt_tokens: whole prompt
- * @expected_tokens: tokens that it is expected to generate
- * @sticky: index in the views that holds the program's cache, or -1
+ * struct mq_place_call - the call to be placed
+ * @prompt_tokens: tokens of the complete prompt
+ * @expected_tokens: tokens expected to be generated
+ * @sticky: index of the view that holds the program's cache, -1: none
  * @sticky_tokens: prompt tokens cached there
- * @shared_prefix: hash of the service's common prefix
- * @shared_tokens: its length
+ * @shared_prefix: hash of the service's common prompt prefix
+ * @shared_tokens: tokens of that prefix
  * @program_hash: hash of the program's id
- * @priority: class
  */
 struct mq_place_call
 {
@@ -73,11 +72,11 @@
   enum mq_priority priority;
 };
 
-struct mq_place_state; /* round-robin position, random state */
+struct mq_place_state; /* state of round robin and random choices */
 
 struct mq_place_state *mq_place_create (TALLOC_CTX *ctx, uint64_t seed);
 void mq_place_destroy (struct mq_place_state *state);
-/* Index of the chosen view, or -1 when every view is to be avoided.  */
+/* Index of the chosen view, -1 when none may be chosen.  */
 int32_t mq_place_choose (struct mq_place_state *state, enum mq_policy policy,
                          const struct mq_worker_view *views, size_t count,
                          const struct mq_place_call *call, uint64_t now_us);
--- a/src/core/owner/program.c
+++ b/src/core/owner/program.c
@@ -21,16 +21,16 @@
 
   if (need > program->messages_capacity)
     {
-      size_t room = program->messages_capacity == 0
-                        ? MESSAGES_INITIAL_CAPACITY
-                        : program->messages_capacity;
-      while (room < need)
-        room *= 2;
+      size_t capacity = program->messages_capacity == 0
+                            ? MESSAGES_INITIAL_CAPACITY
+                            : program->messages_capacity;
+      while (capacity < need)
+        capacity *= 2;
       program->messages
-          = talloc_realloc (program, program->messages, char, room);
+          = talloc_realloc (program, program->messages, char, capacity);
       if (program->messages == NULL)
         abort ();
-      program->messages_capacity = room;
+      program->messages_capacity = capacity;
     }
   memcpy (program->messages + program->messages_len, text, len);
   program->messages_len += len;
