--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -84,7 +84,7 @@
   record.body_case = MQLOG__RECORD__BODY_FORFEITED;
   record.forfeited = true;
   log_append (owner, running, &record);
-  running->forfeit_position = owner->appended;
+  running->charge_position = owner->appended;
 }
 
 uint64_t
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -496,7 +496,7 @@
 {
   struct running *running = chain_find (owner, hook->program);
 
-  if (hook->type == HOOK_OUTCOME_DURABLE || hook->type == HOOK_FORGET_OUTCOME)
+  if (hook->type == HOOK_OUTCOME || hook->type == HOOK_FORGET_OUTCOME)
     calls_send_forget (owner, hook->program, hook->call, hook->attempt,
                        hook->partition,
                        owner->partitions[hook->partition].fence, hook->host);
@@ -516,7 +516,7 @@
       break;
     case HOOK_FORGET_OUTCOME:
       break;
-    case HOOK_OUTCOME_DURABLE:
+    case HOOK_OUTCOME:
       events_step_done (owner, running, hook->call);
       break;
     case HOOK_ANSWERED:
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -205,7 +205,7 @@
   for (struct record *r = partition->pending_first; r != NULL; r = r->next)
     {
       owner->gathered--;
-      owner->gathered_bytes -= r->len;
+      owner->batch_bytes -= r->len;
     }
   partition->pending_first = NULL;
   partition->pending_last = NULL;
--- a/src/core/owner/owner_end.c
+++ b/src/core/owner/owner_end.c
@@ -76,7 +76,7 @@
   record.body_case = MQLOG__RECORD__BODY_OUTCOME;
   record.outcome = &outcome;
   log_append (owner, running, &record);
-  log_hook (owner, running, HOOK_OUTCOME_DURABLE, outcome.call, attempt, host);
+  log_hook (owner, running, HOOK_OUTCOME, outcome.call, attempt, host);
   owner->counters.calls_done++;
 }
 
@@ -89,8 +89,7 @@
 
   /* The record of the program's end replaces that of the outcome.  */
   if (call != NULL)
-    log_hook (owner, running, HOOK_OUTCOME_DURABLE, call->number,
-              call->attempt, host);
+    log_hook (owner, running, HOOK_OUTCOME, call->number, call->attempt, host);
   running->call = NULL;
   end_program (owner, running,
                running->stop != MQ_ERR_NONE ? running->stop : error, ran, "");
--- a/src/core/owner/owner_events.c
+++ b/src/core/owner/owner_events.c
@@ -155,7 +155,7 @@
       reply->event.type = MQ_EVENT_REFUSED;
       reply->event.error = MQ_ERR_STORE_DOWN;
       reply->event.ran = MQ_RAN_UNKNOWN;
-      reply->event.retry_after_ms = UNAVAILABLE_RETRY_MS;
+      reply->event.retry_after_ms = DEFAULT_RETRY_AFTER_MS;
       send_reply (owner, reply);
     }
 }
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -61,7 +61,7 @@
   partition->pending_count++;
   owner->appended++;
   owner->gathered++;
-  owner->gathered_bytes += item->len;
+  owner->batch_bytes += item->len;
   running->uncommitted_records++;
   read_apply (owner, partition, record);
 }
@@ -436,6 +436,6 @@
   owner->hooks_first = NULL;
   owner->hooks_last = NULL;
   owner->gathered = 0;
-  owner->gathered_bytes = 0;
+  owner->batch_bytes = 0;
   log_send_objects (owner);
 }
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -33,12 +33,12 @@
       = mq_text_find_organisation (owner->text, request->organisation);
   uint32_t hosts = owner->live_hosts == 0 ? 1 : owner->live_hosts;
 
-  *retry_after_ms = UNAVAILABLE_RETRY_MS;
+  *retry_after_ms = DEFAULT_RETRY_AFTER_MS;
   if (owner->leaving)
     return MQ_ERR_LEAVING;
   if (organisation == NULL)
     return MQ_ERR_UNAUTHORISED;
-  if (owner->gathered_bytes >= MQ_PENDING_MAX_BYTES)
+  if (owner->batch_bytes >= MQ_PENDING_MAX_BYTES)
     return MQ_ERR_STORE_DOWN;
   if (events_is_outage (owner) && priority == MQ_PRIORITY_BATCH)
     return MQ_ERR_STORE_DOWN;
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -369,7 +369,7 @@
 start_recover (struct mq_owner *owner, struct partition *partition)
 {
   partition->state = PARTITION_RECOVERING;
-  partition->takeover->recover_until_us
+  partition->takeover->recovery_deadline_us
       = owner->now_us + 1000ULL * MQ_RECOVER_MS;
   for (struct target *t = owner->targets; t != NULL; t = t->next)
     if (t->peer != 0)
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -254,7 +254,7 @@
           || running->call != NULL))
     {
       events_refuse (owner, running->partition, peer, handle,
-                     MQ_ERR_OUT_OF_ORDER, UNAVAILABLE_RETRY_MS);
+                     MQ_ERR_OUT_OF_ORDER, DEFAULT_RETRY_AFTER_MS);
       return;
     }
   events_add_waiter (running, peer, handle, request, 0);
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -17,7 +17,7 @@
   /* Added to a service's timeout before a call's outcome is unknown.  */
   OUTCOME_GRACE_MS = 5000,
   /* Sent to refused callers as the time after which to retry.  */
-  UNAVAILABLE_RETRY_MS = 1000
+  DEFAULT_RETRY_AFTER_MS = 1000
 };
 
 /* Prompt prefix common to all programs of a service.  */
@@ -63,7 +63,7 @@
   char *after;        /* key of the last log row read */
   bool targets_known; /* all previous owners' targets are read */
   bool exact;         /* every target that may have calls has answered */
-  uint64_t recover_until_us;
+  uint64_t recovery_deadline_us;
   struct recovery_wait *waits;
   size_t wait_count;
 };
@@ -133,13 +133,13 @@
 
 enum hook_type
 {
-  HOOK_ACCEPTED,        /* the program is durable: send ACCEPTED */
-  HOOK_GRANTED,         /* a grant is durable: resume the program */
-  HOOK_INTENT,          /* the intent is durable: send the call */
-  HOOK_FORGET_OUTCOME,  /* send FORGET for an outcome */
-  HOOK_OUTCOME_DURABLE, /* a call's outcome is durable: send STEP and FORGET */
-  HOOK_ANSWERED,        /* the answer is durable: send FINAL, evict caches */
-  HOOK_REPLY            /* answer one caller's request */
+  HOOK_ACCEPTED,       /* the program is durable: send ACCEPTED */
+  HOOK_GRANTED,        /* a grant is durable: resume the program */
+  HOOK_INTENT,         /* the intent is durable: send the call */
+  HOOK_FORGET_OUTCOME, /* send FORGET for an outcome */
+  HOOK_OUTCOME,        /* a call's outcome is durable: send STEP and FORGET */
+  HOOK_ANSWERED,       /* the answer is durable: send FINAL, evict caches */
+  HOOK_REPLY           /* answer one caller's request */
 };
 
 /* Action that runs once all records appended before it are durable.  */
@@ -311,7 +311,7 @@
   bool grant_requested; /* a HOOK_GRANTED that resumes it is queued */
   bool forfeited;       /* grants made before the takeover count as spent */
   struct recovered *recovered; /* attempts reported during a takeover */
-  uint64_t forfeit_position;   /* log position to be durable before it calls */
+  uint64_t charge_position;    /* log position to be durable before it calls */
   uint64_t answer_position;    /* log position of its last answer */
 };
 
@@ -447,7 +447,7 @@
   struct hook *hooks_first; /* for the next commit */
   struct hook *hooks_last;
   size_t gathered; /* records for the next commit */
-  size_t gathered_bytes;
+  size_t batch_bytes;
   /* Store.  */
   uint64_t next_request;
   bool store_down;
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -278,7 +278,7 @@
         read_next (owner, partition);
       break;
     case PARTITION_RECOVERING:
-      if (owner->now_us >= partition->takeover->recover_until_us)
+      if (owner->now_us >= partition->takeover->recovery_deadline_us)
         read_activate (owner, partition);
       break;
     case PARTITION_CLAIMING:
