--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -11,8 +11,8 @@
 {
   uint64_t elapsed = running->program->elapsed_ms;
 
-  if (running->clock_us != 0)
-    elapsed += (owner->now_us - running->clock_us) / 1000;
+  if (running->clock_started_us != 0)
+    elapsed += (owner->now_us - running->clock_started_us) / 1000;
   return elapsed;
 }
 
@@ -22,8 +22,8 @@
   uint64_t budget_ms = 1000ULL * running->program->budget.seconds;
   uint64_t elapsed = budget_elapsed_ms (owner, running);
 
-  if (running->clock_us == 0)
-    running->clock_us = owner->now_us;
+  if (running->clock_started_us == 0)
+    running->clock_started_us = owner->now_us;
   if (budget_ms > 0)
     owner_set_timer (
         owner, running,
@@ -35,7 +35,7 @@
 budget_stop_clock (struct mq_owner *owner, struct running *running)
 {
   running->program->elapsed_ms = budget_elapsed_ms (owner, running);
-  running->clock_us = 0;
+  running->clock_started_us = 0;
 }
 
 /* ---- Turns and tokens ---- */
@@ -84,7 +84,7 @@
   record.body_case = MQLOG__RECORD__BODY_FORFEITED;
   record.forfeited = true;
   log_append (owner, running, &record);
-  running->charge_position = owner->appended;
+  running->charge_position = owner->appended_position;
 }
 
 uint64_t
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -483,7 +483,7 @@
                    uint64_t since_us)
 {
   if (running->program->state == MQ_PROGRAM_RUNNING
-      || owner->settled < running->answer_position)
+      || owner->settled_position < running->answer_position)
     return;
   owner_record_span (owner, running, "commit", 0, since_us, MQ_ERR_NONE);
   if (running->program->state == MQ_PROGRAM_ENDED)
@@ -558,7 +558,7 @@
       if (program->state == MQ_PROGRAM_ENDED)
         return;
     }
-  else if (running->clock_us != 0)
+  else if (running->clock_started_us != 0)
     budget_start_clock (owner, running); /* restarts the timer */
   settle_tick (owner, running);
   if (running->caches != NULL && owner->now_us >= running->lease_us)
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -161,7 +161,7 @@
   TALLOC_CTX *memory = owner->pending_commit.memory;
   struct record *records = owner->pending_commit.records;
 
-  owner->settled = owner->pending_commit.mark;
+  owner->settled_position = owner->pending_commit.position;
   memset (&owner->pending_commit, 0, sizeof owner->pending_commit);
   if (applied)
     {
@@ -204,7 +204,7 @@
   partition->in_commit = false;
   for (struct record *r = partition->pending_first; r != NULL; r = r->next)
     {
-      owner->gathered--;
+      owner->batch_records--;
       owner->batch_bytes -= r->len;
     }
   partition->pending_first = NULL;
--- a/src/core/owner/owner_end.c
+++ b/src/core/owner/owner_end.c
@@ -161,7 +161,7 @@
   record.body_case = MQLOG__RECORD__BODY_ANSWERED;
   record.answered = &answered;
   log_append (owner, running, &record);
-  running->answer_position = owner->appended;
+  running->answer_position = owner->appended_position;
   budget_stop_clock (owner, running);
   running->ended_us = owner->now_us;
   if (error == MQ_ERR_BUDGET_TOKENS || error == MQ_ERR_BUDGET_TURNS
--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -92,7 +92,7 @@
   target->sent_boot = 0;
   former->next = owner->former_runs;
   owner->former_runs = former;
-  owner->former_runs_position = owner->appended;
+  owner->former_runs_position = owner->appended_position;
   owner->targets_dirty = true;
 }
 
@@ -130,9 +130,9 @@
     {
       /* Taking a partition back may have charged for them just now.  */
       owner->former_runs_needed = false;
-      owner->former_runs_position = owner->appended;
+      owner->former_runs_position = owner->appended_position;
     }
-  if (owner->settled < owner->former_runs_position)
+  if (owner->settled_position < owner->former_runs_position)
     return;
   while (owner->former_runs != NULL)
     {
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -42,8 +42,8 @@
   record->hi = running->program->id.hi;
   record->lo = running->program->id.lo;
   record->elapsed_ms = budget_elapsed_ms (owner, running);
-  if (running->clock_us != 0)
-    running->clock_us
+  if (running->clock_started_us != 0)
+    running->clock_started_us
         += 1000 * (record->elapsed_ms - running->program->elapsed_ms);
   record->charge = running->pending_charge;
   running->pending_charge = 0;
@@ -59,8 +59,8 @@
     partition->pending_last->next = item;
   partition->pending_last = item;
   partition->pending_count++;
-  owner->appended++;
-  owner->gathered++;
+  owner->appended_position++;
+  owner->batch_records++;
   owner->batch_bytes += item->len;
   running->uncommitted_records++;
   read_apply (owner, partition, record);
@@ -392,7 +392,7 @@
 static void
 run_hooks (struct mq_owner *owner)
 {
-  while (owner->hooks_first != NULL && owner->gathered == 0)
+  while (owner->hooks_first != NULL && owner->batch_records == 0)
     {
       struct hook *hook = owner->hooks_first;
 
@@ -424,7 +424,7 @@
   pending_commit->memory = talloc_new (owner);
   pending_commit->batch = mq_random_next (&owner->random);
   pending_commit->started_us = owner->now_us;
-  pending_commit->mark = owner->appended;
+  pending_commit->position = owner->appended_position;
   pending_commit->parts = talloc_array (
       pending_commit->memory, struct commit_part, (unsigned int)count);
   if (pending_commit->parts == NULL)
@@ -435,7 +435,7 @@
   pending_commit->hooks = owner->hooks_first;
   owner->hooks_first = NULL;
   owner->hooks_last = NULL;
-  owner->gathered = 0;
+  owner->batch_records = 0;
   owner->batch_bytes = 0;
   log_send_objects (owner);
 }
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -275,7 +275,7 @@
 static bool
 discards_are_durable (struct mq_owner *owner, struct running *running)
 {
-  if (owner->settled >= running->charge_position)
+  if (owner->settled_position >= running->charge_position)
     return true;
   if (!running->grant_requested)
     {
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -149,9 +149,9 @@
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
-  struct read_batch *kept;
+  struct logged_batch *kept;
 
-  take->rows = talloc_realloc (take, take->rows, struct read_batch,
+  take->rows = talloc_realloc (take, take->rows, struct logged_batch,
                                (unsigned int)take->row_count + 1);
   if (take->rows == NULL)
     abort ();
@@ -170,7 +170,7 @@
 }
 
 static void
-keep_segment (struct partition *partition, const struct read_batch *row)
+keep_segment (struct partition *partition, const struct logged_batch *row)
 {
   struct segment *segment;
 
@@ -296,7 +296,7 @@
       break;
     case TAKEOVER_READ_OBJECTS:
       {
-        struct read_batch *row = &take->rows[take->row_next++];
+        struct logged_batch *row = &take->rows[take->row_next++];
 
         row->bytes.data
             = talloc_memdup (take, result->value.data, result->value.len);
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -206,7 +206,7 @@
   if (running == NULL)
     return;
   /* A later answer came meanwhile, and its commit is still to come.  */
-  if (owner->settled < running->answer_position)
+  if (owner->settled_position < running->answer_position)
     {
       log_hook_reply (owner, running, hook->peer, hook->handle)->history
           = hook->history;
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -330,7 +330,7 @@
       && r->outcome.tokens_out > 0)
     {
       budget_charge (owner, running, r->outcome.tokens_out);
-      running->charge_position = owner->appended;
+      running->charge_position = owner->appended_position;
     }
   calls_forget_when_durable (owner, running, r->ref.call, r->ref.attempt,
                              r->target->host);
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -38,7 +38,7 @@
 };
 
 /* A log row read in a takeover.  Records of a large batch are in @object.  */
-struct read_batch
+struct logged_batch
 {
   uint64_t sequence;
   char *object;
@@ -56,7 +56,7 @@
 struct takeover
 {
   enum takeover_step step;
-  struct read_batch *rows; /* by sequence */
+  struct logged_batch *rows; /* by sequence */
   size_t row_count;
   size_t row_next;    /* first row whose object is not yet read */
   size_t sender_next; /* first sender whose targets are not yet read */
@@ -197,7 +197,8 @@
   size_t object_next; /* part whose object is being written */
   struct hook *hooks;
   struct record *records;
-  uint64_t mark; /* log position: value of mq_owner.appended that it covers */
+  uint64_t position; /* log position: value of mq_owner.appended_position that
+                        it covers */
   uint64_t started_us;
   uint64_t retry_us;
   uint32_t tries;
@@ -296,7 +297,8 @@
   uint64_t pending_charge; /* tokens to charge with the next record */
   uint64_t grant_pending;  /* total granted by records appended so far */
   uint64_t grant_durable;
-  uint64_t clock_us; /* start of the time not in elapsed_ms, 0: stopped */
+  uint64_t
+      clock_started_us; /* start of the time not in elapsed_ms, 0: stopped */
   uint64_t uncommitted_records;
   uint64_t ended_us;
   uint64_t wake_us;      /* time of its timer, 0: none */
@@ -446,7 +448,7 @@
   struct pending_commit pending_commit;
   struct hook *hooks_first; /* for the next commit */
   struct hook *hooks_last;
-  size_t gathered; /* records for the next commit */
+  size_t batch_records; /* records for the next commit */
   size_t batch_bytes;
   /* Store.  */
   uint64_t next_request;
@@ -469,9 +471,9 @@
   struct former_run *former_runs; /* kept in the targets row, newest first */
   uint64_t former_runs_position;  /* to be durable before removal */
   bool former_runs_needed;        /* a takeover elsewhere would read the row */
-  uint64_t appended;              /* log position: records appended so far */
-  uint64_t settled; /* log position: records durable or dropped */
-  char *run;        /* "HOST/BOOT" of this process */
+  uint64_t appended_position;     /* log position: records appended so far */
+  uint64_t settled_position; /* log position: records durable or dropped */
+  char *run;                 /* "HOST/BOOT" of this process */
   uint64_t targets_retry_us;
   uint32_t claiming; /* takeovers not yet active */
   bool eligible;
