--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -1,4 +1,4 @@
-/* fleet.c - owners on the stand-in's table in virtual time.
+/* fleet.c - simulated entry hosts with a table, in virtual time.
 
    Needs: fleet.h, id.h, codec.h.  */
 
@@ -22,7 +22,7 @@
   WORKER_SLOTS = 16
 };
 
-static const char text_format[]
+static const char config_format[]
     = "[site]\n"
       "name = capacity\n"
       "partitions = %u\n"
@@ -45,9 +45,9 @@
 
 enum event_type
 {
-  EVENT_STORE,  /* a result for a host */
-  EVENT_ANSWER, /* a target's tokens and outcome for a host */
-  EVENT_MESSAGE /* a message for a host */
+  EVENT_STORE,  /* a store result */
+  EVENT_ANSWER, /* a target's tokens and outcome */
+  EVENT_MESSAGE /* a message of a target or another host */
 };
 
 struct event
@@ -66,7 +66,7 @@
 {
   char name[16];
   char address[32];
-  uint32_t run; /* rises with every start; 0: never started */
+  uint32_t run; /* number of starts */
   bool alive;
   struct mq_owner *owner;
   uint64_t tick_us;
@@ -85,7 +85,7 @@
   size_t heap_count;
   size_t heap_room;
   uint64_t next_number;
-  uint64_t clock_ns; /* what reading the clock costs */
+  uint64_t clock_ns; /* cost of reading the clock */
   struct fleet_usage use;
 };
 
@@ -200,8 +200,8 @@
 }
 
 static void
-ask_table (struct fleet *fleet, uint32_t host,
-           const struct mq_store_request *request)
+serve_table_request (struct fleet *fleet, uint32_t host,
+                     const struct mq_store_request *request)
 {
   struct mq_store_result *result = talloc_zero (fleet, struct mq_store_result);
 
@@ -226,8 +226,8 @@
 }
 
 static void
-take_call (struct fleet *fleet, uint32_t host, uint32_t peer,
-           const struct mq_call_msg *call)
+answer_call (struct fleet *fleet, uint32_t host, uint32_t peer,
+             const struct mq_call_msg *call)
 {
   struct event *event;
 
@@ -241,15 +241,16 @@
   event->message->u.call.fence = call->fence;
 }
 
-/* A target's process with nothing to tell.  */
+/* Answers for a target: calls with tokens and an outcome, RECOVER with an
+   empty RECOVERED.  */
 static void
-take_at_target (struct fleet *fleet, uint32_t host, uint32_t peer,
-                const struct mq_message *message)
+handle_at_target (struct fleet *fleet, uint32_t host, uint32_t peer,
+                  const struct mq_message *message)
 {
   struct mq_message *answer;
 
   if (message->type == MQ_MSG_CALL)
-    take_call (fleet, host, peer, &message->u.call);
+    answer_call (fleet, host, peer, &message->u.call);
   if (message->type == MQ_MSG_RECOVER)
     {
       answer = start_message (fleet, host, peer, MQ_MSG_RECOVERED);
@@ -273,7 +274,7 @@
   fleet->use.sent_bytes[message->type] += len + FRAME_HEADER;
   if (peer < SIBLING_PEER)
     {
-      take_at_target (fleet, host, peer, message);
+      handle_at_target (fleet, host, peer, message);
       return;
     }
   copy = start_message (fleet, peer - SIBLING_PEER, host + SIBLING_PEER,
@@ -288,7 +289,8 @@
 /* ---- Hosts ---- */
 
 static void
-carry (struct fleet *fleet, uint32_t host, const struct mq_actions *actions)
+execute_actions (struct fleet *fleet, uint32_t host,
+                 const struct mq_actions *actions)
 {
   for (size_t i = 0; i < actions->count; i++)
     switch (actions->items[i].type)
@@ -298,7 +300,7 @@
                       &actions->items[i].u.message);
         break;
       case MQ_ACT_STORE:
-        ask_table (fleet, host, &actions->items[i].u.store);
+        serve_table_request (fleet, host, &actions->items[i].u.store);
         break;
       default:
         break;
@@ -329,7 +331,7 @@
   cost->count++;
   cost->ns += took > fleet->clock_ns ? took - fleet->clock_ns : 0;
   cost->allocations += read_counter (fleet->options.allocations) - heap;
-  carry (fleet, host, actions);
+  execute_actions (fleet, host, actions);
   talloc_free (actions);
 }
 
@@ -406,7 +408,7 @@
   return best;
 }
 
-/* One event or tick before UNTIL_US; false when there is none.  */
+/* Handles one event or tick before UNTIL_US; false when there is none.  */
 static bool
 step (struct fleet *fleet, uint64_t until_us)
 {
@@ -430,7 +432,7 @@
     }
   if (tick_us >= until_us)
     return false;
-  /* A tick that is overdue comes a millisecond later, as in the daemon.  */
+  /* An overdue tick is delayed by one millisecond, as in the daemon.  */
   fleet->now_us = tick_us > fleet->now_us ? tick_us : fleet->now_us + 1000;
   feed (fleet, host, FLEET_TICK, &input);
   return true;
@@ -560,10 +562,10 @@
   feed (fleet, host, FLEET_OTHER, &input);
 }
 
-/* ---- Life ---- */
+/* ---- Creation and queries ---- */
 
 static void
-create_list (struct fleet *fleet)
+create_host_list (struct fleet *fleet)
 {
   uint32_t count = fleet->options.hosts + fleet->options.targets;
 
@@ -604,7 +606,7 @@
 {
   struct fleet *fleet = talloc_zero (ctx, struct fleet);
   struct mq_text_errors errors = { 0 };
-  char *text = talloc_asprintf (fleet, text_format, options->partitions,
+  char *text = talloc_asprintf (fleet, config_format, options->partitions,
                                 options->lease_ms == 0 ? LEASE_MS
                                                        : options->lease_ms);
 
@@ -617,10 +619,10 @@
   fleet->text = mq_text_parse (fleet, text, strlen (text), &errors);
   if (fleet->text == NULL)
     {
-      fprintf (stderr, "the bench's own text has errors\n");
+      fprintf (stderr, "fleet: invalid site configuration\n");
       abort ();
     }
-  create_list (fleet);
+  create_host_list (fleet);
   for (uint32_t i = 0; i < options->hosts; i++)
     fleet_start (fleet, i);
   return fleet;
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -1,9 +1,9 @@
-/* fleet.h - owners on the stand-in's table in virtual time.
+/* fleet.h - simulated entry hosts with a table, in virtual time.
 
-   Hosts run the real owner.  The table answers after a fixed delay and
-   counts what it is asked; targets' processes are replaced by an answer of
-   so many tokens.  Nothing is lost and nobody is slow: faults are the fault
-   matrix's matter, this measures amounts.
+   Hosts run the real owner on the table of standins/.  The table answers after
+   a fixed delay and counts requests; targets return a fixed number of tokens.
+   It measures amounts and injects no faults but the end of hosts; see the
+   fault matrix for others.
    Needs: owner.h, table.h.  */
 
 #ifndef FLEET_H
@@ -26,7 +26,8 @@
   FLEET_KINDS
 };
 
-/* Handling one input, its actions' memory and the next tick's time.  */
+/* Cost of handling inputs of one kind: mq_owner_handle with its actions and
+   mq_owner_next_tick.  */
 struct fleet_cost
 {
   uint64_t count;
@@ -35,15 +36,17 @@
 };
 
 /**
- * struct fleet_usage - what was used since fleet_reset_usage
- * @cost: by kind of input, of all hosts
+ * struct fleet_usage - resources used since fleet_reset_usage
+ * @cost: by kind of input, all hosts
  * @reads: scans and object reads
  * @writes: transactions, object writes and removals
- * @bytes_read: keys and values that the table gave
- * @bytes_written: keys and values that it got
- * @peak: most reads and writes together in one second
- * @sent: frames by message type, of owners to targets and other owners
- * @sent_bytes: their bytes
+ * @bytes_read: keys and values returned by the table
+ * @bytes_written: keys and values sent to the table
+ * @peak: maximum of reads and writes in one second
+ * @second: current second of virtual time
+ * @in_second: reads and writes in @second
+ * @sent: frames sent by owners to targets and other owners, by message type
+ * @sent_bytes: bytes of @sent
  */
 struct fleet_usage
 {
@@ -60,17 +63,16 @@
 };
 
 /**
- * struct fleet_options - shape of a fleet
- * @hosts: entry hosts, all of them owners as far as they are eligible
+ * struct fleet_options - size and behaviour of a fleet
+ * @hosts: entry hosts
  * @targets: target hosts with one model worker each
- * @partitions: of the site
- * @store_us: time to the table and back, 0: 2 ms
- * @answer_tokens: frames of text that an answer has
- * @silent: targets take calls and never answer
+ * @store_us: round trip to the table, 0: 2 ms
+ * @answer_tokens: TOKEN messages per answer
+ * @silent: targets never answer calls
  * @connected: hosts are connected to each other
- * @lease_ms: of the site, 0: 5000
- * @clock_ns: processor time, NULL: nothing is timed
- * @allocations: allocations so far, NULL: they are not counted
+ * @lease_ms: lease_ms of the site, 0: 5000
+ * @clock_ns: reads processor time, NULL: times are not measured
+ * @allocations: allocations so far, NULL: not counted
  */
 struct fleet_options
 {
@@ -95,27 +97,28 @@
 void fleet_reset_usage (struct fleet *fleet);
 const struct fleet_usage *fleet_read_usage (const struct fleet *fleet);
 struct mq_owner *fleet_owner (const struct fleet *fleet, uint32_t host);
-/* Partitions that some living host owns.  */
+/* Number of partitions owned by a live host.  */
 uint32_t fleet_partitions_owned (const struct fleet *fleet);
-/* Living host that owns the partition of program NUMBER, or UINT32_MAX.  */
+/* Live host that owns the partition of program NUMBER, UINT32_MAX: none.  */
 uint32_t fleet_find_owner (const struct fleet *fleet, uint64_t number);
-/* Partitions lost by hosts that lived all the time.  */
+/* Sum of the partitions_lost counters of live hosts.  */
 uint64_t fleet_partitions_lost (const struct fleet *fleet);
-/* The process of HOST ends, its connections with it.  */
+/* Ends the process of HOST and its connections.  */
 void fleet_kill (struct fleet *fleet, uint32_t host);
-/* A planned stop of HOST begins.  */
+/* Starts a graceful shutdown of HOST.  */
 void fleet_leave (struct fleet *fleet, uint32_t host);
-/* The process of HOST starts; before it only the first FLEET.hosts did.  */
+/* Starts a process of HOST.  fleet_create has started the first
+   fleet_options.hosts.  */
 void fleet_start (struct fleet *fleet, uint32_t host);
-/* Opens program NUMBER at HOST with a history of TOKENS.  */
+/* Opens program NUMBER at HOST with an input of TOKENS tokens.  */
 void fleet_open (struct fleet *fleet, uint32_t host, uint64_t number,
                  uint32_t tokens, bool stream);
-/* A further turn of it, the TURN-th.  */
+/* Sends turn number TURN to program NUMBER.  */
 void fleet_turn (struct fleet *fleet, uint32_t host, uint64_t number,
                  uint32_t turn);
-/* Its caller goes away.  */
+/* Disconnects the caller of program NUMBER.  */
 void fleet_caller_gone (struct fleet *fleet, uint32_t host, uint64_t number);
-/* The list of hosts is read; a LOAD of one target comes.  */
+/* Gives HOST the host list, or a LOAD message of TARGET.  */
 void fleet_send_host_list (struct fleet *fleet, uint32_t host);
 void fleet_load (struct fleet *fleet, uint32_t host, uint32_t target);
 
--- a/tests/fuzz/fuzz_owner.c
+++ b/tests/fuzz/fuzz_owner.c
@@ -1,15 +1,15 @@
-/* fuzz_owner.c - what reaches the owner: rows of the table, objects, requests,
-   outcomes and messages of peers.
-
-   An owner on the stand-in's table, with virtual time.  Input: lines
-     row KEY BASE64        a row that is in the table from then on
-     object KEY BASE64     likewise an object
-     request TYPE KEY SERVICE ROUTE BODY   a caller's request; "-": none
-     outcome BODY          the answer to the oldest call that has none
-     failure ERROR         its failure, a name of error.h
-     frame BASE64          an envelope from another host
-     tick MS               time goes on
-   Accepted: a caller got an answer.
+/* fuzz_owner.c - inputs of the owner: table rows, objects, requests, outcomes
+   and messages of peers.
+
+   Runs an owner on the table of standins/, in virtual time.  Input lines:
+     row KEY BASE64        writes a row to the table
+     object KEY BASE64     writes an object to the table
+     request TYPE KEY SERVICE ROUTE BODY   sends a request; "-": empty word
+     outcome BODY          answers the oldest call without an outcome
+     failure ERROR         fails that call; ERROR is a name of error.h
+     frame BASE64          receives an envelope from another host
+     tick MS               advances the clock
+   Returns true when a caller got a final answer.
    Needs: fuzz.h, owner.h, codec.h, base64.h, batch.h, standins/table.h.  */
 
 #include "../../standins/table.h"
@@ -32,7 +32,7 @@
   ENTRY_PEER = 2,
   CALLS_MAX = 64,
   LINES_MAX = 64,
-  ACTIONS_MAX = 5000, /* one input of the owner leads to fewer */
+  ACTIONS_MAX = 5000, /* per input; more count as an endless loop */
   TICKS_MAX = 400,
   TICK_MAX_MS = 60000,
   TARGET_BOOT = 77,
@@ -52,13 +52,13 @@
       "[service clerk]\nkind = agent\ndepends = m, records, find, helper\n"
       "prompt = be brief\nbudget_tokens = 500\n";
 
-struct bench
+struct harness
 {
   TALLOC_CTX *ctx;
   struct mq_owner *owner;
   struct mq_table *table;
   struct mq_batch_queue queue;
-  bool working;
+  bool executing;
   uint64_t now_us;
   struct mq_call_msg calls[CALLS_MAX]; /* without outcome, oldest first */
   size_t call_count;
@@ -68,89 +68,90 @@
   size_t answers;
 };
 
-static void handle_input (struct bench *bench, struct mq_owner_input *input);
+static void handle_input (struct harness *harness,
+                          struct mq_owner_input *input);
 
 static void
-serve_store (struct bench *bench, const struct mq_store_request *request)
+serve_store (struct harness *harness, const struct mq_store_request *request)
 {
-  TALLOC_CTX *ctx = talloc_new (bench->ctx);
+  TALLOC_CTX *ctx = talloc_new (harness->ctx);
   struct mq_store_result result = { 0 };
   struct mq_owner_input input = { .type = MQ_OWNER_STORE };
 
-  mq_table_serve (bench->table, ctx, request, &result);
+  mq_table_serve (harness->table, ctx, request, &result);
   result.id = request->id;
   input.u.store = &result;
-  handle_input (bench, &input);
+  handle_input (harness, &input);
   talloc_free (ctx);
 }
 
 static void
-keep_call (struct bench *bench, const struct mq_message *message)
+record_call (struct harness *harness, const struct mq_message *message)
 {
   struct mq_message *copy;
 
-  if (message->type != MQ_MSG_CALL || bench->call_count == CALLS_MAX)
+  if (message->type != MQ_MSG_CALL || harness->call_count == CALLS_MAX)
     return;
-  copy = talloc_zero (bench->ctx, struct mq_message);
+  copy = talloc_zero (harness->ctx, struct mq_message);
   mq_message_copy (copy, copy, message);
-  bench->calls[bench->call_count++] = copy->u.call;
+  harness->calls[harness->call_count++] = copy->u.call;
 }
 
-/* Whoever waits gets a typed answer, whatever came from outside.  */
+/* Every event must have a valid error and body, whatever the input.  */
 static void
-check_event (struct bench *bench, const struct mq_event_msg *event)
+check_event (struct harness *harness, const struct mq_event_msg *event)
 {
   FUZZ_CHECK (event->error < MQ_ERR_COUNT);
   FUZZ_CHECK (event->type != MQ_EVENT_REFUSED || event->error != MQ_ERR_NONE);
   FUZZ_CHECK (event->body != NULL);
   if (event->type == MQ_EVENT_FINAL)
-    bench->answers++;
+    harness->answers++;
 }
 
 static void
-carry_out (struct bench *bench, const struct mq_action *action)
+execute_action (struct harness *harness, const struct mq_action *action)
 {
-  FUZZ_CHECK (++bench->actions < ACTIONS_MAX);
+  FUZZ_CHECK (++harness->actions < ACTIONS_MAX);
   switch (action->type)
     {
     case MQ_ACT_SEND:
-      keep_call (bench, &action->u.message);
+      record_call (harness, &action->u.message);
       break;
     case MQ_ACT_STORE:
-      serve_store (bench, &action->u.store);
+      serve_store (harness, &action->u.store);
       break;
     case MQ_ACT_EVENT:
-      check_event (bench, &action->u.event);
+      check_event (harness, &action->u.event);
       break;
     default:
       break;
     }
 }
 
-/* As in a process: actions are carried out in the order of their inputs.  */
+/* Executes actions in the order of their inputs, as the daemon does.  */
 static void
-handle_input (struct bench *bench, struct mq_owner_input *input)
+handle_input (struct harness *harness, struct mq_owner_input *input)
 {
   struct mq_batch *batch;
 
-  input->now_us = bench->now_us;
-  mq_owner_handle (bench->owner, input,
-                   mq_batch_add (bench->ctx, &bench->queue, 0));
-  if (bench->working)
+  input->now_us = harness->now_us;
+  mq_owner_handle (harness->owner, input,
+                   mq_batch_add (harness->ctx, &harness->queue, 0));
+  if (harness->executing)
     return;
-  bench->working = true;
-  bench->actions = 0;
-  while ((batch = mq_batch_take (&bench->queue)) != NULL)
+  harness->executing = true;
+  harness->actions = 0;
+  while ((batch = mq_batch_take (&harness->queue)) != NULL)
     {
       for (size_t i = 0; i < batch->actions->count; i++)
-        carry_out (bench, &batch->actions->items[i]);
+        execute_action (harness, &batch->actions->items[i]);
       talloc_free (batch);
     }
-  bench->working = false;
+  harness->executing = false;
 }
 
 static void
-handle_message (struct bench *bench, uint32_t peer,
+handle_message (struct harness *harness, uint32_t peer,
                 const struct mq_message *message)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_MESSAGE, .peer = peer };
@@ -167,45 +168,46 @@
       input.type = MQ_OWNER_CALLER_GONE;
       input.handle = message->u.forward_close.handle;
     }
-  handle_input (bench, &input);
+  handle_input (harness, &input);
 }
 
 static void
-pass_time (struct bench *bench, uint64_t ms)
+pass_time (struct harness *harness, uint64_t ms)
 {
-  uint64_t until = bench->now_us + ms * US_PER_MS;
+  uint64_t until = harness->now_us + ms * US_PER_MS;
 
   for (int i = 0; i < TICKS_MAX; i++)
     {
-      uint64_t next = mq_owner_next_tick (bench->owner);
+      uint64_t next = mq_owner_next_tick (harness->owner);
       struct mq_owner_input input = { .type = MQ_OWNER_TICK };
 
       if (next > until)
         break;
-      bench->now_us = next > bench->now_us ? next : bench->now_us + US_PER_MS;
-      handle_input (bench, &input);
+      harness->now_us
+          = next > harness->now_us ? next : harness->now_us + US_PER_MS;
+      handle_input (harness, &input);
     }
-  if (bench->now_us < until)
-    bench->now_us = until;
+  if (harness->now_us < until)
+    harness->now_us = until;
 }
 
 /* Lines.  */
 
 static void
-do_row (struct bench *bench, char *rest, bool object)
+run_row (struct harness *harness, char *rest, bool object)
 {
   char *key = strsep (&rest, " ");
   struct mq_bytes value;
   struct mq_store_op op = { .key = key, .if_version = MQ_VERSION_ANY };
   uint64_t version;
 
-  if (rest == NULL || !mq_base64_decode (bench->ctx, rest, &value))
+  if (rest == NULL || !mq_base64_decode (harness->ctx, rest, &value))
     return;
   op.value = value;
   if (object)
-    mq_table_put (bench->table, key, value);
+    mq_table_put (harness->table, key, value);
   else
-    mq_table_transact (bench->table, &op, 1, &version, NULL);
+    mq_table_transact (harness->table, &op, 1, &version, NULL);
 }
 
 static bool
@@ -227,7 +229,7 @@
 }
 
 static const char *
-word_or_empty (char **rest)
+next_word (char **rest)
 {
   const char *word = strsep (rest, " ");
 
@@ -235,34 +237,35 @@
 }
 
 static void
-do_request (struct bench *bench, char *rest)
+run_request (struct harness *harness, char *rest)
 {
   struct mq_request_msg request = { .organisation = "o", .traceparent = "" };
   struct mq_owner_input input = { .type = MQ_OWNER_REQUEST };
 
   if (!find_type (strsep (&rest, " "), &request.type))
     return;
-  request.key = word_or_empty (&rest);
-  request.service = word_or_empty (&rest);
-  request.route = word_or_empty (&rest);
+  request.key = next_word (&rest);
+  request.service = next_word (&rest);
+  request.route = next_word (&rest);
   request.body = rest == NULL ? "" : rest;
   request.stream = true;
   if (request.type <= MQ_REQUEST_CREATE)
-    bench->program = mq_id_open (request.organisation, request.key);
-  request.program = bench->program;
-  input.handle = ++bench->handle;
+    harness->program = mq_id_open (request.organisation, request.key);
+  request.program = harness->program;
+  input.handle = ++harness->handle;
   input.u.request = &request;
-  handle_input (bench, &input);
+  handle_input (harness, &input);
 }
 
 static void
-do_outcome (struct bench *bench, const char *body, enum mq_error_type error)
+run_outcome (struct harness *harness, const char *body,
+             enum mq_error_type error)
 {
   struct mq_message message = { .type = MQ_MSG_OUTCOME };
   struct mq_outcome_msg *outcome = &message.u.outcome;
-  const struct mq_call_msg *call = &bench->calls[0];
+  const struct mq_call_msg *call = &harness->calls[0];
 
-  if (bench->call_count == 0)
+  if (harness->call_count == 0)
     return;
   outcome->ref = call->ref;
   outcome->partition = call->partition;
@@ -272,27 +275,27 @@
   outcome->ran = error == MQ_ERR_NONE ? MQ_RAN_RAN : MQ_RAN_UNKNOWN;
   outcome->body = body;
   outcome->tokens_out = 5;
-  bench->call_count--;
-  memmove (&bench->calls[0], &bench->calls[1],
-           bench->call_count * sizeof bench->calls[0]);
-  handle_message (bench, TARGET_PEER, &message);
+  harness->call_count--;
+  memmove (&harness->calls[0], &harness->calls[1],
+           harness->call_count * sizeof harness->calls[0]);
+  handle_message (harness, TARGET_PEER, &message);
 }
 
 static void
-do_frame (struct bench *bench, const char *text)
+run_frame (struct harness *harness, const char *text)
 {
   struct mq_bytes value;
   struct mq_message *message;
 
-  if (!mq_base64_decode (bench->ctx, text, &value))
+  if (!mq_base64_decode (harness->ctx, text, &value))
     return;
-  message = mq_codec_unpack (bench->ctx, value.data, value.len, NULL);
+  message = mq_codec_unpack (harness->ctx, value.data, value.len, NULL);
   if (message != NULL)
-    handle_message (bench, ENTRY_PEER, message);
+    handle_message (harness, ENTRY_PEER, message);
 }
 
 static void
-do_line (struct bench *bench, char *line)
+run_line (struct harness *harness, char *line)
 {
   char *rest = line;
   const char *word = strsep (&rest, " ");
@@ -300,35 +303,35 @@
   if (rest == NULL)
     return;
   if (strcmp (word, "row") == 0 || strcmp (word, "object") == 0)
-    do_row (bench, rest, word[0] == 'o');
+    run_row (harness, rest, word[0] == 'o');
   else if (strcmp (word, "request") == 0)
-    do_request (bench, rest);
+    run_request (harness, rest);
   else if (strcmp (word, "outcome") == 0)
-    do_outcome (bench, rest, MQ_ERR_NONE);
+    run_outcome (harness, rest, MQ_ERR_NONE);
   else if (strcmp (word, "failure") == 0)
-    do_outcome (bench, "", mq_error_from_name (rest));
+    run_outcome (harness, "", mq_error_from_name (rest));
   else if (strcmp (word, "frame") == 0)
-    do_frame (bench, rest);
+    run_frame (harness, rest);
   else if (strcmp (word, "tick") == 0)
-    pass_time (bench, strtoul (rest, NULL, 10) % TICK_MAX_MS);
+    pass_time (harness, strtoul (rest, NULL, 10) % TICK_MAX_MS);
 }
 
-/* Start.  */
+/* Setup.  */
 
 static void
-tell_peer (struct bench *bench, uint32_t peer, const char *host,
-           enum mq_host_role role)
+connect_peer (struct harness *harness, uint32_t peer, const char *host,
+              enum mq_host_role role)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_PEER_UP, .peer = peer };
 
   input.u.peer_up.host = host;
   input.u.peer_up.role = role;
   input.u.peer_up.boot = TARGET_BOOT;
-  handle_input (bench, &input);
+  handle_input (harness, &input);
 }
 
 static void
-tell_load (struct bench *bench)
+send_load (struct harness *harness)
 {
   struct mq_worker_load workers[]
       = { { .worker = 0, .service = "m", .model = "x", .slots = 4 },
@@ -339,11 +342,11 @@
   message.u.load.boot = TARGET_BOOT;
   message.u.load.workers = workers;
   message.u.load.worker_count = sizeof workers / sizeof workers[0];
-  handle_message (bench, TARGET_PEER, &message);
+  handle_message (harness, TARGET_PEER, &message);
 }
 
 static void
-start_owner (struct bench *bench)
+start_owner (struct harness *harness)
 {
   struct mq_owner_options options = { .host = "e1",
                                       .data_centre = "a",
@@ -366,41 +369,41 @@
   struct mq_text_errors errors = { 0 };
   struct mq_owner_input input = { .type = MQ_OWNER_CONFIG };
   struct mq_text *text
-      = mq_text_parse (bench->ctx, site, strlen (site), &errors);
+      = mq_text_parse (harness->ctx, site, strlen (site), &errors);
 
   FUZZ_CHECK (text != NULL);
   text->version = 1;
-  bench->owner = mq_owner_create (bench->ctx, &options);
+  harness->owner = mq_owner_create (harness->ctx, &options);
   input.u.text = text;
-  handle_input (bench, &input);
+  handle_input (harness, &input);
   input.type = MQ_OWNER_HOSTS;
   input.u.hosts = &list;
-  handle_input (bench, &input);
-  tell_peer (bench, TARGET_PEER, "t1", MQ_HOST_TARGET);
-  tell_peer (bench, ENTRY_PEER, "e2", MQ_HOST_ENTRY);
-  tell_load (bench);
+  handle_input (harness, &input);
+  connect_peer (harness, TARGET_PEER, "t1", MQ_HOST_TARGET);
+  connect_peer (harness, ENTRY_PEER, "e2", MQ_HOST_ENTRY);
+  send_load (harness);
 }
 
 bool
 fuzz_owner (const uint8_t *data, size_t len)
 {
-  struct bench bench = { .now_us = US_PER_MS };
+  struct harness harness = { .now_us = US_PER_MS };
   struct fuzz_input input = { data, len };
   char *line;
 
-  bench.ctx = talloc_new (NULL);
-  bench.table = mq_table_create (bench.ctx);
-  start_owner (&bench);
+  harness.ctx = talloc_new (NULL);
+  harness.table = mq_table_create (harness.ctx);
+  start_owner (&harness);
   for (int i = 0; i < LINES_MAX; i++)
     {
-      line = fuzz_next_line (bench.ctx, &input);
+      line = fuzz_next_line (harness.ctx, &input);
       if (line == NULL)
         break;
-      do_line (&bench, line);
+      run_line (&harness, line);
     }
-  FUZZ_CHECK (mq_owner_status (bench.ctx, bench.owner) != NULL);
-  mq_owner_destroy (bench.owner);
-  mq_table_destroy (bench.table);
-  talloc_free (bench.ctx);
-  return bench.answers > 0;
+  FUZZ_CHECK (mq_owner_status (harness.ctx, harness.owner) != NULL);
+  mq_owner_destroy (harness.owner);
+  mq_table_destroy (harness.table);
+  talloc_free (harness.ctx);
+  return harness.answers > 0;
 }
--- a/tests/test_front.c
+++ b/tests/test_front.c
@@ -1,9 +1,9 @@
-/* test_front.c - a caller's request while owners die, move and contradict
-   each other.
+/* test_front.c - forwarding of callers' requests when owners fail, change or
+   disagree.
 
-   Each case is a script: what happens, and all that the front does about it,
-   written as words.  "send N" and "close N" go to peer N (0: the owner in
-   this process), the rest is what the caller hears.
+   Each case is a script of inputs with the expected actions as text.  "send N"
+   and "close N" are messages to peer N (0: the owner in this process); the
+   rest are events to the caller.
    Needs: criterion, front.h.  */
 
 #include "core/owner/front.h"
@@ -13,38 +13,38 @@
 
 enum
 {
-  MS = 1000,
+  US_PER_MS = 1000,
   STEPS_MAX = 16,
   HANDLE = 77,
   DEADLINE_MS = 60000,
-  TOKENS = 16
+  CALL_SHIFT = 16
 };
 
-#define TOKEN_NUMBER(call, index) ((call) << TOKENS | ((index) + 1))
-#define STEP_NUMBER(call) ((call) << TOKENS | 0xffff)
+#define TOKEN_NUMBER(call, index) ((call) << CALL_SHIFT | ((index) + 1))
+#define STEP_NUMBER(call) ((call) << CALL_SHIFT | 0xffff)
 
-enum what
+enum step_kind
 {
   END,
-  ASK,      /* the caller's request comes in */
-  MAP,      /* the owners' map shows TEXT, or nothing for NULL */
-  UP,       /* peer A is connected at address TEXT */
-  DOWN,     /* peer A is gone */
-  WAIT,     /* A milliseconds pass */
-  GONE,     /* the caller leaves */
-  ACCEPTED, /* events of peer A */
-  TOKEN,    /* of call B, index C */
-  STEP,     /* of call B */
-  RESET,    /* of call B */
+  REQUEST,     /* a request from the caller */
+  LOOKUP,      /* owner's address becomes TEXT, NULL: unknown */
+  UP,          /* peer A connects at address TEXT */
+  DOWN,        /* peer A is disconnected */
+  WAIT,        /* A milliseconds pass */
+  CALLER_GONE, /* the caller disconnects */
+  ACCEPTED,    /* this and the following: events of peer A */
+  TOKEN,       /* of call B, index C */
+  STEP,        /* of call B */
+  RESET,       /* of call B */
   FINAL,
-  MOVED,    /* refused: not ready, not run; TEXT is the hint */
-  NOT_HERE, /* refused: error B, not run */
-  IN_DOUBT  /* refused: error B, unknown */
+  REDIRECT,       /* refusal: not ready, not run; owner's address TEXT */
+  REFUSE_NOT_RUN, /* refusal: error B, not run */
+  REFUSE_UNKNOWN  /* refusal: error B, unknown whether run */
 };
 
 struct step
 {
-  enum what what;
+  enum step_kind kind;
   uint32_t a;
   uint32_t b;
   uint32_t c;
@@ -52,262 +52,254 @@
   const char *expect;
 };
 
-/* The owner is at peer 1, and has the request.  */
+/* The owner is peer 1 and has received the request.  */
 #define ONE_HOST                                                              \
-  { .what = MAP, .text = "a" }, { .what = UP, .a = 1, .text = "a" },          \
+  { .kind = LOOKUP, .text = "a" }, { .kind = UP, .a = 1, .text = "a" },       \
   {                                                                           \
-    .what = ASK, .expect = "send 1"                                           \
+    .kind = REQUEST, .expect = "send 1"                                       \
   }
-/* Another entry host is connected as peer 2.  */
-#define TWO_HOSTS { .what = UP, .a = 2, .text = "b" }, ONE_HOST
-/* The owner dies; peer 2 takes over and gets the request.  */
+/* Another entry host is peer 2.  */
+#define TWO_HOSTS { .kind = UP, .a = 2, .text = "b" }, ONE_HOST
+/* The owner dies; peer 2 takes over and receives the request.  */
 #define TAKEOVER                                                              \
-  { .what = DOWN, .a = 1 }, { .what = MAP, .text = "b" },                     \
+  { .kind = DOWN, .a = 1 }, { .kind = LOOKUP, .text = "b" },                  \
   {                                                                           \
-    .what = WAIT, .a = 100, .expect = "send 2"                                \
+    .kind = WAIT, .a = 100, .expect = "send 2"                                \
   }
 
 static const struct
 {
-  const char *story;
+  const char *name;
   struct step steps[STEPS_MAX];
 } cases[] = {
-  { "The owner is this process.",
-    { { .what = MAP, .text = "" },
-      { .what = ASK, .expect = "send 0" },
-      { .what = ACCEPTED, .a = 0, .expect = "accepted" },
-      { .what = TOKEN, .a = 0, .b = 1, .c = 0, .expect = "token 1.0" },
-      { .what = TOKEN, .a = 0, .b = 1, .c = 1, .expect = "token 1.1" },
-      { .what = STEP, .a = 0, .b = 1, .expect = "step 1" },
-      { .what = FINAL, .a = 0, .expect = "final" },
-      { .what = WAIT, .a = DEADLINE_MS } } },
-  { "No owner is known when the caller asks; one is found a moment later.  "
-    "The caller waits and is not refused.",
-    { { .what = UP, .a = 1, .text = "a" },
-      { .what = ASK },
-      { .what = WAIT, .a = 300 },
-      { .what = MAP, .text = "a" },
-      { .what = WAIT, .a = 2000, .expect = "send 1" },
-      { .what = FINAL, .a = 1, .expect = "final" } } },
-  { "No owner is ever known: at the deadline the caller learns that nothing "
-    "was run.",
-    { { .what = ASK },
-      { .what = WAIT, .a = 30000 },
-      { .what = WAIT, .a = 30000, .expect = "refused not_ready not_run" } } },
-  { "The owner's host is not connected yet; its connection wakes the "
-    "request.",
-    { { .what = MAP, .text = "a" },
-      { .what = ASK },
-      { .what = UP, .a = 1, .text = "a" },
-      { .what = WAIT, .a = 10, .expect = "send 1" } } },
-  { "The owner takes the request and is never heard of again, connection and "
-    "all alive: at the deadline nobody can say whether it ran.",
+  { "owner in this process",
+    { { .kind = LOOKUP, .text = "" },
+      { .kind = REQUEST, .expect = "send 0" },
+      { .kind = ACCEPTED, .a = 0, .expect = "accepted" },
+      { .kind = TOKEN, .a = 0, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = TOKEN, .a = 0, .b = 1, .c = 1, .expect = "token 1.1" },
+      { .kind = STEP, .a = 0, .b = 1, .expect = "step 1" },
+      { .kind = FINAL, .a = 0, .expect = "final" },
+      { .kind = WAIT, .a = DEADLINE_MS } } },
+  { "owner found after the request: the caller waits",
+    { { .kind = UP, .a = 1, .text = "a" },
+      { .kind = REQUEST },
+      { .kind = WAIT, .a = 300 },
+      { .kind = LOOKUP, .text = "a" },
+      { .kind = WAIT, .a = 2000, .expect = "send 1" },
+      { .kind = FINAL, .a = 1, .expect = "final" } } },
+  { "owner never found: refused as not run at the deadline",
+    { { .kind = REQUEST },
+      { .kind = WAIT, .a = 30000 },
+      { .kind = WAIT, .a = 30000, .expect = "refused not_ready not_run" } } },
+  { "owner connects after the request: sent at once",
+    { { .kind = LOOKUP, .text = "a" },
+      { .kind = REQUEST },
+      { .kind = UP, .a = 1, .text = "a" },
+      { .kind = WAIT, .a = 10, .expect = "send 1" } } },
+  { "owner connected but silent: refused as unknown at the deadline",
     { ONE_HOST,
-      { .what = WAIT,
+      { .kind = WAIT,
         .a = DEADLINE_MS,
         .expect = "close 1 refused timeout unknown" } } },
-  { "The owner dies before it has accepted: the request goes to the next.",
+  { "owner dies before ACCEPTED: resent to its successor",
     { TWO_HOSTS,
-      { .what = DOWN, .a = 1 },
-      { .what = WAIT, .a = 500 },
-      { .what = MAP, .text = "b" },
-      { .what = WAIT, .a = 2000, .expect = "send 2" },
-      { .what = ACCEPTED, .a = 2, .expect = "accepted" },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The owner dies after it has accepted: the caller hears that once.",
+      { .kind = DOWN, .a = 1 },
+      { .kind = WAIT, .a = 500 },
+      { .kind = LOOKUP, .text = "b" },
+      { .kind = WAIT, .a = 2000, .expect = "send 2" },
+      { .kind = ACCEPTED, .a = 2, .expect = "accepted" },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "owner dies after ACCEPTED: the caller gets ACCEPTED once",
     { TWO_HOSTS,
-      { .what = ACCEPTED, .a = 1, .expect = "accepted" },
+      { .kind = ACCEPTED, .a = 1, .expect = "accepted" },
       TAKEOVER,
-      { .what = ACCEPTED, .a = 2 },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The owner dies in the middle of an answer, and the next one runs that "
-    "call again from its first word: what the caller has is void.",
+      { .kind = ACCEPTED, .a = 2 },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "owner dies during a call, successor repeats it: RESET",
     { TWO_HOSTS,
-      { .what = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
-      { .what = TOKEN, .a = 1, .b = 1, .c = 1, .expect = "token 1.1" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 1, .expect = "token 1.1" },
       TAKEOVER,
-      { .what = TOKEN, .a = 2, .b = 1, .c = 0, .expect = "reset 1 token 1.0" },
-      { .what = TOKEN, .a = 2, .b = 1, .c = 1, .expect = "token 1.1" },
-      { .what = STEP, .a = 2, .b = 1, .expect = "step 1" },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The owner dies in the middle of an answer, and the next one takes up "
-    "the running stream at a later token.  The words between are lost: none "
-    "of that call's text is shown until it ends.",
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 0, .expect = "reset 1 token 1.0" },
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 1, .expect = "token 1.1" },
+      { .kind = STEP, .a = 2, .b = 1, .expect = "step 1" },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "owner dies during a call, successor resumes at a later token: RESET, "
+    "no tokens after the gap",
     { TWO_HOSTS,
-      { .what = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
       TAKEOVER,
-      { .what = TOKEN, .a = 2, .b = 1, .c = 1, .expect = "reset 1" },
-      { .what = TOKEN, .a = 2, .b = 1, .c = 2 },
-      { .what = STEP, .a = 2, .b = 1, .expect = "step 1" },
-      { .what = TOKEN, .a = 2, .b = 2, .c = 0, .expect = "token 2.0" },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The owner dies in the middle of an answer; the call's outcome was kept, "
-    "and the next owner tells its end without any token.",
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 1, .expect = "reset 1" },
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 2 },
+      { .kind = STEP, .a = 2, .b = 1, .expect = "step 1" },
+      { .kind = TOKEN, .a = 2, .b = 2, .c = 0, .expect = "token 2.0" },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "owner dies during a call, successor sends STEP without tokens: RESET",
     { TWO_HOSTS,
-      { .what = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
       TAKEOVER,
-      { .what = STEP, .a = 2, .b = 1, .expect = "reset 1 step 1" },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The caller comes in the middle of a call.",
-    { { .what = MAP, .text = "" },
-      { .what = ASK, .expect = "send 0" },
-      { .what = TOKEN, .a = 0, .b = 1, .c = 5 },
-      { .what = TOKEN, .a = 0, .b = 1, .c = 6 },
-      { .what = STEP, .a = 0, .b = 1, .expect = "step 1" },
-      { .what = TOKEN, .a = 0, .b = 2, .c = 0, .expect = "token 2.0" },
-      { .what = TOKEN, .a = 0, .b = 2, .c = 1, .expect = "token 2.1" },
-      { .what = FINAL, .a = 0, .expect = "final" } } },
-  { "The next owner tells a finished step again: the caller has it.",
+      { .kind = STEP, .a = 2, .b = 1, .expect = "reset 1 step 1" },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "caller attaches during a call: no tokens until the next call",
+    { { .kind = LOOKUP, .text = "" },
+      { .kind = REQUEST, .expect = "send 0" },
+      { .kind = TOKEN, .a = 0, .b = 1, .c = 5 },
+      { .kind = TOKEN, .a = 0, .b = 1, .c = 6 },
+      { .kind = STEP, .a = 0, .b = 1, .expect = "step 1" },
+      { .kind = TOKEN, .a = 0, .b = 2, .c = 0, .expect = "token 2.0" },
+      { .kind = TOKEN, .a = 0, .b = 2, .c = 1, .expect = "token 2.1" },
+      { .kind = FINAL, .a = 0, .expect = "final" } } },
+  { "successor repeats a finished step: duplicates dropped",
     { TWO_HOSTS,
-      { .what = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
-      { .what = STEP, .a = 1, .b = 1, .expect = "step 1" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = STEP, .a = 1, .b = 1, .expect = "step 1" },
       TAKEOVER,
-      { .what = TOKEN, .a = 2, .b = 1, .c = 0 },
-      { .what = STEP, .a = 2, .b = 1 },
-      { .what = TOKEN, .a = 2, .b = 2, .c = 0, .expect = "token 2.0" },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The owner itself begins a call again.",
-    { { .what = MAP, .text = "" },
-      { .what = ASK, .expect = "send 0" },
-      { .what = TOKEN, .a = 0, .b = 3, .c = 0, .expect = "token 3.0" },
-      { .what = TOKEN, .a = 0, .b = 3, .c = 1, .expect = "token 3.1" },
-      { .what = RESET, .a = 0, .b = 3, .expect = "reset 3" },
-      { .what = RESET, .a = 0, .b = 3 },
-      { .what = TOKEN, .a = 0, .b = 3, .c = 0, .expect = "token 3.0" },
-      { .what = FINAL, .a = 0, .expect = "final" } } },
-  { "The guess was wrong; the refusal names the owner.  The map is behind, "
-    "and does not draw the request back.",
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 0 },
+      { .kind = STEP, .a = 2, .b = 1 },
+      { .kind = TOKEN, .a = 2, .b = 2, .c = 0, .expect = "token 2.0" },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "owner repeats a call: RESET once",
+    { { .kind = LOOKUP, .text = "" },
+      { .kind = REQUEST, .expect = "send 0" },
+      { .kind = TOKEN, .a = 0, .b = 3, .c = 0, .expect = "token 3.0" },
+      { .kind = TOKEN, .a = 0, .b = 3, .c = 1, .expect = "token 3.1" },
+      { .kind = RESET, .a = 0, .b = 3, .expect = "reset 3" },
+      { .kind = RESET, .a = 0, .b = 3 },
+      { .kind = TOKEN, .a = 0, .b = 3, .c = 0, .expect = "token 3.0" },
+      { .kind = FINAL, .a = 0, .expect = "final" } } },
+  { "redirect with a stale lookup: stays at the redirect's address",
     { TWO_HOSTS,
-      { .what = MOVED, .a = 1, .text = "b" },
-      { .what = WAIT, .a = 20, .expect = "send 2" },
-      { .what = WAIT, .a = 5000 },
-      { .what = FINAL, .a = 2, .expect = "final" } } },
-  { "The hint leads to a host that is not connected: the map is asked.",
+      { .kind = REDIRECT, .a = 1, .text = "b" },
+      { .kind = WAIT, .a = 20, .expect = "send 2" },
+      { .kind = WAIT, .a = 5000 },
+      { .kind = FINAL, .a = 2, .expect = "final" } } },
+  { "redirect to a host that is not connected: sent by the lookup",
     { ONE_HOST,
-      { .what = MOVED, .a = 1, .text = "z" },
-      { .what = WAIT, .a = 20, .expect = "send 1" },
-      { .what = FINAL, .a = 1, .expect = "final" } } },
-  { "An owner was paused while its partition went to another host.  It wakes "
-    "and answers: none of its words reach the caller.",
+      { .kind = REDIRECT, .a = 1, .text = "z" },
+      { .kind = WAIT, .a = 20, .expect = "send 1" },
+      { .kind = FINAL, .a = 1, .expect = "final" } } },
+  { "paused owner resumes after a takeover: its events are dropped",
     { TWO_HOSTS,
-      { .what = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
-      { .what = MAP, .text = "b" },
-      { .what = WAIT, .a = 1000, .expect = "close 1 send 2" },
-      { .what = TOKEN, .a = 1, .b = 1, .c = 1 },
-      { .what = FINAL, .a = 1 },
-      { .what = NOT_HERE, .a = 1, .b = MQ_ERR_STALE_FENCE },
-      { .what = TOKEN, .a = 2, .b = 1, .c = 0, .expect = "reset 1 token 1.0" },
-      { .what = FINAL, .a = 2, .expect = "final" },
-      { .what = FINAL, .a = 2 } } },
-  { "The owner is leaving: another one takes the request.",
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 0, .expect = "token 1.0" },
+      { .kind = LOOKUP, .text = "b" },
+      { .kind = WAIT, .a = 1000, .expect = "close 1 send 2" },
+      { .kind = TOKEN, .a = 1, .b = 1, .c = 1 },
+      { .kind = FINAL, .a = 1 },
+      { .kind = REFUSE_NOT_RUN, .a = 1, .b = MQ_ERR_STALE_FENCE },
+      { .kind = TOKEN, .a = 2, .b = 1, .c = 0, .expect = "reset 1 token 1.0" },
+      { .kind = FINAL, .a = 2, .expect = "final" },
+      { .kind = FINAL, .a = 2 } } },
+  { "owner shuts down: resent to another one",
     { ONE_HOST,
-      { .what = ACCEPTED, .a = 1, .expect = "accepted" },
-      { .what = NOT_HERE, .a = 1, .b = MQ_ERR_LEAVING },
-      { .what = MAP, .text = "" },
-      { .what = WAIT, .a = 100, .expect = "send 0" },
-      { .what = FINAL, .a = 0, .expect = "final" } } },
-  { "A refusal that no other owner can mend reaches the caller as it is.",
-    { { .what = MAP, .text = "" },
-      { .what = ASK, .expect = "send 0" },
-      { .what = NOT_HERE,
+      { .kind = ACCEPTED, .a = 1, .expect = "accepted" },
+      { .kind = REFUSE_NOT_RUN, .a = 1, .b = MQ_ERR_LEAVING },
+      { .kind = LOOKUP, .text = "" },
+      { .kind = WAIT, .a = 100, .expect = "send 0" },
+      { .kind = FINAL, .a = 0, .expect = "final" } } },
+  { "refusal that can't be retried: sent to the caller",
+    { { .kind = LOOKUP, .text = "" },
+      { .kind = REQUEST, .expect = "send 0" },
+      { .kind = REFUSE_NOT_RUN,
         .a = 0,
         .b = MQ_ERR_OVERLOADED,
         .expect = "refused overloaded not_run" },
-      { .what = WAIT, .a = DEADLINE_MS } } },
-  { "The owner can't say whether the work ran: it is not sent again.",
-    { { .what = MAP, .text = "" },
-      { .what = ASK, .expect = "send 0" },
-      { .what = IN_DOUBT,
+      { .kind = WAIT, .a = DEADLINE_MS } } },
+  { "refusal with unknown outcome: not resent",
+    { { .kind = LOOKUP, .text = "" },
+      { .kind = REQUEST, .expect = "send 0" },
+      { .kind = REFUSE_UNKNOWN,
         .a = 0,
         .b = MQ_ERR_NOT_READY,
         .expect = "refused not_ready unknown" },
-      { .what = WAIT, .a = DEADLINE_MS } } },
-  { "The caller leaves: the owner is told, and late events find nobody.",
+      { .kind = WAIT, .a = DEADLINE_MS } } },
+  { "caller disconnects: the owner gets CLOSE, late events are dropped",
     { ONE_HOST,
-      { .what = GONE, .expect = "close 1" },
-      { .what = FINAL, .a = 1 },
-      { .what = WAIT, .a = DEADLINE_MS } } },
-  { "A new connection to the owner stands beside one that is not yet known "
-    "to be dead.",
-    { { .what = MAP, .text = "a" },
-      { .what = UP, .a = 1, .text = "a" },
-      { .what = UP, .a = 5, .text = "a" },
-      { .what = ASK, .expect = "send 5" },
-      { .what = DOWN, .a = 1 },
-      { .what = FINAL, .a = 5, .expect = "final" } } },
-  { "The connection to the owner is replaced by a new one.",
+      { .kind = CALLER_GONE, .expect = "close 1" },
+      { .kind = FINAL, .a = 1 },
+      { .kind = WAIT, .a = DEADLINE_MS } } },
+  { "second connection to the owner before the first is lost",
+    { { .kind = LOOKUP, .text = "a" },
+      { .kind = UP, .a = 1, .text = "a" },
+      { .kind = UP, .a = 5, .text = "a" },
+      { .kind = REQUEST, .expect = "send 5" },
+      { .kind = DOWN, .a = 1 },
+      { .kind = FINAL, .a = 5, .expect = "final" } } },
+  { "connection to the owner replaced: resent on the new one",
     { ONE_HOST,
-      { .what = UP, .a = 5, .text = "a" },
-      { .what = DOWN, .a = 1 },
-      { .what = WAIT, .a = 100, .expect = "send 5" },
-      { .what = FINAL, .a = 1 },
-      { .what = FINAL, .a = 5, .expect = "final" } } },
+      { .kind = UP, .a = 5, .text = "a" },
+      { .kind = DOWN, .a = 1 },
+      { .kind = WAIT, .a = 100, .expect = "send 5" },
+      { .kind = FINAL, .a = 1 },
+      { .kind = FINAL, .a = 5, .expect = "final" } } },
 };
 
-struct bench
+struct fixture
 {
   TALLOC_CTX *ctx;
   struct mq_front *front;
-  const char *map;
+  const char *owner_address;
   uint64_t now_us;
   struct mq_request_msg request;
 };
 
 static const char *
-look_up (const void *data, uint32_t partition)
+lookup_owner (const void *data, uint32_t partition)
 {
-  const struct bench *bench = data;
+  const struct fixture *fixture = data;
 
   (void)partition;
-  return bench->map;
+  return fixture->owner_address;
 }
 
 static void
-add_event (char **words, const struct mq_event_msg *event)
+append_event (char **text, const struct mq_event_msg *event)
 {
   uint32_t index = (event->number & 0xffff) - 1;
 
   switch (event->type)
     {
     case MQ_EVENT_ACCEPTED:
-      *words = talloc_asprintf_append (*words, " accepted");
+      *text = talloc_asprintf_append (*text, " accepted");
       break;
     case MQ_EVENT_TOKEN:
-      *words = talloc_asprintf_append (*words, " token %u.%u", event->call,
-                                       index);
+      *text
+          = talloc_asprintf_append (*text, " token %u.%u", event->call, index);
       break;
     case MQ_EVENT_STEP:
-      *words = talloc_asprintf_append (*words, " step %u", event->call);
+      *text = talloc_asprintf_append (*text, " step %u", event->call);
       break;
     case MQ_EVENT_RESET:
-      *words = talloc_asprintf_append (*words, " reset %u", event->call);
+      *text = talloc_asprintf_append (*text, " reset %u", event->call);
       break;
     case MQ_EVENT_FINAL:
-      *words = talloc_asprintf_append (*words, " final");
+      *text = talloc_asprintf_append (*text, " final");
       break;
     case MQ_EVENT_REFUSED:
-      *words = talloc_asprintf_append (*words, " refused %s %s",
-                                       mq_error_name (event->error),
-                                       mq_ran_name (event->ran));
+      *text = talloc_asprintf_append (*text, " refused %s %s",
+                                      mq_error_name (event->error),
+                                      mq_ran_name (event->ran));
       break;
     }
 }
 
-/* A request that is sent again must be the same: a turn or step that went
-   out under another key would run twice.  */
+/* A resent request must be unchanged: a turn or step under another key would
+   run twice.  */
 static void
-check_request (const struct bench *bench, const struct mq_request_msg *sent)
+check_request (const struct fixture *fixture,
+               const struct mq_request_msg *sent)
 {
-  cr_assert_eq (sent->type, bench->request.type);
-  cr_assert_str_eq (sent->key, bench->request.key);
-  cr_assert_eq (sent->sequence, bench->request.sequence);
-  cr_assert_str_eq (sent->body, bench->request.body);
+  cr_assert_eq (sent->type, fixture->request.type);
+  cr_assert_str_eq (sent->key, fixture->request.key);
+  cr_assert_eq (sent->sequence, fixture->request.sequence);
+  cr_assert_str_eq (sent->body, fixture->request.body);
 }
 
 static char *
-words_of (const struct bench *bench, const struct mq_actions *actions)
+describe_actions (const struct fixture *fixture,
+                  const struct mq_actions *actions)
 {
-  char *words = talloc_strdup (bench->ctx, "");
+  char *text = talloc_strdup (fixture->ctx, "");
 
   for (size_t i = 0; i < actions->count; i++)
     {
@@ -317,16 +309,16 @@
       if (action->type == MQ_ACT_EVENT)
         {
           cr_assert_eq (action->u.event.handle, HANDLE);
-          add_event (&words, &action->u.event);
+          append_event (&text, &action->u.event);
           continue;
         }
       cr_assert_eq (action->type, MQ_ACT_SEND);
       if (!close)
-        check_request (bench, &action->u.message.u.forward.request);
-      words = talloc_asprintf_append (words, " %s %u",
-                                      close ? "close" : "send", action->peer);
+        check_request (fixture, &action->u.message.u.forward.request);
+      text = talloc_asprintf_append (text, " %s %u", close ? "close" : "send",
+                                     action->peer);
     }
-  return words[0] == ' ' ? words + 1 : words;
+  return text[0] == ' ' ? text + 1 : text;
 }
 
 static void
@@ -336,7 +328,7 @@
   event->call = step->b;
   event->body = "";
   event->redirect = step->text == NULL ? "" : step->text;
-  switch (step->what)
+  switch (step->kind)
     {
     case ACCEPTED:
       event->type = MQ_EVENT_ACCEPTED;
@@ -351,61 +343,62 @@
       break;
     case RESET:
       event->type = MQ_EVENT_RESET;
-      event->number = step->b << TOKENS;
+      event->number = step->b << CALL_SHIFT;
       break;
     case FINAL:
       event->type = MQ_EVENT_FINAL;
-      event->number = 9U << TOKENS;
+      event->number = 9U << CALL_SHIFT;
       break;
     default:
       event->type = MQ_EVENT_REFUSED;
       event->error = (enum mq_error_type)step->b;
-      event->ran = step->what == IN_DOUBT ? MQ_RAN_UNKNOWN : MQ_RAN_NOT_RUN;
-      if (step->what == MOVED)
+      event->ran
+          = step->kind == REFUSE_UNKNOWN ? MQ_RAN_UNKNOWN : MQ_RAN_NOT_RUN;
+      if (step->kind == REDIRECT)
         event->error = MQ_ERR_NOT_READY;
       break;
     }
 }
 
-/* Time passes with a tick whenever one is due, as in the daemon.  */
+/* Advances the clock and sends each tick when it is due.  */
 static void
-pass_time (struct bench *bench, uint32_t ms, struct mq_actions *actions)
+pass_time (struct fixture *fixture, uint32_t ms, struct mq_actions *actions)
 {
   struct mq_front_input input = { .type = MQ_FRONT_TICK };
-  uint64_t end_us = bench->now_us + (uint64_t)ms * MS;
+  uint64_t end_us = fixture->now_us + (uint64_t)ms * US_PER_MS;
 
-  while (mq_front_next_tick (bench->front) <= end_us)
+  while (mq_front_next_tick (fixture->front) <= end_us)
     {
-      uint64_t due_us = mq_front_next_tick (bench->front);
+      uint64_t due_us = mq_front_next_tick (fixture->front);
 
-      cr_assert_geq (due_us, bench->now_us, "a tick in the past");
-      bench->now_us = due_us;
+      cr_assert_geq (due_us, fixture->now_us, "next tick is in the past");
+      fixture->now_us = due_us;
       input.now_us = due_us;
-      mq_front_handle (bench->front, &input, actions);
+      mq_front_handle (fixture->front, &input, actions);
     }
-  bench->now_us = end_us;
+  fixture->now_us = end_us;
 }
 
 static void
-take_step (struct bench *bench, const struct step *step,
-           struct mq_actions *actions)
+run_step (struct fixture *fixture, const struct step *step,
+          struct mq_actions *actions)
 {
-  struct mq_front_input input = { .now_us = bench->now_us, .peer = step->a };
+  struct mq_front_input input = { .now_us = fixture->now_us, .peer = step->a };
   struct mq_event_msg event = { 0 };
 
   input.handle = HANDLE;
-  switch (step->what)
+  switch (step->kind)
     {
-    case MAP:
-      bench->map = step->text;
+    case LOOKUP:
+      fixture->owner_address = step->text;
       return;
     case WAIT:
-      pass_time (bench, step->a, actions);
+      pass_time (fixture, step->a, actions);
       return;
-    case ASK:
+    case REQUEST:
       input.type = MQ_FRONT_REQUEST;
-      input.deadline_us = bench->now_us + (uint64_t)DEADLINE_MS * MS;
-      input.u.request = &bench->request;
+      input.deadline_us = fixture->now_us + (uint64_t)DEADLINE_MS * US_PER_MS;
+      input.u.request = &fixture->request;
       break;
     case UP:
       input.type = MQ_FRONT_PEER_UP;
@@ -414,7 +407,7 @@
     case DOWN:
       input.type = MQ_FRONT_PEER_DOWN;
       break;
-    case GONE:
+    case CALLER_GONE:
       input.type = MQ_FRONT_CALLER_GONE;
       break;
     default:
@@ -423,22 +416,22 @@
       input.u.event = &event;
       break;
     }
-  mq_front_handle (bench->front, &input, actions);
+  mq_front_handle (fixture->front, &input, actions);
 }
 
-static struct bench *
-bench_create (uint64_t seed)
+static struct fixture *
+create_fixture (uint64_t seed)
 {
-  struct bench *bench = talloc_zero (NULL, struct bench);
-  struct mq_front_lookup lookup = { look_up, bench };
-
-  bench->ctx = bench;
-  bench->now_us = 1000ULL * MS;
-  bench->front = mq_front_create (bench, &lookup, seed);
-  bench->request.type = MQ_REQUEST_TURN;
-  bench->request.key = "key-of-this-turn";
-  bench->request.body = "{\"input\":\"what next?\"}";
-  return bench;
+  struct fixture *fixture = talloc_zero (NULL, struct fixture);
+  struct mq_front_lookup lookup = { lookup_owner, fixture };
+
+  fixture->ctx = fixture;
+  fixture->now_us = 1000ULL * US_PER_MS;
+  fixture->front = mq_front_create (fixture, &lookup, seed);
+  fixture->request.type = MQ_REQUEST_TURN;
+  fixture->request.key = "key-of-this-turn";
+  fixture->request.body = "{\"input\":\"what next?\"}";
+  return fixture;
 }
 
 Test (front, scripts)
@@ -446,92 +439,90 @@
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     for (uint64_t seed = 1; seed <= 20; seed++)
       {
-        struct bench *bench = bench_create (seed);
-        struct mq_actions *actions = mq_actions_create (bench);
+        struct fixture *fixture = create_fixture (seed);
+        struct mq_actions *actions = mq_actions_create (fixture);
 
         for (size_t j = 0; j < STEPS_MAX; j++)
           {
             const struct step *step = &cases[i].steps[j];
             const char *expect = step->expect == NULL ? "" : step->expect;
 
-            if (step->what == END)
+            if (step->kind == END)
               break;
             mq_actions_clear (actions);
-            take_step (bench, step, actions);
-            cr_assert_str_eq (words_of (bench, actions), expect,
-                              "%s (seed %lu, step %zu)", cases[i].story,
+            run_step (fixture, step, actions);
+            cr_assert_str_eq (describe_actions (fixture, actions), expect,
+                              "%s (seed %lu, step %zu)", cases[i].name,
                               (unsigned long)seed, j);
           }
-        talloc_free (bench);
+        talloc_free (fixture);
       }
 }
 
-/* Two hosts each hold that the other one owns the partition, as after a map
-   that was read in the middle of a change.  The request goes to and fro; the
-   pauses grow, so that a minute of it costs some dozens of messages, and it
-   ends at the deadline with an honest answer.  */
+/* Two hosts redirect to each other.  The backoff must limit the messages, and
+   the request must end at its deadline.  */
 Test (front, redirect_loop)
 {
-  struct bench *bench = bench_create (3);
-  struct mq_actions *actions = mq_actions_create (bench);
-  struct step up[] = { { .what = UP, .a = 1, .text = "a" },
-                       { .what = UP, .a = 2, .text = "b" } };
-  struct step ask = { .what = ASK };
-  struct step wait = { .what = WAIT, .a = 1 };
+  struct fixture *fixture = create_fixture (3);
+  struct mq_actions *actions = mq_actions_create (fixture);
+  struct step up[] = { { .kind = UP, .a = 1, .text = "a" },
+                       { .kind = UP, .a = 2, .text = "b" } };
+  struct step request = { .kind = REQUEST };
+  struct step wait = { .kind = WAIT, .a = 1 };
   size_t sends = 0;
-  char *words = talloc_strdup (bench, "");
+  char *text = talloc_strdup (fixture, "");
 
-  bench->map = "a";
-  take_step (bench, &up[0], actions);
-  take_step (bench, &up[1], actions);
-  take_step (bench, &ask, actions);
+  fixture->owner_address = "a";
+  run_step (fixture, &up[0], actions);
+  run_step (fixture, &up[1], actions);
+  run_step (fixture, &request, actions);
   for (uint32_t ms = 0; ms <= DEADLINE_MS; ms++)
     {
-      struct mq_actions *now = mq_actions_create (bench);
+      struct mq_actions *now = mq_actions_create (fixture);
 
-      take_step (bench, &wait, now);
-      words = words_of (bench, now);
+      run_step (fixture, &wait, now);
+      text = describe_actions (fixture, now);
       for (size_t i = 0; i < actions->count; i++)
         if (actions->items[i].type == MQ_ACT_SEND)
           {
             uint32_t peer = actions->items[i].peer;
-            struct step moved
-                = { .what = MOVED, .a = peer, .text = peer == 1 ? "b" : "a" };
+            struct step redirect = { .kind = REDIRECT,
+                                     .a = peer,
+                                     .text = peer == 1 ? "b" : "a" };
 
             sends++;
-            take_step (bench, &moved, now);
+            run_step (fixture, &redirect, now);
           }
       talloc_free (actions);
       actions = now;
-      if (mq_front_count (bench->front) == 0)
+      if (mq_front_count (fixture->front) == 0)
         break;
     }
-  cr_expect_str_eq (words, "refused timeout unknown");
-  cr_expect_gt (sends, 30, "it gave up early");
-  cr_expect_lt (sends, 200, "the pauses do not grow");
-  talloc_free (bench);
+  cr_expect_str_eq (text, "refused timeout unknown");
+  cr_expect_gt (sends, 30, "gave up before the deadline");
+  cr_expect_lt (sends, 200, "backoff does not grow");
+  talloc_free (fixture);
 }
 
-/* More callers than the host may keep: the one too many is refused at once,
-   and the others are not harmed.  */
-Test (front, bounded)
+/* A request beyond the limit is refused at once; the others are kept.  */
+Test (front, request_limit)
 {
-  struct bench *bench = bench_create (1);
-  struct mq_actions *actions = mq_actions_create (bench);
+  struct fixture *fixture = create_fixture (1);
+  struct mq_actions *actions = mq_actions_create (fixture);
   struct mq_front_input input = { .type = MQ_FRONT_REQUEST };
   const struct mq_action *last;
 
-  input.u.request = &bench->request;
+  input.u.request = &fixture->request;
   for (uint32_t i = 0; i <= MQ_FRONT_REQUESTS_MAX; i++)
     {
       input.handle = i + 1;
-      mq_front_handle (bench->front, &input, actions);
+      mq_front_handle (fixture->front, &input, actions);
     }
   cr_assert_eq (actions->count, 1);
   last = &actions->items[0];
   cr_expect_eq (last->u.event.handle, MQ_FRONT_REQUESTS_MAX + 1);
   cr_expect_eq (last->u.event.error, MQ_ERR_OVERLOADED);
   cr_expect_eq (last->u.event.ran, MQ_RAN_NOT_RUN);
-  cr_expect_eq (mq_front_count (bench->front), MQ_FRONT_REQUESTS_MAX);
-  talloc_free (bench);
+  cr_expect_eq (mq_front_count (fixture->front), MQ_FRONT_REQUESTS_MAX);
+  talloc_free (fixture);
 }
