--- a/src/core/owner/owner_calls.c
+++ b/src/core/owner/owner_calls.c
@@ -78,8 +78,8 @@
   owner_state (owner, MQ_STATE_UNKNOWN_CALL, call->number, id);
 }
 
-/* Ends a non-idempotent call whose target process is gone, and with it the
-   only record of whether the call ran.  It is never retried.  */
+/* Ends a non-idempotent call whose target process was lost with the only
+   record of whether the call ran.  It is never retried.  */
 void
 calls_fail_unknown (struct mq_owner *owner, struct running *running)
 {
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -1,5 +1,4 @@
-/* owner_chain.c - table of programs, their next calls and what follows
-   commits.
+/* owner_chain.c - table of programs, their next calls and post-commit hooks.
 
    A budget grant, the intent of a non-idempotent call and the final answer
    wait for a commit.  Everything else runs ahead of the store; a takeover
@@ -217,8 +216,8 @@
     running->call = call;
 }
 
-/* Finds the callee by "service" or "service.route"; NULL when unknown or not a
-   dependency of the program's service.  */
+/* Finds the callee by "service" or "service.route".  NULL when unknown, a
+   model, or not a dependency of the program's service.  */
 static const struct mq_service *
 resolve_name (const struct mq_owner *owner, const struct running *running,
               const char *name, const struct mq_route **route)
--- a/src/core/owner/owner_state.h
+++ b/src/core/owner/owner_state.h
@@ -151,7 +151,7 @@
   uint32_t partition;
   uint32_t call;
   uint32_t attempt;
-  char *host;    /* OUTCOME_DURABLE: target that holds the outcome, or NULL */
+  char *host;    /* OUTCOME: target that holds the outcome, or NULL */
   uint32_t peer; /* REPLY */
   uint64_t handle;
   bool history;    /* REPLY: include the history */
@@ -297,8 +297,7 @@
   uint64_t pending_charge; /* tokens to charge with the next record */
   uint64_t grant_pending;  /* total granted by records appended so far */
   uint64_t grant_durable;
-  uint64_t
-      clock_started_us; /* start of the time not in elapsed_ms, 0: stopped */
+  uint64_t clock_started_us; /* time since is not in elapsed_ms, 0: stopped */
   uint64_t uncommitted_records;
   uint64_t ended_us;
   uint64_t wake_us;      /* time of its timer, 0: none */
@@ -346,7 +345,7 @@
   bool leaving;
   uint64_t durable_boot; /* its boot in the stored targets row, 0: absent */
   uint64_t sent_boot;    /* its boot in the targets row being written */
-  bool settled;          /* gone with no attempt left: omitted from the row */
+  bool settled;          /* lost with no attempt left: omitted from the row */
   uint64_t unlisted_us;  /* when it left the list */
   uint32_t peer;         /* 0: no connection */
   uint64_t boot;
--- a/src/core/owner/program.h
+++ b/src/core/owner/program.h
@@ -14,7 +14,7 @@
 
 enum mq_program_mode
 {
-  MQ_MODE_CHAIN, /* the owner makes the calls that the model asks for */
+  MQ_MODE_CHAIN, /* the owner makes the calls requested by the model */
   MQ_MODE_STEPS, /* the caller requests each call */
   MQ_MODE_SINGLE /* a single call of a model, plain service or tool */
 };
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -2,8 +2,7 @@
 
    Hosts run the real owner on the table of standins/.  The table answers after
    a fixed delay and counts requests; targets return a fixed number of tokens.
-   It measures amounts and injects no faults but the end of hosts; see the
-   fault matrix for others.
+   It measures use of resources; the only faults are hosts that die.
    Needs: owner.h, table.h.  */
 
 #ifndef FLEET_H
