--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -1,4 +1,4 @@
-/* owner_budget.c - time, turns and tokens that a program may still spend.
+/* owner_budget.c - budgets of programs: time, turns and tokens.
 
    Needs: owner_parts.h.  */
 
@@ -11,8 +11,8 @@
 {
   uint64_t elapsed = running->program->elapsed_ms;
 
-  if (running->clock_us != 0)
-    elapsed += (owner->now_us - running->clock_us) / 1000;
+  if (running->clock_started_us != 0)
+    elapsed += (owner->now_us - running->clock_started_us) / 1000;
   return elapsed;
 }
 
@@ -22,10 +22,10 @@
   uint64_t budget_ms = 1000ULL * running->program->budget.seconds;
   uint64_t elapsed = budget_elapsed_ms (owner, running);
 
-  if (running->clock_us == 0)
-    running->clock_us = owner->now_us;
+  if (running->clock_started_us == 0)
+    running->clock_started_us = owner->now_us;
   if (budget_ms > 0)
-    owner_wake_at (
+    owner_set_timer (
         owner, running,
         owner->now_us
             + 1000 * (budget_ms > elapsed ? budget_ms - elapsed : 0));
@@ -35,10 +35,10 @@
 budget_stop_clock (struct mq_owner *owner, struct running *running)
 {
   running->program->elapsed_ms = budget_elapsed_ms (owner, running);
-  running->clock_us = 0;
+  running->clock_started_us = 0;
 }
 
-/* ---- Budget ---- */
+/* ---- Turns and tokens ---- */
 
 void
 budget_reserve (struct running *running, uint64_t tokens)
@@ -68,9 +68,8 @@
   log_append (owner, running, &record);
 }
 
-/* After a takeover in which some target that the earlier owner may have
-   used did not answer: it may still spend what was granted, so that counts
-   as spent.  */
+/* Charges the unused part of a grant after a takeover in which some target
+   did not answer, since calls there may still use it.  */
 void
 budget_forfeit (struct mq_owner *owner, struct running *running)
 {
@@ -85,11 +84,11 @@
   record.body_case = MQLOG__RECORD__BODY_FORFEITED;
   record.forfeited = true;
   log_append (owner, running, &record);
-  running->discard_mark = owner->appended;
+  running->charge_position = owner->appended_position;
 }
 
 uint64_t
-budget_tokens_left (const struct running *running)
+budget_remaining_tokens (const struct running *running)
 {
   uint64_t left = UINT64_MAX;
 
@@ -107,7 +106,7 @@
 }
 
 bool
-budget_turns_are_left (const struct running *running)
+budget_has_turns (const struct running *running)
 {
   for (const struct running *r = running; r != NULL; r = r->parent)
     if (r->program->turns >= r->program->budget.turns)
@@ -116,8 +115,7 @@
 }
 
 bool
-budget_time_is_left (const struct mq_owner *owner,
-                     const struct running *running)
+budget_has_time (const struct mq_owner *owner, const struct running *running)
 {
   const struct mq_program *program = running->program;
 
@@ -136,12 +134,12 @@
   body.tokens = granted;
   record.body_case = MQLOG__RECORD__BODY_GRANTED;
   record.granted = &body;
-  running->grant_wanted = granted;
+  running->grant_pending = granted;
   log_append (owner, running, &record);
 }
 
 static uint64_t
-grant_for (const struct running *running, uint64_t need)
+grant_size (const struct running *running, uint64_t need)
 {
   uint64_t used = running->program->spent + running->reserved;
   uint64_t wanted = used + need * MQ_GRANT_CALLS;
@@ -150,14 +148,14 @@
   return wanted < budget ? wanted : budget;
 }
 
-/* True when durable grants of the program and of those it is part of cover
-   MAX_TOKENS more.  Failure: an owner dies with calls under way that no log
-   knows, and its successor spends the same budget again.  Grants are
-   durable before they are drawn on, and a successor counts them as spent
-   unless targets' processes report what really was.  */
+/* True when durable grants of the program and its ancestors cover MAX_TOKENS
+   more; else requests grants and resumes the program once they are durable.
+   A grant is durable before it is used and counts as spent after a takeover
+   unless targets report actual use, so that a takeover can't spend the same
+   budget twice.  */
 bool
-budget_has_grant (struct mq_owner *owner, struct running *running,
-                  uint32_t max_tokens)
+budget_ensure_grant (struct mq_owner *owner, struct running *running,
+                     uint32_t max_tokens)
 {
   bool covered = true;
 
@@ -167,18 +165,18 @@
 
       if (need > r->grant_durable)
         covered = false;
-      if (need > r->grant_durable && need > r->grant_wanted
-          && grant_for (r, max_tokens) > r->grant_wanted)
+      if (need > r->grant_durable && need > r->grant_pending
+          && grant_size (r, max_tokens) > r->grant_pending)
         {
-          append_grant (owner, r, grant_for (r, max_tokens));
+          append_grant (owner, r, grant_size (r, max_tokens));
           log_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
-              = r->grant_wanted;
+              = r->grant_pending;
         }
     }
-  /* Whoever waits goes on when the last of them is durable.  */
-  if (!covered && !running->grant_asked)
+  /* Runs after the grants appended above are durable.  */
+  if (!covered && !running->grant_requested)
     {
-      running->grant_asked = true;
+      running->grant_requested = true;
       log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return covered;
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -1,15 +1,17 @@
-/* owner_durable.c - what follows once records are durable, or certainly are
-   not.
+/* owner_durable.c - results of commits and checkpoints.
+
+   Runs hooks once records are durable, retries after store failures and
+   verifies commits whose result is unknown.
 
    Needs: owner_parts.h.  */
 
 #include "owner_parts.h"
 #include <string.h>
 
-/* ---- After the transaction ---- */
+/* ---- Checkpoints and applied commits ---- */
 
 static void
-forget_segments (struct mq_owner *owner, struct partition *partition)
+drop_old_segments (struct mq_owner *owner, struct partition *partition)
 {
   struct segment **at = &partition->segments;
 
@@ -23,7 +25,8 @@
           at = &segment->next;
           continue;
         }
-      request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+      request = owner_add_store_request (owner, MQ_STORE_DROP,
+                                         owner_new_id (owner));
       request->key = talloc_strdup (owner->actions, segment->object);
       *at = segment->next;
       talloc_free (segment);
@@ -37,7 +40,8 @@
 
   if (key == NULL || key[0] == '\0')
     return;
-  request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+  request
+      = owner_add_store_request (owner, MQ_STORE_DROP, owner_new_id (owner));
   request->key = talloc_strdup (owner->actions, key);
 }
 
@@ -52,7 +56,7 @@
   partition->snapshot_key = NULL;
   partition->snapshot_sequence = 0;
   partition->snapshot_written = false;
-  forget_segments (owner, partition);
+  drop_old_segments (owner, partition);
 }
 
 static void
@@ -61,7 +65,8 @@
   struct mq_store_request *request;
 
   partition->snapshot_id = owner_new_id (owner);
-  request = owner_store (owner, MQ_STORE_PUT, partition->snapshot_id);
+  request
+      = owner_add_store_request (owner, MQ_STORE_PUT, partition->snapshot_id);
   request->key = talloc_strdup (owner->actions, partition->snapshot_key);
   request->value.data = talloc_memdup (
       owner->actions, partition->snapshot.data, partition->snapshot.len);
@@ -69,7 +74,7 @@
 }
 
 static void
-start_snapshot (struct mq_owner *owner, struct flight_part *part)
+start_snapshot (struct mq_owner *owner, struct commit_part *part)
 {
   struct partition *partition = part->partition;
 
@@ -77,7 +82,7 @@
   partition->snapshot_key
       = talloc_asprintf (partition->memory, "ckpt/%05u/%012llu-%016llx",
                          partition->number, (unsigned long long)part->sequence,
-                         (unsigned long long)owner->flight.batch);
+                         (unsigned long long)owner->pending_commit.batch);
   partition->snapshot.data
       = talloc_steal (partition->memory, part->snapshot.data);
   partition->snapshot.len = part->snapshot.len;
@@ -86,15 +91,15 @@
 }
 
 static void
-part_applied (struct mq_owner *owner, struct flight_part *part,
-              uint64_t version)
+on_part_applied (struct mq_owner *owner, struct commit_part *part,
+                 uint64_t version)
 {
   struct partition *partition = part->partition;
 
-  partition->in_flight = false;
+  partition->in_commit = false;
   partition->row_version = version;
   partition->sequence = part->sequence;
-  partition->batch = owner->flight.batch;
+  partition->batch = owner->pending_commit.batch;
   partition->senders[0] = owner->run;
   partition->sender_count = 1;
   partition->first = part->first;
@@ -125,17 +130,16 @@
       struct running *running = chain_find (owner, r->program);
 
       owner->counters.commit_records++;
-      if (running != NULL && running->undurable > 0)
-        running->undurable--;
+      if (running != NULL && running->uncommitted_records > 0)
+        running->uncommitted_records--;
     }
 }
 
-/* Failure: a flight of which every partition was lost also carried hooks of
-   partitions that had no record in it; they went with it, and a call that
-   waited for such a hook waited for ever.  Hooks of what was lost are gone by
-   now; these follow the next commit.  */
+/* Moves the hooks of a dropped commit to the next one.  Hooks of lost
+   partitions are already removed; the rest belong to partitions without a
+   record in the commit, whose calls would otherwise wait for ever.  */
 static void
-gather_hooks_again (struct mq_owner *owner, struct hook *first)
+requeue_hooks (struct mq_owner *owner, struct hook *first)
 {
   struct hook *last = first;
 
@@ -149,16 +153,16 @@
   owner->hooks_first = first;
 }
 
-/* Ends the flight; its hooks run only when its records are durable.  */
+/* Ends the pending commit and, if it was applied, runs its hooks.  */
 static void
-finish_flight (struct mq_owner *owner, bool applied)
+finish_commit (struct mq_owner *owner, bool applied)
 {
-  struct hook *hook = owner->flight.hooks;
-  TALLOC_CTX *memory = owner->flight.memory;
-  struct record *records = owner->flight.records;
+  struct hook *hook = owner->pending_commit.hooks;
+  TALLOC_CTX *memory = owner->pending_commit.memory;
+  struct record *records = owner->pending_commit.records;
 
-  owner->settled = owner->flight.mark;
-  memset (&owner->flight, 0, sizeof owner->flight);
+  owner->settled_position = owner->pending_commit.position;
+  memset (&owner->pending_commit, 0, sizeof owner->pending_commit);
   if (applied)
     {
       owner->counters.commits++;
@@ -166,7 +170,7 @@
     }
   else
     {
-      gather_hooks_again (owner, hook);
+      requeue_hooks (owner, hook);
       hook = NULL;
     }
   while (hook != NULL)
@@ -181,12 +185,12 @@
 }
 
 static size_t
-parts_left (const struct flight *flight)
+count_live_parts (const struct pending_commit *pending_commit)
 {
   size_t left = 0;
 
-  for (size_t i = 0; i < flight->count; i++)
-    if (flight->parts[i].partition != NULL)
+  for (size_t i = 0; i < pending_commit->count; i++)
+    if (pending_commit->parts[i].partition != NULL)
       left++;
   return left;
 }
@@ -194,14 +198,14 @@
 void
 durable_drop_partition (struct mq_owner *owner, struct partition *partition)
 {
-  for (size_t i = 0; i < owner->flight.count; i++)
-    if (owner->flight.parts[i].partition == partition)
-      owner->flight.parts[i].partition = NULL;
-  partition->in_flight = false;
+  for (size_t i = 0; i < owner->pending_commit.count; i++)
+    if (owner->pending_commit.parts[i].partition == partition)
+      owner->pending_commit.parts[i].partition = NULL;
+  partition->in_commit = false;
   for (struct record *r = partition->pending_first; r != NULL; r = r->next)
     {
-      owner->gathered--;
-      owner->gathered_bytes -= r->len;
+      owner->batch_records--;
+      owner->batch_bytes -= r->len;
     }
   partition->pending_first = NULL;
   partition->pending_last = NULL;
@@ -217,7 +221,7 @@
 /* ---- Results ---- */
 
 void
-durable_store_failed (struct mq_owner *owner)
+durable_store_unavailable (struct mq_owner *owner)
 {
   if (owner->store_down)
     return;
@@ -227,7 +231,7 @@
 }
 
 void
-durable_store_worked (struct mq_owner *owner)
+durable_store_up (struct mq_owner *owner)
 {
   if (!owner->store_down)
     return;
@@ -237,29 +241,30 @@
 }
 
 static void
-wait_and_resume (struct mq_owner *owner, enum flight_state resume)
+back_off (struct mq_owner *owner, enum commit_state resume)
 {
-  struct flight *flight = &owner->flight;
-
-  flight->resume = resume;
-  flight->state = FLIGHT_WAIT;
-  flight->retry_us
-      = owner->now_us
-        + 1000ULL
-              * owner_jitter_ms (owner, MQ_STORE_RETRY_MS, flight->tries++,
-                                 MQ_STORE_RETRY_MAX_MS);
+  struct pending_commit *pending_commit = &owner->pending_commit;
+
+  pending_commit->resume = resume;
+  pending_commit->state = COMMIT_BACKOFF;
+  pending_commit->retry_us = owner->now_us
+                             + 1000ULL
+                                   * owner_jitter_ms (owner, MQ_STORE_RETRY_MS,
+                                                      pending_commit->tries++,
+                                                      MQ_STORE_RETRY_MAX_MS);
 }
 
 static void
-send_settle (struct mq_owner *owner)
+send_verification_scan (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   struct mq_store_request *request;
 
-  flight->state = FLIGHT_SETTLE;
-  flight->request_id = owner_new_id (owner);
+  pending_commit->state = COMMIT_VERIFYING;
+  pending_commit->request_id = owner_new_id (owner);
   owner->counters.store_reads++;
-  request = owner_store (owner, MQ_STORE_SCAN, flight->request_id);
+  request = owner_add_store_request (owner, MQ_STORE_SCAN,
+                                     pending_commit->request_id);
   request->key = talloc_strdup (owner->actions, "part/");
   request->limit = MQ_PARTITIONS_MAX;
 }
@@ -273,162 +278,161 @@
   return NULL;
 }
 
-struct settled
+/* What a partition row says about the pending commit.  */
+struct part_status
 {
   bool present;
-  bool applied; /* our batch is the row's last */
-  bool ours;    /* nobody raised the fence since */
+  bool applied; /* the row names the commit's batch */
+  bool ours;    /* the fence has not been raised */
   uint64_t version;
 };
 
-static struct settled
-settle_part (struct mq_owner *owner, const struct flight_part *part,
-             const struct mq_store_result *result)
+static struct part_status
+read_part_status (struct mq_owner *owner, const struct commit_part *part,
+                  const struct mq_store_result *result)
 {
-  struct settled settled = { 0 };
+  struct part_status row_status = { 0 };
   char *key
       = talloc_asprintf (owner->actions, "part/%05u", part->partition->number);
   const struct mq_row *row = find_row (result, key);
   Mqlog__PartitionRow *value;
 
   if (row == NULL)
-    return settled;
+    return row_status;
   value = mqlog__partition_row__unpack (NULL, row->value.len, row->value.data);
   if (value == NULL)
-    return settled;
-  settled.present = true;
-  settled.version = row->version;
-  settled.applied = value->batch == owner->flight.batch;
-  settled.ours = value->fence == part->partition->fence
-                 && value->owner_boot == owner->options.boot;
+    return row_status;
+  row_status.present = true;
+  row_status.version = row->version;
+  row_status.applied = value->batch == owner->pending_commit.batch;
+  row_status.ours = value->fence == part->partition->fence
+                    && value->owner_boot == owner->options.boot;
   mqlog__partition_row__free_unpacked (value, NULL);
-  return settled;
+  return row_status;
 }
 
-/* A commit whose answer was lost, or that met a conflict: the rows tell.
-   Failure: the table applied it but the caller would wait for ever, or be
-   told twice.  All rows were written in one transaction, so our batch id in
-   any of them means that all of it happened.  Our fence and the old version
-   mean that it has not happened yet; the same conditions are sent again, so
-   that even if the first one still takes effect later, only one of the two
-   applies.  A higher fence means that another owner holds the partition:
-   it can't take effect any more, and we say nothing.  */
+/* Finds from the rows whether a commit applied whose result was lost or was a
+   conflict.  All rows are written in one transaction: the batch id in any row
+   means that it applied.  With the fence unchanged and another batch id it
+   has not applied yet; it is sent again on the same row versions, so that at
+   most one of both applies.  A raised fence means that another host owns the
+   partition, and the commit can no longer apply to it.  */
 static void
-settle (struct mq_owner *owner, const struct mq_store_result *result)
+verify_commit (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
-  struct settled *settled;
+  struct pending_commit *pending_commit = &owner->pending_commit;
+  struct part_status *row_status;
   bool applied = false;
 
-  settled = talloc_zero_array (owner->actions, struct settled,
-                               (unsigned int)flight->count);
-  for (size_t i = 0; i < flight->count; i++)
+  row_status = talloc_zero_array (owner->actions, struct part_status,
+                                  (unsigned int)pending_commit->count);
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      if (flight->parts[i].partition == NULL)
+      if (pending_commit->parts[i].partition == NULL)
         continue;
-      settled[i] = settle_part (owner, &flight->parts[i], result);
-      applied = applied || settled[i].applied;
+      row_status[i]
+          = read_part_status (owner, &pending_commit->parts[i], result);
+      applied = applied || row_status[i].applied;
     }
-  for (size_t i = 0; i < flight->count; i++)
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      struct partition *partition = flight->parts[i].partition;
+      struct partition *partition = pending_commit->parts[i].partition;
 
       if (partition == NULL)
         continue;
-      /* Failure: our batch applied, and another owner claimed the partition
-         before we read the row; its claim keeps our batch id.  Going on from
-         the version that we read, our next commit would pass its condition
-         and put the old fence back over the new one.  So whose fence it is
-         decides; what is durable the new owner tells.  */
-      if (!settled[i].present || !settled[i].ours)
+      /* The fence decides, not the batch id: a claim by another owner keeps
+         the batch id.  Continuing from the version just read, the next commit
+         would pass its condition and restore the old fence.  */
+      if (!row_status[i].present || !row_status[i].ours)
         take_lose (owner, partition);
-      else if (settled[i].applied)
-        part_applied (owner, &flight->parts[i], settled[i].version);
+      else if (row_status[i].applied)
+        on_part_applied (owner, &pending_commit->parts[i],
+                         row_status[i].version);
     }
-  if (applied || parts_left (flight) == 0)
+  if (applied || count_live_parts (pending_commit) == 0)
     {
-      finish_flight (owner, applied);
+      finish_commit (owner, applied);
       log_flush (owner);
       return;
     }
-  flight->object_next = 0;
-  wait_and_resume (owner, FLIGHT_OBJECTS);
+  pending_commit->object_next = 0;
+  back_off (owner, COMMIT_WRITING_OBJECTS);
 }
 
 static void
-transaction_applied (struct mq_owner *owner,
-                     const struct mq_store_result *result)
+on_transaction_applied (struct mq_owner *owner,
+                        const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  for (size_t i = 0; i < flight->count; i++)
+  for (size_t i = 0; i < pending_commit->count; i++)
     {
-      struct flight_part *part = &flight->parts[i];
+      struct commit_part *part = &pending_commit->parts[i];
 
       if (part->partition == NULL)
         continue;
       if (part->row_op >= result->row_count)
         {
-          /* An answer without versions can't be relied on: read them.  */
-          send_settle (owner);
+          /* The result lacks row versions: read them.  */
+          send_verification_scan (owner);
           return;
         }
-      part_applied (owner, part, result->rows[part->row_op].version);
+      on_part_applied (owner, part, result->rows[part->row_op].version);
     }
-  finish_flight (owner, true);
+  finish_commit (owner, true);
   log_flush (owner);
 }
 
 static void
-flight_result (struct mq_owner *owner, const struct mq_store_result *result)
+commit_result (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
   bool failed
       = result->status == MQ_STORE_DOWN || result->status == MQ_STORE_LOST;
 
   if (failed)
-    durable_store_failed (owner);
+    durable_store_unavailable (owner);
   else
-    durable_store_worked (owner);
-  if (parts_left (flight) == 0)
+    durable_store_up (owner);
+  if (count_live_parts (pending_commit) == 0)
     {
-      finish_flight (owner, false);
+      finish_commit (owner, false);
       log_flush (owner);
       return;
     }
-  switch (flight->state)
+  switch (pending_commit->state)
     {
-    case FLIGHT_OBJECTS:
+    case COMMIT_WRITING_OBJECTS:
       if (result->status != MQ_STORE_OK)
         {
-          wait_and_resume (owner, FLIGHT_OBJECTS);
+          back_off (owner, COMMIT_WRITING_OBJECTS);
           return;
         }
-      flight->object_next++;
+      pending_commit->object_next++;
       log_send_objects (owner);
       return;
-    case FLIGHT_TXN:
+    case COMMIT_IN_TRANSACTION:
       if (result->status == MQ_STORE_OK)
-        transaction_applied (owner, result);
+        on_transaction_applied (owner, result);
       else if (result->status == MQ_STORE_DOWN)
-        wait_and_resume (owner, FLIGHT_TXN);
+        back_off (owner, COMMIT_IN_TRANSACTION);
       else
         {
           if (result->status == MQ_STORE_CONFLICT)
             owner->counters.commit_conflicts++;
           else
             owner->counters.commit_lost++;
-          send_settle (owner);
+          send_verification_scan (owner);
         }
       return;
-    case FLIGHT_SETTLE:
+    case COMMIT_VERIFYING:
       if (result->status != MQ_STORE_OK)
-        wait_and_resume (owner, FLIGHT_SETTLE);
+        back_off (owner, COMMIT_VERIFYING);
       else
-        settle (owner, result);
+        verify_commit (owner, result);
       return;
-    case FLIGHT_NONE:
-    case FLIGHT_WAIT:
+    case COMMIT_IDLE:
+    case COMMIT_BACKOFF:
       return;
     }
 }
@@ -451,7 +455,7 @@
           log_flush (owner);
         }
       else
-        /* The same key and bytes again, on a tick.  */
+        /* The next tick retries with the same key and bytes.  */
         partition->snapshot_id = 0;
       return true;
     }
@@ -461,12 +465,13 @@
 bool
 durable_result (struct mq_owner *owner, const struct mq_store_result *result)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  if (flight->state != FLIGHT_NONE && flight->state != FLIGHT_WAIT
-      && flight->request_id == result->id)
+  if (pending_commit->state != COMMIT_IDLE
+      && pending_commit->state != COMMIT_BACKOFF
+      && pending_commit->request_id == result->id)
     {
-      flight_result (owner, result);
+      commit_result (owner, result);
       return true;
     }
   return snapshot_result (owner, result);
@@ -475,16 +480,17 @@
 void
 durable_tick (struct mq_owner *owner)
 {
-  struct flight *flight = &owner->flight;
+  struct pending_commit *pending_commit = &owner->pending_commit;
 
-  if (flight->state == FLIGHT_WAIT && owner->now_us >= flight->retry_us)
+  if (pending_commit->state == COMMIT_BACKOFF
+      && owner->now_us >= pending_commit->retry_us)
     {
-      if (parts_left (flight) == 0)
-        finish_flight (owner, false);
-      else if (flight->resume == FLIGHT_OBJECTS)
+      if (count_live_parts (pending_commit) == 0)
+        finish_commit (owner, false);
+      else if (pending_commit->resume == COMMIT_WRITING_OBJECTS)
         log_send_objects (owner);
-      else if (flight->resume == FLIGHT_SETTLE)
-        send_settle (owner);
+      else if (pending_commit->resume == COMMIT_VERIFYING)
+        send_verification_scan (owner);
       else
         log_send_transaction (owner);
     }
--- a/src/router/commit_queue.h
+++ b/src/router/commit_queue.h
@@ -1,9 +1,10 @@
 /* commit_queue.h - group commit: writes to one part of the platform's table
    share a transaction.
 
-   Each part has at most one transaction in flight.  Writes that arrive
-   meanwhile are batched into the next one; without one in flight, a write is
-   sent at once.  A slow or overloaded table thus gets fewer, larger calls.
+   Each part has at most one transaction in pending_commit.  Writes that arrive
+   meanwhile are batched into the next one; without one in pending_commit, a
+   write is sent at once.  A slow or overloaded table thus gets fewer, larger
+   calls.
 
    Hosts of a data centre forward their writes for a part to one of them, which
    batches them.  Conditions on row versions keep rows consistent, so hosts
