--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -264,7 +264,7 @@
   decision = mq_quota_try_acquire (
       &share->quota, contact == NULL ? &unknown_issuer : &contact->quota,
       begins, now);
-  if (decision == MQ_QUOTA_GRANTED && share->quota.alone)
+  if (decision == MQ_QUOTA_GRANTED && share->quota.on_standing_rate)
     share->permits->router->counters.permits_alone++;
   return decision;
 }
