--- a/bench/capacity_config.c
+++ b/bench/capacity_config.c
@@ -98,13 +98,13 @@
     {
       uint64_t since = capacity_cpu_ns ();
 
-      progress = mq_wire_config_read_on (reader, TURN_BYTES, &error);
+      progress = mq_wire_config_parse_some (reader, TURN_BYTES, &error);
       since = capacity_cpu_ns () - since;
       *longest = since > *longest ? since : *longest;
     }
-  if (progress != MQ_CONFIG_WHOLE)
+  if (progress != MQ_CONFIG_COMPLETE)
     abort ();
-  return mq_wire_config_take (ctx, reader);
+  return mq_wire_config_take_table (ctx, reader);
 }
 
 static void
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -104,7 +104,7 @@
   mq_clean_sweep (router);
   log_counters (router);
   if (router->leaving)
-    mq_reserve_leave (router);
+    mq_reserve_release_leases (router);
   if (router->leaving)
     step_leaving (router);
   set_sweep (router);
@@ -135,11 +135,11 @@
   const struct mq_router_settings *settings = router->settings;
   struct mq_relay_owner owner = { .sync = mq_feed_on_sync,
                                   .state = mq_feed_on_state,
-                                  .loan_ask = mq_loan_on_ask,
-                                  .loan_told = mq_loan_on_told,
-                                  .loan_back = mq_loan_on_back,
-                                  .quota_ask = mq_permits_on_ask,
-                                  .quota_told = mq_permits_on_told,
+                                  .loan_ask = mq_loan_on_request,
+                                  .loan_told = mq_loan_on_response,
+                                  .loan_back = mq_loan_on_return,
+                                  .quota_ask = mq_permits_on_request,
+                                  .quota_told = mq_permits_on_response,
                                   .quota_recall = mq_permits_on_recall,
                                   .user = router };
 
@@ -212,8 +212,8 @@
 }
 
 void
-mq_router_reloaded (struct mq_router *router,
-                    const struct mq_router_settings *settings)
+mq_router_apply_settings (struct mq_router *router,
+                          const struct mq_router_settings *settings)
 {
   if (settings == NULL)
     {
@@ -225,19 +225,19 @@
 }
 
 void
-mq_router_leave (struct mq_router *router)
+mq_router_begin_stop (struct mq_router *router)
 {
   if (router->leaving)
     return;
   router->leaving = true;
   router->leaving_since_ms = mq_clock_ms ();
   mq_hosts_stop (router);
-  mq_reserve_leave (router);
+  mq_reserve_release_leases (router);
   log_state (router, MQ_LOG_LEAVING);
 }
 
 uint64_t
-mq_router_log_strays (const struct mq_router *router)
+mq_router_log_unknown_keys (const struct mq_router *router)
 {
   return mq_json_log_strays (router->log);
 }
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -59,10 +59,10 @@
 /* The settings file was read again: SETTINGS, NULL: it has errors.  What
    changes while the process runs is taken over, and a line of the log says
    which of the two it was.  */
-void mq_router_reloaded (struct mq_router *router,
-                         const struct mq_router_settings *settings);
+void mq_router_apply_settings (struct mq_router *router,
+                               const struct mq_router_settings *settings);
 /* Begins a planned stop.  */
-void mq_router_leave (struct mq_router *router);
+void mq_router_begin_stop (struct mq_router *router);
 /* Ports that it listens on.  */
 uint16_t mq_router_http_port (const struct mq_router *router);
 uint16_t mq_router_ready_port (const struct mq_router *router);
@@ -73,7 +73,7 @@
 /* Other routing hosts that are known.  */
 size_t mq_router_host_count (const struct mq_router *router);
 /* Keys that its log was given and the schema lacks; 0 but for a mistake.  */
-uint64_t mq_router_log_strays (const struct mq_router *router);
+uint64_t mq_router_log_unknown_keys (const struct mq_router *router);
 /* Callers may be sent here: the configuration and the workers are known, and
    no stop was asked for.  */
 bool mq_router_is_ready (const struct mq_router *router);
--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -20,14 +20,14 @@
 {
   if (!request->route->retains)
     return 0;
-  return mq_recent_mean (&request->router->record_waits, now) * 100U
+  return mq_recent_mean (&request->router->record_wait, now) * 100U
          / MQ_FLEET_WAIT_FULL_PERCENT;
 }
 
 static struct mq_admission_ask
 admission_ask (const struct mq_request *request, uint64_t now)
 {
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *facts = &request->facts;
 
   return (struct mq_admission_ask){
     .service = request->service,
@@ -49,8 +49,9 @@
 refuse_program (struct mq_request *request)
 {
   request->router->counters.programs_refused++;
-  request_refuse (request,
-                  request->program_late ? MQ_REFUSE_LATE : MQ_REFUSE_LOADED);
+  request_refuse (request, request->program_deadline_at_risk
+                               ? MQ_REFUSE_LATE
+                               : MQ_REFUSE_OVERLOADED);
 }
 
 /* A record proves that some host has served a turn of the program; so may one
@@ -64,7 +65,7 @@
   if (result->status == MQ_STORE_OK && result->row_count == 0)
     refuse_program (request);
   else
-    request_begin_turn (request);
+    request_prepare_turn (request);
 }
 
 /* Failure: a program's next turn comes to a host that has not seen it, looks
@@ -80,7 +81,7 @@
   if (request->route->retains)
     refuse_program (request);
   else if (mq_ledger_down (router->ledger))
-    request_begin_turn (request);
+    request_prepare_turn (request);
   else
     request->record_call = mq_turns_read_record (
         router->turns, request->program, on_record, request);
@@ -110,7 +111,7 @@
 
   if (!request->begins_program)
     {
-      request_begin_turn (request);
+      request_prepare_turn (request);
       return;
     }
   ask = admission_ask (request, now);
@@ -118,12 +119,12 @@
       = ask.load > ask.record_load ? ask.load : ask.record_load;
   answer = mq_admission_decide (request->router->admission, &ask,
                                 &request->retry_ms);
-  request->program_late = answer == MQ_ADMISSION_LATE;
+  request->program_deadline_at_risk = answer == MQ_ADMISSION_LATE;
   switch (answer)
     {
     case MQ_ADMISSION_YES:
       request->home = choose_home (request, now);
-      request_begin_turn (request);
+      request_prepare_turn (request);
       return;
     case MQ_ADMISSION_LOADED:
     case MQ_ADMISSION_LATE:
--- a/src/router/router_answer.c
+++ b/src/router/router_answer.c
@@ -34,9 +34,9 @@
 }
 
 void
-mq_answer_take_head (TALLOC_CTX *ctx, struct mq_answer *answer,
-                     const struct mq_http_head *head,
-                     const struct mq_answer_facts *facts, bool stream)
+mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
+                    const struct mq_http_head *head,
+                    const struct mq_response_fields *facts, bool stream)
 {
   answer->status = head->status;
   answer->not_run = facts->not_run;
@@ -47,8 +47,8 @@
 }
 
 bool
-mq_answer_take_body (TALLOC_CTX *ctx, struct mq_answer *answer,
-                     const char *data, size_t len)
+mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
+                    const char *data, size_t len)
 {
   if (!answer->stream)
     return mq_buffer_append (ctx, &answer->body, data, len, ANSWER_MAX_BYTES);
@@ -66,7 +66,7 @@
 }
 
 bool
-mq_answer_is_cut (const struct mq_answer *answer)
+mq_answer_is_truncated (const struct mq_answer *answer)
 {
   return answer->stream && answer->events != NULL
          && mq_event_stream_partial (answer->events);
@@ -81,7 +81,7 @@
 }
 
 bool
-mq_answer_bodiless (int status)
+mq_answer_has_no_body (int status)
 {
   return status == 204 || status == 304;
 }
--- a/src/router/router_answer.h
+++ b/src/router/router_answer.h
@@ -35,20 +35,20 @@
 };
 
 /* The head has come; STREAM: the route's answers are streams.  */
-void mq_answer_take_head (TALLOC_CTX *ctx, struct mq_answer *answer,
-                          const struct mq_http_head *head,
-                          const struct mq_answer_facts *facts, bool stream);
+void mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
+                         const struct mq_http_head *head,
+                         const struct mq_response_fields *facts, bool stream);
 /* Some of the body; false when it is longer than can be held, or damaged.  */
-bool mq_answer_take_body (TALLOC_CTX *ctx, struct mq_answer *answer,
-                          const char *data, size_t len);
+bool mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
+                         const char *data, size_t len);
 /* Next whole event of a stream; false when there is none yet.  */
 bool mq_answer_next_event (struct mq_answer *answer, struct mq_event *event);
 /* It ends within an event.  */
-bool mq_answer_is_cut (const struct mq_answer *answer);
+bool mq_answer_is_truncated (const struct mq_answer *answer);
 /* What the answer, at its end, tells of the worker.  */
 enum mq_fleet_outcome mq_answer_outcome (const struct mq_answer *answer);
 /* Answers of STATUS have no body.  */
-bool mq_answer_bodiless (int status);
+bool mq_answer_has_no_body (int status);
 /* Forgets all of it: another worker is asked.  */
 void mq_answer_reset (struct mq_answer *answer);
 
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -160,7 +160,7 @@
   (void)end;
   caller->request = NULL;
   if (request != NULL)
-    mq_request_caller_left (request);
+    mq_request_caller_disconnected (request);
   destroy_caller (caller);
 }
 
@@ -171,7 +171,7 @@
 
   (void)tcp;
   if (caller->request != NULL)
-    mq_request_caller_reads (caller->request);
+    mq_request_caller_writable (caller->request);
 }
 
 static void
@@ -185,7 +185,7 @@
                  MQ_LOG_MESSAGE_REFUSED);
   mq_json_number (&line, "reason", refusal);
   mq_json_end (&line);
-  mq_refuse_caller (caller->router, caller, refusal, 0);
+  mq_caller_refuse (caller->router, caller, refusal, 0);
 }
 
 static void
@@ -334,7 +334,7 @@
 }
 
 void
-mq_caller_serves (struct mq_caller *caller, struct mq_request *request)
+mq_caller_attach_request (struct mq_caller *caller, struct mq_request *request)
 {
   caller->request = request;
 }
@@ -392,8 +392,8 @@
 }
 
 void
-mq_caller_answer (struct mq_caller *caller, int status, const char *fields,
-                  const void *body, size_t len, bool with_body)
+mq_caller_respond (struct mq_caller *caller, int status, const char *fields,
+                   const void *body, size_t len, bool with_body)
 {
   char framing[48] = "";
 
@@ -407,14 +407,15 @@
 }
 
 void
-mq_caller_begin (struct mq_caller *caller, int status, const char *fields)
+mq_caller_begin_stream (struct mq_caller *caller, int status,
+                        const char *fields)
 {
   write_head (caller, status, fields, "Transfer-Encoding: chunked\r\n", NULL,
               0);
 }
 
 bool
-mq_caller_part (struct mq_caller *caller, const void *data, size_t len)
+mq_caller_send_chunk (struct mq_caller *caller, const void *data, size_t len)
 {
   struct mq_buffer out = { NULL, 0, 0, 0 };
   char size[24];
@@ -430,7 +431,7 @@
 }
 
 void
-mq_caller_end (struct mq_caller *caller)
+mq_caller_end_stream (struct mq_caller *caller)
 {
   caller->request = NULL;
   mq_tcp_write (caller->tcp, "0\r\n\r\n", 5);
@@ -439,7 +440,7 @@
 
 /* The last chunk is missing, which the other side takes for what it is.  */
 void
-mq_caller_break (struct mq_caller *caller)
+mq_caller_abort (struct mq_caller *caller)
 {
   caller->request = NULL;
   finish_caller (caller);
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -21,27 +21,27 @@
 #define TAKE_MS 1000U
 
 /**
- * struct mq_confirm - someone who waits for the newest configuration
+ * struct mq_config_waiter - someone who waits for the newest configuration
  * @list: of those who wait for the same
  */
-struct mq_confirm
+struct mq_config_waiter
 {
   struct mq_router *router;
-  struct mq_confirm *next;
-  struct mq_confirm **list;
-  mq_confirmed *told;
+  struct mq_config_waiter *next;
+  struct mq_config_waiter **list;
+  mq_config_latest_handler *told;
   void *user;
 };
 
 /**
- * struct mq_config_take - a configuration that came
+ * struct mq_config_load - a configuration that came
  * @row: version of its row, 0: another host told it
  * @turns: of the event loop that it took so far
  * @whole: it is read, and not yet in force
  * @waiting: those who are told when it is done with
  * @next: is read after it
  */
-struct mq_config_take
+struct mq_config_load
 {
   struct mq_router *router;
   struct mq_config_reader *reader;
@@ -50,11 +50,11 @@
   uint32_t turns;
   bool whole;
   struct mq_timer *timer;
-  struct mq_confirm *waiting;
-  struct mq_config_take *next;
+  struct mq_config_waiter *waiting;
+  struct mq_config_load *next;
 };
 
-static void wait_turn (struct mq_config_take *take);
+static void wait_turn (struct mq_config_load *take);
 
 static void
 log_unreadable (struct mq_router *router, const struct mq_error *error)
@@ -70,7 +70,7 @@
 }
 
 static void
-log_in_force (const struct mq_config_take *take,
+log_in_force (const struct mq_config_load *take,
               const struct mq_route_table *table)
 {
   struct mq_router *router = take->router;
@@ -90,14 +90,14 @@
 /* Those who wait */
 
 static void
-tell (struct mq_confirm *confirm, bool current)
+tell (struct mq_config_waiter *confirm, bool current)
 {
   confirm->told (current, confirm->user);
   talloc_free (confirm);
 }
 
 static void
-put_in (struct mq_confirm **list, struct mq_confirm *confirm)
+put_in (struct mq_config_waiter **list, struct mq_config_waiter *confirm)
 {
   confirm->list = list;
   confirm->next = *list;
@@ -105,9 +105,9 @@
 }
 
 static void
-take_out (struct mq_confirm *confirm)
+take_out (struct mq_config_waiter *confirm)
 {
-  struct mq_confirm **at = confirm->list;
+  struct mq_config_waiter **at = confirm->list;
 
   while (*at != confirm)
     at = &(*at)->next;
@@ -116,11 +116,11 @@
 
 /* All who are in FROM are in TO then.  */
 static void
-move_all (struct mq_confirm **from, struct mq_confirm **to)
+move_all (struct mq_config_waiter **from, struct mq_config_waiter **to)
 {
   while (*from != NULL)
     {
-      struct mq_confirm *confirm = *from;
+      struct mq_config_waiter *confirm = *from;
 
       take_out (confirm);
       put_in (to, confirm);
@@ -129,11 +129,11 @@
 
 /* What those do who are told may end others that wait.  */
 static void
-tell_all (struct mq_confirm **list, bool current)
+tell_all (struct mq_config_waiter **list, bool current)
 {
   while (*list != NULL)
     {
-      struct mq_confirm *confirm = *list;
+      struct mq_config_waiter *confirm = *list;
 
       take_out (confirm);
       tell (confirm, current);
@@ -144,23 +144,24 @@
 
 /* TAKE is over, in force or not.  */
 static void
-end_take (struct mq_config_take *take)
+end_take (struct mq_config_load *take)
 {
   struct mq_router *router = take->router;
 
-  router->config_take = take->next;
+  router->config_loading = take->next;
   tell_all (&take->waiting, true);
   talloc_free (take);
-  if (router->config_take != NULL && router->config_take->turns == 0)
-    wait_turn (router->config_take);
+  if (router->config_loading != NULL && router->config_loading->turns == 0)
+    wait_turn (router->config_loading);
 }
 
 static void
-put_in_force (struct mq_config_take *take)
+put_in_force (struct mq_config_load *take)
 {
   struct mq_router *router = take->router;
   struct mq_bytes text = mq_wire_config_text (take->reader);
-  struct mq_route_table *table = mq_wire_config_take (router, take->reader);
+  struct mq_route_table *table
+      = mq_wire_config_take_table (router, take->reader);
 
   mq_route_table_sort (table);
   talloc_free (router->config.data);
@@ -176,12 +177,12 @@
 
 /* Bytes to read in this turn.  */
 static size_t
-turn_bytes (const struct mq_config_take *take)
+turn_bytes (const struct mq_config_load *take)
 {
   uint64_t elapsed = mq_clock_ms () - take->since_ms;
   size_t whole = mq_wire_config_text (take->reader).len;
   size_t due = whole;
-  size_t done = mq_wire_config_done (take->reader);
+  size_t done = mq_wire_config_parsed_bytes (take->reader);
 
   if (elapsed < TAKE_MS)
     due = (size_t)(whole * elapsed / TAKE_MS);
@@ -190,7 +191,7 @@
 
 /* It is not newer than the one in force.  */
 static bool
-is_stale (const struct mq_config_take *take)
+is_stale (const struct mq_config_load *take)
 {
   const struct mq_route_table *routes = take->router->routes;
   uint64_t version = mq_wire_config_version (take->reader);
@@ -200,20 +201,20 @@
 
 /* Reads on; false when TAKE is over and gone.  */
 static bool
-read_on (struct mq_config_take *take)
+read_on (struct mq_config_load *take)
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   enum mq_config_progress progress
-      = mq_wire_config_read_on (take->reader, turn_bytes (take), &error);
+      = mq_wire_config_parse_some (take->reader, turn_bytes (take), &error);
 
-  if (progress == MQ_CONFIG_UNUSABLE)
+  if (progress == MQ_CONFIG_INVALID)
     log_unreadable (take->router, &error);
-  if (progress == MQ_CONFIG_UNUSABLE || is_stale (take))
+  if (progress == MQ_CONFIG_INVALID || is_stale (take))
     {
       end_take (take);
       return false;
     }
-  take->whole = progress == MQ_CONFIG_WHOLE;
+  take->whole = progress == MQ_CONFIG_COMPLETE;
   return true;
 }
 
@@ -225,7 +226,7 @@
 static void
 run_turn (void *data)
 {
-  struct mq_config_take *take = data;
+  struct mq_config_load *take = data;
   bool reads = !take->whole;
 
   take->timer = NULL;
@@ -243,7 +244,7 @@
 
 /* Without memory for a timer it goes on at once.  */
 static void
-wait_turn (struct mq_config_take *take)
+wait_turn (struct mq_config_load *take)
 {
   take->timer = mq_timer_add (take, take->router->ev, 0, run_turn, take);
   if (take->timer == NULL)
@@ -257,10 +258,10 @@
          && (one.len == 0 || memcmp (one.data, other.data, one.len) == 0);
 }
 
-static struct mq_config_take *
+static struct mq_config_load *
 make_take (struct mq_router *router, struct mq_bytes value, uint64_t row)
 {
-  struct mq_config_take *take = talloc_zero (router, struct mq_config_take);
+  struct mq_config_load *take = talloc_zero (router, struct mq_config_load);
   struct mq_error error = { .type = MQ_ERR_NONE };
 
   if (take != NULL)
@@ -280,7 +281,7 @@
 
 /* VALUE says the same as TAKE, or is older.  */
 static bool
-covers (const struct mq_config_take *take, struct mq_bytes value, uint64_t row)
+covers (const struct mq_config_load *take, struct mq_bytes value, uint64_t row)
 {
   return (row != 0 && row < take->row)
          || is_same (mq_wire_config_text (take->reader), value);
@@ -288,11 +289,11 @@
 
 /* VALUE came while another is read.  It waits, in the place of one that came
    before if that is known to be older.  */
-static struct mq_config_take *
-put_behind (struct mq_config_take *first, struct mq_bytes value, uint64_t row)
+static struct mq_config_load *
+put_behind (struct mq_config_load *first, struct mq_bytes value, uint64_t row)
 {
-  struct mq_config_take **at = &first->next;
-  struct mq_config_take *take;
+  struct mq_config_load **at = &first->next;
+  struct mq_config_load *take;
 
   if (covers (first, value, row))
     return first;
@@ -306,7 +307,7 @@
     return first;
   if (*at != NULL)
     {
-      struct mq_config_take *older = *at;
+      struct mq_config_load *older = *at;
 
       take->next = older->next;
       move_all (&older->waiting, &take->waiting);
@@ -317,30 +318,30 @@
 }
 
 /* Those who wait for VALUE wait for what is returned, NULL: for nothing.  */
-static struct mq_config_take *
+static struct mq_config_load *
 find_take (struct mq_router *router, struct mq_bytes value, uint64_t row)
 {
-  if (router->config_take != NULL)
-    return put_behind (router->config_take, value, row);
+  if (router->config_loading != NULL)
+    return put_behind (router->config_loading, value, row);
   if (router->routes != NULL && is_same (router->config, value))
     return NULL;
-  router->config_take = make_take (router, value, row);
-  return router->config_take;
+  router->config_loading = make_take (router, value, row);
+  return router->config_loading;
 }
 
 /* WAITING, NULL: nobody, are told when VALUE is in force, or one that is
    newer.  */
 static void
 offer (struct mq_router *router, struct mq_bytes value, uint64_t row,
-       struct mq_confirm **waiting)
+       struct mq_config_waiter **waiting)
 {
-  struct mq_config_take *take = find_take (router, value, row);
+  struct mq_config_load *take = find_take (router, value, row);
 
   if (waiting != NULL && take == NULL)
     tell_all (waiting, true);
   else if (waiting != NULL)
     move_all (waiting, &take->waiting);
-  if (take != NULL && take == router->config_take && take->turns == 0)
+  if (take != NULL && take == router->config_loading && take->turns == 0)
     run_turn (take);
 }
 
@@ -353,7 +354,7 @@
 /* Asking */
 
 /**
- * struct mq_config_ask - a question to the platform for the newest
+ * struct mq_config_query - a question to the platform for the newest
  * configuration
  * @call: under way, NULL: none
  * @began_ms: when it, or the one before it, began
@@ -361,20 +362,20 @@
  * @asked: those who were there when it began
  * @later: those who came since; it may not tell what is the newest for them
  */
-struct mq_config_ask
+struct mq_config_query
 {
   struct mq_router *router;
   struct mq_ledger_call *call;
   uint64_t began_ms;
   uint64_t known_ms;
-  struct mq_confirm *asked;
-  struct mq_confirm *later;
+  struct mq_config_waiter *asked;
+  struct mq_config_waiter *later;
 };
 
 static void on_read (const struct mq_rows_result *result, void *user);
 
 static void
-start_read (struct mq_config_ask *ask)
+start_read (struct mq_config_query *ask)
 {
   move_all (&ask->later, &ask->asked);
   if (ask->asked == NULL)
@@ -388,8 +389,8 @@
 static void
 on_read (const struct mq_rows_result *result, void *user)
 {
-  struct mq_config_ask *ask = user;
-  struct mq_confirm *told = NULL;
+  struct mq_config_query *ask = user;
+  struct mq_config_waiter *told = NULL;
 
   move_all (&ask->asked, &told);
   if (result->status == MQ_STORE_OK && result->row_count > 0)
@@ -402,22 +403,22 @@
   start_read (ask);
 }
 
-static struct mq_config_ask *
+static struct mq_config_query *
 get_ask (struct mq_router *router)
 {
-  if (router->config_ask == NULL)
-    router->config_ask = talloc_zero (router, struct mq_config_ask);
-  if (router->config_ask != NULL)
-    router->config_ask->router = router;
-  return router->config_ask;
+  if (router->config_query == NULL)
+    router->config_query = talloc_zero (router, struct mq_config_query);
+  if (router->config_query != NULL)
+    router->config_query->router = router;
+  return router->config_query;
 }
 
 bool
-mq_config_asked_within (const struct mq_router *router, uint32_t ms)
+mq_config_confirmed_within (const struct mq_router *router, uint32_t ms)
 {
-  const struct mq_config_ask *ask = router->config_ask;
+  const struct mq_config_query *ask = router->config_query;
 
-  return ask != NULL && router->config_take == NULL && ask->known_ms != 0
+  return ask != NULL && router->config_loading == NULL && ask->known_ms != 0
          && mq_clock_ms () - ask->known_ms < ms;
 }
 
@@ -425,11 +426,13 @@
    of the whole configuration, some million bytes; many of them at a time cost
    its memory, and the reads are over their time.  So one is read at a time,
    for all who were there when it began.  */
-struct mq_confirm *
-mq_config_confirm (struct mq_router *router, mq_confirmed *told, void *user)
+struct mq_config_waiter *
+mq_config_fetch_latest (struct mq_router *router,
+                        mq_config_latest_handler *told, void *user)
 {
-  struct mq_confirm *confirm = talloc_zero (router, struct mq_confirm);
-  struct mq_config_ask *ask = get_ask (router);
+  struct mq_config_waiter *confirm
+      = talloc_zero (router, struct mq_config_waiter);
+  struct mq_config_query *ask = get_ask (router);
 
   if (confirm == NULL || ask == NULL)
     {
@@ -446,7 +449,7 @@
 }
 
 void
-mq_config_forget (struct mq_confirm *confirm)
+mq_config_cancel_fetch (struct mq_config_waiter *confirm)
 {
   if (confirm == NULL)
     return;
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -23,7 +23,7 @@
 static void
 set_ids (struct mq_request *request, const struct mq_route_table *table)
 {
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *facts = &request->facts;
   bool plain = table->orgs == NULL;
 
   request->program = plain ? facts->program : scoped (request, facts->program);
@@ -41,10 +41,10 @@
   if (table->orgs != NULL && !route->is_public)
     {
       if (request->facts.key_count > 1)
-        return REQUEST_DOUBLY_IDENTIFIED;
+        return REQUEST_KEY_AMBIGUOUS;
       request->org = mq_orgs_find_key (table->orgs, request->facts.key);
       if (request->org == NULL)
-        return REQUEST_UNIDENTIFIED;
+        return REQUEST_KEY_UNKNOWN;
     }
   set_ids (request, table);
   return REQUEST_IDENTIFIED;
@@ -55,18 +55,18 @@
 {
   return request->route->kind == MQ_ROUTE_STREAM && request->facts.main_line
          && request->previous == NULL
-         && !mq_turns_know (request->router->turns, request->program);
+         && !mq_turns_has_program (request->router->turns, request->program);
 }
 
 bool
-request_key_is_unknown (const struct mq_request *request)
+request_key_lookup_is_fresh (const struct mq_request *request)
 {
   return mq_rows_followed (request->router->rows)
-         && mq_config_asked_within (request->router, KEY_ASK_MS);
+         && mq_config_confirmed_within (request->router, KEY_ASK_MS);
 }
 
 bool
-request_keeps_key (const struct mq_request *request)
+request_key_is_still_valid (const struct mq_request *request)
 {
   const struct mq_route_table *now = request->router->routes;
   const struct mq_org *org;
--- a/src/router/router_silence.c
+++ b/src/router/router_inactivity.c
@@ -2,7 +2,7 @@
 
    Needs: router_silence.h, memory.h, clock.h, timer.h.  */
 
-#include "router_silence.h"
+#include "router_inactivity.h"
 #include "core/memory.h"
 #include "net/clock.h"
 #include "net/timer.h"
@@ -25,13 +25,13 @@
 #define BUSY_PART 3U
 
 /**
- * struct mq_silence - the watch on one try
+ * struct mq_inactivity - the watch on one try
  * @heard_ms: when the worker last gave something to this request
  * @seen: it seemed silent at the last look
  */
-struct mq_silence
+struct mq_inactivity
 {
-  struct mq_silence_options options;
+  struct mq_inactivity_options options;
   struct tevent_context *ev;
   struct mq_timer *timer;
   uint64_t heard_ms;
@@ -42,7 +42,7 @@
 
 /* Longest silence of the worker before the request is better off elsewhere. */
 static uint32_t
-longest_ms (const struct mq_silence *silence)
+longest_ms (const struct mq_inactivity *silence)
 {
   const struct mq_path_route *route = silence->options.route;
   uint32_t wait = silence->options.begun ? route->gap_ms * GAP_FACTOR
@@ -52,7 +52,7 @@
 }
 
 static void
-look_after (struct mq_silence *silence, uint64_t wait_ms)
+look_after (struct mq_inactivity *silence, uint64_t wait_ms)
 {
   silence->timer
       = mq_timer_add (silence, silence->ev, wait_ms, on_look, silence);
@@ -60,7 +60,7 @@
 
 /* The same where the worker answers other requests.  */
 static uint32_t
-longest_busy_ms (const struct mq_silence *silence)
+longest_busy_ms (const struct mq_inactivity *silence)
 {
   uint32_t longest = longest_ms (silence);
   uint32_t wait = longest * BUSY_FACTOR;
@@ -75,7 +75,7 @@
 
 /* How long the silence may still last, 0: no longer.  */
 static uint64_t
-left_ms (const struct mq_silence *silence)
+left_ms (const struct mq_inactivity *silence)
 {
   uint64_t now = mq_clock_ms ();
   uint64_t other
@@ -96,7 +96,7 @@
 static void
 on_look (void *data)
 {
-  struct mq_silence *silence = data;
+  struct mq_inactivity *silence = data;
   uint64_t left = left_ms (silence);
 
   silence->timer = NULL;
@@ -114,11 +114,12 @@
     silence->options.gone (silence->options.user);
 }
 
-struct mq_silence *
-mq_silence_create (TALLOC_CTX *ctx, struct tevent_context *ev,
-                   const struct mq_silence_options *options)
+struct mq_inactivity *
+mq_inactivity_create (TALLOC_CTX *ctx, struct tevent_context *ev,
+                      const struct mq_inactivity_options *options)
 {
-  struct mq_silence *silence = mq_must (talloc_zero (ctx, struct mq_silence));
+  struct mq_inactivity *silence
+      = mq_must (talloc_zero (ctx, struct mq_inactivity));
 
   silence->options = *options;
   silence->ev = ev;
@@ -129,13 +130,13 @@
 }
 
 void
-mq_silence_destroy (struct mq_silence *silence)
+mq_inactivity_destroy (struct mq_inactivity *silence)
 {
   talloc_free (silence);
 }
 
 void
-mq_silence_heard (struct mq_silence *silence)
+mq_inactivity_reset (struct mq_inactivity *silence)
 {
   uint64_t now = mq_clock_ms ();
 
@@ -144,13 +145,13 @@
 }
 
 void
-mq_silence_begun (struct mq_silence *silence)
+mq_inactivity_response_begun (struct mq_inactivity *silence)
 {
   silence->options.begun = true;
 }
 
 uint64_t
-mq_silence_ms (const struct mq_silence *silence)
+mq_inactivity_ms (const struct mq_inactivity *silence)
 {
   return mq_clock_ms () - silence->heard_ms;
 }
--- a/src/router/router_silence.h
+++ b/src/router/router_inactivity.h
@@ -12,10 +12,10 @@
 #include "core/router/route.h"
 #include <tevent.h>
 
-struct mq_silence;
+struct mq_inactivity;
 
 /**
- * struct mq_silence_options - whose silence, and how much of it
+ * struct mq_inactivity_options - whose silence, and how much of it
  * @fleet: knows when the worker was last heard by any request
  * @worker: the one that is asked
  * @route: what the route aims at
@@ -24,7 +24,7 @@
  * @watched: @gone is wanted
  * @gone: called once when the worker has been silent for too long
  */
-struct mq_silence_options
+struct mq_inactivity_options
 {
   struct mq_fleet *fleet;
   uint32_t worker;
@@ -36,16 +36,16 @@
   void *user;
 };
 
-struct mq_silence *
-mq_silence_create (TALLOC_CTX *ctx, struct tevent_context *ev,
-                   const struct mq_silence_options *options);
+struct mq_inactivity *
+mq_inactivity_create (TALLOC_CTX *ctx, struct tevent_context *ev,
+                      const struct mq_inactivity_options *options);
 /* NULL is allowed.  */
-void mq_silence_destroy (struct mq_silence *silence);
+void mq_inactivity_destroy (struct mq_inactivity *silence);
 /* Bytes came from the worker.  */
-void mq_silence_heard (struct mq_silence *silence);
+void mq_inactivity_reset (struct mq_inactivity *silence);
 /* The caller has got the beginning of the answer.  */
-void mq_silence_begun (struct mq_silence *silence);
+void mq_inactivity_response_begun (struct mq_inactivity *silence);
 /* How long the worker has said nothing to this request, milliseconds.  */
-uint64_t mq_silence_ms (const struct mq_silence *silence);
+uint64_t mq_inactivity_ms (const struct mq_inactivity *silence);
 
 #endif
--- a/src/router/router_limit.c
+++ b/src/router/router_limit.c
@@ -25,16 +25,16 @@
     {
     case MQ_PERMIT_GRANTED:
       request->permitted = true;
-      request_send (request);
+      request_dispatch (request);
       return;
-    case MQ_PERMIT_OVER:
+    case MQ_PERMIT_OVER_LIMIT:
       refuse_over (request, retry_ms);
       return;
     case MQ_PERMIT_UNKNOWN:
       request->router->counters.limit_unknown++;
       request_refuse (request, MQ_REFUSE_NO_PERMIT);
       return;
-    case MQ_PERMIT_WAITS:
+    case MQ_PERMIT_PENDING:
       return;
     }
 }
@@ -49,26 +49,26 @@
 }
 
 void
-request_limit (struct mq_request *request)
+request_acquire_permit (struct mq_request *request)
 {
   enum mq_permit_state state = MQ_PERMIT_GRANTED;
   uint32_t retry_ms = 0;
 
   if (has_limit (request))
-    state = mq_permit_ask (request->router, request->org,
-                           request->begins_program, on_permit, request,
-                           &request->permit, &retry_ms);
+    state = mq_permit_request (request->router, request->org,
+                               request->begins_program, on_permit, request,
+                               &request->permit, &retry_ms);
   follow_permit (request, state, retry_ms);
 }
 
 bool
-request_is_over (struct mq_request *request)
+request_refuse_over_limit (struct mq_request *request)
 {
   uint32_t retry_ms = 0;
 
   if (!has_limit (request)
-      || !mq_permit_refused (request->router, request->org,
-                             request->begins_program, &retry_ms))
+      || !mq_permit_would_refuse (request->router, request->org,
+                                  request->begins_program, &retry_ms))
     return false;
   refuse_over (request, retry_ms);
   return true;
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -58,7 +58,7 @@
 }
 
 void
-mq_loan_forget (struct mq_loan *loan)
+mq_loan_cancel (struct mq_loan *loan)
 {
   if (loan == NULL)
     return;
@@ -72,8 +72,8 @@
   struct mq_turn *turn = loan->turn;
 
   turn->loan = NULL;
-  mq_loan_forget (loan);
-  mq_turn_tell (turn, state);
+  mq_loan_cancel (loan);
+  mq_turn_notify (turn, state);
 }
 
 /* The turn has all that it needs, or what it has suffices.  */
@@ -84,7 +84,7 @@
 
   if (!turn->budgeted)
     return true;
-  program = mq_program_get (turn->turns, turn->program);
+  program = mq_program_get_or_create (turn->turns, turn->program);
   if (program == NULL)
     return false;
   turn->granted = mq_budget_take (&program->budget, turn->most);
@@ -142,7 +142,8 @@
 ask_issue (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
-  struct mq_program *program = mq_program_get (turn->turns, turn->program);
+  struct mq_program *program
+      = mq_program_get_or_create (turn->turns, turn->program);
 
   loan->issue = true;
   if (program == NULL
@@ -160,8 +161,8 @@
 {
   struct mq_program *program = loan->program;
 
-  mq_loan_forget (loan);
-  mq_program_recalled (program);
+  mq_loan_cancel (loan);
+  mq_program_on_recall_done (program);
 }
 
 /* All hosts that will answer have answered.  */
@@ -178,21 +179,21 @@
   if (loan->near)
     {
       turn->loan = NULL;
-      mq_loan_forget (loan);
-      if (mq_turn_find_in_memory (turn))
+      mq_loan_cancel (loan);
+      if (mq_turn_find_cached (turn))
         turn->turns->router->counters.turns_lent++;
       else
-        mq_turn_read (turn);
+        mq_turn_read_history (turn);
       return;
     }
   if (turn->missing[0] != '\0')
     {
       /* Comes back here once the history is joined.  */
       turn->loan = NULL;
-      if (mq_turn_find_in_memory (turn))
-        mq_loan_forget (loan);
+      if (mq_turn_find_cached (turn))
+        mq_loan_cancel (loan);
       else
-        end_loan (loan, MQ_TURN_NO_STORE);
+        end_loan (loan, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   if (take_budget (turn))
@@ -201,7 +202,7 @@
       end_loan (loan, MQ_TURN_READY);
     }
   else if (loan->issue || loan->over)
-    end_loan (loan, MQ_TURN_NO_STORE);
+    end_loan (loan, MQ_TURN_STORE_UNAVAILABLE);
   else
     ask_issue (loan);
 }
@@ -220,13 +221,13 @@
 }
 
 void
-mq_loan_begin (struct mq_turn *turn)
+mq_loan_request (struct mq_turn *turn)
 {
   /* Where the table answers in part, the turn can end: its row has other
      places.  */
   if (!turn->may_borrow && mq_ledger_down (turn->turns->router->ledger))
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   turn->loan = create_loan (turn->turns);
@@ -239,7 +240,7 @@
    grant of its own, on a table whose rates bind in a burst.  Hosts that served
    the turns before have both in memory.  */
 void
-mq_loan_try (struct mq_turn *turn)
+mq_loan_request_local_history (struct mq_turn *turn)
 {
   turn->loan = create_loan (turn->turns);
   turn->loan->turn = turn;
@@ -279,7 +280,7 @@
 take_tokens (struct mq_turns *turns, const struct mq_relay_loan_told *told,
              const char *address)
 {
-  struct mq_program *program = mq_program_get (turns, told->program);
+  struct mq_program *program = mq_program_get_or_create (turns, told->program);
 
   if (program == NULL)
     return;
@@ -292,7 +293,7 @@
 static void
 take_home (struct mq_turns *turns, const struct mq_relay_loan_told *told)
 {
-  struct mq_program *program = mq_program_get (turns, told->program);
+  struct mq_program *program = mq_program_get_or_create (turns, told->program);
 
   if (program != NULL && program->home == 0)
     program->home = told->home;
@@ -316,8 +317,8 @@
 }
 
 void
-mq_loan_on_told (const struct mq_relay_loan_told *told, const char *address,
-                 void *user)
+mq_loan_on_response (const struct mq_relay_loan_told *told,
+                     const char *address, void *user)
 {
   struct mq_router *router = user;
   struct mq_turns *turns = router->turns;
@@ -348,8 +349,9 @@
 {
   struct mq_turns *turns = router->turns;
   bool issues = ask->issue && mq_reserve_may_issue (router, ask->program);
-  struct mq_program *program = issues ? mq_program_get (turns, ask->program)
-                                      : mq_program_find (turns, ask->program);
+  struct mq_program *program
+      = issues ? mq_program_get_or_create (turns, ask->program)
+               : mq_program_find (turns, ask->program);
 
   if (program == NULL)
     return;
@@ -378,8 +380,8 @@
 }
 
 void
-mq_loan_on_ask (const struct mq_relay_loan_ask *ask,
-                struct mq_relay_link *link, void *user)
+mq_loan_on_request (const struct mq_relay_loan_ask *ask,
+                    struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   struct mq_relay_loan_told told
@@ -401,7 +403,7 @@
 }
 
 void
-mq_loan_on_back (const struct mq_relay_loan_back *back, void *user)
+mq_loan_on_return (const struct mq_relay_loan_back *back, void *user)
 {
   struct mq_router *router = user;
   struct mq_program *program = mq_program_find (router->turns, back->program);
@@ -413,13 +415,13 @@
 /* Without the table, what a turn leaves of its most, three quarters of it,
    serves the next send of the same turn, at whichever host it comes to.  */
 void
-mq_loan_give_back (struct mq_program *program)
+mq_loan_return (struct mq_program *program)
 {
   struct mq_relay *relay = program->turns->router->relay;
   struct mq_relay_loan_back back = { .program = program->id };
 
   if (program->lender == NULL
-      || !mq_turns_away (program->turns, program->part))
+      || !mq_turns_part_unavailable (program->turns, program->part))
     return;
   back.tokens = mq_budget_give_back (&program->budget);
   if (back.tokens == 0)
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -60,7 +60,7 @@
   bool begins;
   uint64_t asked;
   uint64_t since_ms;
-  mq_permit_told *told;
+  mq_permit_handler *told;
   void *user;
 };
 
@@ -194,7 +194,7 @@
 }
 
 void
-mq_permit_forget (struct mq_permit *permit)
+mq_permit_cancel (struct mq_permit *permit)
 {
   if (permit == NULL)
     return;
@@ -218,7 +218,7 @@
 }
 
 static struct mq_permit *
-add_waiting (struct share *share, bool begins, mq_permit_told *told,
+add_waiting (struct share *share, bool begins, mq_permit_handler *told,
              void *user)
 {
   struct mq_permit *permit
@@ -259,9 +259,9 @@
 }
 
 enum mq_permit_state
-mq_permit_ask (struct mq_router *router, const struct mq_org *org, bool begins,
-               mq_permit_told *told, void *user, struct mq_permit **permit,
-               uint32_t *retry_ms)
+mq_permit_request (struct mq_router *router, const struct mq_org *org,
+                   bool begins, mq_permit_handler *told, void *user,
+                   struct mq_permit **permit, uint32_t *retry_ms)
 {
   uint64_t now = mq_clock_boot_ms ();
   struct share *share = get_share (router->permits, org->name);
@@ -277,10 +277,10 @@
       return MQ_PERMIT_GRANTED;
     case MQ_QUOTA_ASK:
       *permit = add_waiting (share, begins, told, user);
-      return MQ_PERMIT_WAITS;
+      return MQ_PERMIT_PENDING;
     case MQ_QUOTA_OVER:
       *retry_ms = mq_quota_wait_ms (&share->quota, begins, now);
-      return MQ_PERMIT_OVER;
+      return MQ_PERMIT_OVER_LIMIT;
     case MQ_QUOTA_ALONE:
       return MQ_PERMIT_UNKNOWN;
     }
@@ -288,8 +288,8 @@
 }
 
 bool
-mq_permit_refused (struct mq_router *router, const struct mq_org *org,
-                   bool begins, uint32_t *retry_ms)
+mq_permit_would_refuse (struct mq_router *router, const struct mq_org *org,
+                        bool begins, uint32_t *retry_ms)
 {
   const struct share *share = mq_idmap_find (router->permits->shares,
                                              mq_id_text_hash (org->name), 0);
@@ -410,7 +410,7 @@
 
   while ((share = mq_idmap_next (permits->shares, &position)) != NULL)
     if (contact_of (share) == NULL && share->first != NULL)
-      mq_reserve_look (permits->router, share->slot);
+      mq_reserve_refresh_issuer (permits->router, share->slot);
   for (struct contact *contact = permits->contacts; contact != NULL;
        contact = contact->next)
     ask_contact (permits, contact, now);
@@ -518,7 +518,7 @@
           end_permit (permit, MQ_PERMIT_GRANTED, 0);
         }
       else
-        end_permit (permit, MQ_PERMIT_OVER, gift->retry_ms);
+        end_permit (permit, MQ_PERMIT_OVER_LIMIT, gift->retry_ms);
     }
 }
 
@@ -533,7 +533,7 @@
   if (share == NULL)
     return;
   if (gift->unknown)
-    mq_reserve_look (permits->router, share->slot);
+    mq_reserve_refresh_issuer (permits->router, share->slot);
   if (gift->unknown || !in_time)
     {
       forget_ask (share, told->id);
@@ -547,8 +547,8 @@
 }
 
 void
-mq_permits_on_told (const struct mq_relay_quota_told *told,
-                    const char *address, void *user)
+mq_permits_on_response (const struct mq_relay_quota_told *told,
+                        const char *address, void *user)
 {
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
@@ -649,14 +649,14 @@
   TALLOC_CTX *ctx = mq_must (talloc_new (permits));
   struct mq_relay_quota_told told = answer (ctx, permits, ask);
 
-  mq_permits_on_told (&told, mq_relay_address (permits->router->relay),
-                      permits->router);
+  mq_permits_on_response (&told, mq_relay_address (permits->router->relay),
+                          permits->router);
   talloc_free (ctx);
 }
 
 void
-mq_permits_on_ask (const struct mq_relay_quota_ask *ask,
-                   struct mq_relay_link *link, void *user)
+mq_permits_on_request (const struct mq_relay_quota_ask *ask,
+                       struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   TALLOC_CTX *ctx = mq_must (talloc_new (router));
@@ -704,7 +704,7 @@
   struct mq_router *router = permits->router;
 
   if (permits->unheard == 0 || !router->hosts_listed
-      || !mq_reserve_inherits (router))
+      || !mq_reserve_has_prior_leases (router))
     return;
   permits->unheard = mq_relay_recall_quota (router->relay, permits->run);
 }
--- a/src/router/router_pool.c
+++ b/src/router/router_pool.c
@@ -122,7 +122,7 @@
 }
 
 struct mq_http_lane *
-mq_pool_take (struct mq_pool *pool, uint32_t worker, struct mq_error *error)
+mq_pool_acquire (struct mq_pool *pool, uint32_t worker, struct mq_error *error)
 {
   uint64_t now = mq_clock_ms ();
   struct idle_lane *idle;
@@ -148,14 +148,14 @@
   pool->opened++;
   return mq_http_lane_open (pool, pool->ev,
                             mq_fleet_member (pool->fleet, worker)->address,
-                            MQ_POOL_SILENT_MS, on_gone, pool, error);
+                            MQ_POOL_ACK_TIMEOUT_MS, on_gone, pool, error);
 }
 
 void
-mq_pool_give (struct mq_pool *pool, uint32_t worker, struct mq_http_lane *lane,
-              uint32_t idle_s)
+mq_pool_release (struct mq_pool *pool, uint32_t worker,
+                 struct mq_http_lane *lane, uint32_t idle_s)
 {
-  uint32_t keep_ms = idle_s == 0 ? MQ_POOL_IDLE_MS : idle_s * 1000U;
+  uint32_t keep_ms = idle_s == 0 ? MQ_POOL_DEFAULT_IDLE_MS : idle_s * 1000U;
   struct idle_lane *idle = NULL;
 
   if (mq_http_lane_reusable (lane) && mq_fleet_usable (pool->fleet, worker)
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -25,7 +25,7 @@
 }
 
 struct mq_program *
-mq_program_get (struct mq_turns *turns, const char *id)
+mq_program_get_or_create (struct mq_turns *turns, const char *id)
 {
   struct mq_id key = mq_id_text_hash (id);
   struct mq_program *program = mq_idmap_find (turns->programs, key, 0);
@@ -38,14 +38,14 @@
   program->turns = turns;
   program->key = key;
   program->id = talloc_strdup (program, id);
-  mq_turn_set_part (program->part, id, 0);
+  mq_turn_select_part (program->part, id, 0);
   program->holder = mq_random_next (&turns->router->random);
   mq_idmap_put (turns->programs, key, 0, program);
   return program;
 }
 
 bool
-mq_turns_know (struct mq_turns *turns, const char *program)
+mq_turns_has_program (struct mq_turns *turns, const char *program)
 {
   return mq_program_find (turns, program) != NULL;
 }
@@ -54,9 +54,9 @@
 mq_turns_read_record (struct mq_turns *turns, const char *program,
                       mq_rows_done *done, void *user)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, program, 0);
+  mq_turn_select_part (part, program, 0);
   return mq_ledger_get (turns->router->ledger, mq_budget_table, part, program,
                         done, user);
 }
@@ -67,7 +67,7 @@
   mq_idmap_remove (program->turns->programs, program->key, 0);
   if (program->call != NULL)
     mq_ledger_cancel (program->call);
-  mq_loan_forget (program->recall);
+  mq_loan_cancel (program->recall);
   talloc_free (program);
 }
 
@@ -88,7 +88,7 @@
 {
   program->tries = 0;
   while (program->waiting != NULL)
-    mq_loan_begin (pop_waiting (program));
+    mq_loan_request (pop_waiting (program));
 }
 
 static void
@@ -133,13 +133,13 @@
 retry_program (struct mq_program *program)
 {
   program->tries++;
-  if (program->tries >= MQ_TURN_TRIES_MAX
-      || mq_turns_away (program->turns, program->part))
+  if (program->tries >= MQ_TURN_ATTEMPTS_MAX
+      || mq_turns_part_unavailable (program->turns, program->part))
     {
       fail_waiting (program);
       return;
     }
-  program->timer = mq_turn_retry_later (
+  program->timer = mq_turn_schedule_retry (
       program->turns, program, program->tries, on_program_retry, program);
 }
 
@@ -185,7 +185,7 @@
       break;
     case MQ_STORE_LOST:
       /* Whether it was done shows in the record.  */
-      if (++program->tries < MQ_TURN_TRIES_MAX)
+      if (++program->tries < MQ_TURN_ATTEMPTS_MAX)
         read_program (program);
       else
         fail_waiting (program);
@@ -208,7 +208,7 @@
   struct mq_bytes value;
 
   program->next.home = program->home;
-  program->next.until_s = mq_turns_kept_until (program->turns, 0);
+  program->next.until_s = mq_turns_expiry_s (program->turns, 0);
   value = mq_budget_pack (program, &program->next);
   entry.value = value;
   router->counters.budget_writes++;
@@ -225,14 +225,14 @@
   if (state == MQ_TURN_READY)
     program->running++;
   turn->home = program->home;
-  mq_turn_tell (turn, state);
+  mq_turn_notify (turn, state);
 }
 
 /* The table is to be asked for the first turn that waits.  */
 static void
 call_table (struct mq_program *program, enum mq_budget_answer need)
 {
-  if (mq_turns_away (program->turns, program->part))
+  if (mq_turns_part_unavailable (program->turns, program->part))
     fail_waiting (program);
   else if (need == MQ_BUDGET_WRITE)
     write_program (program);
@@ -256,7 +256,7 @@
 }
 
 void
-mq_program_recalled (struct mq_program *program)
+mq_program_on_recall_done (struct mq_program *program)
 {
   program->recall = NULL;
   program->recalled_ms = mq_clock_ms ();
@@ -283,7 +283,7 @@
   else if (may_recall (program, turn))
     program->recall = mq_loan_recall (program, turn->limit, turn->most);
   else
-    end_waiting (program, MQ_TURN_SPENT);
+    end_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
 }
 
 /* Serves the turns that wait, as far as the grant goes; then asks the table
@@ -313,27 +313,27 @@
           answer_doubt (program);
           break;
         case MQ_BUDGET_SPENT:
-          end_waiting (program, MQ_TURN_SPENT);
+          end_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
           break;
         }
     }
 }
 
 void
-mq_program_ask (struct mq_turn *turn)
+mq_program_reserve (struct mq_turn *turn)
 {
   struct mq_program *program;
   struct mq_turn **at;
 
   if (!turn->budgeted)
     {
-      mq_turn_tell (turn, MQ_TURN_READY);
+      mq_turn_notify (turn, MQ_TURN_READY);
       return;
     }
-  program = mq_program_get (turn->turns, turn->program);
+  program = mq_program_get_or_create (turn->turns, turn->program);
   if (program == NULL)
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   program->used_ms = mq_clock_ms ();
@@ -349,7 +349,7 @@
 }
 
 void
-mq_program_leave (struct mq_turn *turn)
+mq_program_dequeue (struct mq_turn *turn)
 {
   if (!turn->waits)
     return;
@@ -369,14 +369,14 @@
 release_grant (struct mq_program *program, uint64_t most)
 {
   if (program->call == NULL && program->timer == NULL
-      && !mq_turns_away (program->turns, program->part)
+      && !mq_turns_part_unavailable (program->turns, program->part)
       && mq_budget_release (&program->budget, program->holder, program->limit,
                             most, &program->next))
     write_program (program);
 }
 
 void
-mq_turn_settle (struct mq_turn *turn, uint64_t used)
+mq_turn_settle_budget (struct mq_turn *turn, uint64_t used)
 {
   struct mq_program *program = turn->in;
 
@@ -388,7 +388,7 @@
   turn->granted = 0;
   if (program->running > 0 || program->waiting != NULL)
     return;
-  mq_loan_give_back (program);
+  mq_loan_return (program);
   release_grant (program, turn->most);
 }
 
@@ -400,7 +400,7 @@
 {
   if (program->budget.issued == 0 || program->call != NULL
       || program->timer != NULL || program->running > 0
-      || mq_turns_away (program->turns, program->part))
+      || mq_turns_part_unavailable (program->turns, program->part))
     return;
   if (mq_budget_unrecorded (&program->budget, program->holder, program->limit,
                             &program->next))
@@ -416,7 +416,7 @@
 }
 
 bool
-mq_turns_have_issued (const struct mq_turns *turns, uint32_t slot)
+mq_turns_have_unrecorded_tokens (const struct mq_turns *turns, uint32_t slot)
 {
   size_t position = 0;
   const struct mq_program *program;
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -89,13 +89,13 @@
   struct mq_router *router = request->router;
 
   stop_try (request, MQ_OUTCOME_STOPPED);
-  mq_config_forget (request->confirm);
-  mq_permit_forget (request->permit);
+  mq_config_cancel_fetch (request->confirm);
+  mq_permit_cancel (request->permit);
   mq_ledger_cancel (request->record_call);
   if (request->is_turn)
     {
-      mq_turn_settle (&request->turn, request->handed);
-      mq_turn_forget (&request->turn);
+      mq_turn_settle_budget (&request->turn, request->handed);
+      mq_turn_cancel (&request->turn);
     }
   router->request_count--;
   if (request->table != NULL)
@@ -116,31 +116,32 @@
 {
   struct mq_caller *caller = request->caller;
   struct mq_router *router = request->router;
-  const struct mq_refusal_row *row = mq_refusal_row (refusal);
+  const struct mq_refusal_response *row = mq_refusal_response (refusal);
 
   request_log_end (request, MQ_JSON_NOTE, row->name, row->status);
   if (row->status >= 500 && row->status != 503)
     router->counters.failed++;
-  if (refusal == MQ_REFUSE_STORE && mq_ledger_down (router->ledger))
+  if (refusal == MQ_REFUSE_TABLE_UNAVAILABLE
+      && mq_ledger_down (router->ledger))
     retry_ms = RETRY_DOWN_MS;
   if (refusal == MQ_REFUSE_NO_WORKER)
     retry_ms = mq_fleet_retry_ms (router->fleet, request->service);
-  if (refusal == MQ_REFUSE_LOADED || refusal == MQ_REFUSE_LATE)
+  if (refusal == MQ_REFUSE_OVERLOADED || refusal == MQ_REFUSE_LATE)
     retry_ms = request->retry_ms;
   request_close (request);
-  mq_refuse_caller (router, caller, refusal, retry_ms);
+  mq_caller_refuse (router, caller, refusal, retry_ms);
 }
 
 /* An answer that has begun can't be completed.  */
 void
-request_break_off (struct mq_request *request, const char *why)
+request_abort (struct mq_request *request, const char *why)
 {
   struct mq_caller *caller = request->caller;
 
   request->router->counters.broken++;
   request_log_end (request, MQ_JSON_NOTE, why, request->answer.status);
   request_close (request);
-  mq_caller_break (caller);
+  mq_caller_abort (caller);
 }
 
 /* Whatever was tried, a worker may have run the request.  */
@@ -160,9 +161,9 @@
   if (request->answer.status == 0)
     stop_try (request, MQ_OUTCOME_FAILED);
   if (request->begun)
-    request_break_off (request, "overdue");
+    request_abort (request, "overdue");
   else if (request->ran)
-    request_refuse (request, MQ_REFUSE_OVERDUE);
+    request_refuse (request, MQ_REFUSE_DEADLINE_EXCEEDED);
   else
     request_refuse (request, MQ_REFUSE_TIMED_OUT);
 }
@@ -219,11 +220,11 @@
       if (request->begun)
         request->router->counters.resumed++;
       mq_answer_reset (&request->answer);
-      request_send (request);
+      request_dispatch (request);
       return;
     case MQ_NEXT_REFUSE:
       request_refuse (request, end == MQ_ATTEMPT_NOT_RUN
-                                   ? MQ_REFUSE_FULL
+                                   ? MQ_REFUSE_NO_CAPACITY
                                    : MQ_REFUSE_NO_WORKER);
       return;
     case MQ_NEXT_FAIL:
@@ -233,13 +234,13 @@
       pass_on (request);
       return;
     case MQ_NEXT_BREAK:
-      request_break_off (request, "broken");
+      request_abort (request, "broken");
       return;
     }
 }
 
 void
-request_note_served (const struct mq_request *request)
+request_count_served (const struct mq_request *request)
 {
   struct mq_router *router = request->router;
 
@@ -258,17 +259,17 @@
   struct mq_buffer fields = answer->fields;
   struct mq_buffer body = answer->body;
   int status = answer->status;
-  bool with_body = !mq_answer_bodiless (status)
+  bool with_body = !mq_answer_has_no_body (status)
                    && strcmp (request->head->method, "HEAD") != 0;
 
-  request_note_served (request);
+  request_count_served (request);
   request_log_end (request, status >= 500 ? MQ_JSON_NOTE : MQ_JSON_PLAIN,
                    "served", status);
   talloc_steal (router, fields.data);
   talloc_steal (router, body.data);
   request_close (request);
-  mq_caller_answer (caller, status, mq_buffer_text (&fields),
-                    mq_buffer_text (&body), body.len, with_body);
+  mq_caller_respond (caller, status, mq_buffer_text (&fields),
+                     mq_buffer_text (&body), body.len, with_body);
   mq_buffer_clear (&fields);
   mq_buffer_clear (&body);
 }
@@ -297,11 +298,11 @@
 refuse_unplaced (struct mq_request *request)
 {
   if (request->begun)
-    request_break_off (request, "no_worker");
+    request_abort (request, "no_worker");
   else if (request->ran)
     request_refuse (request, MQ_REFUSE_FAILED);
   else if (request->tried_count > 0)
-    request_refuse (request, MQ_REFUSE_FULL);
+    request_refuse (request, MQ_REFUSE_NO_CAPACITY);
   else
     request_refuse (request, MQ_REFUSE_NO_WORKER);
 }
@@ -344,7 +345,7 @@
     .answer_ctx = request,
     .repeatable = mq_route_repeatable (request->route),
     .begun = request->begun,
-    .events = request_pass_events,
+    .events = request_forward_events,
     .ended = on_tried,
     .user = request,
   };
@@ -367,28 +368,28 @@
 }
 
 void
-request_send (struct mq_request *request)
+request_dispatch (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
   uint32_t worker;
 
   if (!request->permitted)
     {
-      request_limit (request);
+      request_acquire_permit (request);
       return;
     }
   worker = choose_worker (request, now);
 
-  if (worker == MQ_WORKER_NONE || request->tried_count == TRIED_MAX
+  if (worker == MQ_WORKER_NONE || request->tried_count == ATTEMPTED_WORKERS_MAX
       || now >= request->give_up_ms)
     {
       refuse_unplaced (request);
       return;
     }
-  if (!request->begun && !request_keeps_key (request))
+  if (!request->begun && !request_key_is_still_valid (request))
     {
       request_refuse (request,
-                      request->ran ? MQ_REFUSE_FAILED : MQ_REFUSE_NO_KEY);
+                      request->ran ? MQ_REFUSE_FAILED : MQ_REFUSE_UNKNOWN_KEY);
       return;
     }
   request->worker = worker;
@@ -409,9 +410,9 @@
   if (before != NULL)
     request->send_body = mq_chain_join (request, before, request->body);
   if (before != NULL && request->send_body.data == NULL)
-    request_refuse (request, MQ_REFUSE_FULL);
+    request_refuse (request, MQ_REFUSE_NO_CAPACITY);
   else
-    request_send (request);
+    request_dispatch (request);
 }
 
 static void
@@ -424,33 +425,33 @@
     case MQ_TURN_READY:
       send_turn (request);
       return;
-    case MQ_TURN_SPENT:
-      request_refuse (request, MQ_REFUSE_BUDGET);
+    case MQ_TURN_BUDGET_EXHAUSTED:
+      request_refuse (request, MQ_REFUSE_BUDGET_EXHAUSTED);
       return;
-    case MQ_TURN_NO_CHAIN:
+    case MQ_TURN_NOT_FOUND:
       request_refuse (request, MQ_REFUSE_NO_TURN);
       return;
-    case MQ_TURN_NO_STORE:
+    case MQ_TURN_STORE_UNAVAILABLE:
       if (request->ended)
-        request_break_off (request, "not_kept");
+        request_abort (request, "not_kept");
       else
-        request_refuse (request, MQ_REFUSE_STORE);
+        request_refuse (request, MQ_REFUSE_TABLE_UNAVAILABLE);
       return;
-    case MQ_TURN_KEPT:
+    case MQ_TURN_STORED:
       request_finish_stream (request);
       return;
     }
 }
 
 void
-request_begin_turn (struct mq_request *request)
+request_prepare_turn (struct mq_request *request)
 {
   bool runs = mq_outage_runs (left_ms (request), request->route->timeout_ms);
 
   if (!runs && request->route->retains
       && mq_ledger_down (request->router->ledger))
     {
-      request_refuse (request, MQ_REFUSE_STORE);
+      request_refuse (request, MQ_REFUSE_TABLE_UNAVAILABLE);
       return;
     }
   request->is_turn = true;
@@ -502,13 +503,13 @@
   request->timer = mq_timer_add (request, router->ev, left_ms (request),
                                  on_overdue, request);
   request->begins_program = request_begins_program (request);
-  if (request_is_over (request))
+  if (request_refuse_over_limit (request))
     return;
   if (route->kind == MQ_ROUTE_STREAM
       && (route->retains || request->facts.has_budget))
     request_admit_turn (request);
   else
-    request_send (request);
+    request_dispatch (request);
 }
 
 static bool
@@ -521,7 +522,7 @@
 is_sound (const struct mq_request *request)
 {
   const struct mq_http_head *head = request->head;
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *facts = &request->facts;
 
   return head->target[0] == '/' && mq_http_head_count (head, "Host") == 1
          && facts->id != NULL && id_fits (facts->id)
@@ -545,9 +546,9 @@
     case REQUEST_IDENTIFIED:
       follow_route (request, route);
       return MQ_REFUSE_NOTHING;
-    case REQUEST_UNIDENTIFIED:
-      return MQ_REFUSE_NO_KEY;
-    case REQUEST_DOUBLY_IDENTIFIED:
+    case REQUEST_KEY_UNKNOWN:
+      return MQ_REFUSE_UNKNOWN_KEY;
+    case REQUEST_KEY_AMBIGUOUS:
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
       return MQ_REFUSE_NOTHING;
     }
@@ -576,7 +577,7 @@
 
   if (request == NULL)
     {
-      mq_refuse_caller (router, caller, MQ_REFUSE_FULL, 0);
+      mq_caller_refuse (router, caller, MQ_REFUSE_NO_CAPACITY, 0);
       return;
     }
   router->request_count++;
@@ -588,8 +589,8 @@
   request->send_body = body;
   request->arrived_ms = arrived_ms;
   request->worker = MQ_WORKER_NONE;
-  mq_wire_read_call (head, &request->facts);
-  mq_caller_serves (caller, request);
+  mq_wire_read_request_fields (head, &request->facts);
+  mq_caller_attach_request (caller, request);
   if (!is_sound (request))
     {
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
@@ -604,26 +605,28 @@
       return;
     }
   missing = follow_config (request);
-  if (missing == MQ_REFUSE_NO_KEY && request_key_is_unknown (request))
+  if (missing == MQ_REFUSE_UNKNOWN_KEY
+      && request_key_lookup_is_fresh (request))
     request_refuse (request, missing);
   else if (missing != MQ_REFUSE_NOTHING)
-    request->confirm = mq_config_confirm (router, on_confirmed, request);
+    request->confirm = mq_config_fetch_latest (router, on_confirmed, request);
 }
 
 void
-mq_request_caller_left (struct mq_request *request)
+mq_request_caller_disconnected (struct mq_request *request)
 {
   request->router->counters.left++;
   request_log_end (request, MQ_JSON_PLAIN, "caller_left",
                    request->answer.status);
-  if (request->try != NULL && mq_try_silent_ms (request->try) >= LEFT_TELLS_MS)
+  if (request->try != NULL
+      && mq_try_inactive_ms (request->try) >= LEFT_TELLS_MS)
     stop_try (request, MQ_OUTCOME_FAILED);
   request_close (request);
 }
 
 void
-mq_request_caller_reads (struct mq_request *request)
+mq_request_caller_writable (struct mq_request *request)
 {
   if (request->try != NULL)
-    mq_try_read (request->try, true);
+    mq_try_set_reading (request->try, true);
 }
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -9,8 +9,8 @@
 #include "router_state.h"
 #include "router_try.h"
 
-#define TRIED_MAX 8U
-#define EVENT_ID_MAX 64U
+#define ATTEMPTED_WORKERS_MAX 8U
+#define EVENT_ID_BYTES 64U
 
 /**
  * struct mq_request - one request
@@ -25,7 +25,7 @@
  * @confirm: question whether the configuration is the newest, NULL: none
  * @service_load: what the workers had when its program was to begin, in
  *                thousandths of what they can do in time, 0: not known
- * @program_late: its program has lost much of its time
+ * @program_deadline_at_risk: its program has lost much of its time
  * @retry_ms: when its program may be worth to come back, 0: not refused
  * @home: where its program, which begins, is to stay; 0: it does not begin
  * @permit: it waits for one of its organisation's, NULL: not
@@ -52,7 +52,7 @@
   struct mq_router *router;
   struct mq_caller *caller;
   const struct mq_http_head *head;
-  struct mq_call_facts facts;
+  struct mq_request_fields facts;
   struct mq_bytes body;
   struct mq_route_table *table;
   const struct mq_path_route *route;
@@ -63,9 +63,9 @@
   const char *turn_id;
   const char *previous;
   bool begins_program;
-  struct mq_confirm *confirm;
+  struct mq_config_waiter *confirm;
   uint32_t service_load;
-  bool program_late;
+  bool program_deadline_at_risk;
   uint32_t retry_ms;
   uint64_t home;
   struct mq_permit *permit;
@@ -77,7 +77,7 @@
   uint64_t arrived_ms;
   uint64_t give_up_ms;
   struct mq_timer *timer;
-  uint32_t tried[TRIED_MAX];
+  uint32_t tried[ATTEMPTED_WORKERS_MAX];
   size_t tried_count;
   uint32_t sent;
   uint32_t unreachable;
@@ -89,7 +89,7 @@
   bool begun;
   bool ended;
   uint64_t ended_ms;
-  char last_event[EVENT_ID_MAX];
+  char last_event[EVENT_ID_BYTES];
   uint64_t handed;
   struct mq_buffer output;
 };
@@ -99,7 +99,7 @@
 /* Frees the request; its caller has been answered or is gone.  */
 void request_close (struct mq_request *request);
 /* An answer that has begun can't be completed.  */
-void request_break_off (struct mq_request *request, const char *why);
+void request_abort (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
                       enum mq_json_weight weight, const char *outcome,
                       int status);
@@ -109,8 +109,8 @@
 void request_refuse_until (struct mq_request *request, enum mq_refusal refusal,
                            uint32_t retry_ms);
 /* Finds the turn's history and its budget, then sends it.  */
-void request_begin_turn (struct mq_request *request);
-void request_note_served (const struct mq_request *request);
+void request_prepare_turn (struct mq_request *request);
+void request_count_served (const struct mq_request *request);
 
 /* router_identify.c */
 
@@ -119,9 +119,9 @@
 
 enum request_identity
 {
-  REQUEST_IDENTIFIED,       /* or no key is asked for */
-  REQUEST_UNIDENTIFIED,     /* no organisation has the key */
-  REQUEST_DOUBLY_IDENTIFIED /* there are two keys */
+  REQUEST_IDENTIFIED,   /* or no key is asked for */
+  REQUEST_KEY_UNKNOWN,  /* no organisation has the key */
+  REQUEST_KEY_AMBIGUOUS /* there are two keys */
 };
 
 /* Finds whose request it is by TABLE, and its ids.  */
@@ -129,27 +129,27 @@
                                         const struct mq_route_table *table,
                                         const struct mq_path_route *route);
 /* Nothing is gained by asking for a newer configuration for its key.  */
-bool request_key_is_unknown (const struct mq_request *request);
+bool request_key_lookup_is_fresh (const struct mq_request *request);
 /* Its key has not been taken away since the request came.
 
    Failure: a request waits, or is tried again, while its key is taken away,
    and a worker runs it long after that.  */
-bool request_keeps_key (const struct mq_request *request);
+bool request_key_is_still_valid (const struct mq_request *request);
 /* That of its organisation goes before its route's.  */
 uint32_t request_priority (const struct mq_request *request);
 
 /* router_limit.c */
 
-/* Gets a permit for the request, then sends it (request_send).  */
-void request_limit (struct mq_request *request);
+/* Gets a permit for the request, then sends it (request_dispatch).  */
+void request_acquire_permit (struct mq_request *request);
 /* Its organisation is over its limit, as far as this host knows: refuses it.
    What waits for the table need not then.  */
-bool request_is_over (struct mq_request *request);
+bool request_refuse_over_limit (struct mq_request *request);
 
 /* router_request.c */
 
 /* Sends the request to the best worker that it was not sent to yet.  */
-void request_send (struct mq_request *request);
+void request_dispatch (struct mq_request *request);
 
 /* router_admit.c */
 
@@ -159,7 +159,7 @@
 /* router_stream.c */
 
 /* Passes on the whole events that have come.  */
-void request_pass_events (void *request);
+void request_forward_events (void *request);
 /* The worker's stream is whole; the answer ends, at once or with the turn's
    record.  */
 void request_end_stream (struct mq_request *request);
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -344,7 +344,7 @@
   leases->stopped = true;
   owned = mq_reserve_owned (leases->reserve, own);
   for (uint32_t i = 0; i < owned; i++)
-    if (!mq_turns_have_issued (router->turns, own[i])
+    if (!mq_turns_have_unrecorded_tokens (router->turns, own[i])
         && !mq_permits_lent (router, own[i]))
       slots[count++] = own[i];
   if (count > 0)
@@ -364,7 +364,7 @@
 }
 
 void
-mq_reserve_leave (struct mq_router *router)
+mq_reserve_release_leases (struct mq_router *router)
 {
   const struct mq_leases *leases = router->leases;
   uint64_t since = mq_clock_ms () - router->leaving_since_ms;
@@ -408,7 +408,7 @@
 }
 
 void
-mq_reserve_look (struct mq_router *router, uint32_t slot)
+mq_reserve_refresh_issuer (struct mq_router *router, uint32_t slot)
 {
   struct mq_leases *leases = router->leases;
 
@@ -421,7 +421,7 @@
 }
 
 bool
-mq_reserve_inherits (const struct mq_router *router)
+mq_reserve_has_prior_leases (const struct mq_router *router)
 {
   uint64_t now = mq_clock_boot_ms ();
 
--- a/src/router/router_send.c
+++ b/src/router/router_send.c
@@ -27,7 +27,8 @@
   if (strcasecmp (name, "Host") == 0 || strcasecmp (name, "Expect") == 0
       || strcasecmp (name, "Content-Length") == 0)
     return false;
-  return !mq_wire_is_ours (name) && !mq_http_field_is_hop (head, name);
+  return !mq_wire_is_reserved_field (name)
+         && !mq_http_field_is_hop (head, name);
 }
 
 static void
@@ -60,14 +61,14 @@
 put_system_fields (TALLOC_CTX *ctx, const struct mq_send *send,
                    struct mq_buffer *out)
 {
-  struct mq_send_facts facts = {
+  struct mq_forward_fields facts = {
     .deadline_ms = send->left_ms,
     .worker = send->worker,
     .last_event = send->last_event[0] == '\0' ? NULL : send->last_event,
     .priority = send_priority (send),
     .organisation = send->organisation,
   };
-  char *fields = mq_wire_send_fields (ctx, &facts);
+  char *fields = mq_wire_format_fields (ctx, &facts);
 
   put_text (ctx, out, fields);
   talloc_free (fields);
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -70,8 +70,8 @@
 struct mq_caller;
 struct mq_request;
 struct mq_turns;
-struct mq_config_take;
-struct mq_config_ask;
+struct mq_config_load;
+struct mq_config_query;
 struct mq_loan;
 struct mq_leases;
 struct mq_permits;
@@ -82,8 +82,8 @@
  * struct mq_router - one routing process
  * @routes: configuration in force, NULL: none yet
  * @config: the same as it came
- * @config_take: one that is being read, NULL: none
- * @config_ask: asks for the newest one, NULL: nobody ever asked
+ * @config_loading: one that is being read, NULL: none
+ * @config_query: asks for the newest one, NULL: nobody ever asked
  * @workers_listed: the workers were listed once
  * @leaving: a stop was asked for
  * @stopped: nothing is left to do
@@ -92,7 +92,7 @@
  * @callers: connections of callers
  * @ending_count: finished connections of callers that have not closed yet
  * @request_count: requests under way
- * @record_waits: how long ends of answers lately waited for their record, in
+ * @record_wait: how long ends of answers lately waited for their record, in
  *                thousandths of their route's objective
  * @latency: of answers passed on, by kind of route, milliseconds
  * @held_up: how late the event loop came to a timer, milliseconds
@@ -115,8 +115,8 @@
   struct mq_cleaner *cleaner;
   struct mq_route_table *routes;
   struct mq_bytes config;
-  struct mq_config_take *config_take;
-  struct mq_config_ask *config_ask;
+  struct mq_config_load *config_loading;
+  struct mq_config_query *config_query;
   bool workers_listed;
   bool leaving;
   bool stopped;
@@ -128,7 +128,7 @@
   size_t ending_count;
   size_t request_count;
   struct mq_router_counters counters;
-  struct mq_recent record_waits;
+  struct mq_recent record_wait;
   struct mq_histogram latency[MQ_ROUTE_KINDS];
   struct mq_histogram held_up;
   uint64_t sweep_due_ms;
@@ -155,21 +155,21 @@
   MQ_REFUSE_HEAD_TOO_LARGE,
   MQ_REFUSE_BODY_TOO_LARGE,
   MQ_REFUSE_SLOW_HEAD,
-  MQ_REFUSE_NO_KEY,     /* no organisation has the caller's key */
-  MQ_REFUSE_OVER_LIMIT, /* of the caller's organisation */
-  MQ_REFUSE_NO_PERMIT,  /* nobody can tell whether it is over the limit */
+  MQ_REFUSE_UNKNOWN_KEY, /* no organisation has the caller's key */
+  MQ_REFUSE_OVER_LIMIT,  /* of the caller's organisation */
+  MQ_REFUSE_NO_PERMIT,   /* nobody can tell whether it is over the limit */
   MQ_REFUSE_NO_ROUTE,
   MQ_REFUSE_NO_TURN,
-  MQ_REFUSE_BUDGET,
+  MQ_REFUSE_BUDGET_EXHAUSTED,
   MQ_REFUSE_NOT_READY,
   MQ_REFUSE_NO_WORKER,
-  MQ_REFUSE_FULL,
-  MQ_REFUSE_LOADED, /* a program that begins */
-  MQ_REFUSE_LATE,   /* one that has lost much of its time, too */
-  MQ_REFUSE_STORE,
-  MQ_REFUSE_TIMED_OUT, /* not run */
-  MQ_REFUSE_FAILED,    /* may have run */
-  MQ_REFUSE_OVERDUE    /* may have run; time is up */
+  MQ_REFUSE_NO_CAPACITY,
+  MQ_REFUSE_OVERLOADED, /* a program that begins */
+  MQ_REFUSE_LATE,       /* one that has lost much of its time, too */
+  MQ_REFUSE_TABLE_UNAVAILABLE,
+  MQ_REFUSE_TIMED_OUT,        /* not run */
+  MQ_REFUSE_FAILED,           /* may have run */
+  MQ_REFUSE_DEADLINE_EXCEEDED /* may have run; time is up */
 };
 
 /* router_caller.c */
@@ -182,39 +182,42 @@
    calls closes the idle ones: the process is about to end.  */
 void mq_callers_stop (struct mq_router *router);
 /* REQUEST is told when CALLER leaves, until it answers.  */
-void mq_caller_serves (struct mq_caller *caller, struct mq_request *request);
+void mq_caller_attach_request (struct mq_caller *caller,
+                               struct mq_request *request);
 /* Answers with STATUS and BODY as a whole; FIELDS: lines of further fields.
    WITH_BODY false: only the fields and LENGTH are told, as for HEAD.  */
-void mq_caller_answer (struct mq_caller *caller, int status,
-                       const char *fields, const void *body, size_t len,
-                       bool with_body);
+void mq_caller_respond (struct mq_caller *caller, int status,
+                        const char *fields, const void *body, size_t len,
+                        bool with_body);
 /* An answer in parts: its head, some bytes, and its end.  The bytes are
    false while the caller reads too slowly.  */
-void mq_caller_begin (struct mq_caller *caller, int status,
-                      const char *fields);
-bool mq_caller_part (struct mq_caller *caller, const void *data, size_t len);
-void mq_caller_end (struct mq_caller *caller);
+void mq_caller_begin_stream (struct mq_caller *caller, int status,
+                             const char *fields);
+bool mq_caller_send_chunk (struct mq_caller *caller, const void *data,
+                           size_t len);
+void mq_caller_end_stream (struct mq_caller *caller);
 /* Ends the connection in the middle of an answer, for everyone to see.  */
-void mq_caller_break (struct mq_caller *caller);
+void mq_caller_abort (struct mq_caller *caller);
 
 /* router_refuse.c */
 
 /**
- * struct mq_refusal_row - how a final answer of our own is given
+ * struct mq_refusal_response - how a final answer of our own is given
  * @status: of HTTP
  * @retry_ms: when the caller may come back, 0: never
  * @name: in the log
  */
-struct mq_refusal_row
+struct mq_refusal_response
 {
   int status;
   uint32_t retry_ms;
   const char *name;
 };
 
-const struct mq_refusal_row *mq_refusal_row (enum mq_refusal refusal);
+const struct mq_refusal_response *
+mq_refusal_response (enum mq_refusal refusal);
 /* Gives the answer; RETRY_MS is told in place of the row's, 0: that.  */
-void mq_refuse_caller (struct mq_router *router, struct mq_caller *caller,
+void mq_caller_refuse (struct mq_router *router, struct mq_caller *caller,
                        enum mq_refusal refusal, uint32_t retry_ms);
 
 /* router_request.c */
@@ -225,8 +228,8 @@
                        const struct mq_http_head *head, struct mq_bytes body,
                        uint64_t arrived_ms);
 /* The caller has left, or reads again.  */
-void mq_request_caller_left (struct mq_request *request);
-void mq_request_caller_reads (struct mq_request *request);
+void mq_request_caller_disconnected (struct mq_request *request);
+void mq_request_caller_writable (struct mq_request *request);
 
 /* router_turn.c */
 
@@ -240,18 +243,18 @@
 /* Parts in which a turn's row may lie.  With two fifths of the parts silent, 6
    of 100 rows find none of three; a fourth would make a turn that does not
    exist cost one more read.  */
-#define MQ_TURN_PLACES 3U
+#define MQ_TURN_CANDIDATE_PARTS 3U
 /* Records are kept an hour longer than anyone may ask for them: an active
    program's record is written again within minutes.  */
-#define MQ_RECORD_KEEP_S 3600U
+#define MQ_RECORD_GRACE_PERIOD_S 3600U
 
 enum mq_turn_state
 {
-  MQ_TURN_READY,    /* budget and chain are there */
-  MQ_TURN_SPENT,    /* the budget is spent */
-  MQ_TURN_NO_CHAIN, /* no such earlier turn */
-  MQ_TURN_NO_STORE, /* the platform's table can't tell */
-  MQ_TURN_KEPT      /* the turn is durable */
+  MQ_TURN_READY,             /* budget and chain are there */
+  MQ_TURN_BUDGET_EXHAUSTED,  /* the budget is spent */
+  MQ_TURN_NOT_FOUND,         /* no such earlier turn */
+  MQ_TURN_STORE_UNAVAILABLE, /* the platform's table can't tell */
+  MQ_TURN_STORED             /* the turn is durable */
 };
 
 /**
@@ -269,7 +272,7 @@
  * @previous: turn that it continues from, NULL: none
  * @id: of the turn
  * @before: chain of @previous once it is ready, NULL: none
- * @told: called once for mq_turn_prepare and once for mq_turn_keep
+ * @told: called once for mq_turn_prepare and once for mq_turn_store
  */
 struct mq_turn
 {
@@ -298,7 +301,7 @@
   struct mq_chain *made;
   struct mq_bytes record;
   bool waits;
-  bool tried_near;
+  bool queried_nearby;
   bool fresh;
   bool recalled;
   uint32_t tries;
@@ -312,34 +315,35 @@
    once.  */
 void mq_turn_prepare (struct mq_turns *turns, struct mq_turn *turn);
 /* This host serves turns of PROGRAM.  */
-bool mq_turns_know (struct mq_turns *turns, const char *program);
+bool mq_turns_has_program (struct mq_turns *turns, const char *program);
 /* Reads the record of PROGRAM, which any host has written that served a turn
    of it.  */
 struct mq_ledger_call *mq_turns_read_record (struct mq_turns *turns,
                                              const char *program,
                                              mq_rows_done *done, void *user);
 /* The turn has ended and handed out USED tokens.  */
-void mq_turn_settle (struct mq_turn *turn, uint64_t used);
+void mq_turn_settle_budget (struct mq_turn *turn, uint64_t used);
 /* Makes the turn durable; TOLD says KEPT or NO_STORE.  */
-void mq_turn_keep (struct mq_turn *turn, struct mq_bytes input,
-                   struct mq_bytes output);
+void mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
+                    struct mq_bytes output);
 /* Nobody waits any more.  Settles nothing.  */
-void mq_turn_forget (struct mq_turn *turn);
+void mq_turn_cancel (struct mq_turn *turn);
 /* Forgets programs that are idle.  */
 void mq_turns_sweep (struct mq_turns *turns);
 /* This host has issued tokens of a program of the lease SLOT that no record
    counts yet.  */
-bool mq_turns_have_issued (const struct mq_turns *turns, uint32_t slot);
+bool mq_turns_have_unrecorded_tokens (const struct mq_turns *turns,
+                                      uint32_t slot);
 
 /* router_loan.c */
 
 /* Another host asks for tokens or a history, tells what it lends, or returns
    what it did not use.  */
-void mq_loan_on_ask (const struct mq_relay_loan_ask *ask,
-                     struct mq_relay_link *link, void *user);
-void mq_loan_on_told (const struct mq_relay_loan_told *told,
-                      const char *address, void *user);
-void mq_loan_on_back (const struct mq_relay_loan_back *back, void *user);
+void mq_loan_on_request (const struct mq_relay_loan_ask *ask,
+                         struct mq_relay_link *link, void *user);
+void mq_loan_on_response (const struct mq_relay_loan_told *told,
+                          const char *address, void *user);
+void mq_loan_on_return (const struct mq_relay_loan_back *back, void *user);
 
 /* router_reserve.c */
 
@@ -349,15 +353,15 @@
 /* Address of the host that does, as far as is known; NULL: none is.  */
 const char *mq_reserve_issuer (const struct mq_router *router, uint32_t slot);
 /* The lease of SLOT seems to have moved: looks who has it now.  */
-void mq_reserve_look (struct mq_router *router, uint32_t slot);
+void mq_reserve_refresh_issuer (struct mq_router *router, uint32_t slot);
 /* This host has leases of an earlier run of its own that would not have run
    out yet.  */
-bool mq_reserve_inherits (const struct mq_router *router);
+bool mq_reserve_has_prior_leases (const struct mq_router *router);
 /* Takes, renews and gives back this host's leases.  */
 void mq_reserve_sweep (struct mq_router *router);
 /* This host is leaving: it takes no more of them, and gives back those that it
    has once no other host lives on what it lent, or after a while.  */
-void mq_reserve_leave (struct mq_router *router);
+void mq_reserve_release_leases (struct mq_router *router);
 /* Whether this host may issue tokens of PROGRAM that no record counts.  */
 bool mq_reserve_may_issue (const struct mq_router *router,
                            const char *program);
@@ -367,36 +371,37 @@
 enum mq_permit_state
 {
   MQ_PERMIT_GRANTED,
-  MQ_PERMIT_WAITS,  /* told later */
-  MQ_PERMIT_OVER,   /* over the organisation's limit */
-  MQ_PERMIT_UNKNOWN /* nobody can tell */
+  MQ_PERMIT_PENDING,    /* told later */
+  MQ_PERMIT_OVER_LIMIT, /* over the organisation's limit */
+  MQ_PERMIT_UNKNOWN     /* nobody can tell */
 };
 
 /* RETRY_MS: when to come back, 0: not said.  */
-typedef void mq_permit_told (enum mq_permit_state state, uint32_t retry_ms,
-                             void *user);
+typedef void mq_permit_handler (enum mq_permit_state state, uint32_t retry_ms,
+                                void *user);
 
 struct mq_permits *mq_permits_create (struct mq_router *router);
 /* A request of ORG, a program's first one: BEGINS, wants to be sent.  If it
    waits, *PERMIT is set and TOLD is called later; else *RETRY_MS is.  */
-enum mq_permit_state mq_permit_ask (struct mq_router *router,
-                                    const struct mq_org *org, bool begins,
-                                    mq_permit_told *told, void *user,
-                                    struct mq_permit **permit,
-                                    uint32_t *retry_ms);
+enum mq_permit_state mq_permit_request (struct mq_router *router,
+                                        const struct mq_org *org, bool begins,
+                                        mq_permit_handler *told, void *user,
+                                        struct mq_permit **permit,
+                                        uint32_t *retry_ms);
 /* Such a request would be refused now; *RETRY_MS is set then.  */
-bool mq_permit_refused (struct mq_router *router, const struct mq_org *org,
-                        bool begins, uint32_t *retry_ms);
+bool mq_permit_would_refuse (struct mq_router *router,
+                             const struct mq_org *org, bool begins,
+                             uint32_t *retry_ms);
 /* Nobody waits any more; NULL is allowed.  */
-void mq_permit_forget (struct mq_permit *permit);
+void mq_permit_cancel (struct mq_permit *permit);
 /* Some host may live on what this one lent of organisations of SLOT.  */
 bool mq_permits_lent (const struct mq_router *router, uint32_t slot);
 void mq_permits_sweep (struct mq_router *router);
 /* Another host wants permits, or tells what it issues.  */
-void mq_permits_on_ask (const struct mq_relay_quota_ask *ask,
-                        struct mq_relay_link *link, void *user);
-void mq_permits_on_told (const struct mq_relay_quota_told *told,
-                         const char *address, void *user);
+void mq_permits_on_request (const struct mq_relay_quota_ask *ask,
+                            struct mq_relay_link *link, void *user);
+void mq_permits_on_response (const struct mq_relay_quota_told *told,
+                             const char *address, void *user);
 void mq_permits_on_recall (const struct mq_relay_quota_recall *recall,
                            struct mq_relay_link *link, void *user);
 
@@ -416,10 +421,10 @@
 
 /* router_config.c */
 
-struct mq_confirm;
+struct mq_config_waiter;
 
 /* CURRENT: the configuration in force is the newest as of the answer.  */
-typedef void mq_confirmed (bool current, void *user);
+typedef void mq_config_latest_handler (bool current, void *user);
 
 /* Takes VALUE, which is copied, into force if it is newer: at once if it is
    short, else in further turns of the event loop.  ROW: version of its row,
@@ -428,14 +433,15 @@
                       uint64_t row);
 /* The platform was asked for its newest configuration within the last MS
    milliseconds, and it is in force.  */
-bool mq_config_asked_within (const struct mq_router *router, uint32_t ms);
+bool mq_config_confirmed_within (const struct mq_router *router, uint32_t ms);
 /* Asks the platform for its newest configuration, takes it into force, then
    tells; never from within this call.  Who asks while a question is under
    way waits for the next one.  */
-struct mq_confirm *mq_config_confirm (struct mq_router *router,
-                                      mq_confirmed *told, void *user);
+struct mq_config_waiter *
+mq_config_fetch_latest (struct mq_router *router,
+                        mq_config_latest_handler *told, void *user);
 /* Nobody waits any more; NULL is allowed.  */
-void mq_config_forget (struct mq_confirm *confirm);
+void mq_config_cancel_fetch (struct mq_config_waiter *confirm);
 
 /* router_feed.c */
 
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -28,11 +28,11 @@
   request->begun = true;
   if (request->try != NULL)
     {
-      mq_try_begun (request->try);
+      mq_try_response_begun (request->try);
       note_wait (request);
     }
-  mq_caller_begin (request->caller, request->answer.status,
-                   mq_buffer_text (&request->answer.fields));
+  mq_caller_begin_stream (request->caller, request->answer.status,
+                          mq_buffer_text (&request->answer.fields));
 }
 
 /* The turn was granted less than its most, and has no tokens left for another
@@ -49,7 +49,7 @@
 static void
 note_event (struct mq_request *request, const struct mq_event *event)
 {
-  if (event->id_len > 0 && event->id_len < EVENT_ID_MAX)
+  if (event->id_len > 0 && event->id_len < EVENT_ID_BYTES)
     {
       memcpy (request->last_event, event->id, event->id_len);
       request->last_event[event->id_len] = '\0';
@@ -69,13 +69,13 @@
 give_events (struct mq_request *request, const struct mq_buffer *out)
 {
   begin_stream (request);
-  if (!mq_caller_part (request->caller, out->data + out->at, out->len))
-    mq_try_read (request->try, false);
+  if (!mq_caller_send_chunk (request->caller, out->data + out->at, out->len))
+    mq_try_set_reading (request->try, false);
 }
 
 /* Whole events alone are passed on, in one write for all that came at once. */
 void
-request_pass_events (void *user)
+request_forward_events (void *user)
 {
   struct mq_request *request = user;
   struct mq_event event;
@@ -94,7 +94,7 @@
     give_events (request, &out);
   mq_buffer_clear (&out);
   if (over)
-    request_break_off (request, "over_budget");
+    request_abort (request, "over_budget");
 }
 
 /* A record that waited for longer tells of a table that was away, which is not
@@ -111,7 +111,7 @@
 
   if (request->is_turn && request->turn.retains && objective > 0
       && wait <= RECORD_WAIT_MOST_MS)
-    mq_recent_add (&request->router->record_waits, MQ_WORKER_NONE,
+    mq_recent_add (&request->router->record_wait, MQ_WORKER_NONE,
                    (uint32_t)(wait * MQ_FLEET_LOAD_FULL / objective), now);
 }
 
@@ -121,10 +121,10 @@
   struct mq_caller *caller = request->caller;
 
   note_record (request);
-  request_note_served (request);
+  request_count_served (request);
   request_log_end (request, MQ_JSON_PLAIN, "served", request->answer.status);
   request_close (request);
-  mq_caller_end (caller);
+  mq_caller_end_stream (caller);
 }
 
 /* A turn that may be continued must outlive every process before its caller
@@ -138,11 +138,11 @@
   request->ended = true;
   request->ended_ms = mq_clock_ms ();
   if (request->is_turn)
-    mq_turn_settle (&request->turn, request->handed);
+    mq_turn_settle_budget (&request->turn, request->handed);
   if (request->is_turn && request->turn.retains)
-    mq_turn_keep (&request->turn, request->body,
-                  (struct mq_bytes){ (uint8_t *)output->data + output->at,
-                                     output->len });
+    mq_turn_store (&request->turn, request->body,
+                   (struct mq_bytes){ (uint8_t *)output->data + output->at,
+                                      output->len });
   else
     request_finish_stream (request);
 }
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -5,7 +5,7 @@
 #include "router_try.h"
 #include "core/memory.h"
 #include "net/clock.h"
-#include "router_silence.h"
+#include "router_inactivity.h"
 #include <string.h>
 
 /**
@@ -17,7 +17,7 @@
 {
   struct mq_try_options options;
   struct mq_http_lane *lane;
-  struct mq_silence *silence;
+  struct mq_inactivity *silence;
 };
 
 static void
@@ -70,10 +70,10 @@
 {
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
-  struct mq_answer_facts facts;
+  struct mq_response_fields facts;
 
-  mq_wire_read_answer (head, &facts);
-  mq_silence_heard (try->silence);
+  mq_wire_read_response_fields (head, &facts);
+  mq_inactivity_reset (try->silence);
   if (facts.id == NULL)
     {
       end_broken (try);
@@ -84,8 +84,8 @@
   if (facts.has_load)
     mq_fleet_told (options->fleet, options->worker, facts.running,
                    facts.waiting, mq_clock_ms ());
-  mq_answer_take_head (options->answer_ctx, options->answer, head, &facts,
-                       options->send.route->kind == MQ_ROUTE_STREAM);
+  mq_answer_add_head (options->answer_ctx, options->answer, head, &facts,
+                      options->send.route->kind == MQ_ROUTE_STREAM);
   return true;
 }
 
@@ -95,8 +95,8 @@
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
 
-  mq_silence_heard (try->silence);
-  if (!mq_answer_take_body (options->answer_ctx, options->answer, data, len))
+  mq_inactivity_reset (try->silence);
+  if (!mq_answer_add_body (options->answer_ctx, options->answer, data, len))
     end_broken (try);
   else if (options->answer->stream)
     options->events (options->user);
@@ -109,8 +109,8 @@
   const struct mq_answer *answer = try->options.answer;
 
   tell_fleet (try, mq_answer_outcome (answer));
-  mq_pool_give (try->options.pool, try->options.worker, try->lane,
-                answer->idle_s);
+  mq_pool_release (try->options.pool, try->options.worker, try->lane,
+                   answer->idle_s);
   try->lane = NULL;
 }
 
@@ -122,7 +122,7 @@
   struct mq_attempt_answer facts = {
     .status = answer->status,
     .not_run = answer->not_run,
-    .cut = mq_answer_is_cut (answer),
+    .cut = mq_answer_is_truncated (answer),
     .stream = answer->stream,
     .begun = try->options.begun,
     .repeatable = try->options.repeatable,
@@ -166,7 +166,7 @@
 static void
 watch_worker (struct mq_try *try)
 {
-  struct mq_silence_options options = {
+  struct mq_inactivity_options options = {
     .fleet = try->options.fleet,
     .worker = try->options.worker,
     .route = try->options.send.route,
@@ -177,7 +177,7 @@
     .user = try,
   };
 
-  try->silence = mq_silence_create (try, try->options.ev, &options);
+  try->silence = mq_inactivity_create (try, try->options.ev, &options);
 }
 
 static void
@@ -206,7 +206,7 @@
 
   try->options = *options;
   mq_fleet_started (options->fleet, options->worker);
-  try->lane = mq_pool_take (options->pool, options->worker, &error);
+  try->lane = mq_pool_acquire (options->pool, options->worker, &error);
   if (try->lane == NULL)
     {
       tell_fleet (try, MQ_OUTCOME_UNREACHABLE);
@@ -225,20 +225,20 @@
 }
 
 void
-mq_try_begun (struct mq_try *try)
+mq_try_response_begun (struct mq_try *try)
 {
   try->options.begun = true;
-  mq_silence_begun (try->silence);
+  mq_inactivity_response_begun (try->silence);
 }
 
 void
-mq_try_read (struct mq_try *try, bool on)
+mq_try_set_reading (struct mq_try *try, bool on)
 {
   mq_http_lane_read (try->lane, on);
 }
 
 uint64_t
-mq_try_silent_ms (const struct mq_try *try)
+mq_try_inactive_ms (const struct mq_try *try)
 {
-  return mq_silence_ms (try->silence);
+  return mq_inactivity_ms (try->silence);
 }
--- a/src/router/router_try.h
+++ b/src/router/router_try.h
@@ -58,10 +58,10 @@
 /* Some bytes of the request were given to the network.  */
 bool mq_try_sent (const struct mq_try *try);
 /* The caller has got the beginning of the answer.  */
-void mq_try_begun (struct mq_try *try);
+void mq_try_response_begun (struct mq_try *try);
 /* Stops and starts taking in the answer.  */
-void mq_try_read (struct mq_try *try, bool on);
+void mq_try_set_reading (struct mq_try *try, bool on);
 /* How long the worker has said nothing to this request, milliseconds.  */
-uint64_t mq_try_silent_ms (const struct mq_try *try);
+uint64_t mq_try_inactive_ms (const struct mq_try *try);
 
 #endif
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -39,19 +39,20 @@
 }
 
 void
-mq_turn_set_part (char part[MQ_PART_BYTES], const char *key, uint32_t place)
+mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
+                     uint32_t place)
 {
   uint64_t hash = mq_hash_bytes (key, strlen (key), 0);
   /* Odd steps, so that no two places are in one part.  */
   uint64_t step = hash / MQ_TURN_PARTS | 1U;
 
-  snprintf (part, MQ_PART_BYTES, "%02x",
+  snprintf (part, MQ_PART_NAME_BYTES, "%02x",
             (unsigned int)((hash + place * step) % MQ_TURN_PARTS));
 }
 
 struct mq_timer *
-mq_turn_retry_later (struct mq_turns *turns, TALLOC_CTX *ctx, uint32_t tries,
-                     mq_timer_handler *handler, void *data)
+mq_turn_schedule_retry (struct mq_turns *turns, TALLOC_CTX *ctx,
+                        uint32_t tries, mq_timer_handler *handler, void *data)
 {
   uint32_t wait = RETRY_MS;
 
@@ -63,21 +64,21 @@
 }
 
 bool
-mq_turns_away (const struct mq_turns *turns, const char *part)
+mq_turns_part_unavailable (const struct mq_turns *turns, const char *part)
 {
   return mq_ledger_part_down (turns->router->ledger, part);
 }
 
 uint64_t
-mq_turns_kept_until (const struct mq_turns *turns, uint32_t retain_s)
+mq_turns_expiry_s (const struct mq_turns *turns, uint32_t retain_s)
 {
   uint64_t now = mq_rows_clock_s (turns->router->rows);
 
-  return now == 0 ? 0 : now + retain_s + MQ_RECORD_KEEP_S;
+  return now == 0 ? 0 : now + retain_s + MQ_RECORD_GRACE_PERIOD_S;
 }
 
 void
-mq_turn_tell (struct mq_turn *turn, enum mq_turn_state state)
+mq_turn_notify (struct mq_turn *turn, enum mq_turn_state state)
 {
   turn->told (state, turn->user);
 }
@@ -98,8 +99,8 @@
 retry_turn (struct mq_turn *turn)
 {
   turn->tries++;
-  turn->timer = mq_turn_retry_later (turn->turns, turn->turns, turn->tries,
-                                     on_turn_retry, turn);
+  turn->timer = mq_turn_schedule_retry (turn->turns, turn->turns, turn->tries,
+                                        on_turn_retry, turn);
 }
 
 static void
@@ -138,7 +139,7 @@
       talloc_free (chain);
       if (!joined)
         {
-          mq_turn_tell (turn, MQ_TURN_NO_STORE);
+          mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
           return;
         }
     }
@@ -150,7 +151,7 @@
   remember (turn->turns, turn->found);
   turn->before = turn->found;
   turn->found = NULL;
-  mq_program_ask (turn);
+  mq_program_reserve (turn);
 }
 
 /* All places were read, or could not be.  */
@@ -158,11 +159,11 @@
 end_reading (struct mq_turn *turn)
 {
   if (turn->unread == 0)
-    mq_turn_tell (turn, MQ_TURN_NO_CHAIN);
-  else if (turn->tries + 1 >= MQ_TURN_TRIES_MAX
-           || turn->unread == MQ_TURN_PLACES
+    mq_turn_notify (turn, MQ_TURN_NOT_FOUND);
+  else if (turn->tries + 1 >= MQ_TURN_ATTEMPTS_MAX
+           || turn->unread == MQ_TURN_CANDIDATE_PARTS
            || mq_ledger_down (turn->turns->router->ledger))
-    mq_loan_begin (turn);
+    mq_loan_request (turn);
   else
     retry_turn (turn);
 }
@@ -184,13 +185,13 @@
     }
   chain = mq_chain_unpack (turn->turns, turn->missing, result->rows[0].value);
   if (chain == NULL)
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else
     add_found (turn, chain, false);
 }
 
 bool
-mq_turn_find_in_memory (struct mq_turn *turn)
+mq_turn_find_cached (struct mq_turn *turn)
 {
   struct mq_turns *turns = turn->turns;
   const struct mq_chain *cached
@@ -210,12 +211,12 @@
 read_place (struct mq_turn *turn)
 {
   struct mq_turns *turns = turn->turns;
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  for (; turn->place < MQ_TURN_PLACES; turn->place++, turn->unread++)
+  for (; turn->place < MQ_TURN_CANDIDATE_PARTS; turn->place++, turn->unread++)
     {
-      mq_turn_set_part (part, turn->missing, turn->place);
-      if (mq_turns_away (turns, part))
+      mq_turn_select_part (part, turn->missing, turn->place);
+      if (mq_turns_part_unavailable (turns, part))
         continue;
       turns->router->counters.turn_reads++;
       turn->call = mq_ledger_get (turns->router->ledger, mq_turn_table, part,
@@ -228,7 +229,7 @@
 /* A row that is in none of its places proves that there is no such turn, since
    a turn's row is written before its answer ends.  */
 void
-mq_turn_read (struct mq_turn *turn)
+mq_turn_read_history (struct mq_turn *turn)
 {
   turn->place = 0;
   turn->unread = 0;
@@ -240,15 +241,15 @@
 static void
 find_chain (struct mq_turn *turn)
 {
-  if (mq_turn_find_in_memory (turn))
+  if (mq_turn_find_cached (turn))
     return;
-  if (!turn->tried_near && turn->found == NULL)
+  if (!turn->queried_nearby && turn->found == NULL)
     {
-      turn->tried_near = true;
-      mq_loan_try (turn);
+      turn->queried_nearby = true;
+      mq_loan_request_local_history (turn);
     }
   else
-    mq_turn_read (turn);
+    mq_turn_read_history (turn);
 }
 
 void
@@ -257,7 +258,7 @@
   turn->turns = turns;
   if (turn->previous == NULL)
     {
-      mq_program_ask (turn);
+      mq_program_reserve (turn);
       return;
     }
   set_missing (turn, turn->previous);
@@ -281,7 +282,7 @@
 {
   mq_chain_cache_put (turn->turns->cache, turn->made);
   turn->made = NULL;
-  mq_turn_tell (turn, MQ_TURN_KEPT);
+  mq_turn_notify (turn, MQ_TURN_STORED);
 }
 
 static void check_turn (struct mq_turn *turn);
@@ -292,13 +293,13 @@
 static bool
 go_to_next_place (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
   while (!mq_ledger_down (turn->turns->router->ledger)
-         && ++turn->place < MQ_TURN_PLACES)
+         && ++turn->place < MQ_TURN_CANDIDATE_PARTS)
     {
-      mq_turn_set_part (part, turn->id, turn->place);
-      if (mq_turns_away (turn->turns, part))
+      mq_turn_select_part (part, turn->id, turn->place);
+      if (mq_turns_part_unavailable (turn->turns, part))
         continue;
       write_turn (turn);
       return true;
@@ -321,7 +322,7 @@
       return;
     }
   if (result->status == MQ_STORE_CONFLICT)
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else if (result->status == MQ_STORE_LOST)
     check_turn (turn);
   else if (!go_to_next_place (turn))
@@ -346,16 +347,16 @@
   else if (is_ours (turn, result))
     end_keeping (turn);
   else
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
 }
 
 /* A write got no answer: its row tells whether it was done.  */
 static void
 check_turn (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->place);
   turn->call = mq_ledger_get (turn->turns->router->ledger, mq_turn_table, part,
                               turn->id, on_turn_checked, turn);
 }
@@ -368,9 +369,9 @@
                                  .key = turn->id,
                                  .version = MQ_VERSION_ABSENT,
                                  .value = turn->record };
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->place);
   entry.part = part;
   router->counters.turn_writes++;
   turn->call
@@ -381,29 +382,30 @@
 static void
 begin_write (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
   turn->place = 0;
-  mq_turn_set_part (part, turn->id, 0);
-  if (!mq_turns_away (turn->turns, part) || !go_to_next_place (turn))
+  mq_turn_select_part (part, turn->id, 0);
+  if (!mq_turns_part_unavailable (turn->turns, part)
+      || !go_to_next_place (turn))
     write_turn (turn);
 }
 
 /* Tries until it is done or its caller's time is up.  */
 void
-mq_turn_keep (struct mq_turn *turn, struct mq_bytes input,
-              struct mq_bytes output)
+mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
+               struct mq_bytes output)
 {
   turn->made
       = mq_chain_extend (turn->turns, turn->before, turn->id, input, output);
   if (turn->made != NULL)
     {
-      turn->made->until_s = mq_turns_kept_until (turn->turns, turn->retain_s);
+      turn->made->until_s = mq_turns_expiry_s (turn->turns, turn->retain_s);
       turn->record = mq_chain_pack (turn->turns, turn->made);
     }
   if (turn->record.data == NULL)
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   turn->tries = 0;
@@ -411,10 +413,10 @@
 }
 
 void
-mq_turn_forget (struct mq_turn *turn)
+mq_turn_cancel (struct mq_turn *turn)
 {
-  mq_program_leave (turn);
-  mq_loan_forget (turn->loan);
+  mq_program_dequeue (turn);
+  mq_loan_cancel (turn->loan);
   turn->loan = NULL;
   if (turn->call != NULL)
     mq_ledger_cancel (turn->call);
--- a/src/router/router_turns.h
+++ b/src/router/router_turns.h
@@ -10,9 +10,9 @@
 
 /* Tries of one call to the table before its caller is told that the table
    can't tell: together they last about as long as a slow answer.  */
-#define MQ_TURN_TRIES_MAX 3U
+#define MQ_TURN_ATTEMPTS_MAX 3U
 /* Bytes of a part's name.  */
-#define MQ_PART_BYTES 8U
+#define MQ_PART_NAME_BYTES 8U
 
 /**
  * struct mq_program - a program whose turns this host serves
@@ -33,7 +33,7 @@
   struct mq_turns *turns;
   struct mq_id key;
   char *id;
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
   struct mq_budget budget;
   struct mq_budget_record next;
   struct mq_turn *waiting;
@@ -63,52 +63,55 @@
 
 /* Part of the table where the row KEY lies, or may lie: PLACE 0 is the first
    that is tried.  */
-void mq_turn_set_part (char part[MQ_PART_BYTES], const char *key,
-                       uint32_t place);
+void mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
+                          uint32_t place);
 /* A pause before a call is tried again after TRIES failures in a row.  */
-struct mq_timer *mq_turn_retry_later (struct mq_turns *turns, TALLOC_CTX *ctx,
-                                      uint32_t tries,
-                                      mq_timer_handler *handler, void *data);
+struct mq_timer *mq_turn_schedule_retry (struct mq_turns *turns,
+                                         TALLOC_CTX *ctx, uint32_t tries,
+                                         mq_timer_handler *handler,
+                                         void *data);
 /* No way to the rows of PART is open: whoever waits is better told at once. */
-bool mq_turns_away (const struct mq_turns *turns, const char *part);
+bool mq_turns_part_unavailable (const struct mq_turns *turns,
+                                const char *part);
 /* Until when a record written now is kept, 0: the table's clock is not
    known.  */
-uint64_t mq_turns_kept_until (const struct mq_turns *turns, uint32_t retain_s);
+uint64_t mq_turns_expiry_s (const struct mq_turns *turns, uint32_t retain_s);
 /* The history that TURN lacks may have come into memory: goes on to the
    budget if so, else false.  */
-bool mq_turn_find_in_memory (struct mq_turn *turn);
+bool mq_turn_find_cached (struct mq_turn *turn);
 /* Reads the history that TURN lacks in the table.  */
-void mq_turn_read (struct mq_turn *turn);
-void mq_turn_tell (struct mq_turn *turn, enum mq_turn_state state);
+void mq_turn_read_history (struct mq_turn *turn);
+void mq_turn_notify (struct mq_turn *turn, enum mq_turn_state state);
 
 /* router_program.c */
 
 /* NULL: not known here.  */
 struct mq_program *mq_program_find (struct mq_turns *turns, const char *id);
 /* The program, made if need be; NULL when memory is out.  */
-struct mq_program *mq_program_get (struct mq_turns *turns, const char *id);
+struct mq_program *mq_program_get_or_create (struct mq_turns *turns,
+                                             const char *id);
 /* Reserves the budget of TURN, whose history is there; tells.  */
-void mq_program_ask (struct mq_turn *turn);
+void mq_program_reserve (struct mq_turn *turn);
 /* Other hosts have told what they don't use of PROGRAM.  */
-void mq_program_recalled (struct mq_program *program);
+void mq_program_on_recall_done (struct mq_program *program);
 /* TURN waits no more.  */
-void mq_program_leave (struct mq_turn *turn);
+void mq_program_dequeue (struct mq_turn *turn);
 
 /* router_loan.c */
 
 /* TURN lacks its history: the hosts of this data centre are asked before the
-   table; mq_turn_read follows if they don't have it.  */
-void mq_loan_try (struct mq_turn *turn);
+   table; mq_turn_read_history follows if they don't have it.  */
+void mq_loan_request_local_history (struct mq_turn *turn);
 /* The table can't be asked: TURN gets what it lacks from other hosts, or is
    told that the table can't tell.  */
-void mq_loan_begin (struct mq_turn *turn);
+void mq_loan_request (struct mq_turn *turn);
 /* The record is full: other hosts are asked to lend what they don't use of
-   PROGRAM; mq_program_recalled follows, not from within this call.  */
+   PROGRAM; mq_program_on_recall_done follows, not from within this call.  */
 struct mq_loan *mq_loan_recall (struct mq_program *program, uint64_t limit,
                                 uint64_t most);
 /* Nobody waits any more; NULL is allowed.  */
-void mq_loan_forget (struct mq_loan *loan);
+void mq_loan_cancel (struct mq_loan *loan);
 /* Unused tokens go back to whoever lent them.  */
-void mq_loan_give_back (struct mq_program *program);
+void mq_loan_return (struct mq_program *program);
 
 #endif
--- a/src/router/router_wire.h
+++ b/src/router/router_wire.h
@@ -14,7 +14,7 @@
 #include "net/http_message.h"
 
 /**
- * struct mq_call_facts - what a caller told about a request
+ * struct mq_request_fields - what a caller told about a request
  * @id: of this attempt of the caller; NULL: none
  * @host: whom the request is for, as the caller wrote it; NULL: none
  * @program: agent program that the request belongs to; NULL: none
@@ -34,7 +34,7 @@
  *
  * Strings live as long as the head that they come from.
  */
-struct mq_call_facts
+struct mq_request_fields
 {
   const char *id;
   const char *host;
@@ -54,7 +54,7 @@
 };
 
 /**
- * struct mq_answer_facts - what a worker told in an answer
+ * struct mq_response_fields - what a worker told in an answer
  * @id: request that it belongs to; NULL: not told
  * @not_run: the worker states that it has not run the request
  * @other_worker: another worker has the address now, or another version
@@ -63,7 +63,7 @@
  * @waiting: requests that wait there
  * @idle_s: the worker closes an idle connection after so long; 0: not told
  */
-struct mq_answer_facts
+struct mq_response_fields
 {
   const char *id;
   bool not_run;
@@ -75,14 +75,14 @@
 };
 
 /**
- * struct mq_send_facts - what we tell a worker
+ * struct mq_forward_fields - what we tell a worker
  * @deadline_ms: time that is left
  * @worker: id of the worker that is meant
  * @last_event: event after which the stream is to go on; NULL: none
  * @priority: 0 is the most urgent, 9 the least
  * @organisation: whose request it is; NULL: nobody's
  */
-struct mq_send_facts
+struct mq_forward_fields
 {
   uint32_t deadline_ms;
   const char *worker;
@@ -91,14 +91,15 @@
   const char *organisation;
 };
 
-void mq_wire_read_call (const struct mq_http_head *head,
-                        struct mq_call_facts *facts);
-void mq_wire_read_answer (const struct mq_http_head *head,
-                          struct mq_answer_facts *facts);
+void mq_wire_read_request_fields (const struct mq_http_head *head,
+                                  struct mq_request_fields *facts);
+void mq_wire_read_response_fields (const struct mq_http_head *head,
+                                   struct mq_response_fields *facts);
 /* Only the system may set the field: what a caller sent in it is dropped.  */
-bool mq_wire_is_ours (const char *name);
+bool mq_wire_is_reserved_field (const char *name);
 /* Lines of the fields that say FACTS, below CTX.  */
-char *mq_wire_send_fields (TALLOC_CTX *ctx, const struct mq_send_facts *facts);
+char *mq_wire_format_fields (TALLOC_CTX *ctx,
+                             const struct mq_forward_fields *facts);
 
 /* Names of the tables and of the row that hold the configuration and the
    workers.  */
@@ -111,9 +112,9 @@
 
 enum mq_config_progress
 {
-  MQ_CONFIG_MORE,    /* something is left to read */
-  MQ_CONFIG_WHOLE,   /* it is read, and good */
-  MQ_CONFIG_UNUSABLE /* it can't be used; nothing more is read */
+  MQ_CONFIG_MORE,     /* something is left to read */
+  MQ_CONFIG_COMPLETE, /* it is read, and good */
+  MQ_CONFIG_INVALID   /* it can't be used; nothing more is read */
 };
 
 /* Begins to read VALUE, which is copied; NULL: memory is out.  */
@@ -122,16 +123,16 @@
 /* Reads on for as long as some BYTES take, at least one step; ERROR is set
    when it can't be used.  */
 enum mq_config_progress
-mq_wire_config_read_on (struct mq_config_reader *reader, size_t bytes,
-                        struct mq_error *error);
+mq_wire_config_parse_some (struct mq_config_reader *reader, size_t bytes,
+                           struct mq_error *error);
 /* Its version, 0: not known yet.  */
 uint64_t mq_wire_config_version (const struct mq_config_reader *reader);
 /* So many bytes of its text are done.  */
-size_t mq_wire_config_done (const struct mq_config_reader *reader);
+size_t mq_wire_config_parsed_bytes (const struct mq_config_reader *reader);
 struct mq_bytes mq_wire_config_text (const struct mq_config_reader *reader);
 /* The table of a reader that is whole, now below CTX; once.  */
-struct mq_route_table *mq_wire_config_take (TALLOC_CTX *ctx,
-                                            struct mq_config_reader *reader);
+struct mq_route_table *
+mq_wire_config_take_table (TALLOC_CTX *ctx, struct mq_config_reader *reader);
 /* The configuration below CTX, read in one go; NULL with ERROR set when it
    can't be used.  */
 struct mq_route_table *mq_wire_read_config (TALLOC_CTX *ctx,
--- a/tests/router_site.c
+++ b/tests/router_site.c
@@ -243,7 +243,7 @@
 void
 edge_kill (struct edge_site *site, int index)
 {
-  cr_assert_eq (mq_router_log_strays (site->routers[index]), 0);
+  cr_assert_eq (mq_router_log_unknown_keys (site->routers[index]), 0);
   mq_router_destroy (site->routers[index]);
   site->routers[index] = NULL;
 }
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -131,7 +131,7 @@
       else
         edge_run (site, READ_MS);
       if (row->leaves)
-        mq_router_leave (site->routers[0]);
+        mq_router_begin_stop (site->routers[0]);
       hold_up_beside (row->then, row->after_ms, row->connects);
       if (row->leaves)
         end_as_daemon ();
@@ -250,7 +250,7 @@
 Test (held_up, callers_are_told_one_thing)
 {
   set_idle (15000);
-  mq_router_leave (site->routers[0]);
+  mq_router_begin_stop (site->routers[0]);
   cr_assert_eq (edge_ask (site, &call, 0, FIRST), 200);
   cr_expect_not_null (strstr (call.answer, "Connection: close"));
   cr_expect_null (strstr (call.answer, "Keep-Alive"));
@@ -325,7 +325,7 @@
                 0);
   edge_call (site, &call, 0, text);
   EDGE_WAIT (site, router->counters.served == ROW_OF_REQUESTS);
-  mq_router_leave (router);
+  mq_router_begin_stop (router);
   EDGE_WAIT (site, router->caller_count == 0);
   if (!mq_router_stopped (router))
     edge_wait (site, &call, ROW_OF_REQUESTS);
@@ -486,7 +486,7 @@
       if (i == MEANWHILE_UNUSABLE)
         other = talloc_strdup (site, "{");
       tell_config (other);
-      while (router->config_take != NULL)
+      while (router->config_loading != NULL)
         {
           uint64_t version = router->routes->version;
 
@@ -515,7 +515,7 @@
       site->more_routes = SOME_ROUTES;
       edge_configure (site, TIMEOUT_MS, heard == 0 ? "/other/" : "/new/");
       edge_configure (site, TIMEOUT_MS, "/new/");
-      while (heard == 1 && router->config_take == NULL)
+      while (heard == 1 && router->config_loading == NULL)
         tevent_loop_once (site->ev);
       cr_expect_eq (edge_ask (site, &call, 0, ask), 200, "%s", call.answer);
       edge_configure (site, TIMEOUT_MS, NULL);
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -194,7 +194,7 @@
       const struct stale_case *row = &stale_cases[i];
       struct mq_fleet *fleet;
       struct mq_pool *pool = make_pool (&fleet);
-      struct mq_http_lane *lane = mq_pool_take (pool, 0, NULL);
+      struct mq_http_lane *lane = mq_pool_acquire (pool, 0, NULL);
       struct heard heard = { 0 };
       int fd;
 
@@ -206,11 +206,11 @@
       say (fd, EMPTY);
       while (!heard.ended)
         tevent_loop_once (ev);
-      mq_pool_give (pool, 0, lane, 0);
+      mq_pool_release (pool, 0, lane, 0);
       say (fd, row->says);
       if (row->closes)
         shutdown (fd, SHUT_WR);
-      lane = mq_pool_take (pool, 0, NULL);
+      lane = mq_pool_acquire (pool, 0, NULL);
       cr_assert_not_null (lane);
       cr_expect_eq (mq_pool_opened (pool), row->opened, "%s: %zu", row->name,
                     (size_t)mq_pool_opened (pool));
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -1234,7 +1234,7 @@
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
-  mq_router_leave (site->routers[0]);
+  mq_router_begin_stop (site->routers[0]);
   cr_assert_eq (edge_ready (site, 0), 503);
   cr_assert_eq (
       edge_ask (site, &other, 0, "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
@@ -1255,7 +1255,7 @@
 {
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
   rows_server_fault (site->rows, ROWS_SILENT);
-  mq_router_leave (site->routers[0]);
+  mq_router_begin_stop (site->routers[0]);
   for (int i = 0; i < 200 && !mq_router_stopped (site->routers[0]); i++)
     edge_run (site, 5);
   cr_assert (mq_router_stopped (site->routers[0]));
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -180,7 +180,7 @@
     {
       struct mq_http_field fields[4];
       struct mq_http_head head = { .fields = fields };
-      struct mq_call_facts facts;
+      struct mq_request_fields facts;
 
       fields[head.field_count++]
           = (struct mq_http_field){ .name = "X-Program-Id",
@@ -193,7 +193,7 @@
         fields[head.field_count++]
             = (struct mq_http_field){ .name = "X-Finish-Ms",
                                       .value = cases[i].left };
-      mq_wire_read_call (&head, &facts);
+      mq_wire_read_request_fields (&head, &facts);
       cr_expect_eq (facts.main_line, cases[i].main_line, "row %zu", i);
       cr_expect_eq (facts.has_left, cases[i].has_left, "row %zu", i);
       cr_expect_eq (facts.left_ms, cases[i].left_ms, "row %zu", i);
@@ -277,9 +277,9 @@
   struct mq_route_table *table = NULL;
 
   while (progress == MQ_CONFIG_MORE)
-    progress = mq_wire_config_read_on (reader, some, error);
-  if (progress == MQ_CONFIG_WHOLE)
-    table = mq_wire_config_take (NULL, reader);
+    progress = mq_wire_config_parse_some (reader, some, error);
+  if (progress == MQ_CONFIG_COMPLETE)
+    table = mq_wire_config_take_table (NULL, reader);
   talloc_free (reader);
   return table;
 }
@@ -408,15 +408,15 @@
       cr_expect_null (read_in_steps (text, strlen (text), 1, &error));
       text = talloc_strdup_append_buffer (text, "]}");
       reader = mq_wire_config_begin (NULL, bytes (text));
-      while (mq_wire_config_read_on (reader, STEP_BYTES, &error)
+      while (mq_wire_config_parse_some (reader, STEP_BYTES, &error)
              == MQ_CONFIG_MORE)
         {
-          size_t done = mq_wire_config_done (reader);
+          size_t done = mq_wire_config_parsed_bytes (reader);
 
           cr_assert_leq (done - before, STEP_MOST_BYTES);
           before = done;
         }
-      table = mq_wire_config_take (NULL, reader);
+      table = mq_wire_config_take_table (NULL, reader);
       cr_assert_eq (table->route_count, sizes[i]);
       for (uint32_t j = 0; j < sizes[i]; j++)
         {
