--- a/src/router/router.c
+++ b/src/router/router.c
@@ -48,7 +48,7 @@
 static void
 step_leaving (struct mq_router *router)
 {
-  uint64_t since = mq_clock_ms () - router->leaving_since_ms;
+  uint64_t since = mq_clock_ms () - router->stopping_since_ms;
 
   if (since < router->settings->settle_ms)
     return;
@@ -80,7 +80,7 @@
   uint64_t held = now > router->sweep_due_ms ? now - router->sweep_due_ms : 0;
   struct mq_json_line line;
 
-  mq_histogram_add (&router->held_up, held);
+  mq_histogram_add (&router->loop_delay, held);
   if (held < HELD_UP_MS)
     return;
   mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_LOOP_HELD_UP);
@@ -103,9 +103,9 @@
   mq_permits_sweep (router);
   mq_clean_sweep (router);
   log_counters (router);
-  if (router->leaving)
+  if (router->stopping)
     mq_reserve_release_leases (router);
-  if (router->leaving)
+  if (router->stopping)
     step_leaving (router);
   set_sweep (router);
 }
@@ -227,10 +227,10 @@
 void
 mq_router_begin_stop (struct mq_router *router)
 {
-  if (router->leaving)
+  if (router->stopping)
     return;
-  router->leaving = true;
-  router->leaving_since_ms = mq_clock_ms ();
+  router->stopping = true;
+  router->stopping_since_ms = mq_clock_ms ();
   mq_hosts_stop (router);
   mq_reserve_release_leases (router);
   log_state (router, MQ_LOG_LEAVING);
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -44,16 +44,16 @@
 {
   struct mq_router *router;
   struct mq_caller *next;
-  struct mq_caller **before;
+  struct mq_caller **link;
   struct mq_tcp *tcp;
   struct mq_http_reader *reader;
   struct mq_request *request;
   const struct mq_http_head *head;
   struct mq_buffer body;
-  struct mq_buffer ahead;
+  struct mq_buffer read_ahead;
   uint64_t arrived_ms;
   uint64_t active_ms;
-  uint32_t rest_ms;
+  uint32_t advertised_idle_ms;
   bool answering;
   bool closing;
   bool feeding;
@@ -76,12 +76,12 @@
 static void
 unlink_caller (struct mq_caller *caller)
 {
-  if (caller->before == NULL)
+  if (caller->link == NULL)
     return;
-  *caller->before = caller->next;
+  *caller->link = caller->next;
   if (caller->next != NULL)
-    caller->next->before = caller->before;
-  caller->before = NULL;
+    caller->next->link = caller->link;
+  caller->link = NULL;
   caller->router->caller_count--;
 }
 
@@ -247,7 +247,7 @@
 read_if_room (struct mq_caller *caller)
 {
   if (!caller->dead)
-    mq_tcp_read (caller->tcp, caller->ahead.len < AHEAD_BYTES);
+    mq_tcp_read (caller->tcp, caller->read_ahead.len < AHEAD_BYTES);
 }
 
 /* One message's bytes, or those of several; what can't be used yet waits.  */
@@ -262,7 +262,7 @@
       if (caller->answering)
         {
           if (!caller->closing
-              && !mq_buffer_append (caller, &caller->ahead, data, len,
+              && !mq_buffer_append (caller, &caller->read_ahead, data, len,
                                     AHEAD_MOST_BYTES))
             caller->closing = true;
           return;
@@ -308,7 +308,7 @@
 static void
 end_answer (struct mq_caller *caller)
 {
-  struct mq_buffer ahead = caller->ahead;
+  struct mq_buffer ahead = caller->read_ahead;
   bool nested = caller->feeding;
 
   caller->request = NULL;
@@ -324,7 +324,7 @@
   mq_http_reader_next (caller->reader);
   if (ahead.len == 0)
     return;
-  memset (&caller->ahead, 0, sizeof caller->ahead);
+  memset (&caller->read_ahead, 0, sizeof caller->read_ahead);
   caller->feeding = true;
   feed (caller, ahead.data + ahead.at, ahead.len);
   mq_buffer_clear (&ahead);
@@ -352,8 +352,8 @@
 {
   uint64_t told_s;
 
-  caller->rest_ms = limits_of (caller->router).idle_ms;
-  told_s = (uint64_t)caller->rest_ms * TOLD_OF_FIVE / 5U / 1000U;
+  caller->advertised_idle_ms = limits_of (caller->router).idle_ms;
+  told_s = (uint64_t)caller->advertised_idle_ms * TOLD_OF_FIVE / 5U / 1000U;
   if (told_s > 0)
     snprintf (field, room, "Keep-Alive: timeout=%" PRIu64 "\r\n", told_s);
 }
@@ -375,7 +375,7 @@
   char connection[40] = "";
   char *text;
 
-  if (caller->router->leaving)
+  if (caller->router->stopping)
     caller->closing = true;
   write_connection_field (caller, connection, sizeof connection);
   text
@@ -471,9 +471,9 @@
       return;
     }
   caller->next = router->callers;
-  caller->before = &router->callers;
+  caller->link = &router->callers;
   if (caller->next != NULL)
-    caller->next->before = &caller->next;
+    caller->next->link = &caller->next;
   router->callers = caller;
   router->caller_count++;
 }
@@ -551,8 +551,8 @@
   struct mq_router *router = caller->router;
   uint64_t rested_ms = now - caller->active_ms;
 
-  if (idle_ms < caller->rest_ms)
-    idle_ms = caller->rest_ms;
+  if (idle_ms < caller->advertised_idle_ms)
+    idle_ms = caller->advertised_idle_ms;
   if (rested_ms <= idle_ms)
     return;
   close_rested (caller);
--- a/src/router/router_hosts.c
+++ b/src/router/router_hosts.c
@@ -101,7 +101,7 @@
   if (result->status != MQ_STORE_OK)
     router->announced = false;
   router->row_written
-      = router->row_written || (router->announced && !router->leaving);
+      = router->row_written || (router->announced && !router->stopping);
 }
 
 /* Writes, or removes, the row by which other hosts find this one.  */
@@ -177,7 +177,7 @@
 
   if (!mq_rows_followed (router->rows) || mq_rows_clock_s (router->rows) == 0)
     return;
-  if (!router->leaving && must_renew (router, now))
+  if (!router->stopping && must_renew (router, now))
     write_own_row (router, false);
   if (router->hosts_asked
       || (router->hosts_ms != 0
--- a/src/router/router_inactivity.c
+++ b/src/router/router_inactivity.c
@@ -64,7 +64,7 @@
 {
   uint32_t longest = longest_ms (silence);
   uint32_t wait = longest * BUSY_FACTOR;
-  uint32_t part = silence->options.patience_ms / BUSY_PART;
+  uint32_t part = silence->options.left_ms / BUSY_PART;
   bool queued = mq_fleet_has_queue (silence->options.fleet,
                                     silence->options.worker, mq_clock_ms ());
 
@@ -111,7 +111,7 @@
       look_after (silence, 1);
     }
   else
-    silence->options.gone (silence->options.user);
+    silence->options.timed_out (silence->options.user);
 }
 
 struct mq_inactivity *
@@ -124,7 +124,7 @@
   silence->options = *options;
   silence->ev = ev;
   silence->heard_ms = mq_clock_ms ();
-  if (options->watched)
+  if (options->detect_inactivity)
     look_after (silence, longest_ms (silence));
   return silence;
 }
--- a/src/router/router_inactivity.h
+++ b/src/router/router_inactivity.h
@@ -30,9 +30,9 @@
   uint32_t worker;
   const struct mq_path_route *route;
   bool begun;
-  uint32_t patience_ms;
-  bool watched;
-  void (*gone) (void *user);
+  uint32_t left_ms;
+  bool detect_inactivity;
+  void (*timed_out) (void *user);
   void *user;
 };
 
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -87,10 +87,10 @@
   program = mq_program_get_or_create (turn->turns, turn->program);
   if (program == NULL)
     return false;
-  turn->granted = mq_budget_take (&program->budget, turn->most);
+  turn->granted = mq_budget_take (&program->budget, turn->max_tokens);
   if (turn->granted == 0)
     return false;
-  turn->in = program;
+  turn->owner = program;
   program->running++;
   program->limit = turn->limit;
   program->used_ms = mq_clock_ms ();
@@ -129,8 +129,8 @@
     .id = loan->id,
     .program = turn->program == NULL ? "" : turn->program,
     .limit = turn->limit,
-    .most = turn->budgeted ? turn->most : 0,
-    .turn = turn->missing,
+    .most = turn->budgeted ? turn->max_tokens : 0,
+    .turn = turn->missing_id,
     .issue = loan->issue,
   };
 
@@ -152,7 +152,7 @@
       ask_for_turn (loan);
       return;
     }
-  mq_budget_issue (&program->budget, turn->limit, turn->most);
+  mq_budget_issue (&program->budget, turn->limit, turn->max_tokens);
   step_loan (loan);
 }
 
@@ -186,7 +186,7 @@
         mq_turn_read_history (turn);
       return;
     }
-  if (turn->missing[0] != '\0')
+  if (turn->missing_id[0] != '\0')
     {
       /* Comes back here once the history is joined.  */
       turn->loan = NULL;
@@ -307,13 +307,14 @@
   const struct mq_program *program;
 
   if (turn == NULL
-      || (turn->missing[0] != '\0'
-          && mq_chain_cache_find (loan->turns->cache, turn->missing) == NULL))
+      || (turn->missing_id[0] != '\0'
+          && mq_chain_cache_find (loan->turns->cache, turn->missing_id)
+                 == NULL))
     return false;
   if (!turn->budgeted)
     return true;
   program = mq_program_find (loan->turns, turn->program);
-  return program != NULL && mq_budget_has (&program->budget, turn->most);
+  return program != NULL && mq_budget_has (&program->budget, turn->max_tokens);
 }
 
 void
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -247,7 +247,7 @@
   enum mq_quota_answer answer;
 
   /* An issuer that starts again does not find a host that leaves.  */
-  if (share->permits->router->leaving)
+  if (share->permits->router->stopping)
     share->quota.standing = 0;
   /* Whoever is to issue may show up soon after this host has begun.  */
   nobody.answered_ms = share->began_ms;
@@ -600,7 +600,7 @@
   struct mq_quota_gift gift
       = { .organisation = want->organisation, .unknown = true };
   struct mq_reserve_own own;
-  struct mq_quota_bounds bounds = { .lends = lends && !router->leaving };
+  struct mq_quota_bounds bounds = { .lends = lends && !router->stopping };
   struct mq_quota_lease lease;
   const struct mq_org *org = NULL;
 
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -78,7 +78,7 @@
 
   program->waiting = turn->next;
   turn->next = NULL;
-  turn->waits = false;
+  turn->queued = false;
   return turn;
 }
 
@@ -117,7 +117,7 @@
     program->home = record.home;
   for (struct mq_turn *turn = program->waiting; turn != NULL;
        turn = turn->next)
-    turn->fresh = true;
+    turn->record_checked = true;
 }
 
 static void
@@ -249,7 +249,7 @@
 {
   uint64_t now = mq_clock_ms ();
 
-  return !turn->recalled
+  return !turn->recall_done
          && mq_budget_has_others (&program->budget, program->holder)
          && (program->recalled_ms == 0
              || now - program->recalled_ms >= RECALL_MS);
@@ -262,7 +262,7 @@
   program->recalled_ms = mq_clock_ms ();
   for (struct mq_turn *turn = program->waiting; turn != NULL;
        turn = turn->next)
-    turn->recalled = true;
+    turn->recall_done = true;
   step_program (program);
 }
 
@@ -278,10 +278,10 @@
 {
   struct mq_turn *turn = program->waiting;
 
-  if (!turn->fresh)
+  if (!turn->record_checked)
     call_table (program, MQ_BUDGET_READ);
   else if (may_recall (program, turn))
-    program->recall = mq_loan_recall (program, turn->limit, turn->most);
+    program->recall = mq_loan_recall (program, turn->limit, turn->max_tokens);
   else
     end_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
 }
@@ -297,12 +297,12 @@
       struct mq_turn *turn = program->waiting;
       enum mq_budget_answer answer
           = mq_budget_ask (&program->budget, program->holder, turn->limit,
-                           turn->most, &program->next);
+                           turn->max_tokens, &program->next);
 
       switch (answer)
         {
         case MQ_BUDGET_READY:
-          turn->granted = turn->most;
+          turn->granted = turn->max_tokens;
           end_waiting (program, MQ_TURN_READY);
           break;
         case MQ_BUDGET_WRITE:
@@ -340,8 +340,8 @@
   program->limit = turn->limit;
   if (program->home == 0)
     program->home = turn->home;
-  turn->in = program;
-  turn->waits = true;
+  turn->owner = program;
+  turn->queued = true;
   for (at = &program->waiting; *at != NULL; at = &(*at)->next)
     continue;
   *at = turn;
@@ -351,16 +351,16 @@
 void
 mq_program_dequeue (struct mq_turn *turn)
 {
-  if (!turn->waits)
+  if (!turn->queued)
     return;
-  for (struct mq_turn **at = &turn->in->waiting; *at != NULL;
+  for (struct mq_turn **at = &turn->owner->waiting; *at != NULL;
        at = &(*at)->next)
     if (*at == turn)
       {
         *at = turn->next;
         break;
       }
-  turn->waits = false;
+  turn->queued = false;
 }
 
 /* Failure: a program's limit holds two turns; its host is lost between them,
@@ -378,7 +378,7 @@
 void
 mq_turn_settle_budget (struct mq_turn *turn, uint64_t used)
 {
-  struct mq_program *program = turn->in;
+  struct mq_program *program = turn->owner;
 
   if (turn->granted == 0)
     return;
@@ -389,7 +389,7 @@
   if (program->running > 0 || program->waiting != NULL)
     return;
   mq_loan_return (program);
-  release_grant (program, turn->most);
+  release_grant (program, turn->max_tokens);
 }
 
 /* Failure: a host issued tokens while the table was away and forgets it; the
--- a/src/router/router_ready.c
+++ b/src/router/router_ready.c
@@ -21,7 +21,7 @@
 bool
 mq_router_is_ready (const struct mq_router *router)
 {
-  return router->routes != NULL && router->workers_listed && !router->leaving;
+  return router->routes != NULL && router->workers_listed && !router->stopping;
 }
 
 static void
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -119,7 +119,7 @@
   mq_metrics_series (&text, &batch_rows, "call=\"write\"",
                      mq_ledger_batch_rows (router->ledger));
   mq_metrics_begin (&text, &held_up);
-  mq_metrics_series (&text, &held_up, "timer=\"sweep\"", &router->held_up);
+  mq_metrics_series (&text, &held_up, "timer=\"sweep\"", &router->loop_delay);
   mq_metrics_add_process (&text);
   return text;
 }
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -25,7 +25,7 @@
 {
   uint64_t now = mq_clock_ms ();
 
-  return request->give_up_ms > now ? request->give_up_ms - now : 0;
+  return request->expires_ms > now ? request->expires_ms - now : 0;
 }
 
 /* Of the last worker that was chosen.  */
@@ -64,7 +64,7 @@
   if (request->worker != MQ_WORKER_NONE)
     mq_json_text (&line, "worker", worker_id (request));
   if (request->is_turn)
-    mq_json_number (&line, "tokens", request->handed);
+    mq_json_number (&line, "tokens", request->tokens_sent);
   if (request->retry_ms > 0)
     {
       mq_json_number (&line, "load", request->service_load);
@@ -94,7 +94,7 @@
   mq_ledger_cancel (request->record_call);
   if (request->is_turn)
     {
-      mq_turn_settle_budget (&request->turn, request->handed);
+      mq_turn_settle_budget (&request->turn, request->tokens_sent);
       mq_turn_cancel (&request->turn);
     }
   router->request_count--;
@@ -148,7 +148,8 @@
 static bool
 may_have_run (const struct mq_request *request)
 {
-  return request->ran || (request->try != NULL && mq_try_sent (request->try));
+  return request->may_have_run
+         || (request->try != NULL && mq_try_sent (request->try));
 }
 
 static void
@@ -157,12 +158,12 @@
   struct mq_request *request = data;
 
   request->timer = NULL;
-  request->ran = may_have_run (request);
+  request->may_have_run = may_have_run (request);
   if (request->answer.status == 0)
     stop_try (request, MQ_OUTCOME_FAILED);
-  if (request->begun)
+  if (request->response_begun)
     request_abort (request, "overdue");
-  else if (request->ran)
+  else if (request->may_have_run)
     request_refuse (request, MQ_REFUSE_DEADLINE_EXCEEDED);
   else
     request_refuse (request, MQ_REFUSE_TIMED_OUT);
@@ -200,16 +201,16 @@
       request->unreachable++;
     }
   if (end == MQ_ATTEMPT_BROKEN || end == MQ_ATTEMPT_ERROR)
-    request->ran = true;
+    request->may_have_run = true;
   attempt = (struct mq_attempt){
     .end = end,
     .repeatable = mq_route_repeatable (request->route),
-    .begun = request->begun,
+    .begun = request->response_begun,
     .sent = request->sent,
     .sent_max = request->route->attempts,
     .unreachable = request->unreachable,
     .left_ms = left_ms (request),
-    .ran = request->ran,
+    .ran = request->may_have_run,
   };
   next = mq_attempt_decide (&attempt);
   log_try (request, end, next);
@@ -217,7 +218,7 @@
     {
     case MQ_NEXT_RETRY:
       request->router->counters.retries++;
-      if (request->begun)
+      if (request->response_begun)
         request->router->counters.resumed++;
       mq_answer_reset (&request->answer);
       request_dispatch (request);
@@ -280,8 +281,8 @@
   struct mq_fleet_query query = {
     .service = request->service,
     .data_centre = request->router->settings->data_centre,
-    .tried = request->tried,
-    .tried_count = request->tried_count,
+    .tried = request->attempted,
+    .tried_count = request->attempted_count,
     .now_ms = now,
     .random = mq_random_next (&request->router->random),
   };
@@ -297,11 +298,11 @@
 static void
 refuse_unplaced (struct mq_request *request)
 {
-  if (request->begun)
+  if (request->response_begun)
     request_abort (request, "no_worker");
-  else if (request->ran)
+  else if (request->may_have_run)
     request_refuse (request, MQ_REFUSE_FAILED);
-  else if (request->tried_count > 0)
+  else if (request->attempted_count > 0)
     request_refuse (request, MQ_REFUSE_NO_CAPACITY);
   else
     request_refuse (request, MQ_REFUSE_NO_WORKER);
@@ -344,13 +345,13 @@
     .answer = &request->answer,
     .answer_ctx = request,
     .repeatable = mq_route_repeatable (request->route),
-    .begun = request->begun,
+    .begun = request->response_begun,
     .events = request_forward_events,
     .ended = on_tried,
     .user = request,
   };
 
-  options.watched
+  options.detect_inactivity
       = options.repeatable && request->sent < request->route->attempts;
   options.send = (struct mq_send){
     .head = request->head,
@@ -359,7 +360,7 @@
     .engine = request->service_info != NULL && request->service_info->engine,
     .worker = worker_id (request),
     .last_event = request->last_event,
-    .left_ms = (uint32_t)(request->give_up_ms - request->sent_ms),
+    .left_ms = (uint32_t)(request->expires_ms - request->sent_ms),
     .priority = request_priority (request),
     .organisation = request->org == NULL ? NULL : request->org->name,
     .body_len = request->send_body.len,
@@ -380,20 +381,21 @@
     }
   worker = choose_worker (request, now);
 
-  if (worker == MQ_WORKER_NONE || request->tried_count == ATTEMPTED_WORKERS_MAX
-      || now >= request->give_up_ms)
+  if (worker == MQ_WORKER_NONE
+      || request->attempted_count == ATTEMPTED_WORKERS_MAX
+      || now >= request->expires_ms)
     {
       refuse_unplaced (request);
       return;
     }
-  if (!request->begun && !request_key_is_still_valid (request))
+  if (!request->response_begun && !request_key_is_still_valid (request))
     {
-      request_refuse (request,
-                      request->ran ? MQ_REFUSE_FAILED : MQ_REFUSE_UNKNOWN_KEY);
+      request_refuse (request, request->may_have_run ? MQ_REFUSE_FAILED
+                                                     : MQ_REFUSE_UNKNOWN_KEY);
       return;
     }
   request->worker = worker;
-  request->tried[request->tried_count++] = worker;
+  request->attempted[request->attempted_count++] = worker;
   request->sent++;
   request->sent_ms = now;
   request->try = begin_try (request);
@@ -405,7 +407,7 @@
 static void
 send_turn (struct mq_request *request)
 {
-  const struct mq_chain *before = request->turn.before;
+  const struct mq_chain *before = request->turn.history;
 
   if (before != NULL)
     request->send_body = mq_chain_join (request, before, request->body);
@@ -432,7 +434,7 @@
       request_refuse (request, MQ_REFUSE_NO_TURN);
       return;
     case MQ_TURN_STORE_UNAVAILABLE:
-      if (request->ended)
+      if (request->response_complete)
         request_abort (request, "not_kept");
       else
         request_refuse (request, MQ_REFUSE_TABLE_UNAVAILABLE);
@@ -460,14 +462,14 @@
     .id = request->turn_id,
     .previous = request->route->retains ? request->previous : NULL,
     .limit = request->facts.budget,
-    .most
+    .max_tokens
     = mq_route_whole_events (request->service_info, request->facts.tokens_out),
     .budgeted = request->facts.has_budget && request->program != NULL,
     .retains = request->route->retains,
     .retain_s = request->route->retain_s,
     .may_borrow = runs,
     .home = request->home,
-    .told = on_turn,
+    .notify = on_turn,
     .user = request,
   };
   mq_turn_prepare (request->router->turns, &request->turn);
@@ -499,7 +501,7 @@
   request->service = mq_route_service (route, key);
   request->service_info
       = mq_route_service_find (request->table, request->service);
-  request->give_up_ms = request->arrived_ms + patience_ms (request);
+  request->expires_ms = request->arrived_ms + patience_ms (request);
   request->timer = mq_timer_add (request, router->ev, left_ms (request),
                                  on_overdue, request);
   request->begins_program = request_begins_program (request);
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -308,7 +308,7 @@
 
   if (leases == NULL)
     leases = router->leases = create_leases (router);
-  if (leases->busy || leases->stopped || router->leaving
+  if (leases->busy || leases->stopped || router->stopping
       || !mq_rows_moment (router->rows, &leases->moment.asked_ms,
                           &leases->moment.table_ms))
     return;
@@ -367,7 +367,7 @@
 mq_reserve_release_leases (struct mq_router *router)
 {
   const struct mq_leases *leases = router->leases;
-  uint64_t since = mq_clock_ms () - router->leaving_since_ms;
+  uint64_t since = mq_clock_ms () - router->stopping_since_ms;
 
   if (leases != NULL && !leases->stopped && !leases->busy
       && (since >= LEAVE_MS || !has_lent (router)))
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -23,9 +23,9 @@
 static void
 begin_stream (struct mq_request *request)
 {
-  if (request->begun)
+  if (request->response_begun)
     return;
-  request->begun = true;
+  request->response_begun = true;
   if (request->try != NULL)
     {
       mq_try_response_begun (request->try);
@@ -40,9 +40,9 @@
 static bool
 is_over_budget (const struct mq_request *request)
 {
-  return request->is_turn && request->turn.granted < request->turn.most
+  return request->is_turn && request->turn.granted < request->turn.max_tokens
          && request->turn.granted > 0
-         && request->handed + request->service_info->tokens_per_event
+         && request->tokens_sent + request->service_info->tokens_per_event
                 > request->turn.granted;
 }
 
@@ -57,7 +57,7 @@
   if (!event->has_data)
     return;
   if (request->service_info != NULL)
-    request->handed += request->service_info->tokens_per_event;
+    request->tokens_sent += request->service_info->tokens_per_event;
   if (!request->is_turn || !request->turn.retains)
     return;
   mq_buffer_append (request, &request->output, event->data, event->data_len,
@@ -106,7 +106,7 @@
 note_record (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
-  uint64_t wait = now - request->ended_ms;
+  uint64_t wait = now - request->completed_ms;
   uint32_t objective = request->route->objective_ms;
 
   if (request->is_turn && request->turn.retains && objective > 0
@@ -135,10 +135,10 @@
   const struct mq_buffer *output = &request->output;
 
   begin_stream (request);
-  request->ended = true;
-  request->ended_ms = mq_clock_ms ();
+  request->response_complete = true;
+  request->completed_ms = mq_clock_ms ();
   if (request->is_turn)
-    mq_turn_settle_budget (&request->turn, request->handed);
+    mq_turn_settle_budget (&request->turn, request->tokens_sent);
   if (request->is_turn && request->turn.retains)
     mq_turn_store (&request->turn, request->body,
                    (struct mq_bytes){ (uint8_t *)output->data + output->at,
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -171,9 +171,9 @@
     .worker = try->options.worker,
     .route = try->options.send.route,
     .begun = try->options.begun,
-    .patience_ms = try->options.send.left_ms,
-    .watched = try->options.watched,
-    .gone = on_silent,
+    .left_ms = try->options.send.left_ms,
+    .detect_inactivity = try->options.detect_inactivity,
+    .timed_out = on_silent,
     .user = try,
   };
 
--- a/src/router/router_try.h
+++ b/src/router/router_try.h
@@ -43,7 +43,7 @@
   TALLOC_CTX *answer_ctx;
   bool repeatable;
   bool begun;
-  bool watched;
+  bool detect_inactivity;
   void (*events) (void *user);
   void (*ended) (enum mq_attempt_end end, void *user);
   void *user;
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -80,7 +80,7 @@
 void
 mq_turn_notify (struct mq_turn *turn, enum mq_turn_state state)
 {
-  turn->told (state, turn->user);
+  turn->notify (state, turn->user);
 }
 
 static void
@@ -89,7 +89,7 @@
   struct mq_turn *turn = data;
 
   turn->timer = NULL;
-  if (turn->made != NULL)
+  if (turn->new_chain != NULL)
     begin_write (turn);
   else
     find_chain (turn);
@@ -106,7 +106,7 @@
 static void
 set_missing (struct mq_turn *turn, const char *id)
 {
-  snprintf (turn->missing, sizeof turn->missing, "%s", id);
+  snprintf (turn->missing_id, sizeof turn->missing_id, "%s", id);
 }
 
 /* Failure: a history that was read from the table was forgotten with its turn;
@@ -130,11 +130,11 @@
 add_found (struct mq_turn *turn, struct mq_chain *chain, bool complete)
 {
   set_missing (turn, complete ? "" : chain->base);
-  if (turn->found == NULL)
-    turn->found = chain;
+  if (turn->partial_chain == NULL)
+    turn->partial_chain = chain;
   else
     {
-      bool joined = mq_chain_prepend (turn->found, chain);
+      bool joined = mq_chain_prepend (turn->partial_chain, chain);
 
       talloc_free (chain);
       if (!joined)
@@ -143,14 +143,14 @@
           return;
         }
     }
-  if (turn->missing[0] != '\0')
+  if (turn->missing_id[0] != '\0')
     {
       find_chain (turn);
       return;
     }
-  remember (turn->turns, turn->found);
-  turn->before = turn->found;
-  turn->found = NULL;
+  remember (turn->turns, turn->partial_chain);
+  turn->history = turn->partial_chain;
+  turn->partial_chain = NULL;
   mq_program_reserve (turn);
 }
 
@@ -158,10 +158,10 @@
 static void
 end_reading (struct mq_turn *turn)
 {
-  if (turn->unread == 0)
+  if (turn->unreadable == 0)
     mq_turn_notify (turn, MQ_TURN_NOT_FOUND);
   else if (turn->tries + 1 >= MQ_TURN_ATTEMPTS_MAX
-           || turn->unread == MQ_TURN_CANDIDATE_PARTS
+           || turn->unreadable == MQ_TURN_CANDIDATE_PARTS
            || mq_ledger_down (turn->turns->router->ledger))
     mq_loan_request (turn);
   else
@@ -176,14 +176,15 @@
 
   turn->call = NULL;
   if (result->status != MQ_STORE_OK)
-    turn->unread++;
+    turn->unreadable++;
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
-      turn->place++;
+      turn->candidate++;
       read_place (turn);
       return;
     }
-  chain = mq_chain_unpack (turn->turns, turn->missing, result->rows[0].value);
+  chain
+      = mq_chain_unpack (turn->turns, turn->missing_id, result->rows[0].value);
   if (chain == NULL)
     mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else
@@ -195,7 +196,7 @@
 {
   struct mq_turns *turns = turn->turns;
   const struct mq_chain *cached
-      = mq_chain_cache_find (turns->cache, turn->missing);
+      = mq_chain_cache_find (turns->cache, turn->missing_id);
   struct mq_chain *copy = NULL;
 
   if (cached != NULL)
@@ -213,14 +214,15 @@
   struct mq_turns *turns = turn->turns;
   char part[MQ_PART_NAME_BYTES];
 
-  for (; turn->place < MQ_TURN_CANDIDATE_PARTS; turn->place++, turn->unread++)
+  for (; turn->candidate < MQ_TURN_CANDIDATE_PARTS;
+       turn->candidate++, turn->unreadable++)
     {
-      mq_turn_select_part (part, turn->missing, turn->place);
+      mq_turn_select_part (part, turn->missing_id, turn->candidate);
       if (mq_turns_part_unavailable (turns, part))
         continue;
       turns->router->counters.turn_reads++;
       turn->call = mq_ledger_get (turns->router->ledger, mq_turn_table, part,
-                                  turn->missing, on_turn_read, turn);
+                                  turn->missing_id, on_turn_read, turn);
       return;
     }
   end_reading (turn);
@@ -231,8 +233,8 @@
 void
 mq_turn_read_history (struct mq_turn *turn)
 {
-  turn->place = 0;
-  turn->unread = 0;
+  turn->candidate = 0;
+  turn->unreadable = 0;
   read_place (turn);
 }
 
@@ -243,7 +245,7 @@
 {
   if (mq_turn_find_cached (turn))
     return;
-  if (!turn->queried_nearby && turn->found == NULL)
+  if (!turn->queried_nearby && turn->partial_chain == NULL)
     {
       turn->queried_nearby = true;
       mq_loan_request_local_history (turn);
@@ -280,8 +282,8 @@
 static void
 end_keeping (struct mq_turn *turn)
 {
-  mq_chain_cache_put (turn->turns->cache, turn->made);
-  turn->made = NULL;
+  mq_chain_cache_put (turn->turns->cache, turn->new_chain);
+  turn->new_chain = NULL;
   mq_turn_notify (turn, MQ_TURN_STORED);
 }
 
@@ -296,15 +298,15 @@
   char part[MQ_PART_NAME_BYTES];
 
   while (!mq_ledger_down (turn->turns->router->ledger)
-         && ++turn->place < MQ_TURN_CANDIDATE_PARTS)
+         && ++turn->candidate < MQ_TURN_CANDIDATE_PARTS)
     {
-      mq_turn_select_part (part, turn->id, turn->place);
+      mq_turn_select_part (part, turn->id, turn->candidate);
       if (mq_turns_part_unavailable (turn->turns, part))
         continue;
       write_turn (turn);
       return true;
     }
-  turn->place = 0;
+  turn->candidate = 0;
   return false;
 }
 
@@ -356,7 +358,7 @@
 {
   char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_select_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->candidate);
   turn->call = mq_ledger_get (turn->turns->router->ledger, mq_turn_table, part,
                               turn->id, on_turn_checked, turn);
 }
@@ -371,7 +373,7 @@
                                  .value = turn->record };
   char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_select_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->candidate);
   entry.part = part;
   router->counters.turn_writes++;
   turn->call
@@ -384,7 +386,7 @@
 {
   char part[MQ_PART_NAME_BYTES];
 
-  turn->place = 0;
+  turn->candidate = 0;
   mq_turn_select_part (part, turn->id, 0);
   if (!mq_turns_part_unavailable (turn->turns, part)
       || !go_to_next_place (turn))
@@ -396,12 +398,13 @@
 mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
                struct mq_bytes output)
 {
-  turn->made
-      = mq_chain_extend (turn->turns, turn->before, turn->id, input, output);
-  if (turn->made != NULL)
+  turn->new_chain
+      = mq_chain_extend (turn->turns, turn->history, turn->id, input, output);
+  if (turn->new_chain != NULL)
     {
-      turn->made->until_s = mq_turns_expiry_s (turn->turns, turn->retain_s);
-      turn->record = mq_chain_pack (turn->turns, turn->made);
+      turn->new_chain->until_s
+          = mq_turns_expiry_s (turn->turns, turn->retain_s);
+      turn->record = mq_chain_pack (turn->turns, turn->new_chain);
     }
   if (turn->record.data == NULL)
     {
@@ -422,8 +425,8 @@
     mq_ledger_cancel (turn->call);
   turn->call = NULL;
   TALLOC_FREE (turn->timer);
-  TALLOC_FREE (turn->found);
-  TALLOC_FREE (turn->before);
-  TALLOC_FREE (turn->made);
+  TALLOC_FREE (turn->partial_chain);
+  TALLOC_FREE (turn->history);
+  TALLOC_FREE (turn->new_chain);
   TALLOC_FREE (turn->record.data);
 }
