--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -1,8 +1,8 @@
-/* router_caller.c - connections of callers: requests in, answers out.
+/* router_caller.c - HTTP connections of callers.
 
-   A connection carries one request at a time; bytes of the next one wait
-   until the answer is out.  While an answer is awaited the connection is
-   still read, so that a caller who leaves is noticed at once.
+   A connection serves one request at a time; pipelined requests are buffered
+   until the response is sent. The connection is read during a request, so that
+   a disconnect is noticed at once.
    Needs: router_state.h, listen.h, clock.h.  */
 
 #include "router_state.h"
@@ -16,29 +16,32 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bytes of further requests that wait on a connection; with so many it is not
-   read, and one read more may have come.  */
-#define AHEAD_BYTES ((size_t)64 << 10)
-#define AHEAD_MOST_BYTES (2 * AHEAD_BYTES)
-/* Limits before any configuration is known; as those of docs/CONTRACTS.md.  */
-#define FIRST_HEADER_MS 3000U
-#define FIRST_IDLE_MS 15000U
-#define FIRST_BODY_BYTES (4U << 20)
-/* Connections accepted at one wake-up.  */
-#define ACCEPT_MAX 16
+/* Pipelined bytes at which reading pauses, and the limit including one more
+   read.  */
+#define READ_AHEAD_BYTES ((size_t)64 << 10)
+#define READ_AHEAD_MAX_BYTES (2 * READ_AHEAD_BYTES)
+/* Limits until the first configuration is loaded; see docs/CONTRACTS.md.  */
+#define DEFAULT_HEADER_MS 3000U
+#define DEFAULT_IDLE_MS 15000U
+#define DEFAULT_BODY_BYTES (4U << 20)
+/* Connections accepted per event.  */
+#define ACCEPT_BATCH 16
 
 /**
  * struct mq_caller - one connection
- * @request: under way, NULL: none
- * @head: of the message that is read or answered, NULL: not whole yet
- * @body: of the message that is read
- * @ahead: bytes that came after it
- * @arrived_ms: when the message began
- * @active_ms: last time that anything happened
- * @rest_ms: how long it may rest at least, as its caller was told
- * @answering: a message is whole or refused, its answer is not out
- * @closing: no further request is taken
- * @feeding: bytes are being read: the connection is not destroyed meanwhile
+ * @link: where the list points to this connection; NULL if unlinked
+ * @request: pending request; NULL if none
+ * @head: head of the current message; NULL until it is complete
+ * @body: body of the current message
+ * @read_ahead: pipelined bytes behind the current message
+ * @arrived_ms: start of the current message, local monotonic clock
+ * @active_ms: last activity, local monotonic clock
+ * @advertised_idle_ms: idle timeout in force when Keep-Alive was last sent
+ * @answering: the current message is complete or refused, the response is not
+ *             sent yet
+ * @closing: close the connection after the current response
+ * @feeding: bytes are being parsed; the structure must not be freed
+ * @dead: the connection is gone; freed once @feeding is false
  */
 struct mq_caller
 {
@@ -60,15 +63,17 @@
   bool dead;
 };
 
-static void feed (struct mq_caller *caller, const char *data, size_t len);
+static void parse_data (struct mq_caller *caller, const char *data,
+                        size_t len);
 
 static struct mq_route_limits
-limits_of (const struct mq_router *router)
+current_limits (const struct mq_router *router)
 {
-  static const struct mq_route_limits first = { .header_bytes = 0,
-                                                .body_bytes = FIRST_BODY_BYTES,
-                                                .header_ms = FIRST_HEADER_MS,
-                                                .idle_ms = FIRST_IDLE_MS };
+  static const struct mq_route_limits first
+      = { .header_bytes = 0,
+          .body_bytes = DEFAULT_BODY_BYTES,
+          .header_ms = DEFAULT_HEADER_MS,
+          .idle_ms = DEFAULT_IDLE_MS };
 
   return router->routes == NULL ? first : router->routes->limits;
 }
@@ -92,9 +97,10 @@
     talloc_free (caller);
 }
 
-/* Lets go of the connection, which has been closed or closes itself.  */
+/* Detaches and frees the caller; its connection is closed or closes on its
+   own.  */
 static void
-drop_caller (struct mq_caller *caller)
+detach_caller (struct mq_caller *caller)
 {
   unlink_caller (caller);
   caller->tcp = NULL;
@@ -103,43 +109,45 @@
 }
 
 /**
- * struct ending - a finished connection, below which it lies
+ * struct ending_connection - counts a finished connection until it is freed
+ * with it
  */
-struct ending
+struct ending_connection
 {
   struct mq_router *router;
 };
 
 static int
-end_ending (struct ending *ending)
+remove_ending (struct ending_connection *ending_connection)
 {
-  ending->router->ending_count--;
+  ending_connection->router->ending_count--;
   return 0;
 }
 
-/* Failure: a caller is slow to take its answer, and the process ends its
-   planned stop once no caller is left: what was not sent is lost, and the
-   caller has a part of its answer.  So a finished connection counts until it
-   has closed itself.  */
+/* Counts a finished connection until it has closed.
+
+   Failure: the process exits at a planned stop while response data is still
+   unsent to a slow caller.  */
 static void
-count_ending (struct mq_caller *caller)
+add_ending (struct mq_caller *caller)
 {
-  struct ending *ending = talloc_zero (caller->tcp, struct ending);
+  struct ending_connection *ending_connection
+      = talloc_zero (caller->tcp, struct ending_connection);
 
-  if (ending == NULL)
+  if (ending_connection == NULL)
     return;
-  ending->router = caller->router;
-  ending->router->ending_count++;
-  talloc_set_destructor (ending, end_ending);
+  ending_connection->router = caller->router;
+  ending_connection->router->ending_count++;
+  talloc_set_destructor (ending_connection, remove_ending);
 }
 
 static void
 finish_caller (struct mq_caller *caller)
 {
   talloc_steal (caller->router, caller->tcp);
-  count_ending (caller);
+  add_ending (caller);
   mq_tcp_finish (caller->tcp);
-  drop_caller (caller);
+  detach_caller (caller);
 }
 
 static void
@@ -147,7 +155,7 @@
 {
   talloc_steal (caller->router, caller->tcp);
   mq_tcp_destroy (caller->tcp);
-  drop_caller (caller);
+  detach_caller (caller);
 }
 
 static void
@@ -192,7 +200,7 @@
 on_head (const struct mq_http_head *head, void *user)
 {
   struct mq_caller *caller = user;
-  struct mq_route_limits limits = limits_of (caller->router);
+  struct mq_route_limits limits = current_limits (caller->router);
   const char *expect = mq_http_head_find (head, "Expect");
 
   caller->head = head;
@@ -210,7 +218,7 @@
 on_body (const char *data, size_t len, void *user)
 {
   struct mq_caller *caller = user;
-  struct mq_route_limits limits = limits_of (caller->router);
+  struct mq_route_limits limits = current_limits (caller->router);
 
   if (caller->dead || caller->answering)
     return;
@@ -238,21 +246,22 @@
                     caller->arrived_ms);
 }
 
-/* Failure: a caller sends more ahead than is kept, the connection is closed
-   after the answer under way, and whole requests that were read get no answer;
-   a stream that has begun can't even say so.  So the rest waits in the
-   network until there is room.  Such a caller who leaves is noticed only
-   then.  */
+/* Pauses reading while enough pipelined data is buffered. A disconnect is not
+   noticed meanwhile.
+
+   Failure: the buffer overflows, and requests that were read get no response
+   when the connection is closed.  */
 static void
-read_if_room (struct mq_caller *caller)
+update_reading (struct mq_caller *caller)
 {
   if (!caller->dead)
-    mq_tcp_read (caller->tcp, caller->read_ahead.len < AHEAD_BYTES);
+    mq_tcp_read (caller->tcp, caller->read_ahead.len < READ_AHEAD_BYTES);
 }
 
-/* One message's bytes, or those of several; what can't be used yet waits.  */
+/* Parses DATA, which may hold several messages; what follows the current
+   message is buffered.  */
 static void
-feed (struct mq_caller *caller, const char *data, size_t len)
+parse_data (struct mq_caller *caller, const char *data, size_t len)
 {
   while (len > 0 && !caller->dead)
     {
@@ -263,7 +272,7 @@
         {
           if (!caller->closing
               && !mq_buffer_append (caller, &caller->read_ahead, data, len,
-                                    AHEAD_MOST_BYTES))
+                                    READ_AHEAD_MAX_BYTES))
             caller->closing = true;
           return;
         }
@@ -271,7 +280,7 @@
         {
           caller->arrived_ms = mq_clock_ms ();
           mq_http_reader_set_head_max (
-              caller->reader, limits_of (caller->router).header_bytes);
+              caller->reader, current_limits (caller->router).header_bytes);
         }
       used = mq_http_reader_feed (caller->reader, data, len, &error);
       if (caller->dead || caller->answering)
@@ -298,15 +307,15 @@
   (void)tcp;
   caller->active_ms = mq_clock_ms ();
   caller->feeding = true;
-  feed (caller, data, len);
-  read_if_room (caller);
+  parse_data (caller, data, len);
+  update_reading (caller);
   caller->feeding = false;
   free_if_unused (caller);
 }
 
-/* The answer is out: on to the next request, or the connection ends.  */
+/* Proceeds to the next request after a response, or closes the connection.  */
 static void
-end_answer (struct mq_caller *caller)
+finish_response (struct mq_caller *caller)
 {
   struct mq_buffer ahead = caller->read_ahead;
   bool nested = caller->feeding;
@@ -326,9 +335,9 @@
     return;
   memset (&caller->read_ahead, 0, sizeof caller->read_ahead);
   caller->feeding = true;
-  feed (caller, ahead.data + ahead.at, ahead.len);
+  parse_data (caller, ahead.data + ahead.at, ahead.len);
   mq_buffer_clear (&ahead);
-  read_if_room (caller);
+  update_reading (caller);
   caller->feeding = nested;
   free_if_unused (caller);
 }
@@ -339,23 +348,25 @@
   caller->request = request;
 }
 
-/* Share of the time to rest that a caller is told, parts of five.  The rest
-   covers the way of a request and a host that is held up: three seconds of the
-   usual fifteen, where handlers that take long take half a second.  */
-#define TOLD_OF_FIVE 4U
+/* Numerator, in fifths, of the share of the idle timeout that is advertised to
+   callers. The rest covers network latency and delays of the event loop.  */
+#define ADVERTISED_FIFTHS 4U
+
+/* Advertises an idle timeout shorter than the actual one.
 
-/* Failure: a request crosses the close of a connection that rested too long;
-   its caller sees a closed connection and no answer.  A caller that is told
-   does not use a connection in the time when it may be closed.  */
+   Failure: a caller sends a request just as the idle connection is closed and
+   gets no response.  */
 static void
-tell_rest (struct mq_caller *caller, char *field, size_t room)
+format_keep_alive (struct mq_caller *caller, char *field, size_t room)
 {
-  uint64_t told_s;
+  uint64_t advertised_s;
 
-  caller->advertised_idle_ms = limits_of (caller->router).idle_ms;
-  told_s = (uint64_t)caller->advertised_idle_ms * TOLD_OF_FIVE / 5U / 1000U;
-  if (told_s > 0)
-    snprintf (field, room, "Keep-Alive: timeout=%" PRIu64 "\r\n", told_s);
+  caller->advertised_idle_ms = current_limits (caller->router).idle_ms;
+  advertised_s
+      = (uint64_t)caller->advertised_idle_ms * ADVERTISED_FIFTHS / 5U / 1000U;
+  if (advertised_s > 0)
+    snprintf (field, room, "Keep-Alive: timeout=%" PRIu64 "\r\n",
+              advertised_s);
 }
 
 static void
@@ -364,7 +375,7 @@
   if (caller->closing)
     snprintf (field, room, "Connection: close\r\n");
   else
-    tell_rest (caller, field, room);
+    format_keep_alive (caller, field, room);
 }
 
 static void
@@ -383,7 +394,7 @@
                          mq_http_reason (status), fields, framing, connection);
   if (text == NULL)
     return;
-  /* One write, so that a short answer leaves in one segment.  */
+  /* One write, so that a short response is sent in one segment.  */
   mq_buffer_append (caller, &out, text, strlen (text), SIZE_MAX);
   mq_buffer_append (caller, &out, body, len, SIZE_MAX);
   mq_tcp_write (caller->tcp, out.data + out.at, out.len);
@@ -403,7 +414,7 @@
   if (with_body || (status != 204 && status != 304))
     snprintf (framing, sizeof framing, "Content-Length: %zu\r\n", len);
   write_head (caller, status, fields, framing, body, with_body ? len : 0);
-  end_answer (caller);
+  finish_response (caller);
 }
 
 void
@@ -435,10 +446,9 @@
 {
   caller->request = NULL;
   mq_tcp_write (caller->tcp, "0\r\n\r\n", 5);
-  end_answer (caller);
+  finish_response (caller);
 }
 
-/* The last chunk is missing, which the other side takes for what it is.  */
 void
 mq_caller_abort (struct mq_caller *caller)
 {
@@ -478,7 +488,7 @@
   router->caller_count++;
 }
 
-/* False when no connection waits to be accepted.  */
+/* Returns false if no connection is pending.  */
 static bool
 accept_caller (struct mq_router *router)
 {
@@ -487,7 +497,7 @@
 
   if (fd >= 0)
     add_caller (router, fd);
-  /* One that has left again hides those behind it.  */
+  /* An aborted connection may be followed by others.  */
   return fd >= 0 || errno == ECONNABORTED;
 }
 
@@ -500,7 +510,7 @@
   (void)ev;
   (void)event;
   (void)flags;
-  for (int i = 0; i < ACCEPT_MAX && accept_caller (router); i++)
+  for (int i = 0; i < ACCEPT_BATCH && accept_caller (router); i++)
     ;
 }
 
@@ -515,14 +525,13 @@
   return router->front_event != NULL;
 }
 
-/* Closes a connection on which nothing is under way.
+/* Closes an idle connection.
 
-   Failure: closed by half and read on, as after an answer that refuses a
-   message, it would take a request that crosses the close and drop it, and
-   its caller could not know that it was not read.  Closed outright, it resets
-   what crosses.  Only an answer that is not out yet needs the other way.  */
+   Failure: after a half-close, a request that crosses it would be read and
+   discarded, and its caller could not tell that it did not run. Closing
+   outright resets it. Unsent data still needs the half-close.  */
 static void
-close_rested (struct mq_caller *caller)
+close_idle (struct mq_caller *caller)
 {
   if (mq_tcp_has_unsent (caller->tcp))
     finish_caller (caller);
@@ -530,42 +539,42 @@
     destroy_caller (caller);
 }
 
-/* The caller learns nothing from a close but that it came: the line tells how
-   long the connection rested and what was allowed.  */
+/* Logs how long the connection was idle and the limit, which the caller is not
+   told.  */
 static void
-log_rested (struct mq_router *router, uint64_t rested_ms, uint32_t idle_ms)
+log_idle_close (struct mq_router *router, uint64_t idle_for_ms,
+                uint32_t idle_ms)
 {
   struct mq_json_line line;
 
   mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CALLER_CLOSED);
-  mq_json_number (&line, "rested_ms", rested_ms);
+  mq_json_number (&line, "rested_ms", idle_for_ms);
   mq_json_number (&line, "idle_ms", idle_ms);
   mq_json_end (&line);
 }
 
-/* Connections are closed so that those whose callers are gone without a word
-   don't use up memory and descriptors.  */
+/* Closes a connection that exceeded the idle timeout; callers that vanished
+   would otherwise hold memory and descriptors.  */
 static void
-check_rest (struct mq_caller *caller, uint32_t idle_ms, uint64_t now)
+check_idle (struct mq_caller *caller, uint32_t idle_ms, uint64_t now)
 {
   struct mq_router *router = caller->router;
-  uint64_t rested_ms = now - caller->active_ms;
+  uint64_t idle_for_ms = now - caller->active_ms;
 
   if (idle_ms < caller->advertised_idle_ms)
     idle_ms = caller->advertised_idle_ms;
-  if (rested_ms <= idle_ms)
+  if (idle_for_ms <= idle_ms)
     return;
-  close_rested (caller);
-  log_rested (router, rested_ms, idle_ms);
+  close_idle (caller);
+  log_idle_close (router, idle_for_ms, idle_ms);
 }
 
-/* Failure: a connection is judged by when it was last read, and closed beside
-   a request that lies unread; the caller sees a closed connection and no
-   answer, and may not repeat what may run once.  What lies there came before
-   the close, so it is read first; a caller that sends nothing whole is met
-   again by the next look, and by the bounds of a message.  */
+/* Whether the time limits may be applied: unread data is processed first.
+
+   Failure: after a delay of the event loop, a connection is closed as idle
+   although its next request has arrived.  */
 static bool
-may_judge (const struct mq_caller *caller)
+may_time_out (const struct mq_caller *caller)
 {
   return !caller->answering && !mq_tcp_has_unread (caller->tcp);
 }
@@ -574,7 +583,7 @@
 check_caller (struct mq_caller *caller, const struct mq_route_limits *limits,
               uint64_t now)
 {
-  if (!may_judge (caller))
+  if (!may_time_out (caller))
     return;
   if (mq_http_reader_within (caller->reader))
     {
@@ -584,13 +593,13 @@
         refuse_message (caller, MQ_REFUSE_SLOW_HEAD);
     }
   else
-    check_rest (caller, limits->idle_ms, now);
+    check_idle (caller, limits->idle_ms, now);
 }
 
 void
 mq_callers_sweep (struct mq_router *router)
 {
-  struct mq_route_limits limits = limits_of (router);
+  struct mq_route_limits limits = current_limits (router);
   uint64_t now = mq_clock_ms ();
   struct mq_caller *next;
 
@@ -602,9 +611,10 @@
     }
 }
 
-/* Failure: the kernel has connections that were not accepted yet; closing the
-   listening socket resets them, and what their callers have sent gets no
-   answer.  So they are accepted first.  */
+/* Accepts all pending connections before closing the listener.
+
+   Failure: closing the listener resets the pending connections, and requests
+   sent on them get no response.  */
 static void
 close_listener (struct mq_router *router)
 {
@@ -629,7 +639,7 @@
        caller = next)
     {
       next = caller->next;
-      if (may_judge (caller) && !mq_http_reader_within (caller->reader))
-        close_rested (caller);
+      if (may_time_out (caller) && !mq_http_reader_within (caller->reader))
+        close_idle (caller);
     }
 }
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -1,7 +1,7 @@
 /* router_program.c - budgets of programs in the platform's table.
 
-   A turn asks for its budget before it is sent.  A program has one record,
-   and one call about it is under way at a time.
+   A turn reserves its budget before it is sent. A program has one record and
+   at most one pending call for it.
    Needs: router_turns.h, id.h, reserve.h, clock.h.  */
 
 #include "router_turns.h"
@@ -12,11 +12,10 @@
 
 const char mq_budget_table[] = "budget";
 
-/* A program that has been idle for so long is forgotten, and what is left of
-   its grant is lost: ten times the longest pause between two turns.  */
-#define FORGET_MS 20000U
+/* Idle time after which a program is freed; the rest of its grant is lost.  */
+#define PROGRAM_IDLE_MS 20000U
 
-static void step_program (struct mq_program *program);
+static void advance_program (struct mq_program *program);
 
 struct mq_program *
 mq_program_find (struct mq_turns *turns, const char *id)
@@ -62,7 +61,7 @@
 }
 
 static void
-forget_program (struct mq_program *program)
+free_program (struct mq_program *program)
 {
   mq_idmap_remove (program->turns->programs, program->key, 0);
   if (program->call != NULL)
@@ -82,7 +81,7 @@
   return turn;
 }
 
-/* The table can't tell.  */
+/* The table is unavailable: the waiting turns borrow from other hosts.  */
 static void
 fail_waiting (struct mq_program *program)
 {
@@ -92,7 +91,7 @@
 }
 
 static void
-take_record (struct mq_program *program, const struct mq_rows_result *result)
+apply_record (struct mq_program *program, const struct mq_rows_result *result)
 {
   struct mq_budget_record record = { 0 };
   uint64_t version = 0;
@@ -103,7 +102,7 @@
       version = result->rows[0].version;
       if (version != 0 && !mq_budget_unpack (result->rows[0].value, &record))
         {
-          /* A record that can't be read proves nothing: as if all spent.  */
+          /* Treats an unreadable record as an exhausted budget.  */
           record = (struct mq_budget_record){ .spent = UINT32_MAX };
           mq_json_begin (&line, program->turns->router->log, MQ_JSON_NOTE,
                          MQ_LOG_BUDGET_UNREADABLE);
@@ -126,7 +125,7 @@
   struct mq_program *program = data;
 
   program->timer = NULL;
-  step_program (program);
+  advance_program (program);
 }
 
 static void
@@ -154,8 +153,8 @@
       retry_program (program);
       return;
     }
-  take_record (program, result);
-  step_program (program);
+  apply_record (program, result);
+  advance_program (program);
 }
 
 static void
@@ -181,10 +180,10 @@
       break;
     case MQ_STORE_CONFLICT:
       program->tries = 0;
-      take_record (program, result);
+      apply_record (program, result);
       break;
     case MQ_STORE_LOST:
-      /* Whether it was done shows in the record.  */
+      /* The record tells whether the write succeeded.  */
       if (++program->tries < MQ_TURN_ATTEMPTS_MAX)
         read_program (program);
       else
@@ -194,7 +193,7 @@
       retry_program (program);
       return;
     }
-  step_program (program);
+  advance_program (program);
 }
 
 static void
@@ -218,7 +217,7 @@
 }
 
 static void
-end_waiting (struct mq_program *program, enum mq_turn_state state)
+finish_waiting (struct mq_program *program, enum mq_turn_state state)
 {
   struct mq_turn *turn = pop_waiting (program);
 
@@ -228,9 +227,9 @@
   mq_turn_notify (turn, state);
 }
 
-/* The table is to be asked for the first turn that waits.  */
+/* Reads or writes the record, as the first waiting turn needs.  */
 static void
-call_table (struct mq_program *program, enum mq_budget_answer need)
+access_record (struct mq_program *program, enum mq_budget_answer need)
 {
   if (mq_turns_part_unavailable (program->turns, program->part))
     fail_waiting (program);
@@ -240,9 +239,9 @@
     read_program (program);
 }
 
-/* Pause between two recalls of a program's unused grants.  A program that
-   loops asks several times a second once its budget is spent.  */
-#define RECALL_MS 1000U
+/* Minimum interval between recalls of the unused tokens of one program, whose
+   retries would otherwise cause one each.  */
+#define RECALL_INTERVAL_MS 1000U
 
 static bool
 may_recall (const struct mq_program *program, const struct mq_turn *turn)
@@ -252,7 +251,7 @@
   return !turn->recall_done
          && mq_budget_has_others (&program->budget, program->holder)
          && (program->recalled_ms == 0
-             || now - program->recalled_ms >= RECALL_MS);
+             || now - program->recalled_ms >= RECALL_INTERVAL_MS);
 }
 
 void
@@ -263,33 +262,32 @@
   for (struct mq_turn *turn = program->waiting; turn != NULL;
        turn = turn->next)
     turn->recall_done = true;
-  step_program (program);
+  advance_program (program);
 }
 
-/* The record leaves no room for the first turn that waits.
+/* The record has no tokens left for the first waiting turn. If it was read
+   after the turn arrived, hosts with unused tokens are asked to lend them;
+   turns that arrive meanwhile wait for the same replies.
 
-   Failure: grants that hosts took for turns which then came to other hosts
-   fill the record, and a caller is told that the budget is spent though tokens
-   are left.  So a record read since the turn came is not the last word: hosts
-   that have unused tokens lend them.  Turns that come meanwhile wait for the
-   same answers.  */
+   Failure: grants of hosts that no longer serve the program exhaust its
+   record, and turns are refused although tokens are left.  */
 static void
-answer_doubt (struct mq_program *program)
+handle_uncertain_budget (struct mq_program *program)
 {
   struct mq_turn *turn = program->waiting;
 
   if (!turn->record_checked)
-    call_table (program, MQ_BUDGET_READ);
+    access_record (program, MQ_BUDGET_READ);
   else if (may_recall (program, turn))
     program->recall = mq_loan_recall (program, turn->limit, turn->max_tokens);
   else
-    end_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
+    finish_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
 }
 
-/* Serves the turns that wait, as far as the grant goes; then asks the table
-   for more.  One call is under way at a time.  */
+/* Serves waiting turns from the grant, then calls the table for more
+   tokens.  */
 static void
-step_program (struct mq_program *program)
+advance_program (struct mq_program *program)
 {
   while (program->waiting != NULL && program->call == NULL
          && program->timer == NULL && program->recall == NULL)
@@ -303,17 +301,17 @@
         {
         case MQ_BUDGET_READY:
           turn->granted = turn->max_tokens;
-          end_waiting (program, MQ_TURN_READY);
+          finish_waiting (program, MQ_TURN_READY);
           break;
         case MQ_BUDGET_WRITE:
         case MQ_BUDGET_READ:
-          call_table (program, answer);
+          access_record (program, answer);
           break;
         case MQ_BUDGET_DOUBT:
-          answer_doubt (program);
+          handle_uncertain_budget (program);
           break;
         case MQ_BUDGET_SPENT:
-          end_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
+          finish_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
           break;
         }
     }
@@ -345,7 +343,7 @@
   for (at = &program->waiting; *at != NULL; at = &(*at)->next)
     continue;
   *at = turn;
-  step_program (program);
+  advance_program (program);
 }
 
 void
@@ -363,8 +361,11 @@
   turn->queued = false;
 }
 
-/* Failure: a program's limit holds two turns; its host is lost between them,
-   and with it the grant that would have served the second.  */
+/* Returns unused tokens of the grant to the record once the program has no
+   turns.
+
+   Failure: the host fails between two turns, and the rest of its grant is lost
+   to the second.  */
 static void
 release_grant (struct mq_program *program, uint64_t most)
 {
@@ -392,9 +393,11 @@
   release_grant (program, turn->max_tokens);
 }
 
-/* Failure: a host issued tokens while the table was away and forgets it; the
-   record never counts them, and in the next such time another host issues as
-   many again.  So they are written down before the program is forgotten.  */
+/* Records tokens issued during an outage of the table before the program is
+   freed.
+
+   Failure: the tokens are never counted, and in the next outage another host
+   issues as many again.  */
 static void
 record_issued (struct mq_program *program)
 {
@@ -427,25 +430,25 @@
   return false;
 }
 
-/* Most programs forgotten at one time, so that a look stays short.  */
-#define FORGET_MAX 64U
+/* Programs freed in one sweep at most, to keep it short.  */
+#define SWEEP_FREE_MAX 64U
 
 void
 mq_turns_sweep (struct mq_turns *turns)
 {
   uint64_t now = mq_clock_ms ();
-  struct mq_program *found[FORGET_MAX];
+  struct mq_program *found[SWEEP_FREE_MAX];
   size_t count = 0;
   size_t position = 0;
   struct mq_program *program;
 
-  while (count < FORGET_MAX
+  while (count < SWEEP_FREE_MAX
          && (program = mq_idmap_next (turns->programs, &position)) != NULL)
     {
       record_issued (program);
-      if (is_idle (program) && now - program->used_ms >= FORGET_MS)
+      if (is_idle (program) && now - program->used_ms >= PROGRAM_IDLE_MS)
         found[count++] = program;
     }
   for (size_t i = 0; i < count; i++)
-    forget_program (found[i]);
+    free_program (found[i]);
 }
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -1,8 +1,9 @@
-/* router_request.c - one request's life, from the caller to its answer.
+/* router_request.c - life cycle of one request, from the caller to its final
+   response.
 
-   Read, check, find its route, make its turn ready, choose a worker, send,
-   pass the answer on.  A try that fails is followed by another one only where
-   core/attempt.h allows it.
+   Validates the request, finds its route, prepares its turn, chooses a worker,
+   sends the request and forwards the response. core/attempt.h decides whether
+   a failed attempt is retried.
    Needs: router_request.h, id.h, outage.h, clock.h.  */
 
 #include "router_request.h"
@@ -12,14 +13,13 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Time that a caller is asked to stay away while the platform's table is down,
-   which lasts for seconds, milliseconds.  */
-#define RETRY_DOWN_MS 2000U
-/* A caller who leaves after so long without an answer tells against the
-   worker; one who leaves earlier does not.  */
-#define LEFT_TELLS_MS 1000U
+/* Retry-After while the platform's table is unavailable.  */
+#define RETRY_TABLE_DOWN_MS 2000U
+/* If a caller disconnects after the worker was inactive for this long, the
+   attempt counts as a failure of the worker.  */
+#define DISCONNECT_FAILURE_MS 1000U
 
-/* Time until the final answer.  */
+/* Time remaining until the deadline.  */
 static uint64_t
 left_ms (const struct mq_request *request)
 {
@@ -28,7 +28,6 @@
   return request->expires_ms > now ? request->expires_ms - now : 0;
 }
 
-/* Of the last worker that was chosen.  */
 static const char *
 worker_id (const struct mq_request *request)
 {
@@ -36,8 +35,8 @@
 }
 
 static void
-log_head (struct mq_json_line *line, const struct mq_request *request,
-          enum mq_json_weight weight, enum mq_log_event event)
+begin_log_line (struct mq_json_line *line, const struct mq_request *request,
+                enum mq_json_weight weight, enum mq_log_event event)
 {
   mq_json_begin (line, request->router->log, weight, event);
   mq_json_text (line, "id", request->facts.id);
@@ -57,7 +56,7 @@
 {
   struct mq_json_line line;
 
-  log_head (&line, request, weight, MQ_LOG_REQUEST_ENDED);
+  begin_log_line (&line, request, weight, MQ_LOG_REQUEST_ENDED);
   mq_json_text (&line, "outcome", outcome);
   mq_json_number (&line, "status", (uint64_t)status);
   mq_json_number (&line, "sent", request->sent);
@@ -74,21 +73,20 @@
   mq_json_end (&line);
 }
 
-/* Leaves the worker, if the request is still there.  */
+/* Cancels the pending attempt, if any.  */
 static void
-stop_try (struct mq_request *request, enum mq_fleet_outcome outcome)
+cancel_try (struct mq_request *request, enum mq_fleet_outcome outcome)
 {
   mq_try_stop (request->try, outcome);
   request->try = NULL;
 }
 
-/* Frees the request; its caller has been answered or is gone.  */
 void
 request_close (struct mq_request *request)
 {
   struct mq_router *router = request->router;
 
-  stop_try (request, MQ_OUTCOME_STOPPED);
+  cancel_try (request, MQ_OUTCOME_STOPPED);
   mq_config_cancel_fetch (request->confirm);
   mq_permit_cancel (request->permit);
   mq_ledger_cancel (request->record_call);
@@ -123,7 +121,7 @@
     router->counters.failed++;
   if (refusal == MQ_REFUSE_TABLE_UNAVAILABLE
       && mq_ledger_down (router->ledger))
-    retry_ms = RETRY_DOWN_MS;
+    retry_ms = RETRY_TABLE_DOWN_MS;
   if (refusal == MQ_REFUSE_NO_WORKER)
     retry_ms = mq_fleet_retry_ms (router->fleet, request->service);
   if (refusal == MQ_REFUSE_OVERLOADED || refusal == MQ_REFUSE_LATE)
@@ -132,7 +130,6 @@
   mq_caller_refuse (router, caller, refusal, retry_ms);
 }
 
-/* An answer that has begun can't be completed.  */
 void
 request_abort (struct mq_request *request, const char *why)
 {
@@ -144,7 +141,6 @@
   mq_caller_abort (caller);
 }
 
-/* Whatever was tried, a worker may have run the request.  */
 static bool
 may_have_run (const struct mq_request *request)
 {
@@ -153,14 +149,14 @@
 }
 
 static void
-on_overdue (void *data)
+on_deadline (void *data)
 {
   struct mq_request *request = data;
 
   request->timer = NULL;
   request->may_have_run = may_have_run (request);
   if (request->answer.status == 0)
-    stop_try (request, MQ_OUTCOME_FAILED);
+    cancel_try (request, MQ_OUTCOME_FAILED);
   if (request->response_begun)
     request_abort (request, "overdue");
   else if (request->may_have_run)
@@ -169,15 +165,15 @@
     request_refuse (request, MQ_REFUSE_TIMED_OUT);
 }
 
-static void pass_on (struct mq_request *request);
+static void forward_response (struct mq_request *request);
 
 static void
-log_try (const struct mq_request *request, enum mq_attempt_end end,
-         enum mq_attempt_next next)
+log_failed_try (const struct mq_request *request, enum mq_attempt_end end,
+                enum mq_attempt_next next)
 {
   struct mq_json_line line;
 
-  log_head (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+  begin_log_line (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
   mq_json_text (&line, "worker", worker_id (request));
   mq_json_text (&line, "how", mq_attempt_end_name (end));
   mq_json_number (&line, "status", (uint64_t)request->answer.status);
@@ -188,9 +184,10 @@
   mq_json_end (&line);
 }
 
-/* The try at the worker has ended without an answer to pass on.  */
+/* Decides what follows an attempt that ended without a response to
+   forward.  */
 static void
-follow_try (struct mq_request *request, enum mq_attempt_end end)
+handle_failed_try (struct mq_request *request, enum mq_attempt_end end)
 {
   struct mq_attempt attempt;
   enum mq_attempt_next next;
@@ -213,7 +210,7 @@
     .ran = request->may_have_run,
   };
   next = mq_attempt_decide (&attempt);
-  log_try (request, end, next);
+  log_failed_try (request, end, next);
   switch (next)
     {
     case MQ_NEXT_RETRY:
@@ -232,7 +229,7 @@
       request_refuse (request, MQ_REFUSE_FAILED);
       return;
     case MQ_NEXT_PASS_ON:
-      pass_on (request);
+      forward_response (request);
       return;
     case MQ_NEXT_BREAK:
       request_abort (request, "broken");
@@ -250,9 +247,9 @@
                     mq_clock_ms () - request->arrived_ms);
 }
 
-/* The worker's answer as a whole, as it was.  */
+/* Forwards the worker's buffered response unchanged.  */
 static void
-pass_on (struct mq_request *request)
+forward_response (struct mq_request *request)
 {
   struct mq_caller *caller = request->caller;
   struct mq_router *router = request->router;
@@ -296,7 +293,7 @@
 }
 
 static void
-refuse_unplaced (struct mq_request *request)
+refuse_no_worker_left (struct mq_request *request)
 {
   if (request->response_begun)
     request_abort (request, "no_worker");
@@ -309,7 +306,7 @@
 }
 
 static void
-on_tried (enum mq_attempt_end end, void *user)
+on_try_ended (enum mq_attempt_end end, void *user)
 {
   struct mq_request *request = user;
 
@@ -320,13 +317,13 @@
       request_end_stream (request);
       return;
     case MQ_ATTEMPT_ANSWERED:
-      pass_on (request);
+      forward_response (request);
       return;
     case MQ_ATTEMPT_UNREACHABLE:
     case MQ_ATTEMPT_NOT_RUN:
     case MQ_ATTEMPT_BROKEN:
     case MQ_ATTEMPT_ERROR:
-      follow_try (request, end);
+      handle_failed_try (request, end);
       return;
     }
 }
@@ -347,7 +344,7 @@
     .repeatable = mq_route_repeatable (request->route),
     .begun = request->response_begun,
     .events = request_forward_events,
-    .ended = on_tried,
+    .ended = on_try_ended,
     .user = request,
   };
 
@@ -385,7 +382,7 @@
       || request->attempted_count == ATTEMPTED_WORKERS_MAX
       || now >= request->expires_ms)
     {
-      refuse_unplaced (request);
+      refuse_no_worker_left (request);
       return;
     }
   if (!request->response_begun && !request_key_is_still_valid (request))
@@ -400,10 +397,10 @@
   request->sent_ms = now;
   request->try = begin_try (request);
   if (request->try == NULL)
-    follow_try (request, MQ_ATTEMPT_UNREACHABLE);
+    handle_failed_try (request, MQ_ATTEMPT_UNREACHABLE);
 }
 
-/* The worker gets all that was said before, then the new input.  */
+/* Sends the turn with its history followed by the new input.  */
 static void
 send_turn (struct mq_request *request)
 {
@@ -418,7 +415,7 @@
 }
 
 static void
-on_turn (enum mq_turn_state state, void *user)
+on_turn_state (enum mq_turn_state state, void *user)
 {
   struct mq_request *request = user;
 
@@ -469,16 +466,16 @@
     .retain_s = request->route->retain_s,
     .may_borrow = runs,
     .home = request->home,
-    .notify = on_turn,
+    .notify = on_turn_state,
     .user = request,
   };
   mq_turn_prepare (request->router->turns, &request->turn);
 }
 
-/* Time until the final answer: what the caller waits, and no longer than the
-   operator wants it kept waiting.  */
+/* Time allowed for the final response: the deadline of the caller, at most the
+   timeout of the route.  */
 static uint64_t
-patience_ms (const struct mq_request *request)
+response_timeout_ms (const struct mq_request *request)
 {
   uint64_t wait = request->route->timeout_ms;
 
@@ -487,9 +484,10 @@
   return wait;
 }
 
-/* Makes the request go by ROUTE of the configuration in force.  */
+/* Binds the request to ROUTE of the active configuration and dispatches
+   it.  */
 static void
-follow_route (struct mq_request *request, const struct mq_path_route *route)
+apply_route (struct mq_request *request, const struct mq_path_route *route)
 {
   struct mq_router *router = request->router;
   uint64_t key = mq_random_next (&router->random);
@@ -501,9 +499,9 @@
   request->service = mq_route_service (route, key);
   request->service_info
       = mq_route_service_find (request->table, request->service);
-  request->expires_ms = request->arrived_ms + patience_ms (request);
+  request->expires_ms = request->arrived_ms + response_timeout_ms (request);
   request->timer = mq_timer_add (request, router->ev, left_ms (request),
-                                 on_overdue, request);
+                                 on_deadline, request);
   request->begins_program = request_begins_program (request);
   if (request_refuse_over_limit (request))
     return;
@@ -521,7 +519,7 @@
 }
 
 static bool
-is_sound (const struct mq_request *request)
+is_valid (const struct mq_request *request)
 {
   const struct mq_http_head *head = request->head;
   const struct mq_request_fields *facts = &request->facts;
@@ -531,11 +529,12 @@
          && (facts->program == NULL || id_fits (facts->program));
 }
 
-/* What the configuration in force says: goes on by it, or refuses what is
-   wrong under any.  If it lacks the route or the key, which a newer one may
-   have, returns the refusal for when there is no newer one.  */
+/* Routes the request by the active configuration, or refuses what no newer one
+   would accept. Returns MQ_REFUSE_NOTHING then. If the route or the key is
+   refusal_if_current, returns the refusal to use when there is no newer
+   configuration.  */
 static enum mq_refusal
-follow_config (struct mq_request *request)
+apply_config (struct mq_request *request)
 {
   const struct mq_route_table *table = request->router->routes;
   const struct mq_path_route *route
@@ -546,7 +545,7 @@
   switch (request_identify (request, table, route))
     {
     case REQUEST_IDENTIFIED:
-      follow_route (request, route);
+      apply_route (request, route);
       return MQ_REFUSE_NOTHING;
     case REQUEST_KEY_UNKNOWN:
       return MQ_REFUSE_UNKNOWN_KEY;
@@ -561,12 +560,13 @@
 on_confirmed (bool current, void *user)
 {
   struct mq_request *request = user;
-  enum mq_refusal missing;
+  enum mq_refusal refusal_if_current;
 
   request->confirm = NULL;
-  missing = follow_config (request);
-  if (missing != MQ_REFUSE_NOTHING)
-    request_refuse (request, current ? missing : MQ_REFUSE_NOT_READY);
+  refusal_if_current = apply_config (request);
+  if (refusal_if_current != MQ_REFUSE_NOTHING)
+    request_refuse (request,
+                    current ? refusal_if_current : MQ_REFUSE_NOT_READY);
 }
 
 void
@@ -575,7 +575,7 @@
                   uint64_t arrived_ms)
 {
   struct mq_request *request = talloc_zero (router, struct mq_request);
-  enum mq_refusal missing;
+  enum mq_refusal refusal_if_current;
 
   if (request == NULL)
     {
@@ -593,7 +593,7 @@
   request->worker = MQ_WORKER_NONE;
   mq_wire_read_request_fields (head, &request->facts);
   mq_caller_attach_request (caller, request);
-  if (!is_sound (request))
+  if (!is_valid (request))
     {
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
       return;
@@ -606,11 +606,11 @@
       request_refuse (request, MQ_REFUSE_NOT_READY);
       return;
     }
-  missing = follow_config (request);
-  if (missing == MQ_REFUSE_UNKNOWN_KEY
+  refusal_if_current = apply_config (request);
+  if (refusal_if_current == MQ_REFUSE_UNKNOWN_KEY
       && request_key_lookup_is_fresh (request))
-    request_refuse (request, missing);
-  else if (missing != MQ_REFUSE_NOTHING)
+    request_refuse (request, refusal_if_current);
+  else if (refusal_if_current != MQ_REFUSE_NOTHING)
     request->confirm = mq_config_fetch_latest (router, on_confirmed, request);
 }
 
@@ -621,8 +621,8 @@
   request_log_end (request, MQ_JSON_PLAIN, "caller_left",
                    request->answer.status);
   if (request->try != NULL
-      && mq_try_inactive_ms (request->try) >= LEFT_TELLS_MS)
-    stop_try (request, MQ_OUTCOME_FAILED);
+      && mq_try_inactive_ms (request->try) >= DISCONNECT_FAILURE_MS)
+    cancel_try (request, MQ_OUTCOME_FAILED);
   request_close (request);
 }
 
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -1,5 +1,6 @@
-/* router_request.h - one request, shared by router_request.c, router_admit.c,
-   router_identify.c and router_stream.c only.
+/* router_request.h - state and steps of one request, shared by
+   router_request.c, router_admit.c, router_identify.c, router_limit.c and
+   router_stream.c only.
 
    Needs: router_state.h, router_try.h.  */
 
@@ -13,39 +14,45 @@
 #define EVENT_ID_BYTES 64U
 
 /**
- * struct mq_request - one request
- * @body: what the caller sent
- * @table: configuration that the request goes by
- * @service: where it goes
- * @org: whose request it is, part of @table; NULL: nobody's
- * @program: id of its program as it is kept; NULL: none
- * @turn_id: id of its turn as it is kept
- * @previous: the turn that it continues from, likewise; NULL: none
- * @begins_program: it is a program's first turn, as far as this host can tell
- * @confirm: question whether the configuration is the newest, NULL: none
- * @service_load: what the workers had when its program was to begin, in
- *                thousandths of what they can do in time, 0: not known
- * @program_deadline_at_risk: its program has lost much of its time
- * @retry_ms: when its program may be worth to come back, 0: not refused
- * @home: where its program, which begins, is to stay; 0: it does not begin
- * @permit: it waits for one of its organisation's, NULL: not
- * @permitted: it has one, or needs none
- * @record_call: asks whether its program has begun, NULL: not under way
- * @is_turn: it is a turn of a program, see @turn
- * @send_body: what the worker gets
- * @give_up_ms: its final answer goes out then at the latest
- * @tried: workers that are not asked again
- * @sent: workers that it was sent to
- * @ran: an earlier try may have run
- * @worker: the last one, @try: the request there, NULL: it is over
- * @sent_ms: when it was sent there
- * @answer: what has come from there
- * @begun: the caller has got the beginning of an answer
- * @ended: the worker's stream is whole, its record is being written
- * @ended_ms: since when
- * @last_event: last event passed on, or that the caller told
- * @handed: tokens that the caller got
- * @output: data of the events, for the turn's record
+ * struct mq_request - one request, from its arrival to the final response
+ * @head: the caller's message head, valid until the caller is answered
+ * @body: the caller's message body, likewise
+ * @table: configuration the request was routed with; holds a reference
+ * @service: name of the target service
+ * @org: organisation of the caller's key, owned by @table; NULL if none
+ * @program: stored id of the program; NULL if none
+ * @turn_id: stored id of the turn
+ * @previous: stored id of the turn this one continues; NULL if none
+ * @begins_program: as far as this host knows, the program's first turn
+ * @confirm: pending query for the latest configuration; NULL if none
+ * @service_load: load of the service when the program asked to begin, in
+ *                thousandths of its capacity; 0 if unknown
+ * @program_deadline_at_risk: refused because little of the program's time is
+ *                            left
+ * @retry_ms: delay after which the refused program may retry; 0 if not refused
+ * @home: engine assigned to the new program; 0 if the program is not new
+ * @permit: pending permit request; NULL if none
+ * @permitted: a permit was granted or none is needed
+ * @record_call: pending read of the program's record; NULL if none
+ * @is_turn: the request is a turn of a program; @turn is valid
+ * @send_body: body sent to the worker
+ * @expires_ms: deadline of the final response, local monotonic clock
+ * @attempted: workers already tried
+ * @sent: number of workers the request was sent to
+ * @unreachable: number of workers that could not be reached
+ * @may_have_run: an earlier attempt may have run the request
+ * @worker: last chosen worker; MQ_WORKER_NONE if none
+ * @try: pending attempt at @worker; NULL if none
+ * @sent_ms: start of the last attempt, local monotonic clock
+ * @answer: response received from @worker so far
+ * @response_begun: the response head was sent to the caller
+ * @response_complete: the worker's stream is complete, its record is being
+ *                     written
+ * @completed_ms: time @response_complete was set
+ * @last_event: id of the last event forwarded, or of the one the caller
+ *              reported
+ * @tokens_sent: tokens forwarded to the caller
+ * @output: data of the forwarded events, for the turn's record
  */
 struct mq_request
 {
@@ -96,74 +103,81 @@
 
 /* router_request.c */
 
-/* Frees the request; its caller has been answered or is gone.  */
+/* Cancels everything pending and frees the request. The caller must have been
+   answered or have disconnected.  */
 void request_close (struct mq_request *request);
-/* An answer that has begun can't be completed.  */
+/* Closes the connection within a response that cannot be completed. WHY is the
+   outcome logged.  */
 void request_abort (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
                       enum mq_json_weight weight, const char *outcome,
                       int status);
-/* A final answer of our own.  */
+/* Answers with a response of the router itself.  */
 void request_refuse (struct mq_request *request, enum mq_refusal refusal);
-/* A final answer of our own that says when to come back.  */
+/* Likewise, with Retry-After of RETRY_MS.  */
 void request_refuse_until (struct mq_request *request, enum mq_refusal refusal,
                            uint32_t retry_ms);
-/* Finds the turn's history and its budget, then sends it.  */
+/* Loads the history, reserves the budget, then dispatches the turn.  */
 void request_prepare_turn (struct mq_request *request);
 void request_count_served (const struct mq_request *request);
 
 /* router_identify.c */
 
-/* As far as the request itself and this host's memory tell.  */
+/* Whether the request is its program's first turn, judging by the request and
+   the programs this host serves.  */
 bool request_begins_program (const struct mq_request *request);
 
 enum request_identity
 {
-  REQUEST_IDENTIFIED,   /* or no key is asked for */
+  REQUEST_IDENTIFIED,   /* or the route needs no key */
   REQUEST_KEY_UNKNOWN,  /* no organisation has the key */
-  REQUEST_KEY_AMBIGUOUS /* there are two keys */
+  REQUEST_KEY_AMBIGUOUS /* several keys were sent */
 };
 
-/* Finds whose request it is by TABLE, and its ids.  */
+/* Sets the organisation and the stored ids according to TABLE.  */
 enum request_identity request_identify (struct mq_request *request,
                                         const struct mq_route_table *table,
                                         const struct mq_path_route *route);
-/* Nothing is gained by asking for a newer configuration for its key.  */
+/* The configuration was confirmed recently enough to refuse the caller's key
+   without another query.  */
 bool request_key_lookup_is_fresh (const struct mq_request *request);
-/* Its key has not been taken away since the request came.
+/* The caller's key still belongs to the organisation in the active
+   configuration.
 
-   Failure: a request waits, or is tried again, while its key is taken away,
-   and a worker runs it long after that.  */
+   Failure: a request that waits or is retried would run after its key was
+   revoked.  */
 bool request_key_is_still_valid (const struct mq_request *request);
-/* That of its organisation goes before its route's.  */
+/* Priority of the organisation, or of the route if the organisation has
+   none.  */
 uint32_t request_priority (const struct mq_request *request);
 
 /* router_limit.c */
 
-/* Gets a permit for the request, then sends it (request_dispatch).  */
+/* Obtains a permit, then calls request_dispatch.  */
 void request_acquire_permit (struct mq_request *request);
-/* Its organisation is over its limit, as far as this host knows: refuses it.
-   What waits for the table need not then.  */
+/* Refuses the request if this host knows that its organisation is over its
+   limit; returns whether it did. Saves the reads from the table.  */
 bool request_refuse_over_limit (struct mq_request *request);
 
 /* router_request.c */
 
-/* Sends the request to the best worker that it was not sent to yet.  */
+/* Sends the request to the best worker not tried yet.  */
 void request_dispatch (struct mq_request *request);
 
 /* router_admit.c */
 
-/* Begins the turn, unless it would begin a program that is refused.  */
+/* Prepares the turn, unless it would begin a program that admission control
+   refuses.  */
 void request_admit_turn (struct mq_request *request);
 
 /* router_stream.c */
 
-/* Passes on the whole events that have come.  */
+/* Forwards the complete events received so far.  */
 void request_forward_events (void *request);
-/* The worker's stream is whole; the answer ends, at once or with the turn's
-   record.  */
+/* The worker's stream is complete. Ends the response, after the turn's record
+   is stored if the route retains turns.  */
 void request_end_stream (struct mq_request *request);
-/* The answer ends now.  */
+/* Ends the response.  */
 void request_finish_stream (struct mq_request *request);
 
 #endif
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -1,11 +1,11 @@
-/* router_state.h - what the parts of the router share.
-
-   router.c is on top; below it router_caller.c (connections of callers),
-   router_request.c (one request's life), router_turn.c, router_program.c and
-   router_loan.c (histories and budgets of programs) and router_feed.c
-   (configurations and workers), router_config.c (the one in force).
-   router_try.c,
-   router_pool.c and what is below them know nothing of this header.
+/* router_state.h - state and interfaces shared by the modules of the router.
+
+   router.c is on top; below it are router_caller.c (connections of callers),
+   router_request.c (life cycle of a request), router_turn.c, router_program.c
+   and router_loan.c (histories and budgets of programs), router_feed.c (feeds
+   of the configuration and the workers) and router_config.c (the active
+   configuration). router_try.c, router_pool.c and the modules below them do
+   not use this header.
    Needs: the modules it includes.  */
 
 #ifndef MQ_ROUTER_STATE_H
@@ -33,7 +33,7 @@
 #include "net/tcp.h"
 #include "net/timer.h"
 
-/* What the router counts; one row for each counter: name and help.  */
+/* Counters of the router: name and help.  */
 #define MQ_ROUTER_COUNTERS(X)                                                 \
   X (requests, "requests read from callers")                                  \
   X (served, "answers of workers passed on whole")                            \
@@ -79,24 +79,26 @@
 struct mq_cleaner;
 
 /**
- * struct mq_router - one routing process
- * @routes: configuration in force, NULL: none yet
- * @config: the same as it came
- * @config_loading: one that is being read, NULL: none
- * @config_query: asks for the newest one, NULL: nobody ever asked
- * @workers_listed: the workers were listed once
- * @leaving: a stop was asked for
- * @stopped: nothing is left to do
- * @hosts_listed: the table of hosts was read once
- * @row_written: this host's row is in it
- * @callers: connections of callers
- * @ending_count: finished connections of callers that have not closed yet
- * @request_count: requests under way
- * @record_wait: how long ends of answers lately waited for their record, in
- *                thousandths of their route's objective
- * @latency: of answers passed on, by kind of route, milliseconds
- * @held_up: how late the event loop came to a timer, milliseconds
- * @sweep_due_ms: when that timer is due
+ * struct mq_router - one router process
+ * @record_wait: recent waits of response ends for the turn's record, in
+ *               thousandths of the route's objective
+ * @routes: active configuration; NULL before the first one
+ * @config: text of the active configuration
+ * @config_loading: configuration being loaded, first of a list; NULL if none
+ * @config_query: query for the latest configuration; NULL before the first one
+ * @workers_listed: the list of workers was received
+ * @stopping: a stop was requested
+ * @stopped: the stop is complete
+ * @stop_ms: time limit of a stop
+ * @random: state of the random number generator
+ * @callers: list of the connections of callers
+ * @ending_count: finished connections of callers that are not closed yet
+ * @request_count: requests without a final response
+ * @latency: latency of forwarded responses by kind of route, milliseconds
+ * @loop_delay: delay of the sweep timer, milliseconds
+ * @sweep_due_ms: due time of the sweep timer, local monotonic clock
+ * @hosts_listed: the table of hosts was read
+ * @row_written: this host's row is in that table
  */
 struct mq_router
 {
@@ -147,65 +149,67 @@
   bool table_down;
 };
 
-/* Final answers of our own.  */
+/* Responses of the router itself.  */
 enum mq_refusal
 {
-  MQ_REFUSE_NOTHING, /* no refusal */
+  MQ_REFUSE_NOTHING,
   MQ_REFUSE_BAD_REQUEST,
   MQ_REFUSE_HEAD_TOO_LARGE,
   MQ_REFUSE_BODY_TOO_LARGE,
   MQ_REFUSE_SLOW_HEAD,
   MQ_REFUSE_UNKNOWN_KEY, /* no organisation has the caller's key */
-  MQ_REFUSE_OVER_LIMIT,  /* of the caller's organisation */
-  MQ_REFUSE_NO_PERMIT,   /* nobody can tell whether it is over the limit */
+  MQ_REFUSE_OVER_LIMIT,  /* the caller's organisation is over its limit */
+  MQ_REFUSE_NO_PERMIT,   /* the issuer of permits is unavailable */
   MQ_REFUSE_NO_ROUTE,
   MQ_REFUSE_NO_TURN,
   MQ_REFUSE_BUDGET_EXHAUSTED,
   MQ_REFUSE_NOT_READY,
   MQ_REFUSE_NO_WORKER,
   MQ_REFUSE_NO_CAPACITY,
-  MQ_REFUSE_OVERLOADED, /* a program that begins */
-  MQ_REFUSE_LATE,       /* one that has lost much of its time, too */
+  MQ_REFUSE_OVERLOADED, /* a new program, because of the load */
+  MQ_REFUSE_LATE,       /* likewise, and its deadline is at risk */
   MQ_REFUSE_TABLE_UNAVAILABLE,
-  MQ_REFUSE_TIMED_OUT,        /* not run */
+  MQ_REFUSE_TIMED_OUT,        /* did not run */
   MQ_REFUSE_FAILED,           /* may have run */
-  MQ_REFUSE_DEADLINE_EXCEEDED /* may have run; time is up */
+  MQ_REFUSE_DEADLINE_EXCEEDED /* may have run; the deadline has passed */
 };
 
 /* router_caller.c */
 
-/* Takes connections of callers; false with ERROR when it can't listen.  */
+/* Listens for callers. Returns false with ERROR set on failure.  */
 bool mq_callers_listen (struct mq_router *router, struct mq_error *error);
-/* Closes connections that are idle or slow beyond the limits in force.  */
+/* Closes connections that exceed the idle or header time limit.  */
 void mq_callers_sweep (struct mq_router *router);
-/* Accepts the connections that wait and takes no further ones; at further
-   calls closes the idle ones: the process is about to end.  */
+/* The first call accepts the pending connections and closes the listener;
+   further calls close idle connections.  */
 void mq_callers_stop (struct mq_router *router);
-/* REQUEST is told when CALLER leaves, until it answers.  */
+/* Until it is answered, REQUEST is notified of events on the connection of
+   CALLER.  */
 void mq_caller_attach_request (struct mq_caller *caller,
                                struct mq_request *request);
-/* Answers with STATUS and BODY as a whole; FIELDS: lines of further fields.
-   WITH_BODY false: only the fields and LENGTH are told, as for HEAD.  */
+/* Sends a complete response. FIELDS: header lines to add. If WITH_BODY is
+   false, only LEN is announced, as for HEAD.  */
 void mq_caller_respond (struct mq_caller *caller, int status,
                         const char *fields, const void *body, size_t len,
                         bool with_body);
-/* An answer in parts: its head, some bytes, and its end.  The bytes are
-   false while the caller reads too slowly.  */
+/* Sends a response in chunks. mq_caller_send_chunk returns false while the
+   send buffer is full.  */
 void mq_caller_begin_stream (struct mq_caller *caller, int status,
                              const char *fields);
 bool mq_caller_send_chunk (struct mq_caller *caller, const void *data,
                            size_t len);
 void mq_caller_end_stream (struct mq_caller *caller);
-/* Ends the connection in the middle of an answer, for everyone to see.  */
+/* Closes the connection without a final chunk, so that the caller sees that
+   the response is incomplete.  */
 void mq_caller_abort (struct mq_caller *caller);
 
 /* router_refuse.c */
 
 /**
- * struct mq_refusal_response - how a final answer of our own is given
- * @status: of HTTP
- * @retry_ms: when the caller may come back, 0: never
- * @name: in the log
+ * struct mq_refusal_response - response to a refused request
+ * @status: HTTP status
+ * @retry_ms: delay sent in Retry-After; 0 if the field is omitted
+ * @name: response body and outcome in the log
  */
 struct mq_refusal_response
 {
@@ -216,63 +220,63 @@
 
 const struct mq_refusal_response *
 mq_refusal_response (enum mq_refusal refusal);
-/* Gives the answer; RETRY_MS is told in place of the row's, 0: that.  */
+/* Sends the refusal. RETRY_MS replaces the delay of the refusal; 0 keeps it. A
+   refusal without Retry-After never gets one.  */
 void mq_caller_refuse (struct mq_router *router, struct mq_caller *caller,
                        enum mq_refusal refusal, uint32_t retry_ms);
 
 /* router_request.c */
 
-/* A caller's request is whole.  HEAD and BODY stay until it is answered, which
-   may be before this returns.  */
+/* Handles a complete request. HEAD and BODY must stay valid until the response
+   is sent, which may be before this returns.  */
 void mq_request_begin (struct mq_router *router, struct mq_caller *caller,
                        const struct mq_http_head *head, struct mq_bytes body,
                        uint64_t arrived_ms);
-/* The caller has left, or reads again.  */
+/* The caller disconnected, or its send buffer has drained.  */
 void mq_request_caller_disconnected (struct mq_request *request);
 void mq_request_caller_writable (struct mq_request *request);
 
 /* router_turn.c */
 
-/* Tables of the records, and the parts that each is spread over: a power of
-   two.  A part takes a few hundred transactions a second, so that these take
-   as many as the table does.  With more of them fewer writes share a
-   transaction, and the table's rate of calls binds.  */
+/* Tables of the records, each spread over MQ_TURN_PARTS parts, a power of two.
+   More parts raise the rate of transactions and lower the number of rows that
+   share one.  */
 extern const char mq_budget_table[];
 extern const char mq_turn_table[];
 #define MQ_TURN_PARTS 8U
-/* Parts in which a turn's row may lie.  With two fifths of the parts silent, 6
-   of 100 rows find none of three; a fourth would make a turn that does not
-   exist cost one more read.  */
+/* Parts in which the row of a turn may be stored. More of them tolerate more
+   unavailable parts but cost an extra read for turns that do not exist.  */
 #define MQ_TURN_CANDIDATE_PARTS 3U
-/* Records are kept an hour longer than anyone may ask for them: an active
-   program's record is written again within minutes.  */
+/* Added to the retention period of records, so that none expires while it can
+   still be requested.  */
 #define MQ_RECORD_GRACE_PERIOD_S 3600U
 
 enum mq_turn_state
 {
-  MQ_TURN_READY,             /* budget and chain are there */
-  MQ_TURN_BUDGET_EXHAUSTED,  /* the budget is spent */
-  MQ_TURN_NOT_FOUND,         /* no such earlier turn */
-  MQ_TURN_STORE_UNAVAILABLE, /* the platform's table can't tell */
+  MQ_TURN_READY, /* history loaded and budget reserved */
+  MQ_TURN_BUDGET_EXHAUSTED,
+  MQ_TURN_NOT_FOUND,         /* the previous turn does not exist */
+  MQ_TURN_STORE_UNAVAILABLE, /* the platform's table is unavailable */
   MQ_TURN_STORED             /* the turn is durable */
 };
 
 /**
- * struct mq_turn - a turn as seen by the budgets and histories
- * @program: id of its program
- * @limit: budget of the program, @most of the turn
- * @budgeted: it counts against a budget
- * @retains: it is kept for later turns
- * @retain_s: how long, seconds
- * @may_borrow: other hosts may be asked for what the table can't give
- * @granted: tokens that it may hand out, less than @most where there are no
- *           more; 0 before it is ready and after it has settled
- * @home: worker that has the program's cache, as far as is known; for a
- *        program that begins, where it is to stay; 0: none
- * @previous: turn that it continues from, NULL: none
- * @id: of the turn
- * @before: chain of @previous once it is ready, NULL: none
- * @told: called once for mq_turn_prepare and once for mq_turn_store
+ * struct mq_turn - history and budget of one turn
+ * @program: id of the program
+ * @id: id of the turn
+ * @previous: id of the turn this one continues; NULL if none
+ * @limit: token limit of the program
+ * @max_tokens: token limit of the turn
+ * @budgeted: the turn counts against @limit
+ * @retains: the turn is stored for later turns
+ * @retain_s: retention period, seconds
+ * @may_borrow: other hosts may supply what the table can't
+ * @granted: tokens the turn may send, at most @max_tokens; 0 before it is
+ *           ready and after it is settled
+ * @home: engine that caches the program, or is assigned to a new one; 0 if
+ *        unknown
+ * @history: chain up to @previous, set when the turn is ready; NULL if none
+ * @notify: called once for mq_turn_prepare and once for mq_turn_store
  */
 struct mq_turn
 {
@@ -290,7 +294,7 @@
   struct mq_chain *history;
   void (*notify) (enum mq_turn_state state, void *user);
   void *user;
-  /* Used by router_turns.h alone.  */
+  /* Private to the modules that share router_turns.h.  */
   struct mq_turns *turns;
   struct mq_program *owner;
   struct mq_turn *next;
@@ -311,34 +315,34 @@
 };
 
 struct mq_turns *mq_turns_create (struct mq_router *router);
-/* Reserves the turn's budget and finds its chain; TOLD may be called at
-   once.  */
+/* Reserves the budget of the turn and loads its history. NOTIFY may be called
+   before this returns.  */
 void mq_turn_prepare (struct mq_turns *turns, struct mq_turn *turn);
-/* This host serves turns of PROGRAM.  */
+/* Whether this host serves turns of PROGRAM.  */
 bool mq_turns_has_program (struct mq_turns *turns, const char *program);
-/* Reads the record of PROGRAM, which any host has written that served a turn
-   of it.  */
+/* Reads the budget record of PROGRAM, which exists once any host has served a
+   turn with a budget.  */
 struct mq_ledger_call *mq_turns_read_record (struct mq_turns *turns,
                                              const char *program,
                                              mq_rows_done *done, void *user);
-/* The turn has ended and handed out USED tokens.  */
+/* Ends the reservation of the turn, which sent USED tokens.  */
 void mq_turn_settle_budget (struct mq_turn *turn, uint64_t used);
-/* Makes the turn durable; TOLD says KEPT or NO_STORE.  */
+/* Stores the turn; NOTIFY gets MQ_TURN_STORED or
+   MQ_TURN_STORE_UNAVAILABLE.  */
 void mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
                     struct mq_bytes output);
-/* Nobody waits any more.  Settles nothing.  */
+/* Cancels pending work and frees the history. Does not settle the budget.  */
 void mq_turn_cancel (struct mq_turn *turn);
-/* Forgets programs that are idle.  */
+/* Frees idle programs and records tokens issued during an outage.  */
 void mq_turns_sweep (struct mq_turns *turns);
-/* This host has issued tokens of a program of the lease SLOT that no record
-   counts yet.  */
+/* This host issued tokens, not recorded yet, of a program in lease SLOT.  */
 bool mq_turns_have_unrecorded_tokens (const struct mq_turns *turns,
                                       uint32_t slot);
 
 /* router_loan.c */
 
-/* Another host asks for tokens or a history, tells what it lends, or returns
-   what it did not use.  */
+/* Messages of other hosts: a loan request, the reply to one, and returned
+   tokens.  */
 void mq_loan_on_request (const struct mq_relay_loan_ask *ask,
                          struct mq_relay_link *link, void *user);
 void mq_loan_on_response (const struct mq_relay_loan_told *told,
@@ -347,22 +351,22 @@
 
 /* router_reserve.c */
 
-/* This host may issue permits of the organisations of SLOT; fills OWN.  */
+/* Whether this host may issue permits of the organisations in lease SLOT; if
+   so, sets OWN.  */
 bool mq_reserve_issues (const struct mq_router *router, uint32_t slot,
                         struct mq_reserve_own *own);
-/* Address of the host that does, as far as is known; NULL: none is.  */
+/* Address of the host that issues them; NULL if unknown.  */
 const char *mq_reserve_issuer (const struct mq_router *router, uint32_t slot);
-/* The lease of SLOT seems to have moved: looks who has it now.  */
+/* Reads the current holder of lease SLOT, which may have changed.  */
 void mq_reserve_refresh_issuer (struct mq_router *router, uint32_t slot);
-/* This host has leases of an earlier run of its own that would not have run
-   out yet.  */
+/* Leases that this host held before a restart have not expired yet.  */
 bool mq_reserve_has_prior_leases (const struct mq_router *router);
-/* Takes, renews and gives back this host's leases.  */
+/* Claims, renews and releases this host's leases.  */
 void mq_reserve_sweep (struct mq_router *router);
-/* This host is leaving: it takes no more of them, and gives back those that it
-   has once no other host lives on what it lent, or after a while.  */
+/* Claims no more leases; releases those held once no host uses permits lent
+   under them, or after a time limit.  */
 void mq_reserve_release_leases (struct mq_router *router);
-/* Whether this host may issue tokens of PROGRAM that no record counts.  */
+/* Whether this host may issue tokens of PROGRAM that are not recorded.  */
 bool mq_reserve_may_issue (const struct mq_router *router,
                            const char *program);
 
@@ -371,33 +375,36 @@
 enum mq_permit_state
 {
   MQ_PERMIT_GRANTED,
-  MQ_PERMIT_PENDING,    /* told later */
-  MQ_PERMIT_OVER_LIMIT, /* over the organisation's limit */
-  MQ_PERMIT_UNKNOWN     /* nobody can tell */
+  MQ_PERMIT_PENDING, /* the handler is called later */
+  MQ_PERMIT_OVER_LIMIT,
+  MQ_PERMIT_UNKNOWN /* the issuer is unavailable */
 };
 
-/* RETRY_MS: when to come back, 0: not said.  */
+/* RETRY_MS: delay before the next attempt; 0 if unknown.  */
 typedef void mq_permit_handler (enum mq_permit_state state, uint32_t retry_ms,
                                 void *user);
 
 struct mq_permits *mq_permits_create (struct mq_router *router);
-/* A request of ORG, a program's first one: BEGINS, wants to be sent.  If it
-   waits, *PERMIT is set and TOLD is called later; else *RETRY_MS is.  */
+/* Requests a permit of ORG. BEGINS: the request is the first of its program.
+   If the result is MQ_PERMIT_PENDING, sets *PERMIT and calls TOLD later;
+   otherwise sets *RETRY_MS.  */
 enum mq_permit_state mq_permit_request (struct mq_router *router,
                                         const struct mq_org *org, bool begins,
                                         mq_permit_handler *told, void *user,
                                         struct mq_permit **permit,
                                         uint32_t *retry_ms);
-/* Such a request would be refused now; *RETRY_MS is set then.  */
+/* Whether such a request would be refused now; sets *RETRY_MS if so.  */
 bool mq_permit_would_refuse (struct mq_router *router,
                              const struct mq_org *org, bool begins,
                              uint32_t *retry_ms);
 /* Nobody waits any more; NULL is allowed.  */
 void mq_permit_cancel (struct mq_permit *permit);
-/* Some host may live on what this one lent of organisations of SLOT.  */
+/* Another host may still use permits this one lent to organisations of
+   SLOT.  */
 bool mq_permits_lent (const struct mq_router *router, uint32_t slot);
 void mq_permits_sweep (struct mq_router *router);
-/* Another host wants permits, or tells what it issues.  */
+/* Messages of other hosts: a permit request, the reply to one, and a recall of
+   lent permits.  */
 void mq_permits_on_request (const struct mq_relay_quota_ask *ask,
                             struct mq_relay_link *link, void *user);
 void mq_permits_on_response (const struct mq_relay_quota_told *told,
@@ -407,36 +414,36 @@
 
 /* router_clean.c */
 
-/* Removes records that are kept no longer, a little at a time.  */
+/* Removes expired records, a batch per call.  */
 void mq_clean_sweep (struct mq_router *router);
 
 /* router_hosts.c */
 
-/* Takes the hosts that the settings name.  */
+/* Adds the seed hosts of the settings.  */
 void mq_hosts_start (struct mq_router *router);
-/* Renews this host's row and lists the others' now and then.  */
+/* Periodically renews this host's row and lists the other hosts.  */
 void mq_hosts_sweep (struct mq_router *router);
-/* This host takes no more calls of others.  */
+/* Tells the other hosts to send no more calls to this one.  */
 void mq_hosts_stop (struct mq_router *router);
 
 /* router_config.c */
 
 struct mq_config_waiter;
 
-/* CURRENT: the configuration in force is the newest as of the answer.  */
+/* CURRENT: the active configuration is confirmed to be the latest.  */
 typedef void mq_config_latest_handler (bool current, void *user);
 
-/* Takes VALUE, which is copied, into force if it is newer: at once if it is
-   short, else in further turns of the event loop.  ROW: version of its row,
-   0: not known.  */
+/* Activates VALUE, which is copied, if it is newer than the active
+   configuration. A long one is loaded in several iterations of the event loop.
+   ROW: version of its row; 0 if unknown.  */
 void mq_config_offer (struct mq_router *router, struct mq_bytes value,
                       uint64_t row);
-/* The platform was asked for its newest configuration within the last MS
-   milliseconds, and it is in force.  */
+/* Whether the active configuration was confirmed as the latest within the last
+   MS milliseconds.  */
 bool mq_config_confirmed_within (const struct mq_router *router, uint32_t ms);
-/* Asks the platform for its newest configuration, takes it into force, then
-   tells; never from within this call.  Who asks while a question is under
-   way waits for the next one.  */
+/* Fetches and activates the latest configuration, then calls TOLD, never from
+   within this call. A request made during a pending query waits for the next
+   one.  */
 struct mq_config_waiter *
 mq_config_fetch_latest (struct mq_router *router,
                         mq_config_latest_handler *told, void *user);
@@ -445,13 +452,13 @@
 
 /* router_feed.c */
 
-/* The relay's side of configuration and workers.  */
+/* Handlers of the relay for configuration and workers.  */
 void mq_feed_on_sync (const struct mq_relay_sync *sync,
                       struct mq_relay_link *link, void *user);
 void mq_feed_on_state (const struct mq_relay_state *state, void *user);
-/* Asks another host where our own feeds are dead.  */
+/* Fetches from another host what the feeds of this one no longer deliver.  */
 void mq_feed_sweep (struct mq_router *router);
-/* Learns the configuration and the workers and follows their changes.  */
+/* Subscribes to the configuration and the workers.  */
 void mq_feed_start (struct mq_router *router);
 
 #endif
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -1,6 +1,6 @@
-/* router_try.c - one try to have a request served by one worker.
+/* router_try.c - one attempt to have a request served by one worker.
 
-   Needs: router_try.h, router_silence.h, memory.h, clock.h.  */
+   Needs: router_try.h, router_inactivity.h, memory.h, clock.h.  */
 
 #include "router_try.h"
 #include "core/memory.h"
@@ -9,9 +9,8 @@
 #include <string.h>
 
 /**
- * struct mq_try - a request at a worker
- * @lane: connection to the worker
- * @silence: of the worker
+ * struct mq_try - a pending attempt
+ * @lane: connection to the worker; NULL once returned to the pool
  */
 struct mq_try
 {
@@ -21,7 +20,7 @@
 };
 
 static void
-tell_fleet (const struct mq_try *try, enum mq_fleet_outcome outcome)
+report_outcome (const struct mq_try *try, enum mq_fleet_outcome outcome)
 {
   mq_fleet_ended (try->options.fleet, try->options.worker, outcome,
                   mq_clock_ms ());
@@ -35,12 +34,12 @@
   if (try->lane != NULL)
     {
       mq_http_lane_destroy (try->lane);
-      tell_fleet (try, outcome);
+      report_outcome (try, outcome);
     }
   talloc_free (try);
 }
 
-/* Frees TRY and tells above.  */
+/* Frees TRY and calls its ended callback.  */
 static void
 end_try (struct mq_try *try, enum mq_attempt_end end,
          enum mq_fleet_outcome outcome)
@@ -58,13 +57,14 @@
 }
 
 static void
-on_silent (void *user)
+on_inactive (void *user)
 {
   end_broken (user);
 }
 
-/* An answer without the request's id can't be told from another's; one with
-   another id is a late answer to an earlier request of the connection.  */
+/* A response without a request id can't be matched to its request. One with
+   another id is a late response to an earlier request on the connection and is
+   skipped.  */
 static bool
 on_head (const struct mq_http_head *head, void *user)
 {
@@ -102,13 +102,14 @@
     options->events (options->user);
 }
 
-/* The connection is sound, whatever becomes of the request.  */
+/* The response was complete: the connection can be reused whatever its
+   status.  */
 static void
-keep_lane (struct mq_try *try)
+return_lane (struct mq_try *try)
 {
   const struct mq_answer *answer = try->options.answer;
 
-  tell_fleet (try, mq_answer_outcome (answer));
+  report_outcome (try, mq_answer_outcome (answer));
   mq_pool_release (try->options.pool, try->options.worker, try->lane,
                    answer->idle_s);
   try->lane = NULL;
@@ -129,18 +130,18 @@
   };
 
   if (!facts.cut)
-    keep_lane (try);
+    return_lane (try);
   end_try (try, mq_attempt_judge (&facts), MQ_OUTCOME_FAILED);
 }
 
-/* Failure: a worker that goes down and up by turns takes connections while it
-   is down and closes them on a request.  Counted as one failure of two, each
-   host sends it a second turn each time, and one after the other of a
-   program's tries ends there.  A new connection that ends before any byte
-   tells as much as one that is refused; on a kept one it may be no more than
-   the connection's end.  */
+/* A new connection closed before any byte counts as unreachable, like one that
+   is refused; a reused one may have reached its idle timeout.
+
+   Failure: a restarting worker accepts connections and closes them on a
+   request. Counted as an ordinary failure, it would be sent further requests
+   before it is ejected.  */
 static bool
-closed_new (const struct mq_try *try)
+closed_without_response (const struct mq_try *try)
 {
   return try->options.answer->status == 0 && mq_http_lane_is_new (try->lane);
 }
@@ -155,7 +156,8 @@
       return;
     case MQ_LANE_BROKEN:
       end_try (user, MQ_ATTEMPT_BROKEN,
-               closed_new (user) ? MQ_OUTCOME_UNREACHABLE : MQ_OUTCOME_FAILED);
+               closed_without_response (user) ? MQ_OUTCOME_UNREACHABLE
+                                              : MQ_OUTCOME_FAILED);
       return;
     case MQ_LANE_DAMAGED:
       end_broken (user);
@@ -164,7 +166,7 @@
 }
 
 static void
-watch_worker (struct mq_try *try)
+start_inactivity_timer (struct mq_try *try)
 {
   struct mq_inactivity_options options = {
     .fleet = try->options.fleet,
@@ -173,7 +175,7 @@
     .begun = try->options.begun,
     .left_ms = try->options.send.left_ms,
     .detect_inactivity = try->options.detect_inactivity,
-    .timed_out = on_silent,
+    .timed_out = on_inactive,
     .user = try,
   };
 
@@ -209,11 +211,11 @@
   try->lane = mq_pool_acquire (options->pool, options->worker, &error);
   if (try->lane == NULL)
     {
-      tell_fleet (try, MQ_OUTCOME_UNREACHABLE);
+      report_outcome (try, MQ_OUTCOME_UNREACHABLE);
       talloc_free (try);
       return NULL;
     }
-  watch_worker (try);
+  start_inactivity_timer (try);
   send_message (try);
   return try;
 }
--- a/src/router/router_try.h
+++ b/src/router/router_try.h
@@ -1,8 +1,8 @@
-/* router_try.h - one try to have a request served by one worker.
+/* router_try.h - one attempt to have a request served by one worker.
 
-   Takes a connection, sends the message, takes in the answer, and tells the
-   list of workers what came of it.  Whether another worker is asked is decided
-   above.
+   Takes a connection from the pool, sends the request, receives the response
+   and reports the outcome to the fleet. The caller of this module decides
+   about retries.
    Needs: router_answer.h, router_pool.h, router_send.h, attempt.h.  */
 
 #ifndef MQ_ROUTER_TRY_H
@@ -18,17 +18,16 @@
 struct mq_try;
 
 /**
- * struct mq_try_options - what is tried, and who hears of it
- * @worker: who is asked
- * @id: of the request; an answer must repeat it
- * @send: the message
- * @body: its body
- * @answer: filled as the answer comes, below @answer_ctx
+ * struct mq_try_options - parameters and callbacks of an attempt
+ * @id: request id, which the response must repeat
+ * @send: head of the message sent to @worker
+ * @answer: filled as the response arrives; its memory belongs to @answer_ctx
  * @repeatable: the request may run more than once
- * @begun: the caller has got the beginning of an answer
- * @watched: a silent worker is to be left
- * @events: whole events may be taken from @answer
- * @ended: called once, the try is then gone; not after mq_try_stop
+ * @begun: the response head was already sent to the caller
+ * @detect_inactivity: give up a worker that is inactive for too long
+ * @events: called when complete events can be taken from @answer
+ * @ended: called once, after the attempt was freed; not called after
+ *         mq_try_stop
  */
 struct mq_try_options
 {
@@ -49,19 +48,18 @@
   void *user;
 };
 
-/* NULL when the worker can't be reached; ENDED is not called then.  */
+/* Returns NULL if the worker can't be reached; ENDED is not called then.  */
 struct mq_try *mq_try_begin (TALLOC_CTX *ctx,
                              const struct mq_try_options *options);
-/* Gives the try up; the worker is told nothing, its list OUTCOME.  NULL is
-   allowed.  */
+/* Cancels the attempt and reports OUTCOME to the fleet. TRY may be NULL.  */
 void mq_try_stop (struct mq_try *try, enum mq_fleet_outcome outcome);
-/* Some bytes of the request were given to the network.  */
+/* Whether any byte of the request was sent.  */
 bool mq_try_sent (const struct mq_try *try);
-/* The caller has got the beginning of the answer.  */
+/* Notes that the response head was sent to the caller.  */
 void mq_try_response_begun (struct mq_try *try);
-/* Stops and starts taking in the answer.  */
+/* Pauses or resumes reading the response.  */
 void mq_try_set_reading (struct mq_try *try, bool on);
-/* How long the worker has said nothing to this request, milliseconds.  */
+/* Time since the worker last sent anything for this request, milliseconds.  */
 uint64_t mq_try_inactive_ms (const struct mq_try *try);
 
 #endif
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -1,8 +1,8 @@
 /* router_turn.c - histories of programs in the platform's table.
 
-   A turn finds its history and its budget before it is sent, and is written
-   down before its answer ends.  Rows are spread over parts by a hash of their
-   key, so that no part carries more than its share of the writes.
+   A turn obtains its history and its budget before it is sent, and is stored
+   before its response ends. Rows are spread over the parts of the table by a
+   hash of their key, to balance the writes.
    Needs: router_turns.h, id.h.  */
 
 #include "router_turns.h"
@@ -12,15 +12,15 @@
 
 const char mq_turn_table[] = "turn";
 
-/* Pause before a call is tried again; it doubles, and half of it is left to
-   chance, so that hosts which failed together don't come back together.  */
-#define RETRY_MS 60U
+/* Exponential backoff of retries, with jitter so that hosts do not retry in
+   step.  */
+#define RETRY_MIN_MS 60U
 #define RETRY_MAX_MS 480U
-/* Histories kept in memory: a share of what the process may use.  */
-#define CACHE_PART 4U
+/* Divisor of the memory limit that bounds the cache of histories.  */
+#define CACHE_MEMORY_DIVISOR 4U
 
 static void find_chain (struct mq_turn *turn);
-static void read_place (struct mq_turn *turn);
+static void read_candidate (struct mq_turn *turn);
 static void write_turn (struct mq_turn *turn);
 static void begin_write (struct mq_turn *turn);
 
@@ -34,27 +34,27 @@
     return NULL;
   turns->router = router;
   turns->programs = mq_idmap_create (turns);
-  turns->cache = mq_chain_cache_create (turns, bytes / CACHE_PART);
+  turns->cache = mq_chain_cache_create (turns, bytes / CACHE_MEMORY_DIVISOR);
   return turns->cache == NULL ? NULL : turns;
 }
 
 void
 mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
-                     uint32_t place)
+                     uint32_t candidate)
 {
   uint64_t hash = mq_hash_bytes (key, strlen (key), 0);
-  /* Odd steps, so that no two places are in one part.  */
+  /* With an odd step and a power of two parts, all candidates differ.  */
   uint64_t step = hash / MQ_TURN_PARTS | 1U;
 
   snprintf (part, MQ_PART_NAME_BYTES, "%02x",
-            (unsigned int)((hash + place * step) % MQ_TURN_PARTS));
+            (unsigned int)((hash + candidate * step) % MQ_TURN_PARTS));
 }
 
 struct mq_timer *
 mq_turn_schedule_retry (struct mq_turns *turns, TALLOC_CTX *ctx,
                         uint32_t tries, mq_timer_handler *handler, void *data)
 {
-  uint32_t wait = RETRY_MS;
+  uint32_t wait = RETRY_MIN_MS;
 
   for (uint32_t i = 1; i < tries && wait < RETRY_MAX_MS; i++)
     wait *= 2;
@@ -109,11 +109,12 @@
   snprintf (turn->missing_id, sizeof turn->missing_id, "%s", id);
 }
 
-/* Failure: a history that was read from the table was forgotten with its turn;
-   when the table went away before the turn could end, no host had it for the
-   caller's next try, though one had just used it.  */
+/* Caches a history read from the table.
+
+   Failure: when the table becomes unavailable before the turn ends, the
+   retried turn finds its history on no host.  */
 static void
-remember (struct mq_turns *turns, const struct mq_chain *chain)
+cache_chain (struct mq_turns *turns, const struct mq_chain *chain)
 {
   struct mq_chain *copy;
 
@@ -124,10 +125,11 @@
     mq_chain_cache_put (turns->cache, copy);
 }
 
-/* CHAIN is that of the turn that was missing, its own beginning may be missing
-   too.  Takes CHAIN over.  */
+/* Adds the CHAIN of the missing turn, of which COMPLETE tells whether it has
+   its beginning; otherwise the beginning is looked up next. Takes ownership of
+   CHAIN.  */
 static void
-add_found (struct mq_turn *turn, struct mq_chain *chain, bool complete)
+add_chain (struct mq_turn *turn, struct mq_chain *chain, bool complete)
 {
   set_missing (turn, complete ? "" : chain->base);
   if (turn->partial_chain == NULL)
@@ -148,15 +150,15 @@
       find_chain (turn);
       return;
     }
-  remember (turn->turns, turn->partial_chain);
+  cache_chain (turn->turns, turn->partial_chain);
   turn->history = turn->partial_chain;
   turn->partial_chain = NULL;
   mq_program_reserve (turn);
 }
 
-/* All places were read, or could not be.  */
+/* All candidate parts were read or are unavailable.  */
 static void
-end_reading (struct mq_turn *turn)
+finish_reading (struct mq_turn *turn)
 {
   if (turn->unreadable == 0)
     mq_turn_notify (turn, MQ_TURN_NOT_FOUND);
@@ -180,7 +182,7 @@
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
       turn->candidate++;
-      read_place (turn);
+      read_candidate (turn);
       return;
     }
   chain
@@ -188,7 +190,7 @@
   if (chain == NULL)
     mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else
-    add_found (turn, chain, false);
+    add_chain (turn, chain, false);
 }
 
 bool
@@ -203,13 +205,14 @@
     copy = mq_chain_copy (turns, cached);
   if (copy == NULL)
     return false;
-  add_found (turn, copy, true);
+  add_chain (turn, copy, true);
   return true;
 }
 
-/* Reads the row at the turn's place, or the next one that can be read.  */
+/* Reads the row from the current candidate part, or the next one
+   available.  */
 static void
-read_place (struct mq_turn *turn)
+read_candidate (struct mq_turn *turn)
 {
   struct mq_turns *turns = turn->turns;
   char part[MQ_PART_NAME_BYTES];
@@ -225,21 +228,21 @@
                                   turn->missing_id, on_turn_read, turn);
       return;
     }
-  end_reading (turn);
+  finish_reading (turn);
 }
 
-/* A row that is in none of its places proves that there is no such turn, since
-   a turn's row is written before its answer ends.  */
+/* If all candidate parts can be read and none has the row, the turn does not
+   exist: a row is written before its response ends.  */
 void
 mq_turn_read_history (struct mq_turn *turn)
 {
   turn->candidate = 0;
   turn->unreadable = 0;
-  read_place (turn);
+  read_candidate (turn);
 }
 
-/* Finds the chain of the turn that is missing: in memory, at a host near by,
-   else in its row.  */
+/* Finds the chain of the missing turn: in the cache, at a host of this data
+   centre, or in the table.  */
 static void
 find_chain (struct mq_turn *turn)
 {
@@ -268,7 +271,7 @@
 }
 
 static bool
-is_ours (const struct mq_turn *turn, const struct mq_rows_result *result)
+is_own_record (const struct mq_turn *turn, const struct mq_rows_result *result)
 {
   const struct mq_bytes *there;
 
@@ -280,20 +283,22 @@
 }
 
 static void
-end_keeping (struct mq_turn *turn)
+finish_store (struct mq_turn *turn)
 {
   mq_chain_cache_put (turn->turns->cache, turn->new_chain);
   turn->new_chain = NULL;
   mq_turn_notify (turn, MQ_TURN_STORED);
 }
 
-static void check_turn (struct mq_turn *turn);
+static void verify_write (struct mq_turn *turn);
+
+/* Writes the row to the next candidate part. If the first write completes
+   late, the same row exists twice, which is harmless.
 
-/* Failure: a part of the table is silent, and turns whose rows belong there
-   can't end, though all others can.  The row goes to its next place then; a
-   first write that is done after all leaves the same row twice.  */
+   Failure: while a part of the table is unresponsive, turns whose rows belong
+   there could not end.  */
 static bool
-go_to_next_place (struct mq_turn *turn)
+write_to_next_candidate (struct mq_turn *turn)
 {
   char part[MQ_PART_NAME_BYTES];
 
@@ -316,51 +321,51 @@
   struct mq_turn *turn = user;
 
   turn->call = NULL;
-  /* An earlier try of this write may have been done without an answer.  */
+  /* An earlier attempt at this write may have succeeded without a reply.  */
   if (result->status == MQ_STORE_OK
-      || (result->status == MQ_STORE_CONFLICT && is_ours (turn, result)))
+      || (result->status == MQ_STORE_CONFLICT && is_own_record (turn, result)))
     {
-      end_keeping (turn);
+      finish_store (turn);
       return;
     }
   if (result->status == MQ_STORE_CONFLICT)
     mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else if (result->status == MQ_STORE_LOST)
-    check_turn (turn);
-  else if (!go_to_next_place (turn))
+    verify_write (turn);
+  else if (!write_to_next_candidate (turn))
     retry_turn (turn);
 }
 
-/* Nothing is there yet: the write is sent again; a late one then finds its
-   condition broken.  */
+/* If the row is absent, the write is repeated; should the first one complete
+   late, its version check fails.  */
 static void
-on_turn_checked (const struct mq_rows_result *result, void *user)
+on_write_verified (const struct mq_rows_result *result, void *user)
 {
   struct mq_turn *turn = user;
 
   turn->call = NULL;
   if (result->status != MQ_STORE_OK)
     {
-      if (!go_to_next_place (turn))
+      if (!write_to_next_candidate (turn))
         retry_turn (turn);
     }
   else if (result->row_count == 0)
     write_turn (turn);
-  else if (is_ours (turn, result))
-    end_keeping (turn);
+  else if (is_own_record (turn, result))
+    finish_store (turn);
   else
     mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
 }
 
-/* A write got no answer: its row tells whether it was done.  */
+/* The write got no reply: reads the row to find out whether it succeeded.  */
 static void
-check_turn (struct mq_turn *turn)
+verify_write (struct mq_turn *turn)
 {
   char part[MQ_PART_NAME_BYTES];
 
   mq_turn_select_part (part, turn->id, turn->candidate);
   turn->call = mq_ledger_get (turn->turns->router->ledger, mq_turn_table, part,
-                              turn->id, on_turn_checked, turn);
+                              turn->id, on_write_verified, turn);
 }
 
 static void
@@ -380,7 +385,7 @@
       = mq_ledger_commit (router->ledger, &entry, on_turn_written, turn);
 }
 
-/* Writes to the first of the row's places that can be reached.  */
+/* Writes to the first candidate part that is available.  */
 static void
 begin_write (struct mq_turn *turn)
 {
@@ -389,11 +394,12 @@
   turn->candidate = 0;
   mq_turn_select_part (part, turn->id, 0);
   if (!mq_turns_part_unavailable (turn->turns, part)
-      || !go_to_next_place (turn))
+      || !write_to_next_candidate (turn))
     write_turn (turn);
 }
 
-/* Tries until it is done or its caller's time is up.  */
+/* Retries until the row is stored or the turn is cancelled at its
+   deadline.  */
 void
 mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
                struct mq_bytes output)
--- a/src/router/router_turns.h
+++ b/src/router/router_turns.h
@@ -8,25 +8,26 @@
 
 #include "router_state.h"
 
-/* Tries of one call to the table before its caller is told that the table
-   can't tell: together they last about as long as a slow answer.  */
+/* Attempts at one call to the table before the turn fails.  */
 #define MQ_TURN_ATTEMPTS_MAX 3U
-/* Bytes of a part's name.  */
+/* Size of a part's name with its terminating NUL.  */
 #define MQ_PART_NAME_BYTES 8U
 
 /**
  * struct mq_program - a program whose turns this host serves
- * @waiting: turns that wait for their budget, oldest first
- * @call: under way, NULL: none
- * @next: the record that is being written
- * @holder: names our grant
- * @home: worker that has its cache, 0: not known
- * @limit: of its budget, as last told
- * @running: turns that have a reservation
- * @tries: calls in a row that failed
- * @recalled_ms: when others last told what they don't use, 0: never
- * @recall: they are being asked, NULL: not
- * @lender: address of the host that lent tokens last, NULL: none did
+ * @next: budget record being written
+ * @waiting: turns waiting for their budget, oldest first
+ * @call: pending call to the table; NULL if none
+ * @holder: id of this host's grant
+ * @home: engine that caches the program; 0 if unknown
+ * @limit: token limit, as sent with the latest turn
+ * @running: turns with a reservation
+ * @tries: consecutive failed calls
+ * @used_ms: last use, local monotonic clock
+ * @recalled_ms: last completed recall of unused tokens, local monotonic clock;
+ *               0 if never
+ * @recall: pending recall; NULL if none
+ * @lender: address of the host that last lent tokens; NULL if none
  */
 struct mq_program
 {
@@ -61,57 +62,57 @@
 
 /* router_turn.c */
 
-/* Part of the table where the row KEY lies, or may lie: PLACE 0 is the first
-   that is tried.  */
+/* Writes the name of the part for row KEY to PART. CANDIDATE 0 is the
+   preferred part.  */
 void mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
-                          uint32_t place);
-/* A pause before a call is tried again after TRIES failures in a row.  */
+                          uint32_t candidate);
+/* Starts the backoff timer after TRIES consecutive failures.  */
 struct mq_timer *mq_turn_schedule_retry (struct mq_turns *turns,
                                          TALLOC_CTX *ctx, uint32_t tries,
                                          mq_timer_handler *handler,
                                          void *data);
-/* No way to the rows of PART is open: whoever waits is better told at once. */
+/* Neither this host nor another one can reach the rows of PART.  */
 bool mq_turns_part_unavailable (const struct mq_turns *turns,
                                 const char *part);
-/* Until when a record written now is kept, 0: the table's clock is not
-   known.  */
+/* Expiry of a record written now, seconds on the table's clock; 0 if that
+   clock is unknown.  */
 uint64_t mq_turns_expiry_s (const struct mq_turns *turns, uint32_t retain_s);
-/* The history that TURN lacks may have come into memory: goes on to the
-   budget if so, else false.  */
+/* If the missing history is cached, continues with the budget and returns
+   true.  */
 bool mq_turn_find_cached (struct mq_turn *turn);
-/* Reads the history that TURN lacks in the table.  */
+/* Reads the missing history of TURN from the table.  */
 void mq_turn_read_history (struct mq_turn *turn);
 void mq_turn_notify (struct mq_turn *turn, enum mq_turn_state state);
 
 /* router_program.c */
 
-/* NULL: not known here.  */
+/* Returns NULL if this host does not serve the program.  */
 struct mq_program *mq_program_find (struct mq_turns *turns, const char *id);
-/* The program, made if need be; NULL when memory is out.  */
+/* Returns NULL if memory is exhausted.  */
 struct mq_program *mq_program_get_or_create (struct mq_turns *turns,
                                              const char *id);
-/* Reserves the budget of TURN, whose history is there; tells.  */
+/* Reserves the budget of TURN, whose history is present, and notifies it.  */
 void mq_program_reserve (struct mq_turn *turn);
-/* Other hosts have told what they don't use of PROGRAM.  */
+/* The recall of unused tokens of PROGRAM is complete.  */
 void mq_program_on_recall_done (struct mq_program *program);
-/* TURN waits no more.  */
+/* Removes TURN from the queue of its program.  */
 void mq_program_dequeue (struct mq_turn *turn);
 
 /* router_loan.c */
 
-/* TURN lacks its history: the hosts of this data centre are asked before the
-   table; mq_turn_read_history follows if they don't have it.  */
+/* Asks the hosts of this data centre for the missing history of TURN. If none
+   has it, mq_turn_read_history follows.  */
 void mq_loan_request_local_history (struct mq_turn *turn);
-/* The table can't be asked: TURN gets what it lacks from other hosts, or is
-   told that the table can't tell.  */
+/* The table is unavailable: requests what TURN needs from other hosts, or
+   fails it with MQ_TURN_STORE_UNAVAILABLE.  */
 void mq_loan_request (struct mq_turn *turn);
-/* The record is full: other hosts are asked to lend what they don't use of
-   PROGRAM; mq_program_on_recall_done follows, not from within this call.  */
+/* All tokens of PROGRAM are granted: asks other hosts to lend their unused
+   ones. mq_program_on_recall_done follows, never from within this call.  */
 struct mq_loan *mq_loan_recall (struct mq_program *program, uint64_t limit,
                                 uint64_t most);
-/* Nobody waits any more; NULL is allowed.  */
+/* LOAN may be NULL.  */
 void mq_loan_cancel (struct mq_loan *loan);
-/* Unused tokens go back to whoever lent them.  */
+/* Returns unused tokens to the host that lent them.  */
 void mq_loan_return (struct mq_program *program);
 
 #endif
