--- a/src/router/router.c
+++ b/src/router/router.c
@@ -1,4 +1,4 @@
-/* router.c - the process on an entry host that callers' requests go through.
+/* router.c - router process on an entry host.
 
    Needs: router.h, router_state.h, router_ready.h, clock.h.  */
 
@@ -9,15 +9,15 @@
 #include "router_state.h"
 #include <unistd.h>
 
-/* Pause between two looks at idle connections, programs and a stop.  */
-#define SWEEP_MS 250U
-/* Pause between two lines of the log with what was counted.  */
-#define COUNTERS_MS 10000U
-/* A timer that comes so late is told of in the log: the shortest time-out
-   towards others is as long.  */
-#define HELD_UP_MS 100U
+/* Interval of the periodic maintenance.  */
+#define SWEEP_INTERVAL_MS 250U
+/* Interval between log lines with the counters.  */
+#define COUNTERS_INTERVAL_MS 10000U
+/* Delay of the sweep timer that is logged, as long as the shortest timeout
+   towards other processes.  */
+#define LOOP_DELAY_LOG_MS 100U
 
-static void set_sweep (struct mq_router *router);
+static void schedule_sweep (struct mq_router *router);
 
 static void
 log_state (struct mq_router *router, enum mq_log_event event)
@@ -39,14 +39,15 @@
   mq_json_end (&line);
 }
 
-/* The first part of a stop goes by while the balancer takes us out and callers
-   still come.  Then no new connection is taken and idle ones are closed: a
-   caller that is not let in tries another host, while a request taken
-   late in the stop would be cut off at its end.  Once no connection of a
-   caller is left, also none that still sends, the process ends: with only the
-   requests under way counted, one that lay unread was lost with it.  */
+/* Accepts connections until the load balancer has removed this host, then
+   closes the listener and idle connections.  The stop is complete once all
+   connections are closed, including those that still send, or at the time
+   limit.
+
+   Failure: waiting for pending requests only, the process exits while a
+   connection holds an unread request.  */
 static void
-step_leaving (struct mq_router *router)
+advance_stop (struct mq_router *router)
 {
   uint64_t since = mq_clock_ms () - router->stopping_since_ms;
 
@@ -58,33 +59,33 @@
     router->stopped = true;
 }
 
-/* What the process counts goes to the log too, where whoever looks into a
-   failure finds it beside the decisions.  */
+/* Logs the counters, to be read next to the other log lines.  */
 static void
 log_counters (struct mq_router *router)
 {
   uint64_t now = mq_clock_ms ();
 
-  if (now - router->counted_ms < COUNTERS_MS)
+  if (now - router->counted_ms < COUNTERS_INTERVAL_MS)
     return;
   router->counted_ms = now;
   log_state (router, MQ_LOG_COUNTERS);
 }
 
-/* Says that the event loop was held up, and by how much at least: handlers
-   that end before this timer is due don't show.  */
+/* Records the delay of the sweep timer, a lower bound on how long a handler
+   blocked the event loop.  */
 static void
-note_held_up (struct mq_router *router)
+record_loop_delay (struct mq_router *router)
 {
   uint64_t now = mq_clock_ms ();
-  uint64_t held = now > router->sweep_due_ms ? now - router->sweep_due_ms : 0;
+  uint64_t delay_ms
+      = now > router->sweep_due_ms ? now - router->sweep_due_ms : 0;
   struct mq_json_line line;
 
-  mq_histogram_add (&router->loop_delay, held);
-  if (held < HELD_UP_MS)
+  mq_histogram_add (&router->loop_delay, delay_ms);
+  if (delay_ms < LOOP_DELAY_LOG_MS)
     return;
   mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_LOOP_HELD_UP);
-  mq_json_number (&line, "held_ms", held);
+  mq_json_number (&line, "held_ms", delay_ms);
   mq_json_end (&line);
 }
 
@@ -93,7 +94,7 @@
 {
   struct mq_router *router = data;
 
-  note_held_up (router);
+  record_loop_delay (router);
   mq_callers_sweep (router);
   mq_pool_sweep (router->pool);
   mq_turns_sweep (router->turns);
@@ -106,15 +107,15 @@
   if (router->stopping)
     mq_reserve_release_leases (router);
   if (router->stopping)
-    step_leaving (router);
-  set_sweep (router);
+    advance_stop (router);
+  schedule_sweep (router);
 }
 
 static void
-set_sweep (struct mq_router *router)
+schedule_sweep (struct mq_router *router)
 {
-  router->sweep_due_ms = mq_clock_ms () + SWEEP_MS;
-  mq_timer_add (router, router->ev, SWEEP_MS, on_sweep, router);
+  router->sweep_due_ms = mq_clock_ms () + SWEEP_INTERVAL_MS;
+  mq_timer_add (router, router->ev, SWEEP_INTERVAL_MS, on_sweep, router);
 }
 
 static int
@@ -196,7 +197,7 @@
     }
   mq_hosts_start (router);
   mq_feed_start (router);
-  set_sweep (router);
+  schedule_sweep (router);
   log_state (router, MQ_LOG_STARTED);
   return router;
 }
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,8 +1,8 @@
-/* router.h - the process on an entry host that callers' requests go through.
+/* router.h - router process on an entry host.
 
-   Takes HTTP from callers, sends each request to a worker of the service that
-   the configuration names, and passes the answer back.  What a program may
-   still generate and what was said in it lie in the platform's table.
+   Receives HTTP requests of callers, forwards each to a worker of the service
+   that the configuration names, and returns the response.  Budgets and
+   histories of programs are stored in the platform's table.
    Needs: tevent, error.h.  */
 
 #ifndef MQ_ROUTER_H
@@ -12,23 +12,20 @@
 #include <tevent.h>
 
 /**
- * struct mq_router_settings - what a router learns from its settings file
- * @host: name of this host
- * @data_centre: where it stands
+ * struct mq_router_settings - settings of a router
  * @http: "IP:PORT" for callers
- * @ready: "IP:PORT" for the balancer's question and for /metrics
- * @peer: "IP:PORT" for other routing hosts
- * @seeds: "IP:PORT" of some other hosts, with commas, may be empty
+ * @ready: "IP:PORT" of the readiness and metrics endpoint
+ * @peer: "IP:PORT" for other routers
+ * @seeds: "IP:PORT" of other routers, comma-separated; may be empty
  * @table: "IP:PORT" of the platform's table
- * @memory_mb: memory that the process may use
- * @stop_ms: a stop takes no longer
- * @clean_after_ms: a process removes old records once it has run for so long
- * @clean_look_ms: pause between two looks for them
- * @limit_window_ms: time in which requests over an organisation's limit are
- *                   counted
- * @limit_over_permille: how far they may be over it, thousandths of it
- * @limit_slack: requests beside that
- * @settle_ms: after a stop was asked for, callers still come for so long
+ * @memory_mb: memory limit of the process, MiB
+ * @stop_ms: time limit of a planned stop
+ * @clean_after_ms: uptime after which the process removes expired records
+ * @clean_look_ms: interval between searches for expired records
+ * @limit_window_ms: window over which an organisation's rate limit applies
+ * @limit_over_permille: tolerated excess over the limit, thousandths
+ * @limit_slack: further tolerated requests
+ * @settle_ms: time after a stop request in which new connections are accepted
  */
 struct mq_router_settings
 {
@@ -51,33 +48,31 @@
 
 struct mq_router;
 
-/* NULL with ERROR set when it can't listen.  SETTINGS must outlive it.  */
+/* Returns NULL with ERROR set on failure.  SETTINGS must outlive the
+   router.  */
 struct mq_router *mq_router_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                     const struct mq_router_settings *settings,
                                     struct mq_error *error);
 void mq_router_destroy (struct mq_router *router);
-/* The settings file was read again: SETTINGS, NULL: it has errors.  What
-   changes while the process runs is taken over, and a line of the log says
-   which of the two it was.  */
+/* Applies reloaded SETTINGS as far as they can change at run time, and logs
+   the result; NULL if the file was invalid.  */
 void mq_router_apply_settings (struct mq_router *router,
                                const struct mq_router_settings *settings);
 /* Begins a planned stop.  */
 void mq_router_begin_stop (struct mq_router *router);
-/* Ports that it listens on.  */
 uint16_t mq_router_http_port (const struct mq_router *router);
 uint16_t mq_router_ready_port (const struct mq_router *router);
-/* "IP:PORT" where other routing hosts reach it.  */
+/* "IP:PORT" where other routers reach this one.  */
 const char *mq_router_peer_address (const struct mq_router *router);
-/* What it counts, as Prometheus text below CTX.  */
+/* Metrics in Prometheus text format, allocated on CTX.  */
 char *mq_router_metrics (TALLOC_CTX *ctx, const struct mq_router *router);
-/* Other routing hosts that are known.  */
+/* Number of other routers known.  */
 size_t mq_router_host_count (const struct mq_router *router);
-/* Keys that its log was given and the schema lacks; 0 but for a mistake.  */
+/* Number of log keys used that the log schema lacks; 0 unless there is a
+   bug.  */
 uint64_t mq_router_log_unknown_keys (const struct mq_router *router);
-/* Callers may be sent here: the configuration and the workers are known, and
-   no stop was asked for.  */
+/* The configuration and the workers are known and no stop was requested.  */
 bool mq_router_is_ready (const struct mq_router *router);
-/* The stop is complete.  */
 bool mq_router_stopped (const struct mq_router *router);
 
 #endif
--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -1,7 +1,7 @@
-/* router_admit.c - whether the program of a turn may begin.
+/* router_admit.c - admission control of new programs.
 
-   Turns of programs that have begun are never refused here; whether one has is
-   known to this host, or stands in the program's record.
+   Turns of programs that have begun are never refused here.  Whether a program
+   has begun is known to this host or stands in the program's record.
    Needs: router_request.h, id.h, clock.h.  */
 
 #include "core/id.h"
@@ -9,12 +9,12 @@
 #include "router_request.h"
 #include <string.h>
 
-/* Seed of the hash by which programs are refused; others choose workers.  */
+/* Hash seed for admission; differs from the seeds that choose workers.  */
 #define ADMISSION_SEED 2U
 
-/* Load of the platform's table, where ends of turns wait for their records, in
-   the unit of mq_fleet_service_pressure: a burst of short turns is bound by
-   the table's rate of writes and not by the engines.  */
+/* Load of the platform's table, measured by the waits of response ends for
+   their records, in the unit of mq_fleet_service_pressure.  Bursts of short
+   turns are limited by the table and not by the engines.  */
 static uint32_t
 record_load (const struct mq_request *request, uint64_t now)
 {
@@ -25,7 +25,7 @@
 }
 
 static struct mq_admission_ask
-admission_ask (const struct mq_request *request, uint64_t now)
+make_admission_request (const struct mq_request *request, uint64_t now)
 {
   const struct mq_request_fields *facts = &request->facts;
 
@@ -54,8 +54,7 @@
                                : MQ_REFUSE_OVERLOADED);
 }
 
-/* A record proves that some host has served a turn of the program; so may one
-   that can't be read.  */
+/* A record, even an unreadable one, shows that the program has begun.  */
 static void
 on_record (const struct mq_rows_result *result, void *user)
 {
@@ -68,11 +67,12 @@
     request_prepare_turn (request);
 }
 
-/* Failure: a program's next turn comes to a host that has not seen it, looks
-   like a first one and is refused; what was done for the program is lost.  A
-   turn of a retaining route that names none before it is certainly a first
-   one.  Of others the program's record tells, at the cost of one read, and
-   only for those that are about to be refused.  */
+/* Refuses the program unless its record exists.  On a route that retains
+   turns, a turn without a previous one is the first for certain; on others the
+   record is read, at the cost of one read per refusal.
+
+   Failure: a later turn of a program reaches a host that has not served it, is
+   taken for a first turn and refused.  */
 static void
 refuse_unless_begun (struct mq_request *request)
 {
@@ -87,7 +87,7 @@
         router->turns, request->program, on_record, request);
 }
 
-/* Where the turns of the program are to stay.  */
+/* Chooses the engine for the turns of the new program.  */
 static uint64_t
 choose_home (const struct mq_request *request, uint64_t now)
 {
@@ -106,7 +106,7 @@
 request_admit_turn (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
-  struct mq_admission_ask ask;
+  struct mq_admission_ask admission_request;
   enum mq_admission_answer answer;
 
   if (!request->begins_program)
@@ -114,10 +114,12 @@
       request_prepare_turn (request);
       return;
     }
-  ask = admission_ask (request, now);
+  admission_request = make_admission_request (request, now);
   request->service_load
-      = ask.load > ask.record_load ? ask.load : ask.record_load;
-  answer = mq_admission_decide (request->router->admission, &ask,
+      = admission_request.load > admission_request.record_load
+            ? admission_request.load
+            : admission_request.record_load;
+  answer = mq_admission_decide (request->router->admission, &admission_request,
                                 &request->retry_ms);
   request->program_deadline_at_risk = answer == MQ_ADMISSION_LATE;
   switch (answer)
--- a/src/router/router_answer.c
+++ b/src/router/router_answer.c
@@ -1,4 +1,5 @@
-/* router_answer.c - takes in a worker's answer, as a whole or as events.
+/* router_answer.c - receives a worker's response, buffered or as a stream of
+   events.
 
    Needs: router_answer.h.  */
 
@@ -6,12 +7,12 @@
 #include <string.h>
 #include <strings.h>
 
-/* Bytes of an answer that is passed on as a whole.  */
+/* Size limit of a buffered response.  */
 #define ANSWER_MAX_BYTES ((size_t)16 << 20)
 
 static void
-keep_field (TALLOC_CTX *ctx, struct mq_buffer *fields,
-            const struct mq_http_field *field)
+append_field (TALLOC_CTX *ctx, struct mq_buffer *fields,
+              const struct mq_http_field *field)
 {
   const char *const parts[] = { field->name, ": ", field->value, "\r\n" };
 
@@ -20,8 +21,8 @@
 }
 
 static void
-keep_fields (TALLOC_CTX *ctx, struct mq_buffer *fields,
-             const struct mq_http_head *head)
+append_fields (TALLOC_CTX *ctx, struct mq_buffer *fields,
+               const struct mq_http_head *head)
 {
   for (size_t i = 0; i < head->field_count; i++)
     {
@@ -29,7 +30,7 @@
 
       if (!mq_http_field_is_hop (head, field->name)
           && strcasecmp (field->name, "Content-Length") != 0)
-        keep_field (ctx, fields, field);
+        append_field (ctx, fields, field);
     }
 }
 
@@ -43,7 +44,7 @@
   answer->other_worker = facts->other_worker;
   answer->idle_s = facts->idle_s;
   answer->stream = stream && head->status == 200;
-  keep_fields (ctx, &answer->fields, head);
+  append_fields (ctx, &answer->fields, head);
 }
 
 bool
--- a/src/router/router_answer.h
+++ b/src/router/router_answer.h
@@ -1,4 +1,5 @@
-/* router_answer.h - takes in a worker's answer, as a whole or as events.
+/* router_answer.h - receives a worker's response, buffered or as a stream of
+   events.
 
    Needs: router_wire.h, event_stream.h, attempt.h, buffer.h.  */
 
@@ -12,15 +13,15 @@
 #include "router_wire.h"
 
 /**
- * struct mq_answer - what is known of a worker's answer
- * @status: its status, 0: none yet
- * @not_run: it states that the request was not run
- * @other_worker: another worker has the address
- * @stream: events, passed on as they come
- * @idle_s: how long the worker keeps the connection
- * @fields: lines of its fields that are passed on
- * @body: of an answer that is passed on as a whole
- * @events: cuts a stream into events, NULL: none has come yet
+ * struct mq_answer - the part of a worker's response received so far
+ * @status: HTTP status; 0 before the head
+ * @not_run: the worker states that it did not run the request
+ * @other_worker: another worker has taken over the address
+ * @stream: a stream of events, forwarded as they arrive
+ * @idle_s: idle timeout of the connection, seconds; 0 if unknown
+ * @fields: header lines to forward
+ * @body: body of a buffered response
+ * @events: parser of a stream; NULL before its first byte
  */
 struct mq_answer
 {
@@ -34,22 +35,22 @@
   struct mq_event_stream *events;
 };
 
-/* The head has come; STREAM: the route's answers are streams.  */
+/* Adds the response head.  STREAM: the route expects a stream.  */
 void mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
                          const struct mq_http_head *head,
                          const struct mq_response_fields *facts, bool stream);
-/* Some of the body; false when it is longer than can be held, or damaged.  */
+/* Adds body bytes; returns false if the body is too large or malformed.  */
 bool mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
                          const char *data, size_t len);
-/* Next whole event of a stream; false when there is none yet.  */
+/* Gets the next complete event; returns false if there is none yet.  */
 bool mq_answer_next_event (struct mq_answer *answer, struct mq_event *event);
-/* It ends within an event.  */
+/* The stream ended within an event.  */
 bool mq_answer_is_truncated (const struct mq_answer *answer);
-/* What the answer, at its end, tells of the worker.  */
+/* Outcome of a complete response, for the health of the worker.  */
 enum mq_fleet_outcome mq_answer_outcome (const struct mq_answer *answer);
-/* Answers of STATUS have no body.  */
+/* Whether responses with STATUS have no body.  */
 bool mq_answer_has_no_body (int status);
-/* Forgets all of it: another worker is asked.  */
+/* Clears the response before another attempt.  */
 void mq_answer_reset (struct mq_answer *answer);
 
 #endif
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -1,9 +1,9 @@
 /* router_caller.c - HTTP connections of callers.
 
    A connection serves one request at a time; pipelined requests are buffered
-   until the response is sent. The connection is read during a request, so that
-   a disconnect is noticed at once.
-   Needs: router_state.h, listen.h, clock.h.  */
+   until the response is sent.  The connection is read during a request, so
+   that a disconnect is noticed at once. Needs: router_state.h, listen.h,
+   clock.h.  */
 
 #include "router_state.h"
 #include "net/clock.h"
@@ -246,7 +246,7 @@
                     caller->arrived_ms);
 }
 
-/* Pauses reading while enough pipelined data is buffered. A disconnect is not
+/* Pauses reading while enough pipelined data is buffered.  A disconnect is not
    noticed meanwhile.
 
    Failure: the buffer overflows, and requests that were read get no response
@@ -349,7 +349,7 @@
 }
 
 /* Numerator, in fifths, of the share of the idle timeout that is advertised to
-   callers. The rest covers network latency and delays of the event loop.  */
+   callers.  The rest covers network latency and delays of the event loop.  */
 #define ADVERTISED_FIFTHS 4U
 
 /* Advertises an idle timeout shorter than the actual one.
@@ -528,8 +528,8 @@
 /* Closes an idle connection.
 
    Failure: after a half-close, a request that crosses it would be read and
-   discarded, and its caller could not tell that it did not run. Closing
-   outright resets it. Unsent data still needs the half-close.  */
+   discarded, and its caller could not tell that it did not run.  Closing
+   outright resets it.  Unsent data still needs the half-close.  */
 static void
 close_idle (struct mq_caller *caller)
 {
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -1,28 +1,24 @@
-/* router_config.c - a configuration is taken into force, a little in each
-   turn of the event loop.
+/* router_config.c - loads a configuration in short steps and activates it.
 
-   The one in force stays until the new one is whole, and is replaced only by
-   a newer version, so that what a process does never falls back.  One is
-   read at a time, the next one after it: those that come fast can't keep each
-   other from being read to the end.
+   The active configuration stays until a newer version is completely loaded,
+   so that versions never go back.  Configurations are loaded one after
+   another, so that frequent updates cannot keep each other from completing.
    Needs: router_state.h, clock.h.  */
 
 #include "router_state.h"
 #include "net/clock.h"
 #include <string.h>
 
-/* Bytes of the configuration that are read in one turn: some eighty routes,
-   half a millisecond of a processor, ten on a host that has a twentieth of
-   one.  */
-#define TURN_BYTES ((size_t)16384)
-/* Time in which a configuration is read, whatever else there is to do: each
-   turn reads what is needed to keep pace.  Half of the two seconds within
-   which a version must be in force.  */
-#define TAKE_MS 1000U
+/* Minimum number of bytes parsed per iteration of the event loop, small enough
+   for a host with little CPU.  */
+#define STEP_MIN_BYTES ((size_t)16384)
+/* Time in which a configuration is to be loaded; steps grow as needed to meet
+   it.  */
+#define LOAD_TARGET_MS 1000U
 
 /**
- * struct mq_config_waiter - someone who waits for the newest configuration
- * @list: of those who wait for the same
+ * struct mq_config_waiter - a caller waiting for the latest configuration
+ * @list: list that contains this waiter
  */
 struct mq_config_waiter
 {
@@ -34,12 +30,13 @@
 };
 
 /**
- * struct mq_config_load - a configuration that came
- * @row: version of its row, 0: another host told it
- * @turns: of the event loop that it took so far
- * @whole: it is read, and not yet in force
- * @waiting: those who are told when it is done with
- * @next: is read after it
+ * struct mq_config_load - a configuration being loaded
+ * @row: version of its row; 0 if received from another host
+ * @since_ms: start of loading, local monotonic clock
+ * @turns: iterations of the event loop used so far
+ * @whole: completely parsed, not active yet
+ * @waiting: waiters to notify when the load has ended
+ * @next: configuration to load next
  */
 struct mq_config_load
 {
@@ -54,7 +51,7 @@
   struct mq_config_load *next;
 };
 
-static void wait_turn (struct mq_config_load *take);
+static void schedule_step (struct mq_config_load *load);
 
 static void
 log_unreadable (struct mq_router *router, const struct mq_error *error)
@@ -70,10 +67,10 @@
 }
 
 static void
-log_in_force (const struct mq_config_load *take,
-              const struct mq_route_table *table)
+log_active (const struct mq_config_load *load,
+            const struct mq_route_table *table)
 {
-  struct mq_router *router = take->router;
+  struct mq_router *router = load->router;
   struct mq_json_line line;
 
   mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CONFIG_IN_FORCE);
@@ -82,173 +79,172 @@
     mq_json_number (&line, "in_force", router->routes->version);
   mq_json_number (&line, "routes", table->route_count);
   mq_json_number (&line, "idle_ms", table->limits.idle_ms);
-  mq_json_number (&line, "took_ms", mq_clock_ms () - take->since_ms);
-  mq_json_number (&line, "turns", take->turns);
+  mq_json_number (&line, "took_ms", mq_clock_ms () - load->since_ms);
+  mq_json_number (&line, "turns", load->turns);
   mq_json_end (&line);
 }
 
-/* Those who wait */
-
 static void
-tell (struct mq_config_waiter *confirm, bool current)
+notify (struct mq_config_waiter *waiter, bool current)
 {
-  confirm->told (current, confirm->user);
-  talloc_free (confirm);
+  waiter->told (current, waiter->user);
+  talloc_free (waiter);
 }
 
 static void
-put_in (struct mq_config_waiter **list, struct mq_config_waiter *confirm)
+add_waiter (struct mq_config_waiter **list, struct mq_config_waiter *waiter)
 {
-  confirm->list = list;
-  confirm->next = *list;
-  *list = confirm;
+  waiter->list = list;
+  waiter->next = *list;
+  *list = waiter;
 }
 
 static void
-take_out (struct mq_config_waiter *confirm)
+remove_waiter (struct mq_config_waiter *waiter)
 {
-  struct mq_config_waiter **at = confirm->list;
+  struct mq_config_waiter **at = waiter->list;
 
-  while (*at != confirm)
+  while (*at != waiter)
     at = &(*at)->next;
-  *at = confirm->next;
+  *at = waiter->next;
 }
 
-/* All who are in FROM are in TO then.  */
+/* Moves all waiters from FROM to TO.  */
 static void
 move_all (struct mq_config_waiter **from, struct mq_config_waiter **to)
 {
   while (*from != NULL)
     {
-      struct mq_config_waiter *confirm = *from;
+      struct mq_config_waiter *waiter = *from;
 
-      take_out (confirm);
-      put_in (to, confirm);
+      remove_waiter (waiter);
+      add_waiter (to, waiter);
     }
 }
 
-/* What those do who are told may end others that wait.  */
+/* Notifies one waiter at a time, because a handler may cancel others.  */
 static void
-tell_all (struct mq_config_waiter **list, bool current)
+notify_all (struct mq_config_waiter **list, bool current)
 {
   while (*list != NULL)
     {
-      struct mq_config_waiter *confirm = *list;
+      struct mq_config_waiter *waiter = *list;
 
-      take_out (confirm);
-      tell (confirm, current);
+      remove_waiter (waiter);
+      notify (waiter, current);
     }
 }
 
-/* Taking */
+/* Loading */
 
-/* TAKE is over, in force or not.  */
+/* Ends LOAD, activated or not, and starts the next one.  */
 static void
-end_take (struct mq_config_load *take)
+end_load (struct mq_config_load *load)
 {
-  struct mq_router *router = take->router;
+  struct mq_router *router = load->router;
 
-  router->config_loading = take->next;
-  tell_all (&take->waiting, true);
-  talloc_free (take);
+  router->config_loading = load->next;
+  notify_all (&load->waiting, true);
+  talloc_free (load);
   if (router->config_loading != NULL && router->config_loading->turns == 0)
-    wait_turn (router->config_loading);
+    schedule_step (router->config_loading);
 }
 
 static void
-put_in_force (struct mq_config_load *take)
+activate (struct mq_config_load *load)
 {
-  struct mq_router *router = take->router;
-  struct mq_bytes text = mq_wire_config_text (take->reader);
+  struct mq_router *router = load->router;
+  struct mq_bytes text = mq_wire_config_text (load->reader);
   struct mq_route_table *table
-      = mq_wire_config_take_table (router, take->reader);
+      = mq_wire_config_take_table (router, load->reader);
 
   mq_route_table_sort (table);
   talloc_free (router->config.data);
   router->config.data = talloc_steal (router, text.data);
   router->config.len = text.len;
-  log_in_force (take, table);
-  /* Requests under way hold a reference to the one they began with.  */
+  log_active (load, table);
+  /* Pending requests hold a reference to the table they were routed with.  */
   if (router->routes != NULL)
     talloc_unlink (router, router->routes);
   router->routes = table;
   router->counters.config_changes++;
 }
 
-/* Bytes to read in this turn.  */
+/* Number of bytes to parse in this step.  */
 static size_t
-turn_bytes (const struct mq_config_load *take)
+step_bytes (const struct mq_config_load *load)
 {
-  uint64_t elapsed = mq_clock_ms () - take->since_ms;
-  size_t whole = mq_wire_config_text (take->reader).len;
+  uint64_t elapsed = mq_clock_ms () - load->since_ms;
+  size_t whole = mq_wire_config_text (load->reader).len;
   size_t due = whole;
-  size_t done = mq_wire_config_parsed_bytes (take->reader);
+  size_t done = mq_wire_config_parsed_bytes (load->reader);
 
-  if (elapsed < TAKE_MS)
-    due = (size_t)(whole * elapsed / TAKE_MS);
-  return due > done + TURN_BYTES ? due - done : TURN_BYTES;
+  if (elapsed < LOAD_TARGET_MS)
+    due = (size_t)(whole * elapsed / LOAD_TARGET_MS);
+  return due > done + STEP_MIN_BYTES ? due - done : STEP_MIN_BYTES;
 }
 
-/* It is not newer than the one in force.  */
+/* The configuration is not newer than the active one.  */
 static bool
-is_stale (const struct mq_config_load *take)
+is_stale (const struct mq_config_load *load)
 {
-  const struct mq_route_table *routes = take->router->routes;
-  uint64_t version = mq_wire_config_version (take->reader);
+  const struct mq_route_table *routes = load->router->routes;
+  uint64_t version = mq_wire_config_version (load->reader);
 
   return routes != NULL && version != 0 && version <= routes->version;
 }
 
-/* Reads on; false when TAKE is over and gone.  */
+/* Parses the next part.  Returns false if LOAD has ended and was freed.  */
 static bool
-read_on (struct mq_config_load *take)
+parse_step (struct mq_config_load *load)
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   enum mq_config_progress progress
-      = mq_wire_config_parse_some (take->reader, turn_bytes (take), &error);
+      = mq_wire_config_parse_some (load->reader, step_bytes (load), &error);
 
   if (progress == MQ_CONFIG_INVALID)
-    log_unreadable (take->router, &error);
-  if (progress == MQ_CONFIG_INVALID || is_stale (take))
+    log_unreadable (load->router, &error);
+  if (progress == MQ_CONFIG_INVALID || is_stale (load))
     {
-      end_take (take);
+      end_load (load);
       return false;
     }
-  take->whole = progress == MQ_CONFIG_COMPLETE;
+  load->whole = progress == MQ_CONFIG_COMPLETE;
   return true;
 }
 
-/* Failure: a configuration of thousands of routes, read in one go, keeps all
-   callers of a host with little of a processor waiting for half a second.  So
-   each turn reads some of it, by a timer that is due at once: the event loop
-   comes to everything else that is ready before it comes back.  Putting a
-   long one in force, sorting it above all, is a turn of its own.  */
+/* Runs one step from a timer that is due at once, so that the event loop
+   handles other events between steps.  Activating a long configuration, which
+   includes sorting it, is a step of its own.
+
+   Failure: a large configuration parsed in one go delays all callers of a host
+   with little CPU.  */
 static void
-run_turn (void *data)
+run_step (void *data)
 {
-  struct mq_config_load *take = data;
-  bool reads = !take->whole;
+  struct mq_config_load *load = data;
+  bool reads = !load->whole;
 
-  take->timer = NULL;
-  take->turns++;
-  if (reads && !read_on (take))
+  load->timer = NULL;
+  load->turns++;
+  if (reads && !parse_step (load))
     return;
-  if (!take->whole || (reads && take->turns > 1))
+  if (!load->whole || (reads && load->turns > 1))
     {
-      wait_turn (take);
+      schedule_step (load);
       return;
     }
-  put_in_force (take);
-  end_take (take);
+  activate (load);
+  end_load (load);
 }
 
-/* Without memory for a timer it goes on at once.  */
+/* Runs the step at once if no timer can be allocated.  */
 static void
-wait_turn (struct mq_config_load *take)
+schedule_step (struct mq_config_load *load)
 {
-  take->timer = mq_timer_add (take, take->router->ev, 0, run_turn, take);
-  if (take->timer == NULL)
-    run_turn (take);
+  load->timer = mq_timer_add (load, load->router->ev, 0, run_step, load);
+  if (load->timer == NULL)
+    run_step (load);
 }
 
 static bool
@@ -259,41 +255,41 @@
 }
 
 static struct mq_config_load *
-make_take (struct mq_router *router, struct mq_bytes value, uint64_t row)
+create_load (struct mq_router *router, struct mq_bytes value, uint64_t row)
 {
-  struct mq_config_load *take = talloc_zero (router, struct mq_config_load);
+  struct mq_config_load *load = talloc_zero (router, struct mq_config_load);
   struct mq_error error = { .type = MQ_ERR_NONE };
 
-  if (take != NULL)
-    take->reader = mq_wire_config_begin (take, value);
-  if (take == NULL || take->reader == NULL)
+  if (load != NULL)
+    load->reader = mq_wire_config_begin (load, value);
+  if (load == NULL || load->reader == NULL)
     {
       mq_error_set (&error, MQ_ERR_NO_MEMORY, "configuration", NULL);
       log_unreadable (router, &error);
-      talloc_free (take);
+      talloc_free (load);
       return NULL;
     }
-  take->router = router;
-  take->row = row;
-  take->since_ms = mq_clock_ms ();
-  return take;
+  load->router = router;
+  load->row = row;
+  load->since_ms = mq_clock_ms ();
+  return load;
 }
 
-/* VALUE says the same as TAKE, or is older.  */
+/* VALUE equals the configuration of LOAD or is older.  */
 static bool
-covers (const struct mq_config_load *take, struct mq_bytes value, uint64_t row)
+covers (const struct mq_config_load *load, struct mq_bytes value, uint64_t row)
 {
-  return (row != 0 && row < take->row)
-         || is_same (mq_wire_config_text (take->reader), value);
+  return (row != 0 && row < load->row)
+         || is_same (mq_wire_config_text (load->reader), value);
 }
 
-/* VALUE came while another is read.  It waits, in the place of one that came
-   before if that is known to be older.  */
+/* Queues VALUE behind FIRST, replacing a queued configuration that is known to
+   be older.  */
 static struct mq_config_load *
-put_behind (struct mq_config_load *first, struct mq_bytes value, uint64_t row)
+queue_load (struct mq_config_load *first, struct mq_bytes value, uint64_t row)
 {
   struct mq_config_load **at = &first->next;
-  struct mq_config_load *take;
+  struct mq_config_load *load;
 
   if (covers (first, value, row))
     return first;
@@ -302,65 +298,67 @@
       return *at;
     else if (row != 0 && (*at)->row != 0)
       break;
-  take = make_take (first->router, value, row);
-  if (take == NULL)
+  load = create_load (first->router, value, row);
+  if (load == NULL)
     return first;
   if (*at != NULL)
     {
       struct mq_config_load *older = *at;
 
-      take->next = older->next;
-      move_all (&older->waiting, &take->waiting);
+      load->next = older->next;
+      move_all (&older->waiting, &load->waiting);
       talloc_free (older);
     }
-  *at = take;
-  return take;
+  *at = load;
+  return load;
 }
 
-/* Those who wait for VALUE wait for what is returned, NULL: for nothing.  */
+/* Returns the load that will activate VALUE or a newer version; NULL if it is
+   active already.  */
 static struct mq_config_load *
-find_take (struct mq_router *router, struct mq_bytes value, uint64_t row)
+find_or_queue_load (struct mq_router *router, struct mq_bytes value,
+                    uint64_t row)
 {
   if (router->config_loading != NULL)
-    return put_behind (router->config_loading, value, row);
+    return queue_load (router->config_loading, value, row);
   if (router->routes != NULL && is_same (router->config, value))
     return NULL;
-  router->config_loading = make_take (router, value, row);
+  router->config_loading = create_load (router, value, row);
   return router->config_loading;
 }
 
-/* WAITING, NULL: nobody, are told when VALUE is in force, or one that is
-   newer.  */
+/* Loads VALUE and notifies WAITING, which may be NULL, once it or a newer
+   version is active.  */
 static void
-offer (struct mq_router *router, struct mq_bytes value, uint64_t row,
-       struct mq_config_waiter **waiting)
+load_config (struct mq_router *router, struct mq_bytes value, uint64_t row,
+             struct mq_config_waiter **waiting)
 {
-  struct mq_config_load *take = find_take (router, value, row);
+  struct mq_config_load *load = find_or_queue_load (router, value, row);
 
-  if (waiting != NULL && take == NULL)
-    tell_all (waiting, true);
+  if (waiting != NULL && load == NULL)
+    notify_all (waiting, true);
   else if (waiting != NULL)
-    move_all (waiting, &take->waiting);
-  if (take != NULL && take == router->config_loading && take->turns == 0)
-    run_turn (take);
+    move_all (waiting, &load->waiting);
+  if (load != NULL && load == router->config_loading && load->turns == 0)
+    run_step (load);
 }
 
 void
 mq_config_offer (struct mq_router *router, struct mq_bytes value, uint64_t row)
 {
-  offer (router, value, row, NULL);
+  load_config (router, value, row, NULL);
 }
 
-/* Asking */
+/* Querying */
 
 /**
- * struct mq_config_query - a question to the platform for the newest
- * configuration
- * @call: under way, NULL: none
- * @began_ms: when it, or the one before it, began
- * @known_ms: when one began whose answer was the newest, 0: none
- * @asked: those who were there when it began
- * @later: those who came since; it may not tell what is the newest for them
+ * struct mq_config_query - query of the platform for the latest configuration
+ * @call: pending call; NULL if none
+ * @began_ms: start of the last call, local monotonic clock
+ * @known_ms: start of the last successful call; 0 if none
+ * @asked: waiters served by the pending call
+ * @later: waiters that arrived after it began, for which its result may be
+ *         outdated
  */
 struct mq_config_query
 {
@@ -375,36 +373,38 @@
 static void on_read (const struct mq_rows_result *result, void *user);
 
 static void
-start_read (struct mq_config_query *ask)
+start_query (struct mq_config_query *query)
 {
-  move_all (&ask->later, &ask->asked);
-  if (ask->asked == NULL)
+  move_all (&query->later, &query->asked);
+  if (query->asked == NULL)
     return;
-  ask->began_ms = mq_clock_ms ();
-  ask->call = mq_ledger_get (ask->router->ledger, mq_wire_config_table, "",
-                             mq_wire_config_key, on_read, ask);
+  query->began_ms = mq_clock_ms ();
+  query->call = mq_ledger_get (query->router->ledger, mq_wire_config_table, "",
+                               mq_wire_config_key, on_read, query);
 }
 
-/* The next call begins after those who are told: one of them may ask again. */
+/* Notifies the waiters before the next call begins, since a handler may add a
+   waiter.  */
 static void
 on_read (const struct mq_rows_result *result, void *user)
 {
-  struct mq_config_query *ask = user;
+  struct mq_config_query *query = user;
   struct mq_config_waiter *told = NULL;
 
-  move_all (&ask->asked, &told);
+  move_all (&query->asked, &told);
   if (result->status == MQ_STORE_OK && result->row_count > 0)
-    ask->known_ms = ask->began_ms;
+    query->known_ms = query->began_ms;
   if (result->status == MQ_STORE_OK && result->row_count > 0)
-    offer (ask->router, result->rows[0].value, result->rows[0].version, &told);
+    load_config (query->router, result->rows[0].value, result->rows[0].version,
+                 &told);
   else
-    tell_all (&told, false);
-  ask->call = NULL;
-  start_read (ask);
+    notify_all (&told, false);
+  query->call = NULL;
+  start_query (query);
 }
 
 static struct mq_config_query *
-get_ask (struct mq_router *router)
+get_query (struct mq_router *router)
 {
   if (router->config_query == NULL)
     router->config_query = talloc_zero (router, struct mq_config_query);
@@ -416,43 +416,43 @@
 bool
 mq_config_confirmed_within (const struct mq_router *router, uint32_t ms)
 {
-  const struct mq_config_query *ask = router->config_query;
+  const struct mq_config_query *query = router->config_query;
 
-  return ask != NULL && router->config_loading == NULL && ask->known_ms != 0
-         && mq_clock_ms () - ask->known_ms < ms;
+  return query != NULL && router->config_loading == NULL
+         && query->known_ms != 0 && mq_clock_ms () - query->known_ms < ms;
 }
 
-/* Failure: each caller who asks for what no route serves costs the host a read
-   of the whole configuration, some million bytes; many of them at a time cost
-   its memory, and the reads are over their time.  So one is read at a time,
-   for all who were there when it began.  */
+/* One call at a time serves all waiters that were present when it began.
+
+   Failure: each request without a route reads the whole configuration; many at
+   once exhaust memory and time out.  */
 struct mq_config_waiter *
 mq_config_fetch_latest (struct mq_router *router,
                         mq_config_latest_handler *told, void *user)
 {
-  struct mq_config_waiter *confirm
+  struct mq_config_waiter *waiter
       = talloc_zero (router, struct mq_config_waiter);
-  struct mq_config_query *ask = get_ask (router);
+  struct mq_config_query *query = get_query (router);
 
-  if (confirm == NULL || ask == NULL)
+  if (waiter == NULL || query == NULL)
     {
-      talloc_free (confirm);
+      talloc_free (waiter);
       return NULL;
     }
-  confirm->router = router;
-  confirm->told = told;
-  confirm->user = user;
-  put_in (&ask->later, confirm);
-  if (ask->call == NULL)
-    start_read (ask);
-  return confirm;
+  waiter->router = router;
+  waiter->told = told;
+  waiter->user = user;
+  add_waiter (&query->later, waiter);
+  if (query->call == NULL)
+    start_query (query);
+  return waiter;
 }
 
 void
-mq_config_cancel_fetch (struct mq_config_waiter *confirm)
+mq_config_cancel_fetch (struct mq_config_waiter *waiter)
 {
-  if (confirm == NULL)
+  if (waiter == NULL)
     return;
-  take_out (confirm);
-  talloc_free (confirm);
+  remove_waiter (waiter);
+  talloc_free (waiter);
 }
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -1,14 +1,14 @@
-/* router_identify.c - whose request it is, and under which ids its program and
-   its turns are kept.
+/* router_identify.c - the organisation of a request and the stored ids of its
+   program and turns.
 
    Needs: router_request.h.  */
 
 #include "router_request.h"
 #include <string.h>
 
-/* A caller whose key nobody has makes this host ask for a newer configuration,
-   but not again within so long: forged keys must not load the table.  A key
-   that was just added comes by the feed meanwhile.  */
+/* Minimum interval between queries for a newer configuration caused by unknown
+   keys, so that forged keys do not load the table.  Newly added keys arrive
+   through the feed.  */
 #define KEY_ASK_MS 1000U
 
 static const char *
@@ -19,7 +19,7 @@
   return mq_org_scope ((TALLOC_CTX *)(uintptr_t)request, request->org, id);
 }
 
-/* Without organisations in the configuration ids are kept as they are.  */
+/* Without organisations ids are stored unchanged.  */
 static void
 set_ids (struct mq_request *request, const struct mq_route_table *table)
 {
--- a/src/router/router_inactivity.c
+++ b/src/router/router_inactivity.c
@@ -1,33 +1,29 @@
-/* router_silence.c - notices a worker that has gone without a word.
+/* router_inactivity.c - detects workers that stopped responding.
 
-   Needs: router_silence.h, memory.h, clock.h, timer.h.  */
+   Needs: router_inactivity.h, memory.h, clock.h, timer.h.  */
 
 #include "router_inactivity.h"
 #include "core/memory.h"
 #include "net/clock.h"
 #include "net/timer.h"
 
-/* Objectives are about three times the usual time, so that three objectives
-   are nine times that.  */
-#define FIRST_FACTOR 3U
+/* Timeouts as multiples of the objectives of the route.  */
+#define FIRST_BYTE_FACTOR 3U
 #define GAP_FACTOR 3U
-#define LEAST_MS 400U
-/* A worker that answers other requests is busy; its silence towards this one
-   counts a third.
-
-   Failure: the worker has run the request and its answer is lost, while it
-   goes on answering others; a caller who waits 1.2 s was told so at the end of
-   it, since the silence would have counted after three times 0.4 s.  So no
-   more than a third of the caller's time is spent on it, which leaves twice as
-   much for another worker; where requests wait at the worker, a second one
-   would only make queues longer.  */
+#define TIMEOUT_MIN_MS 400U
+/* Timeout factor for a worker that answers other requests, and the divisor of
+   the remaining time that caps it unless requests are queued at the worker,
+   where a second attempt would only lengthen the queues.
+
+   Failure: a response is lost while the worker answers others, and the
+   deadline passes before another worker is tried.  */
 #define BUSY_FACTOR 3U
-#define BUSY_PART 3U
+#define BUSY_LEFT_DIVISOR 3U
 
 /**
- * struct mq_inactivity - the watch on one try
- * @heard_ms: when the worker last gave something to this request
- * @seen: it seemed silent at the last look
+ * struct mq_inactivity - inactivity timer of one attempt
+ * @heard_ms: last bytes for this request, local monotonic clock
+ * @seen: the last check found the worker inactive
  */
 struct mq_inactivity
 {
@@ -38,120 +34,121 @@
   bool seen;
 };
 
-static void on_look (void *data);
+static void on_check (void *data);
 
-/* Longest silence of the worker before the request is better off elsewhere. */
+/* Timeout, milliseconds.  */
 static uint32_t
-longest_ms (const struct mq_inactivity *silence)
+timeout_ms (const struct mq_inactivity *inactivity)
 {
-  const struct mq_path_route *route = silence->options.route;
-  uint32_t wait = silence->options.begun ? route->gap_ms * GAP_FACTOR
-                                         : route->objective_ms * FIRST_FACTOR;
+  const struct mq_path_route *route = inactivity->options.route;
+  uint32_t wait = inactivity->options.begun
+                      ? route->gap_ms * GAP_FACTOR
+                      : route->objective_ms * FIRST_BYTE_FACTOR;
 
-  return wait < LEAST_MS ? LEAST_MS : wait;
+  return wait < TIMEOUT_MIN_MS ? TIMEOUT_MIN_MS : wait;
 }
 
 static void
-look_after (struct mq_inactivity *silence, uint64_t wait_ms)
+schedule_check (struct mq_inactivity *inactivity, uint64_t wait_ms)
 {
-  silence->timer
-      = mq_timer_add (silence, silence->ev, wait_ms, on_look, silence);
+  inactivity->timer = mq_timer_add (inactivity, inactivity->ev, wait_ms,
+                                    on_check, inactivity);
 }
 
-/* The same where the worker answers other requests.  */
+/* Timeout while the worker answers other requests, milliseconds.  */
 static uint32_t
-longest_busy_ms (const struct mq_inactivity *silence)
+busy_timeout_ms (const struct mq_inactivity *inactivity)
 {
-  uint32_t longest = longest_ms (silence);
-  uint32_t wait = longest * BUSY_FACTOR;
-  uint32_t part = silence->options.left_ms / BUSY_PART;
-  bool queued = mq_fleet_has_queue (silence->options.fleet,
-                                    silence->options.worker, mq_clock_ms ());
+  uint32_t timeout = timeout_ms (inactivity);
+  uint32_t wait = timeout * BUSY_FACTOR;
+  uint32_t part = inactivity->options.left_ms / BUSY_LEFT_DIVISOR;
+  bool queued = mq_fleet_has_queue (
+      inactivity->options.fleet, inactivity->options.worker, mq_clock_ms ());
 
   if (part < wait && !queued)
     wait = part;
-  return wait < longest ? longest : wait;
+  return wait < timeout ? timeout : wait;
 }
 
-/* How long the silence may still last, 0: no longer.  */
+/* Time remaining until the timeout; 0 if it has passed.  */
 static uint64_t
-left_ms (const struct mq_inactivity *silence)
+left_ms (const struct mq_inactivity *inactivity)
 {
   uint64_t now = mq_clock_ms ();
-  uint64_t other
-      = mq_fleet_heard_ms (silence->options.fleet, silence->options.worker);
-  uint64_t until = silence->heard_ms + longest_ms (silence);
-  uint64_t busy_until = silence->heard_ms + longest_busy_ms (silence);
-
-  /* Heard of by other requests, it counts from then on.  */
-  if (other > silence->heard_ms)
-    until = other + longest_ms (silence);
+  uint64_t other = mq_fleet_heard_ms (inactivity->options.fleet,
+                                      inactivity->options.worker);
+  uint64_t until = inactivity->heard_ms + timeout_ms (inactivity);
+  uint64_t busy_until = inactivity->heard_ms + busy_timeout_ms (inactivity);
+
+  /* Activity on other requests restarts the timeout.  */
+  if (other > inactivity->heard_ms)
+    until = other + timeout_ms (inactivity);
   if (until > busy_until)
     until = busy_until;
   return until > now ? until - now : 0;
 }
 
-/* Silence counts only when it is seen twice, with a look at the connections in
-   between: after a pause of this process answers lie there unread.  */
+/* Reports inactivity only if two checks find it with a poll of the sockets in
+   between, because responses may be unread after this process was delayed.  */
 static void
-on_look (void *data)
+on_check (void *data)
 {
-  struct mq_inactivity *silence = data;
-  uint64_t left = left_ms (silence);
+  struct mq_inactivity *inactivity = data;
+  uint64_t left = left_ms (inactivity);
 
-  silence->timer = NULL;
+  inactivity->timer = NULL;
   if (left > 0)
     {
-      silence->seen = false;
-      look_after (silence, left);
+      inactivity->seen = false;
+      schedule_check (inactivity, left);
     }
-  else if (!silence->seen)
+  else if (!inactivity->seen)
     {
-      silence->seen = true;
-      look_after (silence, 1);
+      inactivity->seen = true;
+      schedule_check (inactivity, 1);
     }
   else
-    silence->options.timed_out (silence->options.user);
+    inactivity->options.timed_out (inactivity->options.user);
 }
 
 struct mq_inactivity *
 mq_inactivity_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                       const struct mq_inactivity_options *options)
 {
-  struct mq_inactivity *silence
+  struct mq_inactivity *inactivity
       = mq_must (talloc_zero (ctx, struct mq_inactivity));
 
-  silence->options = *options;
-  silence->ev = ev;
-  silence->heard_ms = mq_clock_ms ();
+  inactivity->options = *options;
+  inactivity->ev = ev;
+  inactivity->heard_ms = mq_clock_ms ();
   if (options->detect_inactivity)
-    look_after (silence, longest_ms (silence));
-  return silence;
+    schedule_check (inactivity, timeout_ms (inactivity));
+  return inactivity;
 }
 
 void
-mq_inactivity_destroy (struct mq_inactivity *silence)
+mq_inactivity_destroy (struct mq_inactivity *inactivity)
 {
-  talloc_free (silence);
+  talloc_free (inactivity);
 }
 
 void
-mq_inactivity_reset (struct mq_inactivity *silence)
+mq_inactivity_reset (struct mq_inactivity *inactivity)
 {
   uint64_t now = mq_clock_ms ();
 
-  silence->heard_ms = now;
-  mq_fleet_heard (silence->options.fleet, silence->options.worker, now);
+  inactivity->heard_ms = now;
+  mq_fleet_heard (inactivity->options.fleet, inactivity->options.worker, now);
 }
 
 void
-mq_inactivity_response_begun (struct mq_inactivity *silence)
+mq_inactivity_response_begun (struct mq_inactivity *inactivity)
 {
-  silence->options.begun = true;
+  inactivity->options.begun = true;
 }
 
 uint64_t
-mq_inactivity_ms (const struct mq_inactivity *silence)
+mq_inactivity_ms (const struct mq_inactivity *inactivity)
 {
-  return mq_clock_ms () - silence->heard_ms;
+  return mq_clock_ms () - inactivity->heard_ms;
 }
--- a/src/router/router_inactivity.h
+++ b/src/router/router_inactivity.h
@@ -1,8 +1,7 @@
-/* router_silence.h - notices a worker that has gone without a word.
+/* router_inactivity.h - detects workers that stopped responding.
 
-   A worker that gives nothing for a multiple of what the route aims at has
-   most likely gone; a request that may be repeated is then better off at
-   another one.
+   If a worker sends nothing for a multiple of the route's objective, a request
+   that may be repeated is sent to another one.
    Needs: fleet.h, tevent.  */
 
 #ifndef MQ_ROUTER_SILENCE_H
@@ -15,14 +14,13 @@
 struct mq_inactivity;
 
 /**
- * struct mq_inactivity_options - whose silence, and how much of it
- * @fleet: knows when the worker was last heard by any request
- * @worker: the one that is asked
- * @route: what the route aims at
- * @begun: the caller has got the beginning of an answer
- * @patience_ms: time until the final answer
- * @watched: @gone is wanted
- * @gone: called once when the worker has been silent for too long
+ * struct mq_inactivity_options - parameters of the inactivity timer
+ * @fleet: knows the last activity of the worker on any request
+ * @route: gives the objectives that the timeouts are derived from
+ * @begun: the response head was sent to the caller
+ * @left_ms: time remaining until the final response
+ * @detect_inactivity: run the timer; otherwise only the activity is recorded
+ * @timed_out: called once when the worker was inactive for too long
  */
 struct mq_inactivity_options
 {
@@ -39,13 +37,13 @@
 struct mq_inactivity *
 mq_inactivity_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                       const struct mq_inactivity_options *options);
-/* NULL is allowed.  */
-void mq_inactivity_destroy (struct mq_inactivity *silence);
-/* Bytes came from the worker.  */
-void mq_inactivity_reset (struct mq_inactivity *silence);
-/* The caller has got the beginning of the answer.  */
-void mq_inactivity_response_begun (struct mq_inactivity *silence);
-/* How long the worker has said nothing to this request, milliseconds.  */
-uint64_t mq_inactivity_ms (const struct mq_inactivity *silence);
+/* INACTIVITY may be NULL.  */
+void mq_inactivity_destroy (struct mq_inactivity *inactivity);
+/* Records that the worker sent bytes.  */
+void mq_inactivity_reset (struct mq_inactivity *inactivity);
+/* Notes that the response head was sent to the caller.  */
+void mq_inactivity_response_begun (struct mq_inactivity *inactivity);
+/* Time since the worker last sent anything for this request, milliseconds.  */
+uint64_t mq_inactivity_ms (const struct mq_inactivity *inactivity);
 
 #endif
--- a/src/router/router_limit.c
+++ b/src/router/router_limit.c
@@ -1,4 +1,4 @@
-/* router_limit.c - a request under the limit of its organisation.
+/* router_limit.c - rate limits of organisations.
 
    Needs: router_request.h.  */
 
@@ -11,14 +11,14 @@
 }
 
 static void
-refuse_over (struct mq_request *request, uint32_t retry_ms)
+refuse_over_limit (struct mq_request *request, uint32_t retry_ms)
 {
   request->router->counters.over_limit++;
   request_refuse_until (request, MQ_REFUSE_OVER_LIMIT, retry_ms);
 }
 
 static void
-follow_permit (struct mq_request *request, enum mq_permit_state state,
+handle_permit (struct mq_request *request, enum mq_permit_state state,
                uint32_t retry_ms)
 {
   switch (state)
@@ -28,7 +28,7 @@
       request_dispatch (request);
       return;
     case MQ_PERMIT_OVER_LIMIT:
-      refuse_over (request, retry_ms);
+      refuse_over_limit (request, retry_ms);
       return;
     case MQ_PERMIT_UNKNOWN:
       request->router->counters.limit_unknown++;
@@ -45,7 +45,7 @@
   struct mq_request *request = user;
 
   request->permit = NULL;
-  follow_permit (request, state, retry_ms);
+  handle_permit (request, state, retry_ms);
 }
 
 void
@@ -58,7 +58,7 @@
     state = mq_permit_request (request->router, request->org,
                                request->begins_program, on_permit, request,
                                &request->permit, &retry_ms);
-  follow_permit (request, state, retry_ms);
+  handle_permit (request, state, retry_ms);
 }
 
 bool
@@ -70,6 +70,6 @@
       || !mq_permit_would_refuse (request->router, request->org,
                                   request->begins_program, &retry_ms))
     return false;
-  refuse_over (request, retry_ms);
+  refuse_over_limit (request, retry_ms);
   return true;
 }
--- a/src/router/router_pool.c
+++ b/src/router/router_pool.c
@@ -1,4 +1,4 @@
-/* router_pool.c - connections to workers, kept for reuse.
+/* router_pool.c - pool of idle connections to workers.
 
    Needs: router_pool.h, clock.h.  */
 
@@ -9,10 +9,10 @@
 #define SLOTS_STEP ((size_t)32)
 
 /**
- * struct idle_lane - a connection that nobody uses
- * @stamp: of the worker that it leads to
- * @until_ms: it is not used after that
- * @next: one that became idle before
+ * struct idle_lane - an idle connection
+ * @stamp: identifies the instance of the worker it leads to
+ * @until_ms: expiry, local monotonic clock
+ * @next: connection that became idle before this one
  */
 struct idle_lane
 {
@@ -24,7 +24,7 @@
 
 /**
  * struct mq_pool - idle connections of each worker, newest first
- * @idle: by the worker's handle
+ * @idle: lists indexed by the worker's handle
  */
 struct mq_pool
 {
@@ -55,10 +55,10 @@
   talloc_free (idle);
 }
 
-/* The worker most likely still keeps the connection, and is still the one that
-   it leads to.  */
+/* The connection has not expired and leads to the current instance of the
+   worker.  */
 static bool
-is_fresh (const struct mq_pool *pool, const struct idle_lane *idle,
+is_valid (const struct mq_pool *pool, const struct idle_lane *idle,
           uint32_t worker, uint64_t now_ms)
 {
   return idle->until_ms > now_ms
@@ -82,7 +82,7 @@
 }
 
 static bool
-make_slots (struct mq_pool *pool, uint32_t worker)
+reserve_slots (struct mq_pool *pool, uint32_t worker)
 {
   size_t count = pool->count;
   struct idle_lane **grown;
@@ -101,9 +101,9 @@
   return true;
 }
 
-/* An idle connection ended: it is still in its list.  */
+/* Removes an idle connection that was closed.  */
 static void
-on_gone (struct mq_http_lane *lane, void *user)
+on_lane_closed (struct mq_http_lane *lane, void *user)
 {
   struct mq_pool *pool = user;
 
@@ -127,7 +127,7 @@
   uint64_t now = mq_clock_ms ();
   struct idle_lane *idle;
 
-  if (!make_slots (pool, worker))
+  if (!reserve_slots (pool, worker))
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "", NULL);
       return NULL;
@@ -137,7 +137,7 @@
       struct mq_http_lane *lane = idle->lane;
 
       pool->idle[worker] = idle->next;
-      if (!is_fresh (pool, idle, worker, now) || !mq_http_lane_reusable (lane))
+      if (!is_valid (pool, idle, worker, now) || !mq_http_lane_reusable (lane))
         {
           close_idle (idle);
           continue;
@@ -146,9 +146,9 @@
       return lane;
     }
   pool->opened++;
-  return mq_http_lane_open (pool, pool->ev,
-                            mq_fleet_member (pool->fleet, worker)->address,
-                            MQ_POOL_ACK_TIMEOUT_MS, on_gone, pool, error);
+  return mq_http_lane_open (
+      pool, pool->ev, mq_fleet_member (pool->fleet, worker)->address,
+      MQ_POOL_ACK_TIMEOUT_MS, on_lane_closed, pool, error);
 }
 
 void
@@ -188,7 +188,7 @@
         {
           struct idle_lane *idle = *at;
 
-          if (usable && is_fresh (pool, idle, (uint32_t)i, now))
+          if (usable && is_valid (pool, idle, (uint32_t)i, now))
             {
               at = &idle->next;
               continue;
--- a/src/router/router_pool.h
+++ b/src/router/router_pool.h
@@ -1,4 +1,4 @@
-/* router_pool.h - connections to workers, kept for reuse.
+/* router_pool.h - pool of idle connections to workers.
 
    Needs: http_lane.h, fleet.h.  */
 
@@ -8,14 +8,13 @@
 #include "core/router/fleet.h"
 #include "net/http_lane.h"
 
-/* Bytes that a worker does not acknowledge for so long mean that it is gone.
-   Within a region an acknowledgement takes a few milliseconds.  */
+/* Time without acknowledgement of sent bytes after which a worker is
+   considered gone.  */
 #define MQ_POOL_ACK_TIMEOUT_MS 600U
-/* An idle connection is not used in the last part of the time that the worker
-   keeps it: a request that crosses its closing may have run, and one that may
-   run once is then lost.  */
+/* Subtracted from the worker's idle timeout, so that no request is sent on a
+   connection that the worker is about to close.  */
 #define MQ_POOL_IDLE_MARGIN_MS 400U
-/* Idle time of a connection whose worker tells none.  */
+/* Idle timeout assumed if the worker reports none.  */
 #define MQ_POOL_DEFAULT_IDLE_MS 4000U
 
 struct mq_pool;
@@ -23,17 +22,18 @@
 struct mq_pool *mq_pool_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                 struct mq_fleet *fleet);
 void mq_pool_destroy (struct mq_pool *pool);
-/* A connection to WORKER, used before or new.  NULL with ERROR set when none
-   can be had.  */
+/* Gets an idle or a new connection to WORKER; returns NULL with ERROR set on
+   failure.  */
 struct mq_http_lane *mq_pool_acquire (struct mq_pool *pool, uint32_t worker,
                                       struct mq_error *error);
-/* Gives LANE back after a whole answer; IDLE_S: how long the worker keeps it,
-   0: not told.  Closes it when it can't be used again.  */
+/* Returns LANE after a complete response, or closes it if it can't be reused.
+   IDLE_S: idle timeout of the worker, seconds; 0 if unknown.  */
 void mq_pool_release (struct mq_pool *pool, uint32_t worker,
                       struct mq_http_lane *lane, uint32_t idle_s);
-/* Closes connections that are idle too long or whose worker has left.  */
+/* Closes connections that were idle for too long or whose worker is
+   unavailable.  */
 void mq_pool_sweep (struct mq_pool *pool);
-/* Connections opened since the start.  */
+/* Number of connections opened.  */
 uint64_t mq_pool_opened (const struct mq_pool *pool);
 
 #endif
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -1,6 +1,6 @@
 /* router_program.c - budgets of programs in the platform's table.
 
-   A turn reserves its budget before it is sent. A program has one record and
+   A turn reserves its budget before it is sent.  A program has one record and
    at most one pending call for it.
    Needs: router_turns.h, id.h, reserve.h, clock.h.  */
 
@@ -265,7 +265,7 @@
   advance_program (program);
 }
 
-/* The record has no tokens left for the first waiting turn. If it was read
+/* The record has no tokens left for the first waiting turn.  If it was read
    after the turn arrived, hosts with unused tokens are asked to lend them;
    turns that arrive meanwhile wait for the same replies.
 
--- a/src/router/router_ready.c
+++ b/src/router/router_ready.c
@@ -1,4 +1,4 @@
-/* router_ready.c - the balancer's question whether the router takes callers.
+/* router_ready.c - readiness and metrics endpoint.
 
    Needs: router_ready.h, listen.h.  */
 
@@ -8,14 +8,14 @@
 #include <string.h>
 #include <sys/socket.h>
 
-struct question
+struct probe
 {
   struct mq_router *router;
   struct mq_tcp *tcp;
   struct mq_http_reader *reader;
   bool metrics;
   bool keep;
-  bool whole;
+  bool complete;
 };
 
 bool
@@ -27,10 +27,10 @@
 static void
 on_head (const struct mq_http_head *head, void *user)
 {
-  struct question *question = user;
+  struct probe *probe = user;
 
-  question->metrics = strcmp (head->target, "/metrics") == 0;
-  question->keep = head->keep_alive;
+  probe->metrics = strcmp (head->target, "/metrics") == 0;
+  probe->keep = head->keep_alive;
 }
 
 static void
@@ -44,65 +44,65 @@
 static void
 on_end (void *user)
 {
-  struct question *question = user;
+  struct probe *probe = user;
 
-  question->whole = true;
+  probe->complete = true;
 }
 
 static void
-answer (struct question *question)
+send_response (struct probe *probe)
 {
   const char *body = "";
   char *text;
   int status = 200;
 
-  if (question->metrics)
-    body = mq_router_metrics (question, question->router);
-  else if (!mq_router_is_ready (question->router))
+  if (probe->metrics)
+    body = mq_router_metrics (probe, probe->router);
+  else if (!mq_router_is_ready (probe->router))
     status = 503;
-  text = talloc_asprintf (question,
+  text = talloc_asprintf (probe,
                           "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n%s\r\n%s",
                           status, mq_http_reason (status), strlen (body),
-                          question->keep ? "" : "Connection: close\r\n", body);
+                          probe->keep ? "" : "Connection: close\r\n", body);
   if (text != NULL)
-    mq_tcp_write (question->tcp, text, strlen (text));
+    mq_tcp_write (probe->tcp, text, strlen (text));
   talloc_free (text);
 }
 
 static void
-finish (struct question *question)
+close_probe (struct probe *probe)
 {
-  talloc_steal (question->router, question->tcp);
-  mq_tcp_finish (question->tcp);
-  talloc_free (question);
+  talloc_steal (probe->router, probe->tcp);
+  mq_tcp_finish (probe->tcp);
+  talloc_free (probe);
 }
 
 static void
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
-  struct question *question = user;
+  struct probe *probe = user;
 
   (void)tcp;
   while (len > 0)
     {
       struct mq_error error = { .type = MQ_ERR_NONE };
-      size_t used = mq_http_reader_feed (question->reader, data, len, &error);
+      size_t used = mq_http_reader_feed (probe->reader, data, len, &error);
 
       if (error.type != MQ_ERR_NONE)
         {
-          finish (question);
+          close_probe (probe);
           return;
         }
       data += used;
       len -= used;
-      if (!question->whole)
+      if (!probe->complete)
         continue;
-      question->whole = false;
-      answer (question);
-      mq_http_reader_next (question->reader);
-      if (!question->keep)
+      probe->complete = false;
+      send_response (probe);
+      mq_http_reader_next (probe->reader);
+      if (!probe->keep)
         {
-          finish (question);
+          close_probe (probe);
           return;
         }
     }
@@ -111,12 +111,12 @@
 static void
 on_ended (struct mq_tcp *tcp, enum mq_tcp_end end, void *user)
 {
-  struct question *question = user;
+  struct probe *probe = user;
 
   (void)end;
-  talloc_steal (question->router, tcp);
+  talloc_steal (probe->router, tcp);
   mq_tcp_destroy (tcp);
-  talloc_free (question);
+  talloc_free (probe);
 }
 
 static void
@@ -126,7 +126,7 @@
   struct mq_router *router = data;
   int fd
       = accept4 (router->ready_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  struct question *question;
+  struct probe *probe;
   struct mq_tcp_owner owner = { .data = on_data, .ended = on_ended };
   struct mq_http_events events
       = { .head = on_head, .body = on_body, .end = on_end };
@@ -135,15 +135,14 @@
   (void)flags;
   if (fd < 0)
     return;
-  question = talloc_zero (router, struct question);
-  owner.user = question;
-  events.user = question;
-  question->router = router;
-  question->reader
-      = mq_http_reader_create (question, MQ_HTTP_REQUEST, &events);
-  question->tcp = mq_tcp_accept (question, ev, fd, &owner);
-  if (question->tcp == NULL || question->reader == NULL)
-    talloc_free (question);
+  probe = talloc_zero (router, struct probe);
+  owner.user = probe;
+  events.user = probe;
+  probe->router = router;
+  probe->reader = mq_http_reader_create (probe, MQ_HTTP_REQUEST, &events);
+  probe->tcp = mq_tcp_accept (probe, ev, fd, &owner);
+  if (probe->tcp == NULL || probe->reader == NULL)
+    talloc_free (probe);
 }
 
 bool
--- a/src/router/router_ready.h
+++ b/src/router/router_ready.h
@@ -1,4 +1,4 @@
-/* router_ready.h - the balancer's question whether the router takes callers.
+/* router_ready.h - readiness and metrics endpoint.
 
    Needs: router_state.h.  */
 
@@ -7,8 +7,8 @@
 
 #include "router_state.h"
 
-/* Answers at the ready address of the settings: /metrics with the counters,
-   every other path with 200 or 503.  False with ERROR when it can't listen. */
+/* Listens at the ready address of the settings: /metrics returns the metrics,
+   every other path 200 or 503.  Returns false with ERROR set on failure.  */
 bool mq_ready_listen (struct mq_router *router, struct mq_error *error);
 
 #endif
--- a/src/router/router_refuse.c
+++ b/src/router/router_refuse.c
@@ -1,4 +1,4 @@
-/* router_refuse.c - final answers of our own.
+/* router_refuse.c - responses of the router itself.
 
    Needs: router_state.h.  */
 
@@ -6,11 +6,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Time that a caller is asked to stay away after a refusal, milliseconds.  */
+/* Retry-After of refusals.  */
 #define RETRY_SOON_MS 100U
-#define RETRY_STORE_MS 300U
+#define RETRY_TABLE_MS 300U
 #define RETRY_READY_MS 500U
-#define RETRY_LOADED_MS 1000U
+#define RETRY_OVERLOADED_MS 1000U
 
 static const struct mq_refusal_response rows[] = {
   [MQ_REFUSE_NOTHING] = { 500, 0, "nothing" },
@@ -19,17 +19,17 @@
   [MQ_REFUSE_BODY_TOO_LARGE] = { 413, 0, "body_too_large" },
   [MQ_REFUSE_SLOW_HEAD] = { 408, 0, "slow_head" },
   [MQ_REFUSE_UNKNOWN_KEY] = { 401, 0, "no_key" },
-  [MQ_REFUSE_OVER_LIMIT] = { 429, RETRY_LOADED_MS, "over_limit" },
-  [MQ_REFUSE_NO_PERMIT] = { 503, RETRY_STORE_MS, "no_permit" },
+  [MQ_REFUSE_OVER_LIMIT] = { 429, RETRY_OVERLOADED_MS, "over_limit" },
+  [MQ_REFUSE_NO_PERMIT] = { 503, RETRY_TABLE_MS, "no_permit" },
   [MQ_REFUSE_NO_ROUTE] = { 404, 0, "no_route" },
   [MQ_REFUSE_NO_TURN] = { 404, 0, "no_turn" },
   [MQ_REFUSE_BUDGET_EXHAUSTED] = { 402, 0, "budget_spent" },
   [MQ_REFUSE_NOT_READY] = { 503, RETRY_READY_MS, "not_ready" },
   [MQ_REFUSE_NO_WORKER] = { 503, RETRY_READY_MS, "no_worker" },
-  [MQ_REFUSE_OVERLOADED] = { 503, RETRY_LOADED_MS, "loaded" },
-  [MQ_REFUSE_LATE] = { 503, RETRY_LOADED_MS, "late" },
+  [MQ_REFUSE_OVERLOADED] = { 503, RETRY_OVERLOADED_MS, "loaded" },
+  [MQ_REFUSE_LATE] = { 503, RETRY_OVERLOADED_MS, "late" },
   [MQ_REFUSE_NO_CAPACITY] = { 503, RETRY_SOON_MS, "full" },
-  [MQ_REFUSE_TABLE_UNAVAILABLE] = { 503, RETRY_STORE_MS, "store" },
+  [MQ_REFUSE_TABLE_UNAVAILABLE] = { 503, RETRY_TABLE_MS, "store" },
   [MQ_REFUSE_TIMED_OUT] = { 503, RETRY_SOON_MS, "timed_out" },
   [MQ_REFUSE_FAILED] = { 502, 0, "failed" },
   [MQ_REFUSE_DEADLINE_EXCEEDED] = { 504, 0, "overdue" },
--- a/src/router/router_report.c
+++ b/src/router/router_report.c
@@ -1,11 +1,11 @@
-/* router_report.c - what a routing process counts, as Prometheus text.
+/* router_report.c - metrics of a router in Prometheus text format.
 
    Needs: router_state.h, metrics.h.  */
 
 #include "log/metrics.h"
 #include "router_state.h"
 
-/* From 1 ms to 131 s: beyond the longest time that a route may allow.  */
+/* 1 ms to 131 s, more than the longest timeout of a route.  */
 static const struct mq_metrics_family latency
     = { .name = "mimosa_router_latency_seconds",
         .help = "request to the end of the worker's answer",
@@ -13,15 +13,15 @@
         .first_bit = 0,
         .last_bit = 17 };
 
-/* To 8 s: a process that was held up longer stood still.  */
-static const struct mq_metrics_family held_up
+/* Up to 8 s.  */
+static const struct mq_metrics_family loop_delay_family
     = { .name = "mimosa_router_held_up_seconds",
         .help = "how late the event loop came to a timer",
         .per_second = 1e3,
         .first_bit = 0,
         .last_bit = 13 };
 
-/* To 8 s: calls to the table are given up before.  */
+/* Up to 8 s, more than the timeout of a call.  */
 static const struct mq_metrics_family table_time
     = { .name = "mimosa_router_table_seconds",
         .help = "call to the platform's table to its outcome",
@@ -29,7 +29,7 @@
         .first_bit = 0,
         .last_bit = 13 };
 
-/* To 128 rows: a transaction takes a hundred.  */
+/* Up to 128 rows, more than a transaction holds.  */
 static const struct mq_metrics_family batch_rows
     = { .name = "mimosa_router_transaction_rows",
         .help = "rows of a transaction that this host brought to the table",
@@ -118,8 +118,9 @@
   mq_metrics_begin (&text, &batch_rows);
   mq_metrics_series (&text, &batch_rows, "call=\"write\"",
                      mq_ledger_batch_rows (router->ledger));
-  mq_metrics_begin (&text, &held_up);
-  mq_metrics_series (&text, &held_up, "timer=\"sweep\"", &router->loop_delay);
+  mq_metrics_begin (&text, &loop_delay_family);
+  mq_metrics_series (&text, &loop_delay_family, "timer=\"sweep\"",
+                     &router->loop_delay);
   mq_metrics_add_process (&text);
   return text;
 }
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -530,7 +530,7 @@
 }
 
 /* Routes the request by the active configuration, or refuses what no newer one
-   would accept. Returns MQ_REFUSE_NOTHING then. If the route or the key is
+   would accept.  Returns MQ_REFUSE_NOTHING then.  If the route or the key is
    refusal_if_current, returns the refusal to use when there is no newer
    configuration.  */
 static enum mq_refusal
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -103,11 +103,11 @@
 
 /* router_request.c */
 
-/* Cancels everything pending and frees the request. The caller must have been
+/* Cancels everything pending and frees the request.  The caller must have been
    answered or have disconnected.  */
 void request_close (struct mq_request *request);
-/* Closes the connection within a response that cannot be completed. WHY is the
-   outcome logged.  */
+/* Closes the connection within a response that cannot be completed.  WHY is
+   the outcome logged.  */
 void request_abort (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
                       enum mq_json_weight weight, const char *outcome,
@@ -156,7 +156,7 @@
 /* Obtains a permit, then calls request_dispatch.  */
 void request_acquire_permit (struct mq_request *request);
 /* Refuses the request if this host knows that its organisation is over its
-   limit; returns whether it did. Saves the reads from the table.  */
+   limit; returns whether it did.  Saves the reads from the table.  */
 bool request_refuse_over_limit (struct mq_request *request);
 
 /* router_request.c */
@@ -174,7 +174,7 @@
 
 /* Forwards the complete events received so far.  */
 void request_forward_events (void *request);
-/* The worker's stream is complete. Ends the response, after the turn's record
+/* The worker's stream is complete.  Ends the response, after the turn's record
    is stored if the route retains turns.  */
 void request_end_stream (struct mq_request *request);
 /* Ends the response.  */
--- a/src/router/router_send.c
+++ b/src/router/router_send.c
@@ -1,7 +1,7 @@
-/* router_send.c - the message that a worker gets for a caller's request.
+/* router_send.c - head of the request sent to a worker.
 
-   Fields that belong to the caller's connection, and those that only the
-   system may set, are left out and set anew.
+   Hop-by-hop fields and fields reserved for the system are removed and set
+   anew.
    Needs: router_send.h.  */
 
 #include "router_send.h"
@@ -9,16 +9,15 @@
 #include <string.h>
 #include <strings.h>
 
-/* Priority on the way to a worker: the middle of ten steps is the default.  */
+/* Maps route priorities to the scale of 0 to 9 sent to workers.  */
 #define PRIORITY_FIRST 2U
 #define PRIORITY_STEP 2U
 #define PRIORITY_LAST 9U
-/* Of everything at an engine.
+/* Engines get one priority for all requests; admission control (admission.h)
+   decides which programs go first.
 
-   Failure: an engine makes room for a more urgent run by dropping one that
-   runs, and reads its prompt again; under load it reads a third of all prompts
-   in vain, and both classes are late.  Which program goes first is decided
-   where it begins (admission.h).  */
+   Failure: an engine preempts running requests for more urgent ones and has to
+   process their prompts again, which delays both under load.  */
 #define PRIORITY_ENGINE 5U
 
 static bool
--- a/src/router/router_send.h
+++ b/src/router/router_send.h
@@ -1,4 +1,4 @@
-/* router_send.h - the message that a worker gets for a caller's request.
+/* router_send.h - head of the request sent to a worker.
 
    Needs: router_wire.h, buffer.h.  */
 
@@ -10,17 +10,16 @@
 #include "router_wire.h"
 
 /**
- * struct mq_send - a request on its way to a worker
- * @head: what the caller sent
- * @host: whom the request is for
- * @route: where it goes
- * @engine: its worker is a model engine
- * @worker: id of the worker that is meant
- * @last_event: event after which a stream is to go on, "": none
- * @left_ms: time until the final answer
+ * struct mq_send - a request to a worker
+ * @head: head received from the caller
+ * @host: value of the Host field
+ * @engine: the worker is a model engine
+ * @worker: id of the intended worker
+ * @last_event: id of the event after which a stream resumes; "" if none
+ * @left_ms: time remaining until the final response
  * @priority: 0 is the most urgent
- * @organisation: whose request it is; NULL: nobody's
- * @body_len: bytes of the body that the worker gets
+ * @organisation: organisation of the request; NULL if none
+ * @body_len: length of the body sent to the worker, bytes
  */
 struct mq_send
 {
@@ -36,7 +35,7 @@
   size_t body_len;
 };
 
-/* Appends the head of the message, with its empty line, to OUT.  */
+/* Appends the message head, including the empty line, to OUT.  */
 void mq_send_head (TALLOC_CTX *ctx, const struct mq_send *send,
                    struct mq_buffer *out);
 
--- a/src/router/router_settings.c
+++ b/src/router/router_settings.c
@@ -1,4 +1,4 @@
-/* router_settings.c - settings of a routing process, INI, checked whole.
+/* router_settings.c - settings file of a router, INI.
 
    Needs: router_settings.h, settings_file.h.  */
 
@@ -7,19 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What is kept back of the time that a stop may take, so that the process
-   ends by itself and is not killed.  */
+/* Reserved at the end of stop_seconds, so that the process exits before it is
+   killed.  */
 #define STOP_MARGIN_MS 1200U
-/* A balancer that asks once a second and takes a host out after two misses
-   sends callers for so long after a stop was asked for, with a margin.  */
+/* Time until a load balancer has removed a host: two missed health checks, one
+   second apart, and a margin.  */
 #define SETTLE_MS 2600U
 
-/* A host that starts has better things to do than to remove old records, and
-   right after a loss of many hosts the table has too.  */
+/* Expired records are not removed right after a start, when the host and,
+   after a large outage, the table are busy.  */
 #define CLEAN_AFTER_MS 60000U
-/* Pause between two looks for old records.  With a few hosts all parts are
-   seen within some minutes, which is little beside the hour that records are
-   kept beyond their time.  */
+/* Interval between searches for expired records; a few hosts cover all parts
+   of the table within minutes.  */
 #define CLEAN_LOOK_MS 4000U
 
 struct router_section
@@ -155,7 +154,7 @@
 }
 
 /**
- * struct fraction - what a key with a number that may have a fraction allows
+ * struct fraction - range of a key with a fractional value
  */
 struct fraction
 {
@@ -165,14 +164,15 @@
   const char *allowed;
 };
 
-/* Longest stop that makes sense: a day.  */
+/* Up to a day.  */
 static const struct fraction stop_seconds
     = { "stop_seconds", 1.0, 86400.0, "1 to 86400" };
 static const struct fraction limit_window
     = { "limit_window_seconds", 0.1, 3600.0, "0.1 to 3600" };
 static const struct fraction limit_over = { "limit_over", 0.0, 1.0, "0 to 1" };
 
-/* TEXT in thousandths; false with an error in LIST.  */
+/* Converts TEXT to thousandths; returns false and adds an error to LIST if it
+   is out of range.  */
 static bool
 read_fraction (const struct fraction *key, const char *text,
                const struct mq_ini *ini, struct mq_error_list *list,
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -1,4 +1,4 @@
-/* router_settings.h - settings of a routing process, INI, checked whole.
+/* router_settings.h - settings file of a router, INI.
 
    Needs: router.h, text_keys.h.  */
 
@@ -9,11 +9,11 @@
 #include "router.h"
 
 const struct mq_key_table *mq_router_settings_keys (void);
-/* NULL when there is an error; ERRORS then lists all of them, below CTX.  */
+/* Returns NULL on errors; ERRORS then lists all of them, allocated on CTX.  */
 struct mq_router_settings *
 mq_router_settings_parse (TALLOC_CTX *ctx, const char *source, size_t len,
                           struct mq_text_errors *errors);
-/* A file that can't be read is IO with the errno as number.  */
+/* Likewise; an unreadable file is reported as IO with its errno.  */
 struct mq_router_settings *
 mq_router_settings_read (TALLOC_CTX *ctx, const char *file,
                          struct mq_text_errors *errors);
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -176,7 +176,7 @@
 
 /* router_caller.c */
 
-/* Listens for callers. Returns false with ERROR set on failure.  */
+/* Listens for callers.  Returns false with ERROR set on failure.  */
 bool mq_callers_listen (struct mq_router *router, struct mq_error *error);
 /* Closes connections that exceed the idle or header time limit.  */
 void mq_callers_sweep (struct mq_router *router);
@@ -187,7 +187,7 @@
    CALLER.  */
 void mq_caller_attach_request (struct mq_caller *caller,
                                struct mq_request *request);
-/* Sends a complete response. FIELDS: header lines to add. If WITH_BODY is
+/* Sends a complete response.  FIELDS: header lines to add.  If WITH_BODY is
    false, only LEN is announced, as for HEAD.  */
 void mq_caller_respond (struct mq_caller *caller, int status,
                         const char *fields, const void *body, size_t len,
@@ -220,15 +220,15 @@
 
 const struct mq_refusal_response *
 mq_refusal_response (enum mq_refusal refusal);
-/* Sends the refusal. RETRY_MS replaces the delay of the refusal; 0 keeps it. A
-   refusal without Retry-After never gets one.  */
+/* Sends the refusal.  RETRY_MS replaces the delay of the refusal; 0 keeps it.
+   A refusal without Retry-After never gets one.  */
 void mq_caller_refuse (struct mq_router *router, struct mq_caller *caller,
                        enum mq_refusal refusal, uint32_t retry_ms);
 
 /* router_request.c */
 
-/* Handles a complete request. HEAD and BODY must stay valid until the response
-   is sent, which may be before this returns.  */
+/* Handles a complete request.  HEAD and BODY must stay valid until the
+   response is sent, which may be before this returns.  */
 void mq_request_begin (struct mq_router *router, struct mq_caller *caller,
                        const struct mq_http_head *head, struct mq_bytes body,
                        uint64_t arrived_ms);
@@ -244,7 +244,7 @@
 extern const char mq_budget_table[];
 extern const char mq_turn_table[];
 #define MQ_TURN_PARTS 8U
-/* Parts in which the row of a turn may be stored. More of them tolerate more
+/* Parts in which the row of a turn may be stored.  More of them tolerate more
    unavailable parts but cost an extra read for turns that do not exist.  */
 #define MQ_TURN_CANDIDATE_PARTS 3U
 /* Added to the retention period of records, so that none expires while it can
@@ -315,7 +315,7 @@
 };
 
 struct mq_turns *mq_turns_create (struct mq_router *router);
-/* Reserves the budget of the turn and loads its history. NOTIFY may be called
+/* Reserves the budget of the turn and loads its history.  NOTIFY may be called
    before this returns.  */
 void mq_turn_prepare (struct mq_turns *turns, struct mq_turn *turn);
 /* Whether this host serves turns of PROGRAM.  */
@@ -331,7 +331,7 @@
    MQ_TURN_STORE_UNAVAILABLE.  */
 void mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
                     struct mq_bytes output);
-/* Cancels pending work and frees the history. Does not settle the budget.  */
+/* Cancels pending work and frees the history.  Does not settle the budget.  */
 void mq_turn_cancel (struct mq_turn *turn);
 /* Frees idle programs and records tokens issued during an outage.  */
 void mq_turns_sweep (struct mq_turns *turns);
@@ -385,7 +385,7 @@
                                 void *user);
 
 struct mq_permits *mq_permits_create (struct mq_router *router);
-/* Requests a permit of ORG. BEGINS: the request is the first of its program.
+/* Requests a permit of ORG.  BEGINS: the request is the first of its program.
    If the result is MQ_PERMIT_PENDING, sets *PERMIT and calls TOLD later;
    otherwise sets *RETRY_MS.  */
 enum mq_permit_state mq_permit_request (struct mq_router *router,
@@ -434,15 +434,15 @@
 typedef void mq_config_latest_handler (bool current, void *user);
 
 /* Activates VALUE, which is copied, if it is newer than the active
-   configuration. A long one is loaded in several iterations of the event loop.
-   ROW: version of its row; 0 if unknown.  */
+   configuration.  A long one is loaded in several iterations of the event
+   loop. ROW: version of its row; 0 if unknown.  */
 void mq_config_offer (struct mq_router *router, struct mq_bytes value,
                       uint64_t row);
 /* Whether the active configuration was confirmed as the latest within the last
    MS milliseconds.  */
 bool mq_config_confirmed_within (const struct mq_router *router, uint32_t ms);
 /* Fetches and activates the latest configuration, then calls TOLD, never from
-   within this call. A request made during a pending query waits for the next
+   within this call.  A request made during a pending query waits for the next
    one.  */
 struct mq_config_waiter *
 mq_config_fetch_latest (struct mq_router *router,
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -1,17 +1,17 @@
-/* router_stream.c - a worker's stream on its way to the caller.
+/* router_stream.c - forwards a worker's event stream to the caller.
 
-   Whole events alone are passed on; a turn's tokens and text are counted and
-   kept with them.
+   Only complete events are forwarded; their tokens are counted, and their data
+   is recorded for the turn.
    Needs: router_request.h.  */
 
 #include "router_request.h"
 #include "net/clock.h"
 #include <string.h>
 
-/* How long its worker let it wait.  Only while the request is there: the
-   worker may be forgotten with its end.  */
+/* Reports the delay of the first event to the fleet.  Valid only during an
+   attempt, since the worker may be freed afterwards.  */
 static void
-note_wait (const struct mq_request *request)
+record_delay (const struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
 
@@ -29,14 +29,14 @@
   if (request->try != NULL)
     {
       mq_try_response_begun (request->try);
-      note_wait (request);
+      record_delay (request);
     }
   mq_caller_begin_stream (request->caller, request->answer.status,
                           mq_buffer_text (&request->answer.fields));
 }
 
-/* The turn was granted less than its most, and has no tokens left for another
-   event.  */
+/* The tokens granted do not suffice for another event.  Applies only if less
+   than the maximum was granted.  */
 static bool
 is_over_budget (const struct mq_request *request)
 {
@@ -47,7 +47,7 @@
 }
 
 static void
-note_event (struct mq_request *request, const struct mq_event *event)
+record_event (struct mq_request *request, const struct mq_event *event)
 {
   if (event->id_len > 0 && event->id_len < EVENT_ID_BYTES)
     {
@@ -66,14 +66,14 @@
 }
 
 static void
-give_events (struct mq_request *request, const struct mq_buffer *out)
+send_events (struct mq_request *request, const struct mq_buffer *out)
 {
   begin_stream (request);
   if (!mq_caller_send_chunk (request->caller, out->data + out->at, out->len))
     mq_try_set_reading (request->try, false);
 }
 
-/* Whole events alone are passed on, in one write for all that came at once. */
+/* Forwards all complete events in one write.  */
 void
 request_forward_events (void *user)
 {
@@ -87,30 +87,30 @@
       over = event.has_data && is_over_budget (request);
       if (over)
         break;
-      note_event (request, &event);
+      record_event (request, &event);
       mq_buffer_append (request, &out, event.text, event.len, SIZE_MAX);
     }
   if (out.len > 0)
-    give_events (request, &out);
+    send_events (request, &out);
   mq_buffer_clear (&out);
   if (over)
     request_abort (request, "over_budget");
 }
 
-/* A record that waited for longer tells of a table that was away, which is not
-   a matter of load.  */
-#define RECORD_WAIT_MOST_MS 1000U
+/* Longer waits are caused by an outage of the table and do not count as
+   load.  */
+#define RECORD_WAIT_MAX_MS 1000U
 
-/* How long the end of the answer waited for the turn's record.  */
+/* Records how long the response end waited for the record of the turn.  */
 static void
-note_record (struct mq_request *request)
+record_store_wait (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
   uint64_t wait = now - request->completed_ms;
   uint32_t objective = request->route->objective_ms;
 
   if (request->is_turn && request->turn.retains && objective > 0
-      && wait <= RECORD_WAIT_MOST_MS)
+      && wait <= RECORD_WAIT_MAX_MS)
     mq_recent_add (&request->router->record_wait, MQ_WORKER_NONE,
                    (uint32_t)(wait * MQ_FLEET_LOAD_FULL / objective), now);
 }
@@ -120,15 +120,15 @@
 {
   struct mq_caller *caller = request->caller;
 
-  note_record (request);
+  record_store_wait (request);
   request_count_served (request);
   request_log_end (request, MQ_JSON_PLAIN, "served", request->answer.status);
   request_close (request);
   mq_caller_end_stream (caller);
 }
 
-/* A turn that may be continued must outlive every process before its caller
-   may believe that it has ended.  */
+/* A retained turn must be durable before its caller learns that it has
+   ended.  */
 void
 request_end_stream (struct mq_request *request)
 {
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -16,7 +16,7 @@
 {
   struct mq_try_options options;
   struct mq_http_lane *lane;
-  struct mq_inactivity *silence;
+  struct mq_inactivity *inactivity;
 };
 
 static void
@@ -62,7 +62,7 @@
   end_broken (user);
 }
 
-/* A response without a request id can't be matched to its request. One with
+/* A response without a request id can't be matched to its request.  One with
    another id is a late response to an earlier request on the connection and is
    skipped.  */
 static bool
@@ -73,7 +73,7 @@
   struct mq_response_fields facts;
 
   mq_wire_read_response_fields (head, &facts);
-  mq_inactivity_reset (try->silence);
+  mq_inactivity_reset (try->inactivity);
   if (facts.id == NULL)
     {
       end_broken (try);
@@ -95,7 +95,7 @@
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
 
-  mq_inactivity_reset (try->silence);
+  mq_inactivity_reset (try->inactivity);
   if (!mq_answer_add_body (options->answer_ctx, options->answer, data, len))
     end_broken (try);
   else if (options->answer->stream)
@@ -138,7 +138,7 @@
    is refused; a reused one may have reached its idle timeout.
 
    Failure: a restarting worker accepts connections and closes them on a
-   request. Counted as an ordinary failure, it would be sent further requests
+   request.  Counted as an ordinary failure, it would be sent further requests
    before it is ejected.  */
 static bool
 closed_without_response (const struct mq_try *try)
@@ -179,7 +179,7 @@
     .user = try,
   };
 
-  try->silence = mq_inactivity_create (try, try->options.ev, &options);
+  try->inactivity = mq_inactivity_create (try, try->options.ev, &options);
 }
 
 static void
@@ -230,7 +230,7 @@
 mq_try_response_begun (struct mq_try *try)
 {
   try->options.begun = true;
-  mq_inactivity_response_begun (try->silence);
+  mq_inactivity_response_begun (try->inactivity);
 }
 
 void
@@ -242,5 +242,5 @@
 uint64_t
 mq_try_inactive_ms (const struct mq_try *try)
 {
-  return mq_inactivity_ms (try->silence);
+  return mq_inactivity_ms (try->inactivity);
 }
--- a/src/router/router_try.h
+++ b/src/router/router_try.h
@@ -1,7 +1,7 @@
 /* router_try.h - one attempt to have a request served by one worker.
 
    Takes a connection from the pool, sends the request, receives the response
-   and reports the outcome to the fleet. The caller of this module decides
+   and reports the outcome to the fleet.  The caller of this module decides
    about retries.
    Needs: router_answer.h, router_pool.h, router_send.h, attempt.h.  */
 
@@ -51,7 +51,7 @@
 /* Returns NULL if the worker can't be reached; ENDED is not called then.  */
 struct mq_try *mq_try_begin (TALLOC_CTX *ctx,
                              const struct mq_try_options *options);
-/* Cancels the attempt and reports OUTCOME to the fleet. TRY may be NULL.  */
+/* Cancels the attempt and reports OUTCOME to the fleet.  TRY may be NULL.  */
 void mq_try_stop (struct mq_try *try, enum mq_fleet_outcome outcome);
 /* Whether any byte of the request was sent.  */
 bool mq_try_sent (const struct mq_try *try);
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -1,7 +1,7 @@
 /* router_turn.c - histories of programs in the platform's table.
 
    A turn obtains its history and its budget before it is sent, and is stored
-   before its response ends. Rows are spread over the parts of the table by a
+   before its response ends.  Rows are spread over the parts of the table by a
    hash of their key, to balance the writes.
    Needs: router_turns.h, id.h.  */
 
@@ -126,8 +126,8 @@
 }
 
 /* Adds the CHAIN of the missing turn, of which COMPLETE tells whether it has
-   its beginning; otherwise the beginning is looked up next. Takes ownership of
-   CHAIN.  */
+   its beginning; otherwise the beginning is looked up next.  Takes ownership
+   of CHAIN.  */
 static void
 add_chain (struct mq_turn *turn, struct mq_chain *chain, bool complete)
 {
@@ -292,7 +292,7 @@
 
 static void verify_write (struct mq_turn *turn);
 
-/* Writes the row to the next candidate part. If the first write completes
+/* Writes the row to the next candidate part.  If the first write completes
    late, the same row exists twice, which is harmless.
 
    Failure: while a part of the table is unresponsive, turns whose rows belong
--- a/src/router/router_turns.h
+++ b/src/router/router_turns.h
@@ -62,7 +62,7 @@
 
 /* router_turn.c */
 
-/* Writes the name of the part for row KEY to PART. CANDIDATE 0 is the
+/* Writes the name of the part for row KEY to PART.  CANDIDATE 0 is the
    preferred part.  */
 void mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
                           uint32_t candidate);
@@ -100,7 +100,7 @@
 
 /* router_loan.c */
 
-/* Asks the hosts of this data centre for the missing history of TURN. If none
+/* Asks the hosts of this data centre for the missing history of TURN.  If none
    has it, mq_turn_read_history follows.  */
 void mq_loan_request_local_history (struct mq_turn *turn);
 /* The table is unavailable: requests what TURN needs from other hosts, or
--- a/src/router/router_wire.h
+++ b/src/router/router_wire.h
@@ -1,8 +1,8 @@
-/* router_wire.h - what the router needs to know of a request, an answer and
-   the platform's rows, whatever they are called on the wire.
+/* router_wire.h - protocol-independent view of requests, responses and the
+   platform's rows.
 
-   The functions are those of the folder platform/, the one place that knows
-   the names on the wire.
+   Implemented by the folder platform/, the only one that knows the names on
+   the wire.
    Needs: http_message.h, route.h, fleet.h, text.h.  */
 
 #ifndef MQ_ROUTER_WIRE_H
@@ -14,25 +14,25 @@
 #include "net/http_message.h"
 
 /**
- * struct mq_request_fields - what a caller told about a request
- * @id: of this attempt of the caller; NULL: none
- * @host: whom the request is for, as the caller wrote it; NULL: none
- * @program: agent program that the request belongs to; NULL: none
- * @affinity: object that the request concerns; NULL: none
- * @previous: turn that this one continues from; NULL: none
- * @last_event: last event that the caller has; NULL: none
- * @deadline_ms: how long the caller waits, 0: not told
- * @has_budget: @budget was told
- * @budget: tokens that all turns of the program may generate
- * @tokens_out: the most that the turn generates, 0: not told
- * @main_line: the turn is of the program's own line, not of a sub-program's
- * @has_left: @left_ms was told
+ * struct mq_request_fields - header fields of a caller's request
+ * @id: id of this attempt of the caller; NULL if none
+ * @host: target host as sent by the caller; NULL if none
+ * @program: agent program of the request; NULL if none
+ * @affinity: affinity key; NULL if none
+ * @previous: turn that this one continues; NULL if none
+ * @last_event: last event the caller received; NULL if none
+ * @deadline_ms: time the caller waits; 0 if not given
+ * @has_budget: @budget was given
+ * @budget: token limit of all turns of the program
+ * @tokens_out: token limit of the turn; 0 if not given
+ * @main_line: the turn belongs to the program itself and not to a sub-program
+ * @has_left: @left_ms was given
  * @left_ms: time until the program should be finished
- * @key: of the caller's organisation; NULL: none.  It is a secret: no log
- *       line, answer or counter holds it
- * @key_count: keys that were sent
+ * @key: key of the caller's organisation; NULL if none.  A secret that must
+ * not appear in logs, responses or metrics
+ * @key_count: number of keys sent
  *
- * Strings live as long as the head that they come from.
+ * Strings live as long as the message head.
  */
 struct mq_request_fields
 {
@@ -54,14 +54,14 @@
 };
 
 /**
- * struct mq_response_fields - what a worker told in an answer
- * @id: request that it belongs to; NULL: not told
- * @not_run: the worker states that it has not run the request
- * @other_worker: another worker has the address now, or another version
- * @has_load: @running and @waiting were told
- * @running: requests that run there
- * @waiting: requests that wait there
- * @idle_s: the worker closes an idle connection after so long; 0: not told
+ * struct mq_response_fields - header fields of a worker's response
+ * @id: request that it belongs to; NULL if not given
+ * @not_run: the worker states that it did not run the request
+ * @other_worker: the address now belongs to another worker or version
+ * @has_load: @running and @waiting were given
+ * @running: requests running at the worker
+ * @waiting: requests queued at the worker
+ * @idle_s: idle timeout of the connection, seconds; 0 if not given
  */
 struct mq_response_fields
 {
@@ -75,12 +75,12 @@
 };
 
 /**
- * struct mq_forward_fields - what we tell a worker
- * @deadline_ms: time that is left
- * @worker: id of the worker that is meant
- * @last_event: event after which the stream is to go on; NULL: none
- * @priority: 0 is the most urgent, 9 the least
- * @organisation: whose request it is; NULL: nobody's
+ * struct mq_forward_fields - header fields set in a request to a worker
+ * @deadline_ms: time remaining until the final response
+ * @worker: id of the intended worker
+ * @last_event: event after which the stream resumes; NULL if none
+ * @priority: 0 (most urgent) to 9
+ * @organisation: organisation of the request; NULL if none
  */
 struct mq_forward_fields
 {
@@ -95,51 +95,53 @@
                                   struct mq_request_fields *facts);
 void mq_wire_read_response_fields (const struct mq_http_head *head,
                                    struct mq_response_fields *facts);
-/* Only the system may set the field: what a caller sent in it is dropped.  */
+/* The field is reserved for the system: what a caller sent in it is
+   dropped.  */
 bool mq_wire_is_reserved_field (const char *name);
-/* Lines of the fields that say FACTS, below CTX.  */
+/* Formats FACTS as header lines, allocated on CTX.  */
 char *mq_wire_format_fields (TALLOC_CTX *ctx,
                              const struct mq_forward_fields *facts);
 
-/* Names of the tables and of the row that hold the configuration and the
-   workers.  */
+/* Tables of the configuration and of the workers, and the key of the
+   configuration.  */
 extern const char mq_wire_config_table[];
 extern const char mq_wire_config_key[];
 extern const char mq_wire_worker_table[];
 
-/* A configuration that is read a little at a time.  */
+/* Incremental parser of a configuration.  */
 struct mq_config_reader;
 
 enum mq_config_progress
 {
-  MQ_CONFIG_MORE,     /* something is left to read */
-  MQ_CONFIG_COMPLETE, /* it is read, and good */
-  MQ_CONFIG_INVALID   /* it can't be used; nothing more is read */
+  MQ_CONFIG_MORE,     /* more to parse */
+  MQ_CONFIG_COMPLETE, /* complete and valid */
+  MQ_CONFIG_INVALID   /* invalid; parsing has ended */
 };
 
-/* Begins to read VALUE, which is copied; NULL: memory is out.  */
+/* Starts parsing VALUE, which is copied.  Returns NULL if memory is
+   exhausted.  */
 struct mq_config_reader *mq_wire_config_begin (TALLOC_CTX *ctx,
                                                struct mq_bytes value);
-/* Reads on for as long as some BYTES take, at least one step; ERROR is set
-   when it can't be used.  */
+/* Parses about BYTES bytes, at least one step.  Sets ERROR if the
+   configuration is invalid.  */
 enum mq_config_progress
 mq_wire_config_parse_some (struct mq_config_reader *reader, size_t bytes,
                            struct mq_error *error);
-/* Its version, 0: not known yet.  */
+/* Version; 0 if not parsed yet.  */
 uint64_t mq_wire_config_version (const struct mq_config_reader *reader);
-/* So many bytes of its text are done.  */
+/* Number of bytes parsed.  */
 size_t mq_wire_config_parsed_bytes (const struct mq_config_reader *reader);
 struct mq_bytes mq_wire_config_text (const struct mq_config_reader *reader);
-/* The table of a reader that is whole, now below CTX; once.  */
+/* Moves the table of a complete reader to CTX.  May be called once.  */
 struct mq_route_table *
 mq_wire_config_take_table (TALLOC_CTX *ctx, struct mq_config_reader *reader);
-/* The configuration below CTX, read in one go; NULL with ERROR set when it
-   can't be used.  */
+/* Parses a configuration in one go, allocated on CTX.  Returns NULL with ERROR
+   set if it is invalid.  */
 struct mq_route_table *mq_wire_read_config (TALLOC_CTX *ctx,
                                             struct mq_bytes value,
                                             struct mq_error *error);
-/* One worker, strings below CTX; false with ERROR set when it can't be
-   used.  */
+/* Parses the row of a worker, with strings allocated on CTX.  Returns false
+   with ERROR set if it is invalid.  */
 bool mq_wire_read_worker (TALLOC_CTX *ctx, const char *key,
                           struct mq_bytes value,
                           struct mq_fleet_member *member,
