--- a/src/router/router.c
+++ b/src/router/router.c
@@ -65,9 +65,9 @@
 {
   uint64_t now = mq_clock_ms ();
 
-  if (now - router->counted_ms < COUNTERS_INTERVAL_MS)
+  if (now - router->counters_logged_ms < COUNTERS_INTERVAL_MS)
     return;
-  router->counted_ms = now;
+  router->counters_logged_ms = now;
   log_state (router, MQ_LOG_COUNTERS);
 }
 
@@ -137,10 +137,10 @@
   struct mq_relay_owner owner = { .sync = mq_feed_on_sync,
                                   .state = mq_feed_on_state,
                                   .loan_ask = mq_loan_on_request,
-                                  .loan_told = mq_loan_on_response,
+                                  .loan_told = mq_loan_on_reply,
                                   .loan_back = mq_loan_on_return,
                                   .quota_ask = mq_permits_on_request,
-                                  .quota_told = mq_permits_on_response,
+                                  .quota_told = mq_permits_on_reply,
                                   .quota_recall = mq_permits_on_recall,
                                   .user = router };
 
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -344,7 +344,8 @@
 }
 
 void
-mq_config_offer (struct mq_router *router, struct mq_bytes value, uint64_t row)
+mq_config_submit (struct mq_router *router, struct mq_bytes value,
+                  uint64_t row)
 {
   load_config (router, value, row, NULL);
 }
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -15,7 +15,7 @@
 on_config_row (const struct mq_rows_entry *row, void *user)
 {
   if (strcmp (row->key, mq_wire_config_key) == 0)
-    mq_config_offer (user, row->value, row->version);
+    mq_config_submit (user, row->value, row->version);
 }
 
 static void
@@ -169,7 +169,7 @@
   if (mq_rows_followed (router->rows))
     return;
   if (state->config.len > 0)
-    mq_config_offer (router, state->config, 0);
+    mq_config_submit (router, state->config, 0);
   if (state->same_workers)
     return;
   mq_fleet_list_begin (router->fleet);
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -318,8 +318,8 @@
 }
 
 void
-mq_loan_on_response (const struct mq_relay_loan_told *told,
-                     const char *address, void *user)
+mq_loan_on_reply (const struct mq_relay_loan_told *told, const char *address,
+                  void *user)
 {
   struct mq_router *router = user;
   struct mq_turns *turns = router->turns;
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -547,8 +547,8 @@
 }
 
 void
-mq_permits_on_response (const struct mq_relay_quota_told *told,
-                        const char *address, void *user)
+mq_permits_on_reply (const struct mq_relay_quota_told *told,
+                     const char *address, void *user)
 {
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
@@ -649,8 +649,8 @@
   TALLOC_CTX *ctx = mq_must (talloc_new (permits));
   struct mq_relay_quota_told told = answer (ctx, permits, ask);
 
-  mq_permits_on_response (&told, mq_relay_address (permits->router->relay),
-                          permits->router);
+  mq_permits_on_reply (&told, mq_relay_address (permits->router->relay),
+                       permits->router);
   talloc_free (ctx);
 }
 
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -145,7 +145,7 @@
   bool hosts_listed;
   bool row_written;
   uint64_t announced_ms;
-  uint64_t counted_ms;
+  uint64_t counters_logged_ms;
   bool table_down;
 };
 
@@ -345,8 +345,8 @@
    tokens.  */
 void mq_loan_on_request (const struct mq_relay_loan_ask *ask,
                          struct mq_relay_link *link, void *user);
-void mq_loan_on_response (const struct mq_relay_loan_told *told,
-                          const char *address, void *user);
+void mq_loan_on_reply (const struct mq_relay_loan_told *told,
+                       const char *address, void *user);
 void mq_loan_on_return (const struct mq_relay_loan_back *back, void *user);
 
 /* router_reserve.c */
@@ -407,8 +407,8 @@
    lent permits.  */
 void mq_permits_on_request (const struct mq_relay_quota_ask *ask,
                             struct mq_relay_link *link, void *user);
-void mq_permits_on_response (const struct mq_relay_quota_told *told,
-                             const char *address, void *user);
+void mq_permits_on_reply (const struct mq_relay_quota_told *told,
+                          const char *address, void *user);
 void mq_permits_on_recall (const struct mq_relay_quota_recall *recall,
                            struct mq_relay_link *link, void *user);
 
@@ -436,8 +436,8 @@
 /* Activates VALUE, which is copied, if it is newer than the active
    configuration.  A long one is loaded in several iterations of the event
    loop. ROW: version of its row; 0 if unknown.  */
-void mq_config_offer (struct mq_router *router, struct mq_bytes value,
-                      uint64_t row);
+void mq_config_submit (struct mq_router *router, struct mq_bytes value,
+                       uint64_t row);
 /* Whether the active configuration was confirmed as the latest within the last
    MS milliseconds.  */
 bool mq_config_confirmed_within (const struct mq_router *router, uint32_t ms);
--- a/tests/router_site.c
+++ b/tests/router_site.c
@@ -26,7 +26,7 @@
 }
 
 void
-edge_run (struct edge_site *site, uint32_t ms)
+edge_run_for (struct edge_site *site, uint32_t ms)
 {
   bool done = false;
 
@@ -51,11 +51,11 @@
 
 /* Further routes, each behind a comma.  */
 static char *
-more_routes (struct edge_site *site, uint32_t timeout_ms)
+extra_routes (struct edge_site *site, uint32_t timeout_ms)
 {
   char *text = talloc_strdup (site, "");
 
-  for (uint32_t i = 0; i < site->more_routes; i++)
+  for (uint32_t i = 0; i < site->extra_routes; i++)
     {
       char prefix[32];
       char *route;
@@ -100,7 +100,7 @@
       "\"headerTimeoutMs\":300,\"idleTimeoutMs\":%u}%s}",
       ++site->config_version, call, once, turn, kept, open,
       more == NULL ? "" : ",", more == NULL ? "" : more,
-      more_routes (site, timeout_ms), site->idle_ms, organisations);
+      extra_routes (site, timeout_ms), site->idle_ms, organisations);
 }
 
 void
@@ -132,14 +132,14 @@
 }
 
 void
-edge_one_worker (struct edge_site *site)
+edge_keep_one_worker (struct edge_site *site)
 {
   for (int i = 1; i < EDGE_WORKERS; i++)
     {
       edge_unlist_worker (site, site->llm[i]);
       edge_unlist_worker (site, site->app[i]);
     }
-  edge_run (site, 30);
+  edge_run_for (site, 30);
 }
 
 struct edge_site *
@@ -208,7 +208,7 @@
 }
 
 const struct worker_run *
-edge_run_of (const struct edge_site *site, const char *id)
+edge_find_run (const struct edge_site *site, const char *id)
 {
   const struct worker_run *found = NULL;
 
@@ -222,7 +222,7 @@
 }
 
 int
-edge_runs (const struct edge_site *site, const char *id)
+edge_run_count (const struct edge_site *site, const char *id)
 {
   int runs = 0;
 
@@ -234,7 +234,7 @@
 }
 
 void
-edge_seed (struct edge_site *site, int index, int other)
+edge_set_seed (struct edge_site *site, int index, int other)
 {
   site->seeds[index]
       = talloc_strdup (site, mq_router_peer_address (site->routers[other]));
@@ -297,31 +297,31 @@
 }
 
 void
-edge_wait (struct edge_site *site, struct edge_call *call, int count)
+edge_wait_responses (struct edge_site *site, struct edge_call *call, int count)
 {
   for (int i = 0; i < TURNS_MAX; i++)
     {
       call->closed = raw_read (call->fd, call->answer, sizeof call->answer);
       if (call->closed || count_answers (call->answer) >= count)
         return;
-      edge_run (site, 5);
+      edge_run_for (site, 5);
     }
   cr_assert_fail ("no answer; so far: %s", call->answer);
 }
 
 void
-edge_hang_up (struct edge_call *call)
+edge_close (struct edge_call *call)
 {
   raw_close (call->fd, false);
 }
 
 int
-edge_ask (struct edge_site *site, struct edge_call *call, int index,
-          const char *text)
+edge_request (struct edge_site *site, struct edge_call *call, int index,
+              const char *text)
 {
   edge_call (site, call, index, text);
-  edge_wait (site, call, 1);
-  edge_hang_up (call);
+  edge_wait_responses (site, call, 1);
+  edge_close (call);
   return strncmp (call->answer, "HTTP/1.1 ", 9) == 0 ? atoi (call->answer + 9)
                                                      : 0;
 }
@@ -338,12 +338,12 @@
   call->answer[0] = '\0';
   call->fd = raw_open (mq_router_ready_port (site->routers[index]));
   raw_send (call->fd, text, strlen (text));
-  edge_wait (site, call, 1);
-  edge_hang_up (call);
+  edge_wait_responses (site, call, 1);
+  edge_close (call);
 }
 
 int
-edge_ready (struct edge_site *site, int index)
+edge_ready_status (struct edge_site *site, int index)
 {
   static struct edge_call call;
 
--- a/tests/router_site.h
+++ b/tests/router_site.h
@@ -12,13 +12,13 @@
 
 #define EDGE_WORKERS 3
 #define EDGE_ROUTERS 2
-#define EDGE_ANSWER_BYTES (1U << 16)
+#define EDGE_RESPONSE_BYTES (1U << 16)
 
 /**
  * struct edge_site - routers, the table, and workers of the services "llm" (0
  * to 2) and "app" (3 to 5)
  * @idle_ms: how long a caller's connection may rest, by the next configuration
- * @more_routes: that many more routes has the next configuration
+ * @extra_routes: that many more routes has the next configuration
  * @organisations: of the next configuration, a list in JSON; NULL: none
  */
 struct edge_site
@@ -34,7 +34,7 @@
   const char *seeds[EDGE_ROUTERS];
   int config_version;
   uint32_t idle_ms;
-  uint32_t more_routes;
+  uint32_t extra_routes;
   const char *organisations;
   uint32_t clean_after_ms;
 };
@@ -44,7 +44,7 @@
 {
   int fd;
   bool closed;
-  char answer[EDGE_ANSWER_BYTES];
+  char answer[EDGE_RESPONSE_BYTES];
 };
 
 /* Routes of host "h.example": /call/ idempotent, /once/ may run once, /turn/
@@ -56,7 +56,7 @@
 /* Starts router INDEX and waits until it is ready.  */
 void edge_start (struct edge_site *site, int index);
 /* Router INDEX will start with router OTHER as its seed.  */
-void edge_seed (struct edge_site *site, int index, int other);
+void edge_set_seed (struct edge_site *site, int index, int other);
 /* Ends router INDEX at once, as if its host had lost power.  */
 void edge_kill (struct edge_site *site, int index);
 /* Text of the next configuration, as edge_configure writes it.  */
@@ -72,28 +72,29 @@
 void edge_unlist_worker (struct edge_site *site,
                          const struct worker_server *worker);
 /* Workers 1 and 2 of SERVICE are not listed any more.  */
-void edge_one_worker (struct edge_site *site);
+void edge_keep_one_worker (struct edge_site *site);
 /* The last run of the request ID at any worker, NULL: none ran it.  */
-const struct worker_run *edge_run_of (const struct edge_site *site,
-                                      const char *id);
+const struct worker_run *edge_find_run (const struct edge_site *site,
+                                        const char *id);
 /* How often the workers of "llm" ran the request ID.  */
-int edge_runs (const struct edge_site *site, const char *id);
+int edge_run_count (const struct edge_site *site, const char *id);
 /* Runs the event loop for MS milliseconds.  */
-void edge_run (struct edge_site *site, uint32_t ms);
+void edge_run_for (struct edge_site *site, uint32_t ms);
 
 /* Connects to router INDEX and sends TEXT.  */
 void edge_call (struct edge_site *site, struct edge_call *call, int index,
                 const char *text);
 /* Waits for COUNT whole answers or the end of the connection.  */
-void edge_wait (struct edge_site *site, struct edge_call *call, int count);
-void edge_hang_up (struct edge_call *call);
+void edge_wait_responses (struct edge_site *site, struct edge_call *call,
+                          int count);
+void edge_close (struct edge_call *call);
 /* One request on a connection of its own: its answer's status, 0: none.  */
-int edge_ask (struct edge_site *site, struct edge_call *call, int index,
-              const char *text);
+int edge_request (struct edge_site *site, struct edge_call *call, int index,
+                  const char *text);
 /* Counter NAME of router INDEX, -1: there is none.  */
 long edge_counter (struct edge_site *site, int index, const char *name);
 /* Status of the readiness question to router INDEX, 0: no answer.  */
-int edge_ready (struct edge_site *site, int index);
+int edge_ready_status (struct edge_site *site, int index);
 
 #define EDGE_WAIT(site, condition)                                            \
   do                                                                          \
@@ -102,7 +103,7 @@
       while (!(condition))                                                    \
         {                                                                     \
           cr_assert_lt (turns_++, 4000, "waited in vain for " #condition);    \
-          edge_run (site, 5);                                                 \
+          edge_run_for (site, 5);                                             \
         }                                                                     \
     }                                                                         \
   while (0)
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -127,19 +127,19 @@
       if (row->first != NULL)
         edge_call (site, &call, 0, row->first);
       if (row->answered > 0)
-        edge_wait (site, &call, row->answered);
+        edge_wait_responses (site, &call, row->answered);
       else
-        edge_run (site, READ_MS);
+        edge_run_for (site, READ_MS);
       if (row->leaves)
         mq_router_begin_stop (site->routers[0]);
       hold_up_beside (row->then, row->after_ms, row->connects);
       if (row->leaves)
         end_as_daemon ();
-      edge_wait (site, &call, row->answered + 1);
+      edge_wait_responses (site, &call, row->answered + 1);
       cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"),
                           "%s: closed %d after %s", row->name, call.closed,
                           call.answer);
-      edge_hang_up (&call);
+      edge_close (&call);
       if (!row->leaves)
         edge_kill (site, 0);
       edge_start (site, 0);
@@ -188,9 +188,9 @@
       else
         edge_call (site, &call, 0, row->first);
       if (row->answered > 0)
-        edge_wait (site, &call, row->answered);
+        edge_wait_responses (site, &call, row->answered);
       else if (!row->connects)
-        edge_run (site, READ_MS);
+        edge_run_for (site, READ_MS);
       usleep (LIMITS_MS * 1000);
       if (!row->connects)
         raw_send (call.fd, row->then, strlen (row->then));
@@ -198,11 +198,11 @@
         mq_callers_stop (site->routers[0]);
       else
         mq_callers_sweep (site->routers[0]);
-      edge_wait (site, &call, row->answered + 1);
+      edge_wait_responses (site, &call, row->answered + 1);
       cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"),
                           "%s: closed %d after %s", row->name, call.closed,
                           call.answer);
-      edge_hang_up (&call);
+      edge_close (&call);
       edge_kill (site, 0);
       edge_start (site, 0);
     }
@@ -237,7 +237,7 @@
       const struct rest_case *row = &rest_cases[i];
 
       set_idle (row->idle_ms);
-      cr_expect_eq (edge_ask (site, &call, 0, FIRST), 200);
+      cr_expect_eq (edge_request (site, &call, 0, FIRST), 200);
       if (row->told != NULL)
         cr_expect_not_null (strstr (call.answer, row->told), "%s",
                             call.answer);
@@ -251,7 +251,7 @@
 {
   set_idle (15000);
   mq_router_begin_stop (site->routers[0]);
-  cr_assert_eq (edge_ask (site, &call, 0, FIRST), 200);
+  cr_assert_eq (edge_request (site, &call, 0, FIRST), 200);
   cr_expect_not_null (strstr (call.answer, "Connection: close"));
   cr_expect_null (strstr (call.answer, "Keep-Alive"));
 }
@@ -263,15 +263,15 @@
 {
   set_idle (15000);
   edge_call (site, &call, 0, FIRST);
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   set_idle (IDLE_MS);
   usleep (LIMITS_MS * 1000);
   mq_callers_sweep (site->routers[0]);
   raw_send (call.fd, LINE REST, strlen (LINE REST));
-  edge_wait (site, &call, 2);
+  edge_wait_responses (site, &call, 2);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"),
                       "closed %d after %s", call.closed, call.answer);
-  edge_hang_up (&call);
+  edge_close (&call);
 }
 
 /* A request crosses the close of a rested connection.  The host went on
@@ -283,17 +283,17 @@
   for (int stops = 0; stops < 2; stops++)
     {
       edge_call (site, &call, 0, FIRST);
-      edge_wait (site, &call, 1);
+      edge_wait_responses (site, &call, 1);
       usleep (LIMITS_MS * 1000);
       for (int i = 0; i < stops * 2; i++)
         mq_callers_stop (site->routers[0]);
       if (stops == 0)
         mq_callers_sweep (site->routers[0]);
       raw_send (call.fd, LINE REST, strlen (LINE REST));
-      edge_run (site, READ_MS);
+      edge_run_for (site, READ_MS);
       cr_expect_eq (raw_send (call.fd, LINE REST, strlen (LINE REST)), 0,
                     "stops %d", stops);
-      edge_hang_up (&call);
+      edge_close (&call);
     }
 }
 
@@ -328,14 +328,14 @@
   mq_router_begin_stop (router);
   EDGE_WAIT (site, router->caller_count == 0);
   if (!mq_router_stopped (router))
-    edge_wait (site, &call, ROW_OF_REQUESTS);
+    edge_wait_responses (site, &call, ROW_OF_REQUESTS);
   EDGE_WAIT (site, mq_router_stopped (router));
   edge_kill (site, 0);
-  edge_wait (site, &call, ROW_OF_REQUESTS);
+  edge_wait_responses (site, &call, ROW_OF_REQUESTS);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q200\r\n"),
                       "closed %d after %zu bytes", call.closed,
                       strlen (call.answer));
-  edge_hang_up (&call);
+  edge_close (&call);
   edge_start (site, 0);
 }
 
@@ -369,20 +369,20 @@
       edge_call (site, &call, 0, far_firsts[i]);
       while (strstr (call.answer, "200 OK") == NULL)
         {
-          edge_run (site, 1);
+          edge_run_for (site, 1);
           call.closed = raw_read (call.fd, call.answer, sizeof call.answer);
         }
       while (sent < len && !call.closed)
         {
           sent += raw_send (call.fd, text + sent, len - sent);
-          edge_run (site, 1);
+          edge_run_for (site, 1);
           call.closed = raw_read (call.fd, call.answer, sizeof call.answer);
         }
-      edge_wait (site, &call, FAR_AHEAD + 1);
+      edge_wait_responses (site, &call, FAR_AHEAD + 1);
       cr_expect_not_null (strstr (call.answer, "X-Request-Id: q60\r\n"),
                           "%zu: closed %d after %s", i, call.closed,
                           call.answer);
-      edge_hang_up (&call);
+      edge_close (&call);
     }
 }
 
@@ -426,8 +426,8 @@
 
   lose_table ();
   edge_call (site, &call, 0, FIRST);
-  edge_wait (site, &call, 1);
-  site->more_routes = LONG_ROUTES;
+  edge_wait_responses (site, &call, 1);
+  site->extra_routes = LONG_ROUTES;
   text = edge_config_text (site, TIMEOUT_MS, NULL);
   requests = router->counters.requests;
   raw_send (call.fd, LINE REST, strlen (LINE REST));
@@ -438,7 +438,7 @@
   cr_expect_eq (router->counters.requests, requests + 1);
   cr_expect_eq (router->counters.config_changes, changes);
   EDGE_WAIT (site, router->counters.config_changes > changes);
-  edge_wait (site, &call, 2);
+  edge_wait_responses (site, &call, 2);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"));
   rows_server_fault (site->rows, ROWS_WELL);
 }
@@ -470,7 +470,7 @@
       uint64_t whole;
       uint64_t newest;
 
-      site->more_routes = LONG_ROUTES;
+      site->extra_routes = LONG_ROUTES;
       text = edge_config_text (site, TIMEOUT_MS, NULL);
       whole = newest = (uint64_t)site->config_version;
       tell_config (text);
@@ -512,16 +512,18 @@
 
   for (int heard = 0; heard < 2; heard++)
     {
-      site->more_routes = SOME_ROUTES;
+      site->extra_routes = SOME_ROUTES;
       edge_configure (site, TIMEOUT_MS, heard == 0 ? "/other/" : "/new/");
       edge_configure (site, TIMEOUT_MS, "/new/");
       while (heard == 1 && router->config_loading == NULL)
         tevent_loop_once (site->ev);
-      cr_expect_eq (edge_ask (site, &call, 0, ask), 200, "%s", call.answer);
+      cr_expect_eq (edge_request (site, &call, 0, ask), 200, "%s",
+                    call.answer);
       edge_configure (site, TIMEOUT_MS, NULL);
       EDGE_WAIT (site,
                  router->routes->version == (uint64_t)site->config_version);
-      cr_expect_eq (edge_ask (site, &call, 0, ask), 404, "%s", call.answer);
+      cr_expect_eq (edge_request (site, &call, 0, ask), 404, "%s",
+                    call.answer);
     }
 }
 
@@ -545,10 +547,10 @@
                "GET /none/a HTTP/1.1\r\n" HOST "X-Request-Id: q4\r\n\r\n");
   for (int i = 0; i < ASKERS; i++)
     {
-      edge_wait (site, &calls[i], 1);
+      edge_wait_responses (site, &calls[i], 1);
       cr_expect_not_null (strstr (calls[i].answer, " 404 "), "%s",
                           calls[i].answer);
-      edge_hang_up (&calls[i]);
+      edge_close (&calls[i]);
     }
   cr_expect_leq (rows_server_reads (site->rows) - before, READS_MOST);
 }
@@ -568,11 +570,11 @@
   edge_call (site, &gone, 0, ask);
   while (router->counters.requests < requests + 2)
     tevent_loop_once (site->ev);
-  edge_hang_up (&gone);
+  edge_close (&gone);
   edge_configure (site, TIMEOUT_MS, "/new/");
   edge_call (site, &call, 0, ask);
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_expect_not_null (strstr (call.answer, " 200 "), "%s", call.answer);
-  edge_wait (site, &first, 1);
-  edge_hang_up (&first);
+  edge_wait_responses (site, &first, 1);
+  edge_close (&first);
 }
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -176,7 +176,7 @@
 {
   site = edge_create ();
   configure (TWO_ORGS);
-  edge_run (site, 60);
+  edge_run_for (site, 60);
 }
 
 static void
@@ -234,9 +234,9 @@
       snprintf (text, sizeof text,
                 "GET %s HTTP/1.1\r\n" HOST "X-Request-Id: %s\r\n%s\r\n",
                 cases[i].path, id, cases[i].fields);
-      cr_expect_eq (edge_ask (site, &call, 0, text), cases[i].status, "%s: %s",
-                    cases[i].name, call.answer);
-      run = edge_run_of (site, id);
+      cr_expect_eq (edge_request (site, &call, 0, text), cases[i].status,
+                    "%s: %s", cases[i].name, call.answer);
+      run = edge_find_run (site, id);
       cr_expect_eq (run != NULL, cases[i].organisation != NULL, "%s",
                     cases[i].name);
       if (run == NULL)
@@ -256,7 +256,7 @@
             "GET /call/a HTTP/1.1\r\n" HOST "X-Request-Id: %s\r\nX-Key: %s\r\n"
             "\r\n",
             id, key);
-  return edge_ask (site, &call, router, text);
+  return edge_request (site, &call, router, text);
 }
 
 /* An organisation's priority goes before that of the route, 1 here.  */
@@ -264,8 +264,8 @@
 {
   cr_assert_eq (ask (0, "q1", "acme-1"), 200);
   cr_assert_eq (ask (0, "q2", "bolt-1"), 200);
-  cr_assert_lt (atoi (edge_run_of (site, "q1")->priority),
-                atoi (edge_run_of (site, "q2")->priority));
+  cr_assert_lt (atoi (edge_find_run (site, "q1")->priority),
+                atoi (edge_find_run (site, "q2")->priority));
 }
 
 /* A key was just added, and this host's feed has not told it yet: its caller
@@ -311,14 +311,14 @@
                              "X-Request-Id: q1\r\n" KEY ("acme-1") "\r\n";
 
   edge_call (site, &call, 0, text);
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert_not_null (strstr (call.answer, "HTTP/1.1 200"));
   configure (ONE_KEY_LESS);
-  edge_run (site, 60);
+  edge_run_for (site, 60);
   raw_send (call.fd, text, strlen (text));
-  edge_wait (site, &call, 2);
+  edge_wait_responses (site, &call, 2);
   cr_assert_not_null (strstr (call.answer, "HTTP/1.1 401"));
-  edge_hang_up (&call);
+  edge_close (&call);
   cr_assert_eq (ask (0, "q2", "acme-2"), 200);
 }
 
@@ -334,15 +334,15 @@
 
   rows_server_fault (site->rows, ROWS_LATE);
   edge_call (site, &call, 0, text);
-  edge_run (site, 30);
+  edge_run_for (site, 30);
   configure (ONE_KEY_LESS);
-  edge_run (site, 60);
+  edge_run_for (site, 60);
   rows_server_fault (site->rows, ROWS_WELL);
   rows_server_do_late (site->rows);
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert_null (strstr (call.answer, "HTTP/1.1 200"), "%s", call.answer);
-  cr_assert_null (edge_run_of (site, "w1"));
-  edge_hang_up (&call);
+  cr_assert_null (edge_find_run (site, "w1"));
+  edge_close (&call);
 }
 
 /* Histories and budgets */
@@ -362,7 +362,7 @@
             previous == NULL ? "" : "X-Previous-Turn: ",
             previous == NULL ? "" : previous, previous == NULL ? "" : "\r\n",
             strlen (body), body);
-  return edge_ask (site, &call, router, text);
+  return edge_request (site, &call, router, text);
 }
 
 /* A turn that another organisation made is not there, from memory, from the
@@ -379,10 +379,10 @@
   edge_start (site, 1);
   cr_assert_eq (ask_turn (1, "t3", "bolt-1", "q", "t1", "x"), 404);
   cr_assert_eq (ask_turn (1, "t4", "acme-2", "p", "t1", "two;"), 200);
-  cr_assert_str_eq (edge_run_of (site, "t4")->body, "one;e1\ne2\ne3\ne4\n"
-                                                    "two;");
-  cr_assert_null (edge_run_of (site, "t2"));
-  cr_assert_null (edge_run_of (site, "t3"));
+  cr_assert_str_eq (edge_find_run (site, "t4")->body, "one;e1\ne2\ne3\ne4\n"
+                                                      "two;");
+  cr_assert_null (edge_find_run (site, "t2"));
+  cr_assert_null (edge_find_run (site, "t3"));
 }
 
 /* Two organisations name a program alike: what one spends the other keeps.
@@ -463,7 +463,7 @@
 
   configure (LIMITED);
   edge_start (site, 1);
-  edge_run (site, 1000);
+  edge_run_for (site, 1000);
   since = mq_clock_ms ();
   served = serve_for ("acme-1", 2000, &refused);
   cr_expect_gt (served, 15);
@@ -480,11 +480,11 @@
 
   configure (LIMITED);
   edge_start (site, 1);
-  edge_run (site, 1000);
+  edge_run_for (site, 1000);
   (void)serve_for ("acme-1", 500, &refused);
   cr_assert_gt (refused, 0);
   configure (TWO_ORGS);
-  edge_run (site, 60);
+  edge_run_for (site, 60);
   (void)serve_for ("acme-1", 200, &refused);
   cr_assert_eq (refused, 0);
 }
@@ -499,15 +499,15 @@
 
   configure (LIMITED);
   edge_start (site, 1);
-  edge_run (site, 1000);
+  edge_run_for (site, 1000);
   (void)serve_for ("acme-1", 3000, &refused);
   issuer = edge_counter (site, 0, "permits_issued") > 0 ? 0 : 1;
   edge_kill (site, issuer);
-  edge_run (site, 1400);
+  edge_run_for (site, 1400);
   for (int i = 0; i < 30; i++)
     {
       served += ask (1 - issuer, "q", "acme-1") == 200 ? 1 : 0;
-      edge_run (site, 50);
+      edge_run_for (site, 50);
     }
   cr_expect_gt (served, 2);
   cr_expect_leq (served, 25);
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -369,8 +369,8 @@
 refused_turn (const char *id, const char *program, const char *previous)
 {
   begin_turn (id, program, previous);
-  edge_wait (site, &call, 1);
-  edge_hang_up (&call);
+  edge_wait_responses (site, &call, 1);
+  edge_close (&call);
   return atoi (call.answer + strlen ("HTTP/1.1 "));
 }
 
@@ -384,7 +384,7 @@
   site->seeds[0] = lender->address;
   edge_start (site, 0);
   rows_server_fault (site->rows, ROWS_BUSY);
-  edge_run (site, 1200);
+  edge_run_for (site, 1200);
   lender->held_up = true;
   cr_assert_eq (refused_turn ("u1", "p1", "t1"), 503, "%s", call.answer);
   wait_ms (HELD_MS);
@@ -394,8 +394,8 @@
   wait_ms (HELD_MS);
   begin_turn ("u3", "p3", "t3");
   EDGE_WAIT (site, call_has ("data: e4") || call_has ("HTTP/1.1 503"));
-  edge_hang_up (&call);
-  cr_expect_eq (edge_runs (site, "u1"), 0);
-  cr_expect_eq (edge_runs (site, "u2"), 0);
-  cr_expect_eq (edge_runs (site, "u3"), 1, "%s", call.answer);
+  edge_close (&call);
+  cr_expect_eq (edge_run_count (site, "u1"), 0);
+  cr_expect_eq (edge_run_count (site, "u2"), 0);
+  cr_expect_eq (edge_run_count (site, "u3"), 1, "%s", call.answer);
 }
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -108,7 +108,7 @@
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       const struct served_case *row = &cases[i];
-      int status = edge_ask (site, &call, 0, row->text);
+      int status = edge_request (site, &call, 0, row->text);
 
       cr_assert_eq (status, row->status, "%s: %s", row->name, call.answer);
       cr_assert (strstr (call.answer, row->has) != NULL, "%s: %s", row->name,
@@ -160,7 +160,7 @@
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
-      int status = edge_ask (site, &call, 0, cases[i].text);
+      int status = edge_request (site, &call, 0, cases[i].text);
 
       cr_assert_eq (status, cases[i].status, "%s: %s", cases[i].name,
                     call.answer);
@@ -176,7 +176,7 @@
 
   memset (text + len, 'x', 2100);
   snprintf (text + len + 2100, 8, "\r\n\r\n");
-  cr_assert_eq (edge_ask (site, &call, 0, text), 431);
+  cr_assert_eq (edge_request (site, &call, 0, text), 431);
 }
 
 /* A caller begins a message and never ends it, or keeps a connection without
@@ -184,16 +184,16 @@
 Test (router, slow_and_idle_callers)
 {
   edge_call (site, &call, 0, "GET /call/a HT");
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert_eq (strncmp (call.answer, "HTTP/1.1 408", 12), 0, "%s",
                 call.answer);
-  edge_hang_up (&call);
+  edge_close (&call);
   edge_call (site, &call, 0, "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n");
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert_not (call.closed);
-  edge_wait (site, &call, 2);
+  edge_wait_responses (site, &call, 2);
   cr_assert (call.closed);
-  edge_hang_up (&call);
+  edge_close (&call);
 }
 
 Test (router, requests_in_a_row_on_one_connection)
@@ -202,11 +202,11 @@
              "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"
              "GET /call/b HTTP/1.1\r\n" HOST "X-Request-Id: q2\r\n\r\n"
              "POST /turn/b HTTP/1.1\r\n" HOST "X-Request-Id: q3\r\n" NO_BODY);
-  edge_wait (site, &call, 3);
+  edge_wait_responses (site, &call, 3);
   cr_assert_not_null (strstr (call.answer, "X-Request-Id: q1"));
   cr_assert_not_null (strstr (call.answer, "X-Request-Id: q2"));
   cr_assert_not_null (strstr (call.answer, "X-Request-Id: q3"));
-  edge_hang_up (&call);
+  edge_close (&call);
 }
 
 /* What a caller may not set for a worker, and what concerns its own
@@ -215,11 +215,11 @@
 {
   const struct worker_run *run;
 
-  edge_ask (site, &call, 0,
-            "GET /call/a?b=c HTTP/1.1\r\n" HOST ID
-            "X-Hold: h1\r\nX-Expect-Instance: app-9\r\n"
-            "Connection: X-Private\r\nX-Private: secret\r\n"
-            "X-Deadline-Ms: 1500\r\n\r\n");
+  edge_request (site, &call, 0,
+                "GET /call/a?b=c HTTP/1.1\r\n" HOST ID
+                "X-Hold: h1\r\nX-Expect-Instance: app-9\r\n"
+                "Connection: X-Private\r\nX-Private: secret\r\n"
+                "X-Deadline-Ms: 1500\r\n\r\n");
   run = last_run (site->app, "q1");
   cr_assert_str_eq (run->hold, "");
   cr_assert_str_eq (run->connection, "");
@@ -293,8 +293,8 @@
                 "POST %sx HTTP/1.1\r\n" HOST "X-Request-Id: f%zu\r\n" NO_BODY,
                 row->path, i);
       edge_call (site, &call, 0, text);
-      edge_wait (site, &call, 1);
-      edge_hang_up (&call);
+      edge_wait_responses (site, &call, 1);
+      edge_close (&call);
       status = call.answer[0] == '\0' ? 0 : atoi (call.answer + 9);
       site->app_plan.count = 0;
       cr_assert_eq (status, row->status, "%s: %s", row->name, call.answer);
@@ -347,11 +347,11 @@
       tear_down ();
       set_up ();
       for (int k = 0; k < row->served; k++)
-        cr_assert_eq (edge_ask (site, &call, 0, turn), 200);
+        cr_assert_eq (edge_request (site, &call, 0, turn), 200);
       site->llm_plan = (struct worker_plan){ WORKER_NO_ANSWER, 1 };
-      cr_assert_eq (edge_ask (site, &call, 0, turn), 502);
+      cr_assert_eq (edge_request (site, &call, 0, turn), 502);
       worker = worker_with_runs (row->served + 1);
-      cr_assert_eq (edge_ask (site, &call, 0, turn), 200);
+      cr_assert_eq (edge_request (site, &call, 0, turn), 200);
       cr_expect_eq (worker_server_runs (site->llm[worker]) == row->served + 1,
                     row->left_out, "%s", row->name);
     }
@@ -361,7 +361,7 @@
    must not be taken for that of the next request.  */
 Test (router, second_answer_is_nobodys)
 {
-  edge_one_worker (site);
+  edge_keep_one_worker (site);
   site->app_plan = (struct worker_plan){ WORKER_TWICE, 1 };
   for (int i = 0; i < 5; i++)
     {
@@ -370,7 +370,7 @@
       snprintf (text, sizeof text,
                 "GET /call/a HTTP/1.1\r\n" HOST "X-Request-Id: t%d\r\n\r\n",
                 i);
-      cr_assert_eq (edge_ask (site, &call, 0, text), 200);
+      cr_assert_eq (edge_request (site, &call, 0, text), 200);
       cr_assert_null (strstr (call.answer, "wrong"), "%s", call.answer);
     }
 }
@@ -384,8 +384,8 @@
 
   site->llm_plan = (struct worker_plan){ WORKER_CUT, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
-  edge_wait (site, &call, 1);
-  edge_hang_up (&call);
+  edge_wait_responses (site, &call, 1);
+  edge_close (&call);
   for (int i = 1; i <= 4; i++)
     {
       char event[64];
@@ -409,12 +409,12 @@
   edge_call (site, &call, 0,
              "POST /kept/a HTTP/1.1\r\n" HOST ID
              "X-Program-Id: p1\r\n" NO_BODY);
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert (call.closed);
   cr_assert_not_null (strstr (call.answer, "data: e2"));
   cr_assert_null (strstr (call.answer, "\r\n0\r\n\r\n"));
   cr_assert_eq (runs_of (site->llm), 1);
-  edge_hang_up (&call);
+  edge_close (&call);
 }
 
 /* A worker gives half of a stream and then nothing, without closing.  */
@@ -423,8 +423,8 @@
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
-  edge_wait (site, &call, 1);
-  edge_hang_up (&call);
+  edge_wait_responses (site, &call, 1);
+  edge_close (&call);
   cr_assert_not_null (strstr (call.answer, "data: e4"), "%s", call.answer);
   cr_assert_eq (runs_of (site->llm), 2);
 }
@@ -436,7 +436,7 @@
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /kept/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
-  edge_hang_up (&call);
+  edge_close (&call);
   EDGE_WAIT (site, worker_server_closed (site->llm[0])
                            + worker_server_closed (site->llm[1])
                            + worker_server_closed (site->llm[2])
@@ -448,11 +448,11 @@
 Test (router, time_is_up)
 {
   edge_configure (site, 300, NULL);
-  edge_run (site, 30);
+  edge_run_for (site, 30);
   site->app_plan = (struct worker_plan){ WORKER_SILENT, 1 };
-  cr_assert_eq (
-      edge_ask (site, &call, 0, "POST /once/a HTTP/1.1\r\n" HOST ID NO_BODY),
-      504);
+  cr_assert_eq (edge_request (site, &call, 0,
+                              "POST /once/a HTTP/1.1\r\n" HOST ID NO_BODY),
+                504);
 }
 
 /* A worker that refuses connections had given its port back, and the table of
@@ -479,9 +479,9 @@
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
     worker_server_listen (site->app[i], false);
-  cr_assert_eq (
-      edge_ask (site, &call, 0, "POST /once/a HTTP/1.1\r\n" HOST ID NO_BODY),
-      503);
+  cr_assert_eq (edge_request (site, &call, 0,
+                              "POST /once/a HTTP/1.1\r\n" HOST ID NO_BODY),
+                503);
   cr_assert_not_null (strstr (call.answer, "Retry-After: "));
 }
 
@@ -491,11 +491,11 @@
 {
   edge_list_worker (site, site->app[0], "app", "draining");
   edge_unlist_worker (site, site->app[1]);
-  edge_run (site, 50);
+  edge_run_for (site, 50);
   for (int i = 0; i < 8; i++)
-    cr_assert_eq (
-        edge_ask (site, &call, 0, "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
-        200);
+    cr_assert_eq (edge_request (site, &call, 0,
+                                "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
+                  200);
   cr_assert_eq (worker_server_runs (site->app[0]), 0);
   cr_assert_eq (worker_server_runs (site->app[1]), 0);
   cr_assert_eq (worker_server_runs (site->app[2]), 8);
@@ -510,9 +510,9 @@
   edge_list_worker (site, site->app[0], "app", "draining");
   rows_server_compact (site->rows);
   rows_server_fault (site->rows, ROWS_WELL);
-  edge_run (site, 600);
+  edge_run_for (site, 600);
   cr_assert_eq (
-      edge_ask (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
+      edge_request (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
       200);
   cr_assert_eq (worker_server_runs (site->app[0]), 0);
 }
@@ -525,12 +525,12 @@
   rows_server_fault (site->rows, ROWS_SLOW_FEED);
   edge_configure (site, 3000, "/new/");
   cr_assert_eq (
-      edge_ask (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
+      edge_request (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
       200);
   rows_server_fault (site->rows, ROWS_REFUSING);
-  cr_assert_eq (
-      edge_ask (site, &call, 0, "GET /newer/a HTTP/1.1\r\n" HOST ID "\r\n"),
-      503);
+  cr_assert_eq (edge_request (site, &call, 0,
+                              "GET /newer/a HTTP/1.1\r\n" HOST ID "\r\n"),
+                503);
 }
 
 /* Several calls at the same time, so that each of two workers gets some.  */
@@ -545,8 +545,8 @@
     edge_call (site, &others[i], 0, "GET /call/b HTTP/1.1\r\n" HOST ID "\r\n");
   for (int i = 0; i < OTHERS; i++)
     {
-      edge_wait (site, &others[i], 1);
-      edge_hang_up (&others[i]);
+      edge_wait_responses (site, &others[i], 1);
+      edge_close (&others[i]);
     }
 }
 
@@ -558,9 +558,9 @@
 {
   struct edge_call lost = { .fd = -1 };
 
-  edge_one_worker (site);
+  edge_keep_one_worker (site);
   edge_list_worker (site, site->app[1], "app", "ready");
-  edge_run (site, 50);
+  edge_run_for (site, 50);
   site->app_plan = (struct worker_plan){ WORKER_SILENT, 1 };
   edge_call (site, &lost, 0,
              "GET /call/a HTTP/1.1\r\n" HOST "X-Request-Id: lost\r\n"
@@ -569,11 +569,11 @@
   for (int i = 0; i < 120 && strchr (lost.answer, 'H') == NULL; i++)
     {
       ask_others ();
-      edge_run (site, 10);
+      edge_run_for (site, 10);
       raw_read (lost.fd, lost.answer, sizeof lost.answer);
     }
   cr_assert_not_null (strstr (lost.answer, "200 OK"), "%s", lost.answer);
-  edge_hang_up (&lost);
+  edge_close (&lost);
 }
 
 /* Budgets and histories */
@@ -589,7 +589,7 @@
             "X-Program-Id: %s\r\nX-Token-Count: 10,8\r\n%s"
             "Content-Length: %zu\r\n\r\n%s",
             id, program, more, strlen (body), body);
-  return edge_ask (site, &call, router, text);
+  return edge_request (site, &call, router, text);
 }
 
 #define BUDGET(tokens) "X-Token-Budget: " #tokens "\r\n"
@@ -636,7 +636,7 @@
             "X-Program-Id: %s\r\nX-Session-Id: %s\r\n" FINISH (3000)
                 BUDGET (80) "X-Token-Count: 10,8\r\n" NO_BODY,
             id, program, program);
-  return edge_ask (site, &call, router, text);
+  return edge_request (site, &call, router, text);
 }
 
 /* Each of the engines' answers begins so late, milliseconds: together those of
@@ -759,9 +759,9 @@
       tear_down ();
       set_up ();
       if (linked[k])
-        edge_seed (site, 1, 0);
+        edge_set_seed (site, 1, 0);
       edge_start (site, 1);
-      edge_run (site, linked[k] ? 3500 : 50);
+      edge_run_for (site, linked[k] ? 3500 : 50);
       for (int home = 0; home < EDGE_WORKERS; home++)
         {
           for (int i = 0; i < EDGE_WORKERS; i++)
@@ -785,10 +785,10 @@
 {
   const struct worker_run *run;
 
-  edge_seed (site, 1, 0);
+  edge_set_seed (site, 1, 0);
   edge_start (site, 1);
   /* Until each has listed the other.  */
-  edge_run (site, 3500);
+  edge_run_for (site, 3500);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
   cr_assert_eq (ask_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
                 200);
@@ -843,10 +843,10 @@
 
   rows_server_fault (site->rows, ROWS_BUSY);
   /* Feeds that were waiting are still answered.  */
-  edge_run (site, 1200);
+  edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
     cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
-  edge_run (site, 600);
+  edge_run_for (site, 600);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
   tried = rows_server_tried (site->rows);
   cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 503);
@@ -854,7 +854,7 @@
                       call.answer);
   cr_assert_leq (rows_server_tried (site->rows) - tried, 1);
   rows_server_fault (site->rows, ROWS_WELL);
-  edge_run (site, 500);
+  edge_run_for (site, 500);
   cr_assert_eq (ask_turn (0, "t3", "p3", BUDGET (80), "x"), 200);
 }
 
@@ -916,23 +916,23 @@
                 "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: k%zu\r\n"
                 "X-Program-Id: k\r\n" NO_BODY,
                 i);
-      edge_run (site, 700);
+      edge_run_for (site, 700);
       rows_server_fault (site->rows, cases[i].fault);
       edge_call (site, &call, 0, text);
       EDGE_WAIT (site, runs_of (site->llm) == (int)i + 1);
-      edge_run (site, 400);
+      edge_run_for (site, 400);
       raw_read (call.fd, call.answer, sizeof call.answer);
       cr_assert_not_null (strstr (call.answer, "data: e4"), "%s",
                           cases[i].name);
       cr_assert_eq (strstr (call.answer, "\r\n0\r\n\r\n") != NULL,
                     cases[i].whole, "%s: %s", cases[i].name, call.answer);
       rows_server_fault (site->rows, ROWS_WELL);
-      edge_wait (site, &call, 1);
+      edge_wait_responses (site, &call, 1);
       /* Whole, and not broken off; the connection may be closed after it, when
          it has been idle for as long as the limits say.  */
       cr_assert_not_null (strstr (call.answer, "\r\n0\r\n\r\n"), "%s: %s",
                           cases[i].name, call.answer);
-      edge_hang_up (&call);
+      edge_close (&call);
     }
   cr_assert_eq (rows_server_count (site->rows, "turn"), ROWS (cases));
 }
@@ -944,7 +944,7 @@
   rows_server_fault (site->rows, ROWS_LATE);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (28), "x"), 503);
   rows_server_fault (site->rows, ROWS_WELL);
-  edge_run (site, 500);
+  edge_run_for (site, 500);
   cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (28), "x"), 200);
   rows_server_do_late (site->rows);
   cr_assert_eq (ask_turn (0, "t3", "p1", BUDGET (28), "x"), 200);
@@ -974,10 +974,10 @@
     }
   for (int i = 0; i < CROWD; i++)
     {
-      edge_wait (site, &calls[i], 1);
+      edge_wait_responses (site, &calls[i], 1);
       if (strstr (calls[i].answer, "\r\n0\r\n\r\n") != NULL)
         served |= 1U << i;
-      edge_hang_up (&calls[i]);
+      edge_close (&calls[i]);
     }
   return served;
 }
@@ -996,7 +996,7 @@
   char more[64];
 
   /* Until the host has all leases.  */
-  edge_run (site, 4500);
+  edge_run_for (site, 4500);
   rows_server_silence_parts (site->rows, SILENT_PARTS);
   serve_crowd ("a");
   served = serve_crowd ("b");
@@ -1024,12 +1024,12 @@
   const struct worker_run *run;
   struct edge_call later = { .fd = -1 };
 
-  edge_seed (site, 1, 0);
+  edge_set_seed (site, 1, 0);
   edge_start (site, 1);
-  edge_run (site, 2500);
+  edge_run_for (site, 2500);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
   rows_server_fault (site->rows, ROWS_BUSY);
-  edge_run (site, 1200);
+  edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
     ask_turn (1, "x1", "p9", BUDGET (80), "x");
   cr_assert_eq (ask_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
@@ -1039,21 +1039,21 @@
              "X-Program-Id: p1\r\nX-Token-Count: 10,8\r\n"
              "X-Deadline-Ms: 2000\r\n" BUDGET (80)
                  AFTER ("t1") "Content-Length: 4\r\n\r\ntwo;");
-  EDGE_WAIT (site, edge_runs (site, "t3") == 1);
-  edge_run (site, 200);
+  EDGE_WAIT (site, edge_run_count (site, "t3") == 1);
+  edge_run_for (site, 200);
   raw_read (later.fd, later.answer, sizeof later.answer);
   cr_assert_not_null (strstr (later.answer, "data: e4"), "%s", later.answer);
   cr_assert_null (strstr (later.answer, "\r\n0\r\n\r\n"));
   rows_server_fault (site->rows, ROWS_WELL);
-  edge_wait (site, &later, 1);
+  edge_wait_responses (site, &later, 1);
   cr_assert_not_null (strstr (later.answer, "\r\n0\r\n\r\n"), "%s",
                       later.answer);
   run = last_run (site->llm, "t3");
   cr_assert_str_eq (run->body, "one;e1\ne2\ne3\ne4\ntwo;");
-  edge_hang_up (&later);
-  cr_assert_eq (edge_runs (site, "t1"), 1);
-  cr_assert_eq (edge_runs (site, "t2"), 0);
-  cr_assert_eq (edge_runs (site, "t3"), 1);
+  edge_close (&later);
+  cr_assert_eq (edge_run_count (site, "t1"), 1);
+  cr_assert_eq (edge_run_count (site, "t2"), 0);
+  cr_assert_eq (edge_run_count (site, "t3"), 1);
 }
 
 /* A program begins while the table is away for all: no host holds any tokens
@@ -1065,9 +1065,9 @@
   struct edge_call later = { .fd = -1 };
   int served = 0;
 
-  edge_run (site, 4500);
+  edge_run_for (site, 4500);
   rows_server_fault (site->rows, ROWS_BUSY);
-  edge_run (site, 1200);
+  edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
     ask_turn (0, "x1", "p9", BUDGET (80), "x");
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (16), "x"), 503);
@@ -1077,14 +1077,14 @@
       "X-Program-Id: p1\r\nX-Token-Count: 10,8\r\n"
       "X-Deadline-Ms: 2000\r\n" BUDGET (16) "Content-Length: 1\r\n\r\nx");
   EDGE_WAIT (site, runs_of (site->llm) == 1);
-  edge_run (site, 200);
-  edge_hang_up (&later);
+  edge_run_for (site, 200);
+  edge_close (&later);
   /* The one turn's tokens are used up.  */
   cr_assert_eq (
       ask_turn (0, "t3", "p1", BUDGET (16) "X-Deadline-Ms: 2000\r\n", "x"),
       503);
   rows_server_fault (site->rows, ROWS_WELL);
-  edge_run (site, 1500);
+  edge_run_for (site, 1500);
   for (int i = 0; i < 3; i++)
     {
       char id[16];
@@ -1114,7 +1114,7 @@
   static const uint64_t hours_ms = 7200000;
 
   rows_server_clock (site->rows, start_ms);
-  edge_run (site, 1300);
+  edge_run_for (site, 1300);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
   cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 200);
   edge_kill (site, 0);
@@ -1128,7 +1128,7 @@
   edge_start (site, 0);
   EDGE_WAIT (site, rows_server_count (site->rows, "budget") == 1
                        && rows_server_count (site->rows, "turn") == 1);
-  edge_run (site, 500);
+  edge_run_for (site, 500);
   cr_assert_eq (rows_server_count (site->rows, "budget"), 1);
   cr_assert_eq (rows_server_count (site->rows, "turn"), 1);
   cr_assert_eq (ask_turn (0, "t4", "p2", BUDGET (80) AFTER ("t3"), "x"), 200);
@@ -1183,7 +1183,7 @@
 
   edge_start (site, 1);
   /* Until the hosts have found each other.  */
-  edge_run (site, 3500);
+  edge_run_for (site, 3500);
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       char id[32];
@@ -1196,10 +1196,10 @@
       cr_assert_eq (ask_turn (1, before, "p", "", "one;"), 200);
       rows_server_fault_at (site->rows, 0, cases[i].fault);
       /* Until the host has noticed.  */
-      edge_run (site, 1800);
+      edge_run_for (site, 1800);
       snprintf (extra, sizeof extra, "/new%zu/", i);
       edge_configure (site, 3000, extra);
-      edge_run (site, 600);
+      edge_run_for (site, 600);
       snprintf (id, sizeof id, "c%zu", i);
       snprintf (after, sizeof after, BUDGET (80) "X-Previous-Turn: %s\r\n",
                 before);
@@ -1210,14 +1210,14 @@
       snprintf (text, sizeof text,
                 "GET %sx HTTP/1.1\r\n" HOST "X-Request-Id: n%zu\r\n\r\n",
                 extra, i);
-      cr_assert_eq (edge_ask (site, &call, 0, text), 200, "%s: %s",
+      cr_assert_eq (edge_request (site, &call, 0, text), 200, "%s: %s",
                     cases[i].name, call.answer);
       rows_server_fault_at (site->rows, 0, ROWS_WELL);
-      edge_run (site, 400);
+      edge_run_for (site, 400);
     }
   rows_server_fault_at (site->rows, 0, ROWS_SILENT);
   edge_kill (site, 0);
-  edge_seed (site, 0, 1);
+  edge_set_seed (site, 0, 1);
   edge_start (site, 0);
   cr_assert_eq (ask_turn (0, "z1", "z", BUDGET (80), "x"), 200);
 }
@@ -1235,14 +1235,14 @@
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
   mq_router_begin_stop (site->routers[0]);
-  cr_assert_eq (edge_ready (site, 0), 503);
-  cr_assert_eq (
-      edge_ask (site, &other, 0, "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
-      200);
+  cr_assert_eq (edge_ready_status (site, 0), 503);
+  cr_assert_eq (edge_request (site, &other, 0,
+                              "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
+                200);
   cr_assert_not_null (strstr (other.answer, "Connection: close"));
-  edge_wait (site, &call, 1);
+  edge_wait_responses (site, &call, 1);
   cr_assert_not_null (strstr (call.answer, "data: e4"));
-  edge_hang_up (&call);
+  edge_close (&call);
   EDGE_WAIT (site, mq_router_stopped (site->routers[0]));
 }
 
@@ -1257,7 +1257,7 @@
   rows_server_fault (site->rows, ROWS_SILENT);
   mq_router_begin_stop (site->routers[0]);
   for (int i = 0; i < 200 && !mq_router_stopped (site->routers[0]); i++)
-    edge_run (site, 5);
+    edge_run_for (site, 5);
   cr_assert (mq_router_stopped (site->routers[0]));
   cr_assert_eq (mq_router_http_port (site->routers[0]), 0);
 }
