--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -423,7 +423,7 @@
 void mq_hosts_start (struct mq_router *router);
 /* Periodically renews this host's row and lists the other hosts.  */
 void mq_hosts_sweep (struct mq_router *router);
-/* Tells the other hosts to send no more calls to this one.  */
+/* Removes the row of this host, so that other hosts send it no more calls.  */
 void mq_hosts_stop (struct mq_router *router);
 
 /* router_config.c */
--- a/tests/router_site.c
+++ b/tests/router_site.c
@@ -1,5 +1,5 @@
-/* router_site.c - a router between stand-ins of the users' platform, in one
-   event loop.
+/* router_site.c - routers with stand-ins for the platform's table and workers,
+   in one event loop.
 
    Needs: router_site.h, http_peer.h, Criterion.  */
 
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define TIMEOUT_MS 3000U
-#define TURNS_MAX 4000
+#define POLLS_MAX 4000
 
 static void
 on_tick (struct tevent_context *ev, struct tevent_timer *timer,
@@ -49,7 +49,7 @@
       prefix, prefix, kind, timeout_ms, service, more);
 }
 
-/* Further routes, each behind a comma.  */
+/* Additional routes, each preceded by a comma.  */
 static char *
 extra_routes (struct edge_site *site, uint32_t timeout_ms)
 {
@@ -268,9 +268,9 @@
   raw_send (call->fd, text, strlen (text));
 }
 
-/* Whole answers in TEXT.  */
+/* Counts the complete responses in TEXT.  */
 static int
-count_answers (const char *text)
+count_responses (const char *text)
 {
   int count = 0;
   const char *at = text;
@@ -299,10 +299,10 @@
 void
 edge_wait_responses (struct edge_site *site, struct edge_call *call, int count)
 {
-  for (int i = 0; i < TURNS_MAX; i++)
+  for (int i = 0; i < POLLS_MAX; i++)
     {
       call->closed = raw_read (call->fd, call->answer, sizeof call->answer);
-      if (call->closed || count_answers (call->answer) >= count)
+      if (call->closed || count_responses (call->answer) >= count)
         return;
       edge_run_for (site, 5);
     }
@@ -326,10 +326,10 @@
                                                      : 0;
 }
 
-/* Asks the port of readiness for PATH.  */
+/* Requests PATH from the readiness and metrics endpoint.  */
 static void
-ask_ready_port (struct edge_site *site, struct edge_call *call, int index,
-                const char *path)
+request_ready_port (struct edge_site *site, struct edge_call *call, int index,
+                    const char *path)
 {
   char text[128];
 
@@ -347,7 +347,7 @@
 {
   static struct edge_call call;
 
-  ask_ready_port (site, &call, index, "/api/readyz");
+  request_ready_port (site, &call, index, "/api/readyz");
   return atoi (call.answer + 9);
 }
 
@@ -359,7 +359,7 @@
   const char *at;
 
   snprintf (key, sizeof key, "\nmimosa_router_%s ", name);
-  ask_ready_port (site, &call, index, "/metrics");
+  request_ready_port (site, &call, index, "/metrics");
   at = strstr (call.answer, key);
   return at == NULL ? -1 : atol (at + strlen (key));
 }
--- a/tests/router_site.h
+++ b/tests/router_site.h
@@ -1,5 +1,5 @@
-/* router_site.h - a router between stand-ins of the users' platform, in one
-   event loop.
+/* router_site.h - routers with stand-ins for the platform's table and workers,
+   in one event loop.
 
    Needs: rows_server.h, worker_server.h, router.h.  */
 
@@ -15,11 +15,12 @@
 #define EDGE_RESPONSE_BYTES (1U << 16)
 
 /**
- * struct edge_site - routers, the table, and workers of the services "llm" (0
- * to 2) and "app" (3 to 5)
- * @idle_ms: how long a caller's connection may rest, by the next configuration
- * @extra_routes: that many more routes has the next configuration
- * @organisations: of the next configuration, a list in JSON; NULL: none
+ * struct edge_site - routers, the table, and the workers of services "llm" and
+ * "app"
+ * @idle_ms: idle timeout of callers in the next configuration
+ * @extra_routes: number of additional routes in the next configuration
+ * @organisations: JSON list for the next configuration; NULL if none
+ * @clean_after_ms: setting of the routers started next
  */
 struct edge_site
 {
@@ -39,7 +40,7 @@
   uint32_t clean_after_ms;
 };
 
-/* A caller's connection.  */
+/* A caller's connection and the responses received on it.  */
 struct edge_call
 {
   int fd;
@@ -47,23 +48,24 @@
   char answer[EDGE_RESPONSE_BYTES];
 };
 
-/* Routes of host "h.example": /call/ idempotent, /once/ may run once, /turn/
-   streams that may be resumed, /kept/ streams that are retained, /open/
-   idempotent and public, all with two attempts; /turn/ and /kept/ lead to
-   "llm", the others to "app".  */
+/* Routes of host "h.example", all with two attempts: /call/ and /open/
+   (public) are idempotent, /once/ is not, /turn/ streams are resumable, /kept/
+   streams are retained. /turn/ and /kept/ lead to "llm", the others to
+   "app".  */
 struct edge_site *edge_create (void);
 void edge_destroy (struct edge_site *site);
 /* Starts router INDEX and waits until it is ready.  */
 void edge_start (struct edge_site *site, int index);
-/* Router INDEX will start with router OTHER as its seed.  */
+/* Sets router OTHER as the seed of router INDEX, for its next start.  */
 void edge_set_seed (struct edge_site *site, int index, int other);
-/* Ends router INDEX at once, as if its host had lost power.  */
+/* Destroys router INDEX without a planned stop.  */
 void edge_kill (struct edge_site *site, int index);
-/* Text of the next configuration, as edge_configure writes it.  */
+/* Returns the text of the next configuration, as written by
+   edge_configure.  */
 char *edge_config_text (struct edge_site *site, uint32_t timeout_ms,
                         const char *extra);
-/* Writes the configuration once more, with TIMEOUT_MS for each route, and
-   with the route EXTRA (a prefix) when not NULL.  */
+/* Writes the next configuration, with TIMEOUT_MS for each route and an
+   additional route of prefix EXTRA unless NULL.  */
 void edge_configure (struct edge_site *site, uint32_t timeout_ms,
                      const char *extra);
 void edge_list_worker (struct edge_site *site,
@@ -71,12 +73,12 @@
                        const char *state);
 void edge_unlist_worker (struct edge_site *site,
                          const struct worker_server *worker);
-/* Workers 1 and 2 of SERVICE are not listed any more.  */
+/* Unlists workers 1 and 2 of both services.  */
 void edge_keep_one_worker (struct edge_site *site);
-/* The last run of the request ID at any worker, NULL: none ran it.  */
+/* Returns the last run of request ID at any worker; NULL if there is none.  */
 const struct worker_run *edge_find_run (const struct edge_site *site,
                                         const char *id);
-/* How often the workers of "llm" ran the request ID.  */
+/* Number of runs of request ID at the workers of "llm".  */
 int edge_run_count (const struct edge_site *site, const char *id);
 /* Runs the event loop for MS milliseconds.  */
 void edge_run_for (struct edge_site *site, uint32_t ms);
@@ -84,16 +86,17 @@
 /* Connects to router INDEX and sends TEXT.  */
 void edge_call (struct edge_site *site, struct edge_call *call, int index,
                 const char *text);
-/* Waits for COUNT whole answers or the end of the connection.  */
+/* Waits for COUNT complete responses or the end of the connection.  */
 void edge_wait_responses (struct edge_site *site, struct edge_call *call,
                           int count);
 void edge_close (struct edge_call *call);
-/* One request on a connection of its own: its answer's status, 0: none.  */
+/* Sends one request on a new connection; returns the status of the response, 0
+   if there is none.  */
 int edge_request (struct edge_site *site, struct edge_call *call, int index,
                   const char *text);
-/* Counter NAME of router INDEX, -1: there is none.  */
+/* Value of counter NAME of router INDEX; -1 if it does not exist.  */
 long edge_counter (struct edge_site *site, int index, const char *name);
-/* Status of the readiness question to router INDEX, 0: no answer.  */
+/* Status of the readiness endpoint of router INDEX.  */
 int edge_ready_status (struct edge_site *site, int index);
 
 #define EDGE_WAIT(site, condition)                                            \
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -1,5 +1,5 @@
-/* test_held_up.c - a host that was held up for some tenths of a second, and
-   what it then makes of bytes that came meanwhile.
+/* test_held_up.c - a router whose event loop was blocked, and what it does
+   with the data that arrived meanwhile.
 
    Needs: Criterion, router_site.h, http_peer.h.  */
 
@@ -17,21 +17,21 @@
 #define HOST "Host: h.example\r\n"
 #define FIRST LINE HOST "X-Request-Id: q1\r\n\r\n"
 #define REST HOST "X-Request-Id: q2\r\n\r\n"
-/* The site's limits: 400 ms of rest, 300 ms for a head, a look at them every
-   250 ms, no new connections 200 ms after a stop was asked for.  The host is
-   held up for longer than it takes to the next look.  */
+/* Limits of the site: idle timeout 400 ms, head timeout 300 ms, sweep interval
+   250 ms, new connections until 200 ms after a stop request.  HELD_BEFORE_MS
+   exceeds the sweep interval.  */
 #define IDLE_MS 400U
 #define READ_MS 20U
-/* Of a route: a machine that is busy is no reason for a request to fail.  */
+/* Route timeout, long enough for a busy machine.  */
 #define TIMEOUT_MS 30000U
-#define HELD_BEFORE_MS 260U
-/* Longer than each of the limits.  */
+#define BLOCKED_MS 260U
+/* Longer than the idle and head timeouts.  */
 #define LIMITS_MS 450U
 
 static struct edge_site *site;
 static struct edge_call call;
 
-/* Takes a configuration with IDLE_MS into force.  */
+/* Activates a configuration with IDLE_MS.  */
 static void
 set_idle (uint32_t idle_ms)
 {
@@ -57,12 +57,11 @@
 
 TestSuite (held_up, .init = set_up, .fini = tear_down, .timeout = 120);
 
-/* The event loop stands still, as while one handler takes long, and TEXT
-   arrives AFTER_MS before it goes on.  */
+/* Blocks the event loop; TEXT arrives AFTER_MS before it continues.  */
 static void
-hold_up_beside (const char *text, uint32_t after_ms, bool connects)
+block_loop_while_sending (const char *text, uint32_t after_ms, bool connects)
 {
-  usleep (HELD_BEFORE_MS * 1000);
+  usleep (BLOCKED_MS * 1000);
   if (connects)
     edge_call (site, &call, 0, text);
   else
@@ -70,9 +69,9 @@
   usleep (after_ms * 1000);
 }
 
-/* The daemon ends in the very turn of the loop in which the stop is done.  */
+/* Destroys the router as soon as the stop is complete, as the daemon does.  */
 static void
-end_as_daemon (void)
+stop_like_daemon (void)
 {
   while (!mq_router_stopped (site->routers[0]))
     tevent_loop_once (site->ev);
@@ -80,49 +79,44 @@
 }
 
 /**
- * struct held_case - a request of which the end arrives while the host is
- * held up
- * @first: what came before
- * @answered: so many answers are out before the host is held up
- * @leaves: a stop was asked for; what is not out when it is done is lost
- * @connects: the request comes on a new connection
- * @then: what comes meanwhile
- * @after_ms: how long before the host goes on
+ * struct held_case - a request whose end arrives while the event loop is
+ * blocked
+ * @first: data sent before
+ * @answered: number of responses received before
+ * @stop_requested: a stop was requested; the router is destroyed when it is
+ * complete
+ * @connects: the request arrives on a new connection
+ * @then: data sent meanwhile
+ * @after_ms: time from then until the loop continues
  */
-struct held_case
+struct blocked_case
 {
   const char *name;
   const char *first;
   int answered;
-  bool leaves;
+  bool stop_requested;
   bool connects;
   const char *then;
   uint32_t after_ms;
 };
 
-static const struct held_case held_cases[] = {
+static const struct blocked_case blocked_cases[] = {
   { "request on a rested connection", FIRST, 1, false, false, LINE REST, 200 },
-  /* Its caller was never told to go elsewhere; the time to rest is not over.
-   */
+  /* Within the idle timeout, and the caller was not told to close.  */
   { "request beside a planned stop", FIRST, 1, true, false, LINE REST, 100 },
   { "new connection beside a planned stop", NULL, 0, true, true, LINE REST,
     100 },
   { "rest of a head", LINE, 0, false, false, REST, 200 },
 };
 
-/* A host with little of a processor takes a configuration of thousands of
-   routes, which holds its event loop up for more than half a second.  A caller
-   sends its next request meanwhile on a connection that has rested for nearly
-   as long as it may.  When the loop went on, its timers came before its
-   sockets: the look at resting connections found the time over, closed the
-   connection, and the whole request was read and dropped.  Seen as
-   loop_held_up held_ms 228 and, a millisecond later, caller_closed rested_ms
-   15463 idle_ms 15000 unread 1; the caller got neither answer nor refusal.  */
-Test (held_up, what_has_arrived_is_answered)
+/* Failure: timers run before sockets after the event loop was blocked, the
+   connection is closed as idle, and a complete request on it gets no
+   response.  */
+Test (held_up, requests_received_while_blocked_are_answered)
 {
-  for (size_t i = 0; i < ROWS (held_cases); i++)
+  for (size_t i = 0; i < ROWS (blocked_cases); i++)
     {
-      const struct held_case *row = &held_cases[i];
+      const struct blocked_case *row = &blocked_cases[i];
 
       if (row->first != NULL)
         edge_call (site, &call, 0, row->first);
@@ -130,31 +124,31 @@
         edge_wait_responses (site, &call, row->answered);
       else
         edge_run_for (site, READ_MS);
-      if (row->leaves)
+      if (row->stop_requested)
         mq_router_begin_stop (site->routers[0]);
-      hold_up_beside (row->then, row->after_ms, row->connects);
-      if (row->leaves)
-        end_as_daemon ();
+      block_loop_while_sending (row->then, row->after_ms, row->connects);
+      if (row->stop_requested)
+        stop_like_daemon ();
       edge_wait_responses (site, &call, row->answered + 1);
       cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"),
                           "%s: closed %d after %s", row->name, call.closed,
                           call.answer);
       edge_close (&call);
-      if (!row->leaves)
+      if (!row->stop_requested)
         edge_kill (site, 0);
       edge_start (site, 0);
     }
 }
 
 /**
- * struct look_case - a look at connections beside a request that is unread
- * @first: what came before
- * @answered: so many answers are out before the look
- * @stops: the look is that of a stop which closes the listener
- * @connects: the request comes on a new connection, which is not accepted yet
- * @then: what lies unread
+ * struct look_case - a check of the connections while a request is unread
+ * @first: data sent before
+ * @answered: number of responses received before
+ * @stops: the check is that of a stop, which closes the listener
+ * @connects: the request is on a new connection, not accepted yet
+ * @then: unread data
  */
-struct look_case
+struct check_case
 {
   const char *name;
   const char *first;
@@ -164,24 +158,21 @@
   const char *then;
 };
 
-static const struct look_case look_cases[] = {
+static const struct check_case check_cases[] = {
   { "rested connection", FIRST, 1, false, false, LINE REST },
   { "head over its time", LINE, 0, false, false, REST },
   { "rested connection at a stop", FIRST, 1, true, false, LINE REST },
   { "new connection at a stop", NULL, 0, true, true, LINE REST },
 };
 
-/* While a host that was held up works off what has arrived, more arrives, and
-   the look at connections comes in between.  Timers that wait for one look at
-   the connections do not help there: a rested connection was closed beside the
-   bytes of its next request, and a host that stopped closed its listener
-   beside connections that it had not accepted.  Such callers got a closed
-   connection and no answer.  */
-Test (held_up, look_beside_unread_bytes)
+/* Failure: a check of the connections closes an idle connection with unread
+   data, or the listener with pending connections, and their requests get no
+   response.  */
+Test (held_up, connection_check_with_unread_data)
 {
-  for (size_t i = 0; i < ROWS (look_cases); i++)
+  for (size_t i = 0; i < ROWS (check_cases); i++)
     {
-      const struct look_case *row = &look_cases[i];
+      const struct check_case *row = &check_cases[i];
 
       if (row->connects)
         edge_call (site, &call, 0, row->then);
@@ -209,32 +200,29 @@
 }
 
 /**
- * struct rest_case - a limit on rest, and what a caller is told
+ * struct rest_case - an idle timeout and the field sent to callers
  */
-struct rest_case
+struct idle_case
 {
   uint32_t idle_ms;
   const char *told;
 };
 
-static const struct rest_case rest_cases[] = {
+static const struct idle_case idle_cases[] = {
   { 15000, "Keep-Alive: timeout=12\r\n" },
   { 1300, "Keep-Alive: timeout=1\r\n" },
-  /* Less than a second can't be told.  */
+  /* Below a second nothing is advertised.  */
   { 1200, NULL },
 };
 
-/* A caller sends its next request in the very moment in which the host closes
-   a connection that has rested too long: no order of looks at either end helps
-   there, and the caller gets a closed connection and no answer.  Seen as one
-   or two tries of 50,000 that were cut so, after the host had learnt to read
-   what lay there.  A caller that knows how long a connection may rest does not
-   use it in the last fifth of that time.  */
-Test (held_up, callers_are_told_how_long_a_connection_may_rest)
+/* Failure: a caller sends a request while the idle connection is being closed
+   and gets no response.  The advertised idle timeout must be shorter than the
+   actual one.  */
+Test (held_up, idle_timeout_is_advertised)
 {
-  for (size_t i = 0; i < ROWS (rest_cases); i++)
+  for (size_t i = 0; i < ROWS (idle_cases); i++)
     {
-      const struct rest_case *row = &rest_cases[i];
+      const struct idle_case *row = &idle_cases[i];
 
       set_idle (row->idle_ms);
       cr_expect_eq (edge_request (site, &call, 0, FIRST), 200);
@@ -246,8 +234,9 @@
     }
 }
 
-/* A connection ends while its caller is told that it is over.  */
-Test (held_up, callers_are_told_one_thing)
+/* A response that closes the connection does not advertise an idle
+   timeout.  */
+Test (held_up, closing_response_advertises_no_idle_timeout)
 {
   set_idle (15000);
   mq_router_begin_stop (site->routers[0]);
@@ -256,10 +245,9 @@
   cr_expect_null (strstr (call.answer, "Keep-Alive"));
 }
 
-/* A configuration allows less rest than the one before.  The host applied it
-   at once to connections whose callers had been told more, and their next
-   requests met a closed connection.  */
-Test (held_up, connection_rests_as_long_as_its_caller_was_told)
+/* Failure: a shorter idle timeout is applied to connections whose callers were
+   told a longer one.  */
+Test (held_up, advertised_idle_timeout_is_kept)
 {
   set_idle (15000);
   edge_call (site, &call, 0, FIRST);
@@ -274,11 +262,10 @@
   edge_close (&call);
 }
 
-/* A request crosses the close of a rested connection.  The host went on
-   reading for a second and dropped what came, so that the caller could take
-   its request for one that was read, and may not repeat what may run once.  A
-   connection that is closed outright resets what crosses it.  */
-Test (held_up, what_crosses_a_close_is_not_read)
+/* Failure: a closed idle connection is still read, and its caller cannot tell
+   that a request sent during the close did not run.  The connection must be
+   reset.  */
+Test (held_up, requests_crossing_a_close_are_reset)
 {
   for (int stops = 0; stops < 2; stops++)
     {
@@ -297,11 +284,12 @@
     }
 }
 
-#define ROW_OF_REQUESTS 200
+#define PIPELINED_REQUESTS 200
 
-/* COUNT requests with the ids q1 to q<COUNT>, each with PAD bytes more.  */
+/* Returns COUNT requests with ids q1 to q<COUNT>, each with PAD extra
+   bytes.  */
 static char *
-requests_in_a_row (int count, int pad)
+make_requests (int count, int pad)
 {
   char *text = talloc_strdup (site, "");
 
@@ -311,27 +299,26 @@
   return text;
 }
 
-/* A caller is slow to take its answers, and they wait at the host.  A planned
-   stop closed the connection in good order and counted it no more: the process
-   ended with what had not been taken, and the caller had a part of it.  */
-Test (held_up, stop_waits_for_answers_that_are_not_taken)
+/* Failure: a planned stop completes while responses are unsent to a slow
+   caller.  */
+Test (held_up, stop_waits_for_unsent_responses)
 {
   struct mq_router *router = site->routers[0];
-  char *text = requests_in_a_row (ROW_OF_REQUESTS, 1);
+  char *text = make_requests (PIPELINED_REQUESTS, 1);
   int bytes = 4096;
 
   cr_assert_eq (setsockopt (router->front_fd, SOL_SOCKET, SO_SNDBUF, &bytes,
                             sizeof bytes),
                 0);
   edge_call (site, &call, 0, text);
-  EDGE_WAIT (site, router->counters.served == ROW_OF_REQUESTS);
+  EDGE_WAIT (site, router->counters.served == PIPELINED_REQUESTS);
   mq_router_begin_stop (router);
   EDGE_WAIT (site, router->caller_count == 0);
   if (!mq_router_stopped (router))
-    edge_wait_responses (site, &call, ROW_OF_REQUESTS);
+    edge_wait_responses (site, &call, PIPELINED_REQUESTS);
   EDGE_WAIT (site, mq_router_stopped (router));
   edge_kill (site, 0);
-  edge_wait_responses (site, &call, ROW_OF_REQUESTS);
+  edge_wait_responses (site, &call, PIPELINED_REQUESTS);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q200\r\n"),
                       "closed %d after %zu bytes", call.closed,
                       strlen (call.answer));
@@ -339,34 +326,31 @@
   edge_start (site, 0);
 }
 
-/* More than a host takes ahead of an answer.  */
-#define FAR_AHEAD 60
-#define FAR_PAD 1500
+/* More than the read-ahead limit.  */
+#define PIPELINED_MANY 60
+#define PIPELINED_PAD_BYTES 1500
 
-static const char *const far_firsts[] = {
+static const char *const first_requests[] = {
   FIRST,
-  /* Its head is out, and can't say that the connection ends, while the others
-     come.  */
+  /* The response head is sent before the other requests arrive and cannot
+     announce that the connection closes.  */
   "POST /turn/a HTTP/1.1\r\n" HOST
   "X-Request-Id: q0\r\nContent-Length: 0\r\n\r\n",
 };
 
-/* A caller sends many requests before it reads the first answer.  Those beyond
-   64 KiB marked the connection to be closed once the answer under way was out,
-   and all requests that the host had read were dropped.  Their caller got
-   neither answers nor a refusal; after a stream that had begun before it was
-   not even told that the connection would end.  */
-Test (held_up, requests_sent_far_ahead_are_answered)
+/* Failure: pipelined requests beyond the read-ahead limit are dropped without
+   a response.  */
+Test (held_up, pipelined_requests_are_answered)
 {
-  char *text = requests_in_a_row (FAR_AHEAD, FAR_PAD);
+  char *text = make_requests (PIPELINED_MANY, PIPELINED_PAD_BYTES);
   size_t len = strlen (text);
 
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
-  for (size_t i = 0; i < ROWS (far_firsts); i++)
+  for (size_t i = 0; i < ROWS (first_requests); i++)
     {
       size_t sent = 0;
 
-      edge_call (site, &call, 0, far_firsts[i]);
+      edge_call (site, &call, 0, first_requests[i]);
       while (strstr (call.answer, "200 OK") == NULL)
         {
           edge_run_for (site, 1);
@@ -378,7 +362,7 @@
           edge_run_for (site, 1);
           call.closed = raw_read (call.fd, call.answer, sizeof call.answer);
         }
-      edge_wait_responses (site, &call, FAR_AHEAD + 1);
+      edge_wait_responses (site, &call, PIPELINED_MANY + 1);
       cr_expect_not_null (strstr (call.answer, "X-Request-Id: q60\r\n"),
                           "%zu: closed %d after %s", i, call.closed,
                           call.answer);
@@ -386,13 +370,14 @@
     }
 }
 
-/* Some 600 KB: seen on a site where the configuration grew.  */
+/* About 600 KB.  */
 #define LONG_ROUTES 4250U
-/* More than one turn reads, and little enough for the stand-in of the table to
-   tell it within the time of a call.  */
+/* More than one step parses, and small enough for the stand-in of the table to
+   send within the timeout of a call.  */
 #define SOME_ROUTES 500U
 
-/* What other hosts tell counts.  */
+/* Makes the table unavailable, so that configurations of other hosts are
+   accepted.  */
 static void
 lose_table (void)
 {
@@ -400,9 +385,9 @@
   EDGE_WAIT (site, !mq_rows_followed (site->routers[0]->rows));
 }
 
-/* Another host tells TEXT.  */
+/* Delivers configuration TEXT as from another host.  */
 static void
-tell_config (const char *text)
+deliver_config (const char *text)
 {
   struct mq_relay_state state = { .same_workers = true };
 
@@ -411,13 +396,9 @@
   mq_feed_on_state (&state, site->routers[0]);
 }
 
-/* A configuration of 4,250 routes was read in one go.  A host with a tenth of
-   a processor did nothing else for 0.4 to 0.7 s (config_in_force took_ms 470,
-   loop_held_up held_ms 735), and all its callers waited, at each change of the
-   configuration.  Cause: one handler read and sorted the whole of it.  A
-   request that is there while it is taken must be begun before it is in
-   force.  */
-Test (held_up, a_long_configuration_lets_requests_pass)
+/* Failure: loading a large configuration blocks the event loop.  A pending
+   request must be started before the configuration is active.  */
+Test (held_up, long_configuration_does_not_block_requests)
 {
   struct mq_router *router = site->routers[0];
   uint64_t changes = router->counters.config_changes;
@@ -431,7 +412,7 @@
   text = edge_config_text (site, TIMEOUT_MS, NULL);
   requests = router->counters.requests;
   raw_send (call.fd, LINE REST, strlen (LINE REST));
-  tell_config (text);
+  deliver_config (text);
   while (router->counters.config_changes == changes
          && router->counters.requests == requests)
     tevent_loop_once (site->ev);
@@ -443,7 +424,7 @@
   rows_server_fault (site->rows, ROWS_WELL);
 }
 
-/* What may come while a long configuration is taken.  */
+/* What arrives while a long configuration is loaded.  */
 enum meanwhile
 {
   MEANWHILE_NEWER,
@@ -453,11 +434,9 @@
   MEANWHILE_END
 };
 
-/* A host that takes a configuration in many turns hears of others meanwhile.
-   If it took half of one into force, fell back to an older one, or forgot the
-   newer one beside the one that it was at, callers would be served by a
-   configuration that never was, or is over.  */
-Test (held_up, configurations_that_come_beside_a_long_one)
+/* Failure: configurations that arrive during the load of a long one cause a
+   partial one, an older one or a lost one.  */
+Test (held_up, configurations_received_during_a_long_load)
 {
   struct mq_router *router = site->routers[0];
   char *old = edge_config_text (site, TIMEOUT_MS, NULL);
@@ -473,7 +452,7 @@
       site->extra_routes = LONG_ROUTES;
       text = edge_config_text (site, TIMEOUT_MS, NULL);
       whole = newest = (uint64_t)site->config_version;
-      tell_config (text);
+      deliver_config (text);
       cr_assert_lt (router->routes->version, whole);
       other = old;
       if (i == MEANWHILE_NEWER)
@@ -485,7 +464,7 @@
         other = text;
       if (i == MEANWHILE_UNUSABLE)
         other = talloc_strdup (site, "{");
-      tell_config (other);
+      deliver_config (other);
       while (router->config_loading != NULL)
         {
           uint64_t version = router->routes->version;
@@ -500,11 +479,9 @@
   rows_server_fault (site->rows, ROWS_WELL);
 }
 
-/* A caller asks for a route that was just added, while the host is still at
-   the configuration that adds it, or has not heard of it.  A host that is told
-   by the table what is newest, and answers before that is in force, says 404
-   to a caller who is right.  */
-Test (held_up, no_route_is_told_only_by_the_newest_configuration)
+/* Failure: a request for a new route gets 404 although the table already has
+   the configuration that adds it.  */
+Test (held_up, missing_route_needs_the_latest_configuration)
 {
   static const char ask[]
       = "GET /new/a HTTP/1.1\r\n" HOST "X-Request-Id: q3\r\n\r\n";
@@ -527,37 +504,34 @@
     }
 }
 
-#define ASKERS 20
-/* One under way, one for all who came after it began, and a few of other
-   parts of the host.  */
-#define READS_MOST 6U
-
-/* Callers ask for what no route serves, and for each of them the host reads
-   the whole configuration from the table, side by side.  At 10,000 routes such
-   an answer has two million bytes; callers were told 503 (outcome not_ready,
-   half of them after 101 ms, the time of a call) in place of 404.  One read
-   tells all who were there when it began.  */
-Test (held_up, callers_without_a_route_share_a_read)
+#define CALLERS 20
+/* One pending read, one for the requests that arrived after it began, and a
+   few of other modules.  */
+#define READS_MAX 6U
+
+/* Failure: each request without a route reads the whole configuration, and
+   concurrent reads time out.  Concurrent requests must share a read.  */
+Test (held_up, requests_without_a_route_share_a_read)
 {
-  static struct edge_call calls[ASKERS];
+  static struct edge_call calls[CALLERS];
   size_t before = rows_server_reads (site->rows);
 
-  for (int i = 0; i < ASKERS; i++)
+  for (int i = 0; i < CALLERS; i++)
     edge_call (site, &calls[i], 0,
                "GET /none/a HTTP/1.1\r\n" HOST "X-Request-Id: q4\r\n\r\n");
-  for (int i = 0; i < ASKERS; i++)
+  for (int i = 0; i < CALLERS; i++)
     {
       edge_wait_responses (site, &calls[i], 1);
       cr_expect_not_null (strstr (calls[i].answer, " 404 "), "%s",
                           calls[i].answer);
       edge_close (&calls[i]);
     }
-  cr_expect_leq (rows_server_reads (site->rows) - before, READS_MOST);
+  cr_expect_leq (rows_server_reads (site->rows) - before, READS_MAX);
 }
 
-/* A read that began before a route was added does not tell of it: who asks
-   later is told by a later read, and who leaves is not told.  */
-Test (held_up, a_caller_is_told_by_a_read_that_began_after_it)
+/* A request is answered by a read that began after it arrived, and a
+   disconnected caller is not notified.  */
+Test (held_up, request_is_answered_by_a_later_read)
 {
   static const char ask[]
       = "GET /new/a HTTP/1.1\r\n" HOST "X-Request-Id: q5\r\n\r\n";
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -1,8 +1,7 @@
-/* test_lane.c - connections to servers, and what lies unread on them when
-   they are used or given up.
+/* test_lane.c - connections to servers with unread data when they are reused
+   or closed.
 
-   Needs: Criterion, http_lane.h, router_pool.h, rows.h,
-   timer.h.  */
+   Needs: Criterion, http_lane.h, router_pool.h, rows.h, timer.h.  */
 
 #include "net/http_lane.h"
 #include "net/listen.h"
@@ -18,12 +17,13 @@
 #include <unistd.h>
 
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
-#define ASK "POST /once HTTP/1.1\r\nHost: s.example\r\nContent-Length: "
+#define REQUEST_HEAD                                                          \
+  "POST /once HTTP/1.1\r\nHost: s.example\r\nContent-Length: "
 #define EMPTY "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 #define BUSY "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 4\r\n\r\nbusy"
-/* Generous: only a fault comes near it.  */
+/* Far above the time that a passing test takes.  */
 #define WAIT_MS 20000
-/* More than the buffers of both ends take, less than a connection keeps.  */
+/* More than the socket buffers hold, less than the send queue does.  */
 #define LARGE_BYTES ((size_t)7 << 20)
 #define ANSWER_BYTES ((size_t)2 << 20)
 
@@ -58,9 +58,9 @@
   cr_assert_eq (poll (&ready, 1, WAIT_MS), 1, "waited in vain");
 }
 
-/* The server's end of the next connection.  */
+/* Accepts the next connection at the server.  */
 static int
-take_connection (void)
+accept_connection (void)
 {
   int fd;
 
@@ -71,15 +71,15 @@
 }
 
 static void
-say (int fd, const char *text)
+server_send (int fd, const char *text)
 {
   cr_assert_eq (send (fd, text, strlen (text), MSG_NOSIGNAL),
                 (ssize_t)strlen (text));
 }
 
-/* Reads what has come of a request, at least something.  */
+/* Reads a part of the request.  */
 static void
-hear (int fd)
+server_receive (int fd)
 {
   static char bytes[4096];
 
@@ -87,8 +87,8 @@
   cr_assert_gt (recv (fd, bytes, sizeof bytes, 0), 0);
 }
 
-/* What was told of an answer.  */
-struct heard
+/* Events received for a response.  */
+struct response_events
 {
   int status;
   bool ended;
@@ -98,7 +98,7 @@
 static bool
 on_head (const struct mq_http_head *head, void *user)
 {
-  ((struct heard *)user)->status = head->status;
+  ((struct response_events *)user)->status = head->status;
   return true;
 }
 
@@ -113,45 +113,46 @@
 static void
 on_end (void *user)
 {
-  ((struct heard *)user)->ended = true;
+  ((struct response_events *)user)->ended = true;
 }
 
 static void
 on_failed (enum mq_lane_failure failure, void *user)
 {
   (void)failure;
-  ((struct heard *)user)->failed = true;
+  ((struct response_events *)user)->failed = true;
 }
 
 static void
-on_gone (struct mq_http_lane *lane, void *user)
+on_lane_closed (struct mq_http_lane *lane, void *user)
 {
   *(bool *)user = true;
   mq_http_lane_destroy (lane);
 }
 
 static void
-ask (struct mq_http_lane *lane, struct heard *heard, size_t body_len)
+send_request (struct mq_http_lane *lane,
+              struct response_events *response_events, size_t body_len)
 {
   struct mq_lane_events events = { .head = on_head,
                                    .body = on_body,
                                    .end = on_end,
                                    .failed = on_failed,
-                                   .user = heard };
+                                   .user = response_events };
   char head[128];
   char *body = talloc_zero_size (ev, body_len + 1);
 
-  snprintf (head, sizeof head, ASK "%zu\r\n\r\n", body_len);
+  snprintf (head, sizeof head, REQUEST_HEAD "%zu\r\n\r\n", body_len);
   mq_http_lane_send (lane, &events, head, strlen (head), body, body_len,
                      false);
   talloc_free (body);
 }
 
 /**
- * struct stale_case - what a server does with a kept connection
- * @says: bytes that are no answer
- * @closes: it ends the connection
- * @opened: connections that two requests then take
+ * struct stale_case - what the server does with an idle connection
+ * @says: bytes sent without a request
+ * @closes: the server closes the connection
+ * @opened: number of connections that two requests then need
  */
 struct stale_case
 {
@@ -182,12 +183,10 @@
   return mq_pool_create (ev, ev, *fleet);
 }
 
-/* A worker ends a kept connection while the host is held up, and a caller's
-   request is read before that end.  It went out on the connection that was
-   over: the worker was not reached, yet the host took the request for one
-   that may have run, and a request that may run once was lost.  Bytes that
-   lay there were taken for its answer.  */
-Test (lane, kept_connection_on_which_an_end_lies_unread)
+/* Failure: a request is sent on an idle connection whose end is still unread,
+   or unread bytes on it are taken for the response; a request that may run
+   only once is lost.  */
+Test (lane, idle_connection_with_unread_end_is_not_reused)
 {
   for (size_t i = 0; i < ROWS (stale_cases); i++)
     {
@@ -195,19 +194,19 @@
       struct mq_fleet *fleet;
       struct mq_pool *pool = make_pool (&fleet);
       struct mq_http_lane *lane = mq_pool_acquire (pool, 0, NULL);
-      struct heard heard = { 0 };
+      struct response_events response_events = { 0 };
       int fd;
 
-      ask (lane, &heard, 0);
-      fd = take_connection ();
+      send_request (lane, &response_events, 0);
+      fd = accept_connection ();
       while (!mq_http_lane_sent (lane))
         tevent_loop_once (ev);
-      hear (fd);
-      say (fd, EMPTY);
-      while (!heard.ended)
+      server_receive (fd);
+      server_send (fd, EMPTY);
+      while (!response_events.ended)
         tevent_loop_once (ev);
       mq_pool_release (pool, 0, lane, 0);
-      say (fd, row->says);
+      server_send (fd, row->says);
       if (row->closes)
         shutdown (fd, SHUT_WR);
       lane = mq_pool_acquire (pool, 0, NULL);
@@ -215,7 +214,7 @@
       cr_expect_eq (mq_pool_opened (pool), row->opened, "%s: %zu", row->name,
                     (size_t)mq_pool_opened (pool));
       if (mq_pool_opened (pool) > 1)
-        close (take_connection ());
+        close (accept_connection ());
       mq_http_lane_destroy (lane);
       mq_pool_destroy (pool);
       mq_fleet_destroy (fleet);
@@ -223,87 +222,85 @@
     }
 }
 
-/* What became of a call to the table.  */
-struct told
+/* Outcome of a call to the table.  */
+struct call_outcome
 {
   bool done;
   enum mq_store_status status;
 };
 
 static void
-on_told (const struct mq_rows_result *result, void *user)
+on_outcome (const struct mq_rows_result *result, void *user)
 {
-  struct told *told = user;
+  struct call_outcome *call_outcome = user;
 
-  told->done = true;
-  told->status = result->status;
+  call_outcome->done = true;
+  call_outcome->status = result->status;
 }
 
-/* The same towards the platform's table: a write went out on a connection that
-   the table had ended, and whether it was done counted as not known.  */
-Test (lane, write_on_a_connection_that_the_table_has_ended)
+/* Failure: a write to the table is sent on a connection that the table has
+   closed, and its outcome is unknown.  */
+Test (lane, table_write_avoids_closed_connection)
 {
   struct mq_rows *rows = mq_rows_create (ev, ev, address);
   struct mq_rows_entry entry
       = { .table = "t", .part = "p", .key = "k", .version = MQ_VERSION_ANY };
-  struct told told = { 0 };
+  struct call_outcome call_outcome = { 0 };
   int first;
   int second;
 
-  mq_rows_get (rows, "t", "p", "k", on_told, &told);
-  first = take_connection ();
+  mq_rows_get (rows, "t", "p", "k", on_outcome, &call_outcome);
+  first = accept_connection ();
   tevent_loop_once (ev);
-  hear (first);
-  say (first, EMPTY);
-  while (!told.done)
+  server_receive (first);
+  server_send (first, EMPTY);
+  while (!call_outcome.done)
     tevent_loop_once (ev);
   shutdown (first, SHUT_WR);
-  told.done = false;
-  mq_rows_commit (rows, &entry, 1, on_told, &told);
+  call_outcome.done = false;
+  mq_rows_commit (rows, &entry, 1, on_outcome, &call_outcome);
   second = accept (listening, NULL, NULL);
   cr_expect_geq (second, 0, "the ended connection is used");
-  while (second < 0 && !told.done)
+  while (second < 0 && !call_outcome.done)
     tevent_loop_once (ev);
-  cr_expect_not (told.done && told.status == MQ_STORE_LOST);
+  cr_expect_not (call_outcome.done && call_outcome.status == MQ_STORE_LOST);
   mq_rows_destroy (rows);
   close (first);
   if (second >= 0)
     close (second);
 }
 
-/* A server answers before it has read a long request, and ends the
-   connection.  The host was still sending: its write failed before it read,
-   the whole answer was dropped, and a request that was refused unread counted
-   as one that may have run.  */
-Test (lane, answer_before_a_failed_write_arrives)
+/* Failure: the server responds before it has read a long request and closes;
+   the write fails first and the complete response is dropped.  */
+Test (lane, response_before_a_failed_write_is_received)
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   bool gone = false;
   struct mq_http_lane *lane
-      = mq_http_lane_open (ev, ev, address, 0, on_gone, &gone, &error);
-  struct heard heard = { 0 };
+      = mq_http_lane_open (ev, ev, address, 0, on_lane_closed, &gone, &error);
+  struct response_events response_events = { 0 };
   int fd;
 
   cr_assert_not_null (lane);
-  ask (lane, &heard, LARGE_BYTES);
-  fd = take_connection ();
+  send_request (lane, &response_events, LARGE_BYTES);
+  fd = accept_connection ();
   while (!mq_http_lane_sent (lane))
     tevent_loop_once (ev);
-  hear (fd);
-  say (fd, BUSY);
-  /* With bytes that were not read this resets the connection.  */
+  server_receive (fd);
+  server_send (fd, BUSY);
+  /* Closing with unread bytes resets the connection.  */
   close (fd);
-  while (!heard.ended && !heard.failed)
+  while (!response_events.ended && !response_events.failed)
     tevent_loop_once (ev);
-  cr_expect_eq (heard.status, 429);
-  cr_expect (heard.ended);
-  cr_expect_not (heard.failed);
+  cr_expect_eq (response_events.status, 429);
+  cr_expect (response_events.ended);
+  cr_expect_not (response_events.failed);
   if (!gone)
     mq_http_lane_destroy (lane);
 }
 
 static void
-on_over (void *data)
+on_timer (void *data)
 {
   *(bool *)data = true;
 }
@@ -311,10 +308,10 @@
 static void
 run_for (uint64_t ms)
 {
-  bool over = false;
+  bool expired = false;
 
-  cr_assert_not_null (mq_timer_add (ev, ev, ms, on_over, &over));
-  while (!over)
+  cr_assert_not_null (mq_timer_add (ev, ev, ms, on_timer, &expired));
+  while (!expired)
     tevent_loop_once (ev);
 }
 
@@ -335,15 +332,14 @@
   mq_tcp_destroy (tcp);
 }
 
-/* A host has written the last answer of a connection, and its caller takes it
-   a little at a time.  A second after the last byte was written the host
-   closed the connection, and the caller had an answer without its end.  */
-Test (lane, finished_connection_is_not_cut_while_it_is_read)
+/* Failure: a finished connection is closed while its caller is still reading a
+   long response slowly.  */
+Test (lane, finished_connection_stays_open_while_it_is_read)
 {
   static char bytes[ANSWER_BYTES / 32];
   struct mq_tcp_owner owner = { .data = on_data, .ended = on_tcp_ended };
   int to = mq_connect_begin (address, NULL);
-  int from = take_connection ();
+  int from = accept_connection ();
   int room = sizeof bytes;
   struct mq_tcp *tcp;
   size_t taken = 0;
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -1,5 +1,5 @@
-/* test_router.c - the router between stand-ins of the users' platform: what
-   callers and workers see, with the faults of each side.
+/* test_router.c - the router with stand-ins for the platform: what callers and
+   workers observe, with faults on each side.
 
    Needs: Criterion, router_site.h.  */
 
@@ -36,7 +36,7 @@
 TestSuite (router, .init = set_up, .fini = tear_down, .timeout = 120);
 
 static int
-runs_of (struct worker_server *const workers[EDGE_WORKERS])
+runs_at (struct worker_server *const workers[EDGE_WORKERS])
 {
   int runs = 0;
 
@@ -46,7 +46,7 @@
 }
 
 static int
-asked_of (struct worker_server *const workers[EDGE_WORKERS])
+requests_at (struct worker_server *const workers[EDGE_WORKERS])
 {
   int asked = 0;
 
@@ -55,7 +55,7 @@
   return asked;
 }
 
-/* The last request that any of the workers ran.  */
+/* The last run of request ID at WORKERS.  */
 static const struct worker_run *
 last_run (struct worker_server *const workers[EDGE_WORKERS], const char *id)
 {
@@ -67,7 +67,6 @@
   return NULL;
 }
 
-/* Whole messages and their answers.  */
 struct served_case
 {
   const char *name;
@@ -119,9 +118,8 @@
     }
 }
 
-/* A caller slips a second request into the body of its first, or sends what
-   two readers understand differently.  What is passed on must be one request
-   or none.  */
+/* Request smuggling and malformed messages: at most one request is
+   forwarded.  */
 Test (router, malformed_messages_are_refused_and_not_passed_on)
 {
   static const struct served_case cases[] = {
@@ -165,10 +163,10 @@
       cr_assert_eq (status, cases[i].status, "%s: %s", cases[i].name,
                     call.answer);
     }
-  cr_assert_eq (asked_of (site->app), 0);
+  cr_assert_eq (requests_at (site->app), 0);
 }
 
-Test (router, head_over_its_bound)
+Test (router, oversized_head_is_refused)
 {
   char text[4096];
   int len = snprintf (text, sizeof text,
@@ -179,8 +177,7 @@
   cr_assert_eq (edge_request (site, &call, 0, text), 431);
 }
 
-/* A caller begins a message and never ends it, or keeps a connection without
-   use: neither may hold the connection for ever.  */
+/* Incomplete messages and idle connections are timed out.  */
 Test (router, slow_and_idle_callers)
 {
   edge_call (site, &call, 0, "GET /call/a HT");
@@ -209,8 +206,7 @@
   edge_close (&call);
 }
 
-/* What a caller may not set for a worker, and what concerns its own
-   connection alone, does not reach the worker.  */
+/* Reserved and hop-by-hop fields of a caller do not reach the worker.  */
 Test (router, fields_that_are_not_passed_on)
 {
   const struct worker_run *run;
@@ -230,7 +226,7 @@
              run->deadline_ms);
 }
 
-/* Runs that were to go on after EVENT.  */
+/* Counts runs that resumed after EVENT.  */
 static int
 runs_after (struct worker_server *const workers[EDGE_WORKERS],
             const char *event)
@@ -244,8 +240,8 @@
   return count;
 }
 
-/* What a worker may do with a request, what the caller then gets, and on how
-   many workers the request has run.  */
+/* A fault of a worker, the response expected by the caller, and the number of
+   runs.  */
 struct fault_case
 {
   const char *name;
@@ -285,7 +281,7 @@
     {
       const struct fault_case *row = &cases[i];
       char text[256];
-      int before = runs_of (site->app);
+      int before = runs_at (site->app);
       int status;
 
       site->app_plan = (struct worker_plan){ row->step, row->steps };
@@ -298,8 +294,8 @@
       status = call.answer[0] == '\0' ? 0 : atoi (call.answer + 9);
       site->app_plan.count = 0;
       cr_assert_eq (status, row->status, "%s: %s", row->name, call.answer);
-      cr_assert_eq (runs_of (site->app) - before, row->runs, "%s: %d runs",
-                    row->name, runs_of (site->app) - before);
+      cr_assert_eq (runs_at (site->app) - before, row->runs, "%s: %d runs",
+                    row->name, runs_at (site->app) - before);
       cr_assert (strstr (call.answer, row->has) != NULL, "%s: %s", row->name,
                  call.answer);
       edge_kill (site, 0);
@@ -307,16 +303,17 @@
     }
 }
 
-/* What a worker did before it closes a connection on a request.  */
+/* Whether the connection was reused, and whether the worker is ejected after
+   closing it.  */
 struct closing_case
 {
   const char *name;
   int served;
-  bool left_out;
+  bool ejected;
 };
 
 static int
-worker_with_runs (int runs)
+find_worker_with_runs (int runs)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
     if (worker_server_runs (site->llm[i]) == runs)
@@ -325,11 +322,9 @@
   return -1;
 }
 
-/* A worker goes down and up by turns: it takes connections, and closes them on
-   a request.  Each host sent it two turns before it noticed, each time that
-   the worker was down, and callers got 502: one after the other of a program's
-   three sends went to the same worker.  A new connection that is closed before
-   any byte tells enough; on a kept one it may be the connection's end.  */
+/* A restarting worker accepts connections and closes them on a request.  On a
+   new connection this ejects it at once, since retries would fail too; on a
+   reused one it may be an idle timeout.  */
 Test (router, worker_that_closes_new_connections)
 {
   static const struct closing_case cases[] = {
@@ -350,16 +345,16 @@
         cr_assert_eq (edge_request (site, &call, 0, turn), 200);
       site->llm_plan = (struct worker_plan){ WORKER_NO_ANSWER, 1 };
       cr_assert_eq (edge_request (site, &call, 0, turn), 502);
-      worker = worker_with_runs (row->served + 1);
+      worker = find_worker_with_runs (row->served + 1);
       cr_assert_eq (edge_request (site, &call, 0, turn), 200);
       cr_expect_eq (worker_server_runs (site->llm[worker]) == row->served + 1,
-                    row->left_out, "%s", row->name);
+                    row->ejected, "%s", row->name);
     }
 }
 
-/* A worker answers a request twice on a kept connection.  The second answer
-   must not be taken for that of the next request.  */
-Test (router, second_answer_is_nobodys)
+/* A duplicate response on a reused connection must not be taken for the
+   response to the next request.  */
+Test (router, duplicate_response_is_discarded)
 {
   edge_keep_one_worker (site);
   site->app_plan = (struct worker_plan){ WORKER_TWICE, 1 };
@@ -375,10 +370,9 @@
     }
 }
 
-/* A worker breaks a stream off in the middle of an event.  The stream goes on
-   at another worker after the last whole event, inside the same answer; the
-   caller sees each event once.  */
-Test (router, resumable_stream_goes_on_at_another_worker)
+/* A stream that ends within an event resumes at another worker after the last
+   complete event, in the same response and without duplicates.  */
+Test (router, resumable_stream_resumes_at_another_worker)
 {
   static const char whole[] = "id: 1\ndata: e1\n\n";
 
@@ -401,9 +395,9 @@
   cr_assert_eq (runs_after (site->llm, "2"), 1);
 }
 
-/* The same on a route whose streams may run once: the answer ends without its
-   last chunk, so that nobody takes it for a whole one.  */
-Test (router, other_stream_breaks_off_visibly)
+/* A stream that must not run twice ends without its final chunk, so that it is
+   seen to be incomplete.  */
+Test (router, non_resumable_stream_ends_without_final_chunk)
 {
   site->llm_plan = (struct worker_plan){ WORKER_CUT, 1 };
   edge_call (site, &call, 0,
@@ -413,29 +407,29 @@
   cr_assert (call.closed);
   cr_assert_not_null (strstr (call.answer, "data: e2"));
   cr_assert_null (strstr (call.answer, "\r\n0\r\n\r\n"));
-  cr_assert_eq (runs_of (site->llm), 1);
+  cr_assert_eq (runs_at (site->llm), 1);
   edge_close (&call);
 }
 
-/* A worker gives half of a stream and then nothing, without closing.  */
-Test (router, silent_stream_goes_on_at_another_worker)
+/* A worker that stalls in the middle of a stream is replaced.  */
+Test (router, stalled_stream_resumes_at_another_worker)
 {
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
-  EDGE_WAIT (site, asked_of (site->llm) == 1);
+  EDGE_WAIT (site, requests_at (site->llm) == 1);
   edge_wait_responses (site, &call, 1);
   edge_close (&call);
   cr_assert_not_null (strstr (call.answer, "data: e4"), "%s", call.answer);
-  cr_assert_eq (runs_of (site->llm), 2);
+  cr_assert_eq (runs_at (site->llm), 2);
 }
 
-/* A caller leaves while a worker works for it: the worker is told at once by
-   the end of its connection.  */
-Test (router, caller_leaves)
+/* When a caller disconnects, the connection to its worker is closed at
+   once.  */
+Test (router, caller_disconnect_closes_worker_connection)
 {
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /kept/a HTTP/1.1\r\n" HOST ID NO_BODY);
-  EDGE_WAIT (site, asked_of (site->llm) == 1);
+  EDGE_WAIT (site, requests_at (site->llm) == 1);
   edge_close (&call);
   EDGE_WAIT (site, worker_server_closed (site->llm[0])
                            + worker_server_closed (site->llm[1])
@@ -443,9 +437,9 @@
                        == 1);
 }
 
-/* A worker that never answers: the caller gets its final answer when the
-   route's time is up, and it does not promise that nothing ran.  */
-Test (router, time_is_up)
+/* At the timeout of the route, a request that may have run is answered with
+   504.  */
+Test (router, route_timeout_is_answered_with_504)
 {
   edge_configure (site, 300, NULL);
   edge_run_for (site, 30);
@@ -455,12 +449,9 @@
                 504);
 }
 
-/* A worker that refuses connections had given its port back, and the table of
-   a test beside it got it: it read a caller's request, ended on it, and the
-   caller was told 502, since the request had been sent.  Seen beside load, one
-   run of twenty: two tests failed in the same tenth of a second.  A port that
-   refuses belongs to its worker.  */
-Test (router, port_of_a_worker_that_refuses_is_kept)
+/* Failure: the port of a stand-in that refuses connections is reused by
+   another process, which then receives its requests.  */
+Test (router, refusing_worker_keeps_its_port)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in at = { .sin_family = AF_INET };
@@ -474,8 +465,8 @@
   raw_close (raw_open (worker_server_port (site->app[0])), false);
 }
 
-/* No worker can be reached: refused, with a time to come back.  */
-Test (router, no_worker)
+/* With all workers unreachable, the request is refused with Retry-After.  */
+Test (router, no_reachable_worker)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
     worker_server_listen (site->app[i], false);
@@ -485,9 +476,8 @@
   cr_assert_not_null (strstr (call.answer, "Retry-After: "));
 }
 
-/* A worker that is leaving gets no new request; one that has left the list
-   neither.  */
-Test (router, leaving_workers_get_nothing)
+/* Workers that are draining or unlisted get no new requests.  */
+Test (router, draining_workers_get_no_requests)
 {
   edge_list_worker (site, site->app[0], "app", "draining");
   edge_unlist_worker (site, site->app[1]);
@@ -501,9 +491,9 @@
   cr_assert_eq (worker_server_runs (site->app[2]), 8);
 }
 
-/* The table forgets its history while a configuration and a leaving worker
-   come: the next list tells both.  */
-Test (router, history_is_forgotten)
+/* After the change history of the table is compacted, a full list delivers the
+   missed changes.  */
+Test (router, updates_survive_compaction)
 {
   rows_server_fault (site->rows, ROWS_SLOW_FEED);
   edge_configure (site, 3000, "/new/");
@@ -517,10 +507,9 @@
   cr_assert_eq (worker_server_runs (site->app[0]), 0);
 }
 
-/* A route that is not known is looked up in the table before a caller is told
-   so: the feed may be behind.  Where the table does not answer, the caller is
-   told to come back.  */
-Test (router, unknown_route_is_confirmed)
+/* An unknown route is looked up in the table, since the feed may lag; if the
+   table is unavailable, the caller is told to retry.  */
+Test (router, unknown_route_is_looked_up)
 {
   rows_server_fault (site->rows, ROWS_SLOW_FEED);
   edge_configure (site, 3000, "/new/");
@@ -533,11 +522,11 @@
                 503);
 }
 
-/* Several calls at the same time, so that each of two workers gets some.  */
+/* Concurrent calls, enough for each of two workers to get some.  */
 #define OTHERS 4
 
 static void
-ask_others (void)
+send_others (void)
 {
   static struct edge_call others[OTHERS];
 
@@ -550,11 +539,9 @@
     }
 }
 
-/* A worker runs a call that may be repeated, and its answer is lost; the
-   worker goes on answering others.  The caller, who waits 1.2 s, used to be
-   told at the end of that time that it may have run, though another worker
-   could have answered him in the meantime.  */
-Test (router, answer_is_lost_at_a_busy_worker)
+/* A response is lost at a worker that answers other requests: another worker
+   must be tried before the deadline.  */
+Test (router, lost_response_at_a_busy_worker)
 {
   struct edge_call lost = { .fd = -1 };
 
@@ -568,7 +555,7 @@
   EDGE_WAIT (site, site->app_plan.count == 0);
   for (int i = 0; i < 120 && strchr (lost.answer, 'H') == NULL; i++)
     {
-      ask_others ();
+      send_others ();
       edge_run_for (site, 10);
       raw_read (lost.fd, lost.answer, sizeof lost.answer);
     }
@@ -579,8 +566,8 @@
 /* Budgets and histories */
 
 static int
-ask_turn (int router, const char *id, const char *program, const char *more,
-          const char *body)
+send_turn (int router, const char *id, const char *program, const char *more,
+           const char *body)
 {
   char text[1024];
 
@@ -595,39 +582,37 @@
 #define BUDGET(tokens) "X-Token-Budget: " #tokens "\r\n"
 #define AFTER(turn) "X-Previous-Turn: " turn "\r\n"
 
-/* A turn continues from one that another host served, and that host is gone
-   with all its memory: the worker gets all that was said.  */
+/* The history of a turn survives the loss of all hosts that served it.  */
 Test (router, turn_continues_after_all_hosts_were_lost)
 {
   const struct worker_run *run;
 
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
-  cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
+  cr_assert_eq (send_turn (0, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
                 200);
   edge_kill (site, 0);
   edge_start (site, 1);
-  cr_assert_eq (ask_turn (1, "t3", "p2", BUDGET (80) AFTER ("t2"), "three;"),
+  cr_assert_eq (send_turn (1, "t3", "p2", BUDGET (80) AFTER ("t2"), "three;"),
                 200, "%s", call.answer);
   run = last_run (site->llm, "t3");
   cr_assert_str_eq (run->body, "one;e1\ne2\ne3\ne4\ntwo;e1\ne2\ne3\ne4\n"
                                "three;");
-  cr_assert_eq (ask_turn (1, "t4", "p2", BUDGET (80) AFTER ("t9"), "x"), 404);
+  cr_assert_eq (send_turn (1, "t4", "p2", BUDGET (80) AFTER ("t9"), "x"), 404);
 }
 
 #define FINISH(ms) "X-Finish-Ms: " #ms "\r\n"
 #define MAIN_LINE(program) "X-Session-Id: " program "\r\n"
 
 static void
-tell_load (uint32_t running, uint32_t waiting)
+report_load (uint32_t running, uint32_t waiting)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
     worker_server_load (site->llm[i], running, waiting);
 }
 
-/* A turn of PROGRAM's own line that names none before it, on a route that does
-   not keep turns.  */
+/* The first turn of PROGRAM, on a route that does not retain turns.  */
 static int
-ask_first (int router, const char *id, const char *program)
+send_first_turn (int router, const char *id, const char *program)
 {
   char text[512];
 
@@ -639,8 +624,7 @@
   return edge_request (site, &call, router, text);
 }
 
-/* Each of the engines' answers begins so late, milliseconds: together those of
-   a second are enough, however slow the machine is.  */
+/* Delay of each response of the engines, milliseconds.  */
 static uint32_t slow_ms;
 
 static void
@@ -661,7 +645,8 @@
     worker_server_watch (site->llm[i], run_slowly, NULL);
 }
 
-/* Turns of a program that has begun, by which ROUTER learns of the load.  */
+/* Sends turns of a running program, through whose responses ROUTER learns the
+   load.  */
 static void
 learn_load (int router)
 {
@@ -670,11 +655,11 @@
   for (int i = 0; i < 4; i++)
     {
       snprintf (id, sizeof id, "l%d-%d", router, i);
-      cr_assert_eq (ask_turn (router, id, "p0", BUDGET (800), "x"), 200);
+      cr_assert_eq (send_turn (router, id, "p0", BUDGET (800), "x"), 200);
     }
 }
 
-/* Which engine ran the request ID.  */
+/* Index of the engine that ran request ID; -1 if none did.  */
 static int
 engine_of (const char *id)
 {
@@ -685,8 +670,8 @@
   return -1;
 }
 
-/* Turns of other programs, until ROUTER has heard of enough engines, and of
-   ENGINE among them.  */
+/* Sends turns of other programs until ROUTER knows the load of several
+   engines, including ENGINE.  */
 static void
 learn_engines (int router, int engine)
 {
@@ -696,58 +681,54 @@
   for (int i = 0; i < 8 || (!heard && i < 100); i++)
     {
       snprintf (id, sizeof id, "n%d-%d", engine, i);
-      cr_assert_eq (ask_turn (router, id, id, BUDGET (800), "x"), 200);
+      cr_assert_eq (send_turn (router, id, id, BUDGET (800), "x"), 200);
       heard = heard || engine_of (id) == engine;
     }
   cr_assert (heard);
 }
 
-/* The engines have twice what they can run, and answers begin late.  A program
-   that begins then was taken on like all others; now it is refused at once,
-   not run, with a time to come back.  What has begun goes on, also at a host
-   that has not seen it, and when the load is gone all are taken on.  */
-Test (router, programs_that_begin_while_engines_are_full)
+/* New programs are refused with Retry-After while the engines are overloaded.
+   Programs that have begun continue, also at another host, and new ones are
+   admitted once the load is gone.  */
+Test (router, new_programs_are_refused_under_overload)
 {
   int before;
 
   edge_start (site, 1);
-  cr_assert_eq (ask_first (0, "a1", "pa"), 200);
-  tell_load (4, 400);
+  cr_assert_eq (send_first_turn (0, "a1", "pa"), 200);
+  report_load (4, 400);
   make_engines_slow (250);
   learn_load (0);
-  before = asked_of (site->llm);
-  cr_expect_eq (ask_first (0, "b1", "pb"), 503, "%s", call.answer);
+  before = requests_at (site->llm);
+  cr_expect_eq (send_first_turn (0, "b1", "pb"), 503, "%s", call.answer);
   cr_expect_not_null (strstr (call.answer, "Retry-After: "));
-  cr_expect_eq (ask_turn (0, "c1", "pc",
-                          BUDGET (80) FINISH (3000) MAIN_LINE ("pc"), "x"),
+  cr_expect_eq (send_turn (0, "c1", "pc",
+                           BUDGET (80) FINISH (3000) MAIN_LINE ("pc"), "x"),
                 503);
-  cr_expect_eq (asked_of (site->llm), before);
+  cr_expect_eq (requests_at (site->llm), before);
   cr_expect_eq (edge_counter (site, 0, "programs_refused"), 2);
-  /* It has begun at host 0.  */
-  cr_expect_eq (ask_first (0, "a2", "pa"), 200);
+  /* This program began at host 0.  */
+  cr_expect_eq (send_first_turn (0, "a2", "pa"), 200);
   learn_load (1);
-  cr_expect_eq (ask_first (1, "b2", "pb"), 503, "%s", call.answer);
-  cr_expect_eq (ask_first (1, "a3", "pa"), 200, "%s", call.answer);
-  /* A sub-program's first turn, and a turn that names the one before it.  */
-  cr_expect_eq (ask_turn (1, "d1", "pd", BUDGET (80) MAIN_LINE ("other"), "x"),
-                200);
+  cr_expect_eq (send_first_turn (1, "b2", "pb"), 503, "%s", call.answer);
+  cr_expect_eq (send_first_turn (1, "a3", "pa"), 200, "%s", call.answer);
+  /* The first turn of a sub-program, and a turn that continues another.  */
   cr_expect_eq (
-      ask_turn (1, "e1", "pe", BUDGET (80) MAIN_LINE ("pe") AFTER ("d1"), "x"),
-      200);
-  /* The load that counts falls slowly, and is far above all bounds here.  */
+      send_turn (1, "d1", "pd", BUDGET (80) MAIN_LINE ("other"), "x"), 200);
+  cr_expect_eq (send_turn (1, "e1", "pe",
+                           BUDGET (80) MAIN_LINE ("pe") AFTER ("d1"), "x"),
+                200);
+  /* The measured load decays slowly, so start with a new router.  */
   edge_kill (site, 0);
-  tell_load (1, 0);
+  report_load (1, 0);
   make_engines_slow (0);
   edge_start (site, 0);
   learn_load (0);
-  cr_expect_eq (ask_first (0, "b3", "pb"), 200);
+  cr_expect_eq (send_first_turn (0, "b3", "pb"), 200);
 }
 
-/* A program begins where the engine has room, as this host heard; its next
-   turn comes to another host, which heard nothing.  It went to the engine that
-   a hash names, which had to read its history again.  The record of the
-   program names the engine, and the host next door lends its name with
-   tokens.  */
+/* Later turns of a program go to the engine that caches its history, also at
+   another host: its name comes from the record or with a loan of tokens.  */
 Test (router, turns_follow_the_program_to_its_engine)
 {
   static const bool linked[] = { false, true };
@@ -769,47 +750,45 @@
           snprintf (program, sizeof program, "h%d", home);
           learn_engines (0, home);
           snprintf (id, sizeof id, "f%d", home);
-          cr_assert_eq (ask_first (0, id, program), 200);
+          cr_assert_eq (send_first_turn (0, id, program), 200);
           cr_expect_eq (engine_of (id), home, "%s", id);
           snprintf (id, sizeof id, "g%d", home);
-          cr_assert_eq (ask_first (1, id, program), 200);
+          cr_assert_eq (send_first_turn (1, id, program), 200);
           cr_expect_eq (engine_of (id), home, "%s, linked %d", id, linked[k]);
         }
     }
 }
 
-/* In a burst turns wait for the table, whose rates bind: each turn that came
-   to another host than the one before took a read of its history and a write
-   for a grant of its own.  The host next to it has both in memory.  */
-Test (router, turn_moves_to_the_next_host_without_the_table)
+/* A turn that moves to another host of the data centre gets its history and
+   tokens from the previous host, without calls to the table.  */
+Test (router, turn_moves_to_another_host_without_table_calls)
 {
   const struct worker_run *run;
 
   edge_set_seed (site, 1, 0);
   edge_start (site, 1);
-  /* Until each has listed the other.  */
+  /* Until each host has listed the other.  */
   edge_run_for (site, 3500);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
-  cr_assert_eq (ask_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
+  cr_assert_eq (send_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
                 200);
   run = last_run (site->llm, "t2");
   cr_assert_str_eq (run->body, "one;e1\ne2\ne3\ne4\ntwo;");
   cr_expect_eq (edge_counter (site, 1, "turn_reads"), 0);
   cr_expect_eq (edge_counter (site, 1, "budget_writes"), 0);
   cr_expect_eq (edge_counter (site, 1, "turn_writes"), 1);
-  /* A turn that nobody has in memory is found in the table.  */
+  /* A history that no host has cached is read from the table.  */
   edge_kill (site, 0);
   edge_kill (site, 1);
   edge_start (site, 1);
-  cr_assert_eq (ask_turn (1, "t3", "p1", BUDGET (80) AFTER ("t2"), "x"), 200);
+  cr_assert_eq (send_turn (1, "t3", "p1", BUDGET (80) AFTER ("t2"), "x"), 200);
 }
 
-/* Several turns continue from the same one, or the same one is tried again
-   after the table went away: its history was read anew each time, and not to
-   be had then, though this host had just used it.  */
-Test (router, history_stays_in_memory_once_it_was_read)
+/* A history read from the table is cached, so that later turns need no further
+   read.  */
+Test (router, history_read_from_the_table_is_cached)
 {
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
   edge_kill (site, 0);
   edge_start (site, 0);
   for (int i = 0; i < 3; i++)
@@ -817,50 +796,46 @@
       char id[16];
 
       snprintf (id, sizeof id, "u%d", i);
-      cr_assert_eq (ask_turn (0, id, "p1", BUDGET (80) AFTER ("t1"), "x"),
+      cr_assert_eq (send_turn (0, id, "p1", BUDGET (80) AFTER ("t1"), "x"),
                     200);
       cr_expect_eq (edge_counter (site, 0, "turn_reads"), 1, "after %s", id);
     }
 }
 
-/* The table does not answer: whether a turn exists can't be told, so the
-   caller is asked to come back and not told that there is none.  */
-Test (router, unknown_turn_while_the_table_is_away)
+/* While the table is unavailable, an unknown previous turn causes a retry and
+   not 404.  */
+Test (router, unknown_turn_during_table_outage)
 {
   rows_server_fault (site->rows, ROWS_REFUSING);
-  cr_assert_eq (ask_turn (0, "t1", "p1", AFTER ("t0"), "x"), 503);
+  cr_assert_eq (send_turn (0, "t1", "p1", AFTER ("t0"), "x"), 503);
   cr_assert_not_null (strstr (call.answer, "Retry-After: "));
 }
 
-/* The table is away for everyone.  A turn used to be held for three tries
-   before it was refused, and its caller came back too soon, so that its tries
-   were used up before the table was back.  Once it is known that no way is
-   open, a turn is refused without a try, with a time to come back that an
-   outage may well take.  */
-Test (router, refusals_while_no_way_to_the_table_is_open)
+/* Failure: during a known outage of the table, turns are held for several
+   attempts and then told to retry too soon.  They must be refused at once,
+   with a longer Retry-After.  */
+Test (router, turns_are_refused_at_once_during_table_outage)
 {
   size_t tried;
 
   rows_server_fault (site->rows, ROWS_BUSY);
-  /* Feeds that were waiting are still answered.  */
+  /* Pending feeds are still answered.  */
   edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
-    cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
+    cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
   edge_run_for (site, 600);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
   tried = rows_server_tried (site->rows);
-  cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 503);
+  cr_assert_eq (send_turn (0, "t2", "p2", BUDGET (80), "x"), 503);
   cr_assert_not_null (strstr (call.answer, "Retry-After: 2.0"), "%s",
                       call.answer);
   cr_assert_leq (rows_server_tried (site->rows) - tried, 1);
   rows_server_fault (site->rows, ROWS_WELL);
   edge_run_for (site, 500);
-  cr_assert_eq (ask_turn (0, "t3", "p3", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "t3", "p3", BUDGET (80), "x"), 200);
 }
 
-/* A program loops.  Each turn hands out 8 tokens; once the budget of 20 is
-   spent its turns are refused for good, at this host, at another one, and
-   after both were lost.  */
+/* The budget of a program holds across hosts and restarts.  */
 Test (router, budget_holds_over_hosts_and_restarts)
 {
   int served = 0;
@@ -872,35 +847,33 @@
       int status;
 
       snprintf (id, sizeof id, "t%d", i);
-      status = ask_turn (i % 2, id, "p1", BUDGET (20), "x");
+      status = send_turn (i % 2, id, "p1", BUDGET (20), "x");
       cr_assert (status == 200 || status == 402, "%d: %d", i, status);
       served += status == 200 ? 1 : 0;
     }
   cr_assert (served >= 2 && served * 8 < 20 + 8, "%d turns", served);
-  cr_assert_eq (runs_of (site->llm), served);
+  cr_assert_eq (runs_at (site->llm), served);
   edge_kill (site, 0);
   edge_kill (site, 1);
   edge_start (site, 0);
-  cr_assert_eq (ask_turn (0, "u1", "p1", BUDGET (20), "x"), 402);
-  cr_assert_eq (runs_of (site->llm), served);
+  cr_assert_eq (send_turn (0, "u1", "p1", BUDGET (20), "x"), 402);
+  cr_assert_eq (runs_at (site->llm), served);
 }
 
-/* Faults of the table while a turn's record is written.  */
-struct keep_case
+/* Fault of the table while the record of a turn is written.  */
+struct store_case
 {
   const char *name;
   enum rows_fault fault;
   bool whole;
 };
 
-/* The end of a turn's answer waits for its record.  While the table is away
-   the answer stays open, and it ends when the table is back.  A write whose
-   answer is lost is found to be done by a read of the record; it used to be
-   written again and again, each time without an answer, until the caller had
-   left.  */
+/* The end of a turn's response waits for its record.  If the reply to the
+   write is lost, a read must find the record; otherwise the write is repeated
+   until the caller disconnects.  */
 Test (router, end_of_a_turn_waits_for_its_record)
 {
-  static const struct keep_case cases[] = {
+  static const struct store_case cases[] = {
     { "answers are lost", ROWS_LOSE, true },
     { "down", ROWS_BUSY, false },
     { "refuses", ROWS_REFUSING, false },
@@ -919,7 +892,7 @@
       edge_run_for (site, 700);
       rows_server_fault (site->rows, cases[i].fault);
       edge_call (site, &call, 0, text);
-      EDGE_WAIT (site, runs_of (site->llm) == (int)i + 1);
+      EDGE_WAIT (site, runs_at (site->llm) == (int)i + 1);
       edge_run_for (site, 400);
       raw_read (call.fd, call.answer, sizeof call.answer);
       cr_assert_not_null (strstr (call.answer, "data: e4"), "%s",
@@ -928,8 +901,7 @@
                     cases[i].whole, "%s: %s", cases[i].name, call.answer);
       rows_server_fault (site->rows, ROWS_WELL);
       edge_wait_responses (site, &call, 1);
-      /* Whole, and not broken off; the connection may be closed after it, when
-         it has been idle for as long as the limits say.  */
+      /* Complete; the connection may then be closed by the idle timeout.  */
       cr_assert_not_null (strstr (call.answer, "\r\n0\r\n\r\n"), "%s: %s",
                           cases[i].name, call.answer);
       edge_close (&call);
@@ -937,33 +909,33 @@
   cr_assert_eq (rows_server_count (site->rows, "turn"), ROWS (cases));
 }
 
-/* A write of a program's record gets no answer and is done seconds later, when
-   the record has long been written again: its condition no longer holds.  */
-Test (router, late_write_of_a_budget_changes_nothing)
+/* A write without a reply that takes effect after newer writes must fail its
+   version check.  */
+Test (router, late_budget_write_is_rejected)
 {
   rows_server_fault (site->rows, ROWS_LATE);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (28), "x"), 503);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (28), "x"), 503);
   rows_server_fault (site->rows, ROWS_WELL);
   edge_run_for (site, 500);
-  cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (28), "x"), 200);
+  cr_assert_eq (send_turn (0, "t2", "p1", BUDGET (28), "x"), 200);
   rows_server_do_late (site->rows);
-  cr_assert_eq (ask_turn (0, "t3", "p1", BUDGET (28), "x"), 200);
-  cr_assert_eq (ask_turn (0, "t4", "p1", BUDGET (28), "x"), 200);
-  cr_assert_eq (ask_turn (0, "t5", "p1", BUDGET (28), "x"), 402);
+  cr_assert_eq (send_turn (0, "t3", "p1", BUDGET (28), "x"), 200);
+  cr_assert_eq (send_turn (0, "t4", "p1", BUDGET (28), "x"), 200);
+  cr_assert_eq (send_turn (0, "t5", "p1", BUDGET (28), "x"), 402);
 }
 
-/* Asks for a turn of each of several programs at the same time; one bit for
-   each that got the whole answer.  */
-#define CROWD 10
+/* Sends one turn each of several programs concurrently; returns a bit mask of
+   those with complete responses.  */
+#define PROGRAMS 10
 
 static uint32_t
-serve_crowd (const char *prefix)
+serve_programs (const char *prefix)
 {
-  static struct edge_call calls[CROWD];
+  static struct edge_call calls[PROGRAMS];
   uint32_t served = 0;
   char text[256];
 
-  for (int i = 0; i < CROWD; i++)
+  for (int i = 0; i < PROGRAMS; i++)
     {
       snprintf (text, sizeof text,
                 "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: %s%d\r\n"
@@ -972,7 +944,7 @@
                 prefix, i, prefix, i);
       edge_call (site, &calls[i], 0, text);
     }
-  for (int i = 0; i < CROWD; i++)
+  for (int i = 0; i < PROGRAMS; i++)
     {
       edge_wait_responses (site, &calls[i], 1);
       if (strstr (calls[i].answer, "\r\n0\r\n\r\n") != NULL)
@@ -982,43 +954,39 @@
   return served;
 }
 
-/* Three of eight.  */
-#define SILENT_PARTS 3
+/* Of the eight parts of a table.  */
+#define UNRESPONSIVE_PARTS 3
 
-/* Callers of a third of all turns hear nothing for two seconds and leave,
-   while the table serves the others.  Some of its parts are silent: calls to
-   them ran into a time-out that grew with each, and a turn whose row belongs
-   there could not end.  */
-Test (router, some_parts_of_the_table_are_silent)
+/* While some parts of the table are unresponsive, turns whose rows belong
+   there are stored in another part.  */
+Test (router, unresponsive_table_parts)
 {
   uint32_t served;
   char id[16];
   char more[64];
 
-  /* Until the host has all leases.  */
+  /* Until the host holds all leases.  */
   edge_run_for (site, 4500);
-  rows_server_silence_parts (site->rows, SILENT_PARTS);
-  serve_crowd ("a");
-  served = serve_crowd ("b");
-  cr_assert_geq (__builtin_popcount (served), CROWD - 1, "%x", served);
-  /* What lies at another place than its first is found.  */
+  rows_server_silence_parts (site->rows, UNRESPONSIVE_PARTS);
+  serve_programs ("a");
+  served = serve_programs ("b");
+  cr_assert_geq (__builtin_popcount (served), PROGRAMS - 1, "%x", served);
+  /* Rows stored in another candidate part are found.  */
   rows_server_silence_parts (site->rows, 0);
   edge_kill (site, 0);
   edge_start (site, 0);
-  for (int i = 0; i < CROWD; i++)
+  for (int i = 0; i < PROGRAMS; i++)
     {
       snprintf (id, sizeof id, "u%d", i);
       snprintf (more, sizeof more, "X-Previous-Turn: b%d\r\n", i);
       if ((served >> i & 1U) != 0)
-        cr_assert_eq (ask_turn (0, id, "v", more, "y"), 200, "b%d", i);
+        cr_assert_eq (send_turn (0, id, "v", more, "y"), 200, "b%d", i);
     }
 }
 
-/* The table is away for all for longer than a caller's tries last.  His turn
-   is refused at once the first time; the second time it runs on what hosts
-   lend each other, so that his words come and the end follows with the table.
-   Here the turn comes to a host that knows neither its history nor its budget.
- */
+/* Failure: an outage of the table outlasts the retries of a caller.  A retried
+   turn runs on history and tokens lent by other hosts, here at a host that has
+   neither, and ends once the table is available.  */
 Test (router, turn_of_another_host_while_the_table_is_away)
 {
   const struct worker_run *run;
@@ -1027,12 +995,12 @@
   edge_set_seed (site, 1, 0);
   edge_start (site, 1);
   edge_run_for (site, 2500);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
   rows_server_fault (site->rows, ROWS_BUSY);
   edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
-    ask_turn (1, "x1", "p9", BUDGET (80), "x");
-  cr_assert_eq (ask_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
+    send_turn (1, "x1", "p9", BUDGET (80), "x");
+  cr_assert_eq (send_turn (1, "t2", "p1", BUDGET (80) AFTER ("t1"), "two;"),
                 503);
   edge_call (site, &later, 1,
              "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: t3\r\n"
@@ -1056,11 +1024,10 @@
   cr_assert_eq (edge_run_count (site, "t3"), 1);
 }
 
-/* A program begins while the table is away for all: no host holds any tokens
-   of it, and the one with its lease issues those of one turn.  They are
-   counted when the table is back, whether the caller was still there or not.
- */
-Test (router, program_begins_while_the_table_is_away)
+/* During an outage of the table the holder of the lease issues tokens for one
+   turn of a new program.  They are recorded afterwards, even if the caller
+   disconnected.  */
+Test (router, program_begins_during_table_outage)
 {
   struct edge_call later = { .fd = -1 };
   int served = 0;
@@ -1069,19 +1036,19 @@
   rows_server_fault (site->rows, ROWS_BUSY);
   edge_run_for (site, 1200);
   for (int i = 0; i < 3; i++)
-    ask_turn (0, "x1", "p9", BUDGET (80), "x");
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (16), "x"), 503);
+    send_turn (0, "x1", "p9", BUDGET (80), "x");
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (16), "x"), 503);
   edge_call (
       site, &later, 0,
       "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: t2\r\n"
       "X-Program-Id: p1\r\nX-Token-Count: 10,8\r\n"
       "X-Deadline-Ms: 2000\r\n" BUDGET (16) "Content-Length: 1\r\n\r\nx");
-  EDGE_WAIT (site, runs_of (site->llm) == 1);
+  EDGE_WAIT (site, runs_at (site->llm) == 1);
   edge_run_for (site, 200);
   edge_close (&later);
-  /* The one turn's tokens are used up.  */
+  /* The tokens of the one turn are used up.  */
   cr_assert_eq (
-      ask_turn (0, "t3", "p1", BUDGET (16) "X-Deadline-Ms: 2000\r\n", "x"),
+      send_turn (0, "t3", "p1", BUDGET (16) "X-Deadline-Ms: 2000\r\n", "x"),
       503);
   rows_server_fault (site->rows, ROWS_WELL);
   edge_run_for (site, 1500);
@@ -1090,24 +1057,24 @@
       char id[16];
 
       snprintf (id, sizeof id, "w%d", i);
-      if (ask_turn (0, id, "p1", BUDGET (16), "x") == 200)
+      if (send_turn (0, id, "p1", BUDGET (16), "x") == 200)
         served++;
     }
-  /* 16 tokens, 8 a turn, and one turn has had its own.  */
+  /* Of 16 tokens, at 8 a turn, one turn has used its share.  */
   cr_assert_eq (served, 1);
 }
 
-/* All answers to writes are lost.  A program still begins, since a read shows
-   that its record was written.  */
+/* With the replies to all writes lost, a program begins, since a read finds
+   its record.  */
 Test (router, budget_while_answers_to_writes_are_lost)
 {
   rows_server_fault (site->rows, ROWS_LOSE);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
-  cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (80) AFTER ("t1"), "x"), 200);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "t2", "p1", BUDGET (80) AFTER ("t1"), "x"), 200);
 }
 
-/* Records of programs and turns that nobody can ask for any more are removed;
-   the others stay, and so does what was written anew meanwhile.  */
+/* Expired records are removed; others stay, including those that were
+   renewed.  */
 Test (router, old_records_are_removed)
 {
   static const uint64_t start_ms = 5000000;
@@ -1115,12 +1082,12 @@
 
   rows_server_clock (site->rows, start_ms);
   edge_run_for (site, 1300);
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
-  cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "t2", "p2", BUDGET (80), "x"), 200);
   edge_kill (site, 0);
   rows_server_clock (site->rows, start_ms + hours_ms);
   edge_start (site, 0);
-  cr_assert_eq (ask_turn (0, "t3", "p2", BUDGET (80) AFTER ("t2"), "x"), 200);
+  cr_assert_eq (send_turn (0, "t3", "p2", BUDGET (80) AFTER ("t2"), "x"), 200);
   edge_kill (site, 0);
   cr_assert_eq (rows_server_count (site->rows, "budget"), 2);
   cr_assert_eq (rows_server_count (site->rows, "turn"), 3);
@@ -1131,15 +1098,13 @@
   edge_run_for (site, 500);
   cr_assert_eq (rows_server_count (site->rows, "budget"), 1);
   cr_assert_eq (rows_server_count (site->rows, "turn"), 1);
-  cr_assert_eq (ask_turn (0, "t4", "p2", BUDGET (80) AFTER ("t3"), "x"), 200);
+  cr_assert_eq (send_turn (0, "t4", "p2", BUDGET (80) AFTER ("t3"), "x"), 200);
 }
 
 /* Other hosts */
 
-/* A host loses power and never comes back.  Its row stayed in the table of
-   hosts for ever, every other host kept its address, and after months of
-   replaced hosts most of the addresses that are asked in an outage led
-   nowhere.  Cause: only a planned stop removed the row.  */
+/* Failure: the row of a host that never returns stays in the table of hosts,
+   and other hosts keep calling its address.  */
 Test (router, row_of_a_lost_host_is_removed)
 {
   static const uint64_t start_ms = 5000000;
@@ -1164,25 +1129,23 @@
   cr_assert_eq (rows_server_count (site->rows, "host"), 2);
 }
 
-struct door_case
+struct rejection_case
 {
   const char *name;
   enum rows_fault fault;
 };
 
-/* The table turns one host away, or can't be reached from it, while others are
-   served.  Programs began to fail there and the host went by an old
-   configuration; now another host makes its calls and tells it what is new,
-   also a host that starts meanwhile.  */
-Test (router, table_is_closed_to_one_host)
+/* A host that the table rejects or does not answer makes its calls and gets
+   its updates through another host, also after a restart.  */
+Test (router, table_rejects_one_host)
 {
-  static const struct door_case cases[] = { { "refuses", ROWS_REFUSING },
-                                            { "busy", ROWS_BUSY },
-                                            { "many", ROWS_MANY },
-                                            { "silent", ROWS_SILENT } };
+  static const struct rejection_case cases[] = { { "refuses", ROWS_REFUSING },
+                                                 { "busy", ROWS_BUSY },
+                                                 { "many", ROWS_MANY },
+                                                 { "silent", ROWS_SILENT } };
 
   edge_start (site, 1);
-  /* Until the hosts have found each other.  */
+  /* Until the hosts have listed each other.  */
   edge_run_for (site, 3500);
   for (size_t i = 0; i < ROWS (cases); i++)
     {
@@ -1193,9 +1156,9 @@
       char text[128];
 
       snprintf (before, sizeof before, "b%zu", i);
-      cr_assert_eq (ask_turn (1, before, "p", "", "one;"), 200);
+      cr_assert_eq (send_turn (1, before, "p", "", "one;"), 200);
       rows_server_fault_at (site->rows, 0, cases[i].fault);
-      /* Until the host has noticed.  */
+      /* Until the host has detected the fault.  */
       edge_run_for (site, 1800);
       snprintf (extra, sizeof extra, "/new%zu/", i);
       edge_configure (site, 3000, extra);
@@ -1203,7 +1166,7 @@
       snprintf (id, sizeof id, "c%zu", i);
       snprintf (after, sizeof after, BUDGET (80) "X-Previous-Turn: %s\r\n",
                 before);
-      cr_assert_eq (ask_turn (0, id, id, after, "two;"), 200, "%s: %s",
+      cr_assert_eq (send_turn (0, id, id, after, "two;"), 200, "%s: %s",
                     cases[i].name, call.answer);
       cr_assert_str_eq (last_run (site->llm, id)->body,
                         "one;e1\ne2\ne3\ne4\ntwo;", "%s", cases[i].name);
@@ -1219,21 +1182,20 @@
   edge_kill (site, 0);
   edge_set_seed (site, 0, 1);
   edge_start (site, 0);
-  cr_assert_eq (ask_turn (0, "z1", "z", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "z1", "z", BUDGET (80), "x"), 200);
 }
 
 /* Stops */
 
-/* An operator stops a host.  It says at once that it takes no callers, serves
-   those who still come, and answers tell them to go elsewhere; a stream under
-   way ends whole.  */
+/* During a planned stop the host is not ready, still serves requests with
+   "Connection: close", and completes pending streams.  */
 Test (router, planned_stop)
 {
   struct edge_call other;
 
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
-  EDGE_WAIT (site, asked_of (site->llm) == 1);
+  EDGE_WAIT (site, requests_at (site->llm) == 1);
   mq_router_begin_stop (site->routers[0]);
   cr_assert_eq (edge_ready_status (site, 0), 503);
   cr_assert_eq (edge_request (site, &other, 0,
@@ -1246,14 +1208,11 @@
   EDGE_WAIT (site, mq_router_stopped (site->routers[0]));
 }
 
-/* A host is stopped while the platform's table is silent.  It used to wait for
-   the table with its door open, took a request seconds later and cut it off
-   when its time was up: the caller saw a closed connection without an answer.
-   Once callers have had time to go elsewhere the door is closed, and the host
-   does not wait for the table.  */
-Test (router, stop_while_the_table_is_silent)
+/* Failure: a host that stops during an outage of the table keeps its listener
+   open and cuts off requests accepted late.  */
+Test (router, stop_during_table_outage)
 {
-  cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
+  cr_assert_eq (send_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
   rows_server_fault (site->rows, ROWS_SILENT);
   mq_router_begin_stop (site->routers[0]);
   for (int i = 0; i < 200 && !mq_router_stopped (site->routers[0]); i++)
