--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -27,7 +27,7 @@
 static struct mq_admission_ask
 make_admission_request (const struct mq_request *request, uint64_t now)
 {
-  const struct mq_request_fields *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
 
   return (struct mq_admission_ask){
     .service = request->service,
@@ -38,9 +38,9 @@
     .load = mq_fleet_service_pressure (request->router->fleet,
                                        request->service, now),
     .record_load = record_load (request, now),
-    .has_left = facts->has_left,
-    .left_ms = facts->left_ms,
-    .budget = facts->has_budget ? facts->budget : 0,
+    .has_left = fields->has_left,
+    .left_ms = fields->left_ms,
+    .budget = fields->has_budget ? fields->budget : 0,
     .now_ms = now,
   };
 }
--- a/src/router/router_answer.c
+++ b/src/router/router_answer.c
@@ -37,12 +37,12 @@
 void
 mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
                     const struct mq_http_head *head,
-                    const struct mq_response_fields *facts, bool stream)
+                    const struct mq_response_fields *received, bool stream)
 {
   answer->status = head->status;
-  answer->not_run = facts->not_run;
-  answer->other_worker = facts->other_worker;
-  answer->idle_s = facts->idle_s;
+  answer->not_run = received->not_run;
+  answer->other_worker = received->other_worker;
+  answer->idle_s = received->idle_s;
   answer->stream = stream && head->status == 200;
   append_fields (ctx, &answer->fields, head);
 }
--- a/src/router/router_answer.h
+++ b/src/router/router_answer.h
@@ -38,13 +38,14 @@
 /* Adds the response head.  STREAM: the route expects a stream.  */
 void mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
                          const struct mq_http_head *head,
-                         const struct mq_response_fields *facts, bool stream);
+                         const struct mq_response_fields *received,
+                         bool stream);
 /* Adds body bytes; returns false if the body is too large or malformed.  */
 bool mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
                          const char *data, size_t len);
 /* Gets the next complete event; returns false if there is none yet.  */
 bool mq_answer_next_event (struct mq_answer *answer, struct mq_event *event);
-/* The stream ended within an event.  */
+/* Whether the stream ended within an event.  */
 bool mq_answer_is_truncated (const struct mq_answer *answer);
 /* Outcome of a complete response, for the health of the worker.  */
 enum mq_fleet_outcome mq_answer_outcome (const struct mq_answer *answer);
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -25,7 +25,7 @@
   struct mq_router *router;
   struct mq_config_waiter *next;
   struct mq_config_waiter **list;
-  mq_config_latest_handler *told;
+  mq_config_latest_handler *handler;
   void *user;
 };
 
@@ -87,7 +87,7 @@
 static void
 notify (struct mq_config_waiter *waiter, bool current)
 {
-  waiter->told (current, waiter->user);
+  waiter->handler (current, waiter->user);
   talloc_free (waiter);
 }
 
@@ -390,16 +390,16 @@
 on_read (const struct mq_rows_result *result, void *user)
 {
   struct mq_config_query *query = user;
-  struct mq_config_waiter *told = NULL;
+  struct mq_config_waiter *served = NULL;
 
-  move_all (&query->asked, &told);
+  move_all (&query->asked, &served);
   if (result->status == MQ_STORE_OK && result->row_count > 0)
     query->known_ms = query->began_ms;
   if (result->status == MQ_STORE_OK && result->row_count > 0)
     load_config (query->router, result->rows[0].value, result->rows[0].version,
-                 &told);
+                 &served);
   else
-    notify_all (&told, false);
+    notify_all (&served, false);
   query->call = NULL;
   start_query (query);
 }
@@ -429,7 +429,7 @@
    once exhaust memory and time out.  */
 struct mq_config_waiter *
 mq_config_fetch_latest (struct mq_router *router,
-                        mq_config_latest_handler *told, void *user)
+                        mq_config_latest_handler *handler, void *user)
 {
   struct mq_config_waiter *waiter
       = talloc_zero (router, struct mq_config_waiter);
@@ -441,7 +441,7 @@
       return NULL;
     }
   waiter->router = router;
-  waiter->told = told;
+  waiter->handler = handler;
   waiter->user = user;
   add_waiter (&query->later, waiter);
   if (query->call == NULL)
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -23,13 +23,14 @@
 static void
 set_ids (struct mq_request *request, const struct mq_route_table *table)
 {
-  const struct mq_request_fields *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
   bool plain = table->orgs == NULL;
 
-  request->program = plain ? facts->program : scoped (request, facts->program);
-  request->turn_id = plain ? facts->id : scoped (request, facts->id);
+  request->program
+      = plain ? fields->program : scoped (request, fields->program);
+  request->turn_id = plain ? fields->id : scoped (request, fields->id);
   request->previous
-      = plain ? facts->previous : scoped (request, facts->previous);
+      = plain ? fields->previous : scoped (request, fields->previous);
 }
 
 enum request_identity
@@ -40,9 +41,9 @@
   request->org = NULL;
   if (table->orgs != NULL && !route->is_public)
     {
-      if (request->facts.key_count > 1)
+      if (request->fields.key_count > 1)
         return REQUEST_KEY_AMBIGUOUS;
-      request->org = mq_orgs_find_key (table->orgs, request->facts.key);
+      request->org = mq_orgs_find_key (table->orgs, request->fields.key);
       if (request->org == NULL)
         return REQUEST_KEY_UNKNOWN;
     }
@@ -53,7 +54,7 @@
 bool
 request_begins_program (const struct mq_request *request)
 {
-  return request->route->kind == MQ_ROUTE_STREAM && request->facts.main_line
+  return request->route->kind == MQ_ROUTE_STREAM && request->fields.main_line
          && request->previous == NULL
          && !mq_turns_has_program (request->router->turns, request->program);
 }
@@ -73,7 +74,7 @@
 
   if (request->org == NULL || now == request->table || now->orgs == NULL)
     return true;
-  org = mq_orgs_find_key (now->orgs, request->facts.key);
+  org = mq_orgs_find_key (now->orgs, request->fields.key);
   return org != NULL && strcmp (org->name, request->org->name) == 0;
 }
 
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -39,8 +39,8 @@
                 enum mq_json_weight weight, enum mq_log_event event)
 {
   mq_json_begin (line, request->router->log, weight, event);
-  mq_json_text (line, "id", request->facts.id);
-  mq_json_text (line, "run", request->facts.program);
+  mq_json_text (line, "id", request->fields.id);
+  mq_json_text (line, "run", request->fields.program);
   if (request->org != NULL)
     mq_json_text (line, "organisation", request->org->name);
   if (request->route != NULL)
@@ -67,7 +67,7 @@
   if (request->retry_ms > 0)
     {
       mq_json_number (&line, "load", request->service_load);
-      mq_json_number (&line, "left_ms", request->facts.left_ms);
+      mq_json_number (&line, "left_ms", request->fields.left_ms);
       mq_json_number (&line, "retry_ms", request->retry_ms);
     }
   mq_json_end (&line);
@@ -87,7 +87,7 @@
   struct mq_router *router = request->router;
 
   cancel_try (request, MQ_OUTCOME_STOPPED);
-  mq_config_cancel_fetch (request->confirm);
+  mq_config_cancel_fetch (request->config_waiter);
   mq_permit_cancel (request->permit);
   mq_ledger_cancel (request->record_call);
   if (request->is_turn)
@@ -288,7 +288,7 @@
     query.home = request->turn.home;
   query.has_key = mq_route_placing_key (request->route, request->service_info,
                                         request->program,
-                                        request->facts.affinity, &query.key);
+                                        request->fields.affinity, &query.key);
   return mq_fleet_choose (request->router->fleet, &query);
 }
 
@@ -337,7 +337,7 @@
     .fleet = router->fleet,
     .pool = router->pool,
     .worker = request->worker,
-    .id = request->facts.id,
+    .id = request->fields.id,
     .body = request->send_body,
     .answer = &request->answer,
     .answer_ctx = request,
@@ -352,7 +352,7 @@
       = options.repeatable && request->sent < request->route->attempts;
   options.send = (struct mq_send){
     .head = request->head,
-    .host = request->facts.host,
+    .host = request->fields.host,
     .route = request->route,
     .engine = request->service_info != NULL && request->service_info->engine,
     .worker = worker_id (request),
@@ -458,10 +458,10 @@
     .program = request->program,
     .id = request->turn_id,
     .previous = request->route->retains ? request->previous : NULL,
-    .limit = request->facts.budget,
-    .max_tokens
-    = mq_route_whole_events (request->service_info, request->facts.tokens_out),
-    .budgeted = request->facts.has_budget && request->program != NULL,
+    .limit = request->fields.budget,
+    .max_tokens = mq_route_whole_events (request->service_info,
+                                         request->fields.tokens_out),
+    .budgeted = request->fields.has_budget && request->program != NULL,
     .retains = request->route->retains,
     .retain_s = request->route->retain_s,
     .may_borrow = runs,
@@ -479,8 +479,8 @@
 {
   uint64_t wait = request->route->timeout_ms;
 
-  if (request->facts.deadline_ms > 0 && request->facts.deadline_ms < wait)
-    wait = request->facts.deadline_ms;
+  if (request->fields.deadline_ms > 0 && request->fields.deadline_ms < wait)
+    wait = request->fields.deadline_ms;
   return wait;
 }
 
@@ -506,7 +506,7 @@
   if (request_refuse_over_limit (request))
     return;
   if (route->kind == MQ_ROUTE_STREAM
-      && (route->retains || request->facts.has_budget))
+      && (route->retains || request->fields.has_budget))
     request_admit_turn (request);
   else
     request_dispatch (request);
@@ -522,11 +522,11 @@
 is_valid (const struct mq_request *request)
 {
   const struct mq_http_head *head = request->head;
-  const struct mq_request_fields *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
 
   return head->target[0] == '/' && mq_http_head_count (head, "Host") == 1
-         && facts->id != NULL && id_fits (facts->id)
-         && (facts->program == NULL || id_fits (facts->program));
+         && fields->id != NULL && id_fits (fields->id)
+         && (fields->program == NULL || id_fits (fields->program));
 }
 
 /* Routes the request by the active configuration, or refuses what no newer one
@@ -538,7 +538,7 @@
 {
   const struct mq_route_table *table = request->router->routes;
   const struct mq_path_route *route
-      = mq_route_find (table, request->facts.host, request->head->target);
+      = mq_route_find (table, request->fields.host, request->head->target);
 
   if (route == NULL)
     return MQ_REFUSE_NO_ROUTE;
@@ -562,7 +562,7 @@
   struct mq_request *request = user;
   enum mq_refusal refusal_if_current;
 
-  request->confirm = NULL;
+  request->config_waiter = NULL;
   refusal_if_current = apply_config (request);
   if (refusal_if_current != MQ_REFUSE_NOTHING)
     request_refuse (request,
@@ -591,16 +591,16 @@
   request->send_body = body;
   request->arrived_ms = arrived_ms;
   request->worker = MQ_WORKER_NONE;
-  mq_wire_read_request_fields (head, &request->facts);
+  mq_wire_read_request_fields (head, &request->fields);
   mq_caller_attach_request (caller, request);
   if (!is_valid (request))
     {
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
       return;
     }
-  if (request->facts.last_event != NULL)
+  if (request->fields.last_event != NULL)
     snprintf (request->last_event, sizeof request->last_event, "%s",
-              request->facts.last_event);
+              request->fields.last_event);
   if (router->routes == NULL || !router->workers_listed)
     {
       request_refuse (request, MQ_REFUSE_NOT_READY);
@@ -611,7 +611,8 @@
       && request_key_lookup_is_fresh (request))
     request_refuse (request, refusal_if_current);
   else if (refusal_if_current != MQ_REFUSE_NOTHING)
-    request->confirm = mq_config_fetch_latest (router, on_confirmed, request);
+    request->config_waiter
+        = mq_config_fetch_latest (router, on_confirmed, request);
 }
 
 void
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -24,7 +24,7 @@
  * @turn_id: stored id of the turn
  * @previous: stored id of the turn this one continues; NULL if none
  * @begins_program: as far as this host knows, the program's first turn
- * @confirm: pending query for the latest configuration; NULL if none
+ * @config_waiter: pending query for the latest configuration; NULL if none
  * @service_load: load of the service when the program asked to begin, in
  *                thousandths of its capacity; 0 if unknown
  * @program_deadline_at_risk: refused because little of the program's time is
@@ -59,7 +59,7 @@
   struct mq_router *router;
   struct mq_caller *caller;
   const struct mq_http_head *head;
-  struct mq_request_fields facts;
+  struct mq_request_fields fields;
   struct mq_bytes body;
   struct mq_route_table *table;
   const struct mq_path_route *route;
@@ -70,7 +70,7 @@
   const char *turn_id;
   const char *previous;
   bool begins_program;
-  struct mq_config_waiter *confirm;
+  struct mq_config_waiter *config_waiter;
   uint32_t service_load;
   bool program_deadline_at_risk;
   uint32_t retry_ms;
@@ -141,7 +141,7 @@
 /* The configuration was confirmed recently enough to refuse the caller's key
    without another query.  */
 bool request_key_lookup_is_fresh (const struct mq_request *request);
-/* The caller's key still belongs to the organisation in the active
+/* Whether the caller's key still belongs to the organisation in the active
    configuration.
 
    Failure: a request that waits or is retried would run after its key was
--- a/src/router/router_send.c
+++ b/src/router/router_send.c
@@ -60,17 +60,17 @@
 put_system_fields (TALLOC_CTX *ctx, const struct mq_send *send,
                    struct mq_buffer *out)
 {
-  struct mq_forward_fields facts = {
+  struct mq_forward_fields fields = {
     .deadline_ms = send->left_ms,
     .worker = send->worker,
     .last_event = send->last_event[0] == '\0' ? NULL : send->last_event,
     .priority = send_priority (send),
     .organisation = send->organisation,
   };
-  char *fields = mq_wire_format_fields (ctx, &facts);
+  char *text = mq_wire_format_fields (ctx, &fields);
 
-  put_text (ctx, out, fields);
-  talloc_free (fields);
+  put_text (ctx, out, text);
+  talloc_free (text);
 }
 
 void
--- a/src/router/router_state.h
+++ b/src/router/router_state.h
@@ -4,7 +4,7 @@
    router_request.c (life cycle of a request), router_turn.c, router_program.c
    and router_loan.c (histories and budgets of programs), router_feed.c (feeds
    of the configuration and the workers) and router_config.c (the active
-   configuration). router_try.c, router_pool.c and the modules below them do
+   configuration).  router_try.c, router_pool.c and the modules below them do
    not use this header.
    Needs: the modules it includes.  */
 
@@ -335,7 +335,8 @@
 void mq_turn_cancel (struct mq_turn *turn);
 /* Frees idle programs and records tokens issued during an outage.  */
 void mq_turns_sweep (struct mq_turns *turns);
-/* This host issued tokens, not recorded yet, of a program in lease SLOT.  */
+/* Whether this host issued tokens, not recorded yet, of a program in lease
+   SLOT.  */
 bool mq_turns_have_unrecorded_tokens (const struct mq_turns *turns,
                                       uint32_t slot);
 
@@ -343,9 +344,9 @@
 
 /* Messages of other hosts: a loan request, the reply to one, and returned
    tokens.  */
-void mq_loan_on_request (const struct mq_relay_loan_ask *ask,
+void mq_loan_on_request (const struct mq_relay_loan_ask *request,
                          struct mq_relay_link *link, void *user);
-void mq_loan_on_reply (const struct mq_relay_loan_told *told,
+void mq_loan_on_reply (const struct mq_relay_loan_told *reply,
                        const char *address, void *user);
 void mq_loan_on_return (const struct mq_relay_loan_back *back, void *user);
 
@@ -359,7 +360,7 @@
 const char *mq_reserve_issuer (const struct mq_router *router, uint32_t slot);
 /* Reads the current holder of lease SLOT, which may have changed.  */
 void mq_reserve_refresh_issuer (struct mq_router *router, uint32_t slot);
-/* Leases that this host held before a restart have not expired yet.  */
+/* Whether leases that this host held before a restart are still valid.  */
 bool mq_reserve_has_prior_leases (const struct mq_router *router);
 /* Claims, renews and releases this host's leases.  */
 void mq_reserve_sweep (struct mq_router *router);
@@ -386,28 +387,28 @@
 
 struct mq_permits *mq_permits_create (struct mq_router *router);
 /* Requests a permit of ORG.  BEGINS: the request is the first of its program.
-   If the result is MQ_PERMIT_PENDING, sets *PERMIT and calls TOLD later;
+   If the result is MQ_PERMIT_PENDING, sets *PERMIT and calls HANDLER later;
    otherwise sets *RETRY_MS.  */
 enum mq_permit_state mq_permit_request (struct mq_router *router,
                                         const struct mq_org *org, bool begins,
-                                        mq_permit_handler *told, void *user,
+                                        mq_permit_handler *handler, void *user,
                                         struct mq_permit **permit,
                                         uint32_t *retry_ms);
 /* Whether such a request would be refused now; sets *RETRY_MS if so.  */
 bool mq_permit_would_refuse (struct mq_router *router,
                              const struct mq_org *org, bool begins,
                              uint32_t *retry_ms);
-/* Nobody waits any more; NULL is allowed.  */
+/* Cancels the request.  PERMIT may be NULL.  */
 void mq_permit_cancel (struct mq_permit *permit);
-/* Another host may still use permits this one lent to organisations of
-   SLOT.  */
+/* Whether another host may still use permits of organisations in lease SLOT
+   that this one lent.  */
 bool mq_permits_lent (const struct mq_router *router, uint32_t slot);
 void mq_permits_sweep (struct mq_router *router);
 /* Messages of other hosts: a permit request, the reply to one, and a recall of
    lent permits.  */
-void mq_permits_on_request (const struct mq_relay_quota_ask *ask,
+void mq_permits_on_request (const struct mq_relay_quota_ask *request,
                             struct mq_relay_link *link, void *user);
-void mq_permits_on_reply (const struct mq_relay_quota_told *told,
+void mq_permits_on_reply (const struct mq_relay_quota_told *reply,
                           const char *address, void *user);
 void mq_permits_on_recall (const struct mq_relay_quota_recall *recall,
                            struct mq_relay_link *link, void *user);
@@ -435,20 +436,20 @@
 
 /* Activates VALUE, which is copied, if it is newer than the active
    configuration.  A long one is loaded in several iterations of the event
-   loop. ROW: version of its row; 0 if unknown.  */
+   loop.  ROW: version of its row; 0 if unknown.  */
 void mq_config_submit (struct mq_router *router, struct mq_bytes value,
                        uint64_t row);
 /* Whether the active configuration was confirmed as the latest within the last
    MS milliseconds.  */
 bool mq_config_confirmed_within (const struct mq_router *router, uint32_t ms);
-/* Fetches and activates the latest configuration, then calls TOLD, never from
-   within this call.  A request made during a pending query waits for the next
-   one.  */
+/* Fetches and activates the latest configuration, then calls HANDLER, never
+   from within this call.  A request made during a pending query waits for the
+   next one.  */
 struct mq_config_waiter *
 mq_config_fetch_latest (struct mq_router *router,
-                        mq_config_latest_handler *told, void *user);
-/* Nobody waits any more; NULL is allowed.  */
-void mq_config_cancel_fetch (struct mq_config_waiter *confirm);
+                        mq_config_latest_handler *handler, void *user);
+/* Cancels the wait.  WAITER may be NULL.  */
+void mq_config_cancel_fetch (struct mq_config_waiter *waiter);
 
 /* router_feed.c */
 
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -70,21 +70,21 @@
 {
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
-  struct mq_response_fields facts;
+  struct mq_response_fields fields;
 
-  mq_wire_read_response_fields (head, &facts);
+  mq_wire_read_response_fields (head, &fields);
   mq_inactivity_reset (try->inactivity);
-  if (facts.id == NULL)
+  if (fields.id == NULL)
     {
       end_broken (try);
       return true;
     }
-  if (strcmp (facts.id, options->id) != 0)
+  if (strcmp (fields.id, options->id) != 0)
     return false;
-  if (facts.has_load)
-    mq_fleet_told (options->fleet, options->worker, facts.running,
-                   facts.waiting, mq_clock_ms ());
-  mq_answer_add_head (options->answer_ctx, options->answer, head, &facts,
+  if (fields.has_load)
+    mq_fleet_told (options->fleet, options->worker, fields.running,
+                   fields.waiting, mq_clock_ms ());
+  mq_answer_add_head (options->answer_ctx, options->answer, head, &fields,
                       options->send.route->kind == MQ_ROUTE_STREAM);
   return true;
 }
@@ -120,7 +120,7 @@
 {
   struct mq_try *try = user;
   const struct mq_answer *answer = try->options.answer;
-  struct mq_attempt_answer facts = {
+  struct mq_attempt_answer attempt_answer = {
     .status = answer->status,
     .not_run = answer->not_run,
     .cut = mq_answer_is_truncated (answer),
@@ -129,9 +129,9 @@
     .repeatable = try->options.repeatable,
   };
 
-  if (!facts.cut)
+  if (!attempt_answer.cut)
     return_lane (try);
-  end_try (try, mq_attempt_judge (&facts), MQ_OUTCOME_FAILED);
+  end_try (try, mq_attempt_judge (&attempt_answer), MQ_OUTCOME_FAILED);
 }
 
 /* A new connection closed before any byte counts as unreachable, like one that
--- a/src/router/router_wire.h
+++ b/src/router/router_wire.h
@@ -92,15 +92,15 @@
 };
 
 void mq_wire_read_request_fields (const struct mq_http_head *head,
-                                  struct mq_request_fields *facts);
+                                  struct mq_request_fields *fields);
 void mq_wire_read_response_fields (const struct mq_http_head *head,
-                                   struct mq_response_fields *facts);
+                                   struct mq_response_fields *fields);
 /* The field is reserved for the system: what a caller sent in it is
    dropped.  */
 bool mq_wire_is_reserved_field (const char *name);
-/* Formats FACTS as header lines, allocated on CTX.  */
+/* Formats FIELDS as header lines, allocated on CTX.  */
 char *mq_wire_format_fields (TALLOC_CTX *ctx,
-                             const struct mq_forward_fields *facts);
+                             const struct mq_forward_fields *fields);
 
 /* Tables of the configuration and of the workers, and the key of the
    configuration.  */
--- a/tests/router_site.h
+++ b/tests/router_site.h
@@ -102,10 +102,10 @@
 #define EDGE_WAIT(site, condition)                                            \
   do                                                                          \
     {                                                                         \
-      int turns_ = 0;                                                         \
+      int polls_ = 0;                                                         \
       while (!(condition))                                                    \
         {                                                                     \
-          cr_assert_lt (turns_++, 4000, "waited in vain for " #condition);    \
+          cr_assert_lt (polls_++, 4000, "timed out waiting for " #condition); \
           edge_run_for (site, 5);                                             \
         }                                                                     \
     }                                                                         \
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -101,7 +101,7 @@
 };
 
 static const struct blocked_case blocked_cases[] = {
-  { "request on a rested connection", FIRST, 1, false, false, LINE REST, 200 },
+  { "request on an idle connection", FIRST, 1, false, false, LINE REST, 200 },
   /* Within the idle timeout, and the caller was not told to close.  */
   { "request beside a planned stop", FIRST, 1, true, false, LINE REST, 100 },
   { "new connection beside a planned stop", NULL, 0, true, true, LINE REST,
@@ -161,7 +161,7 @@
 static const struct check_case check_cases[] = {
   { "rested connection", FIRST, 1, false, false, LINE REST },
   { "head over its time", LINE, 0, false, false, REST },
-  { "rested connection at a stop", FIRST, 1, true, false, LINE REST },
+  { "idle connection at a stop", FIRST, 1, true, false, LINE REST },
   { "new connection at a stop", NULL, 0, true, true, LINE REST },
 };
 
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -55,7 +55,7 @@
 {
   struct pollfd ready = { .fd = fd, .events = POLLIN };
 
-  cr_assert_eq (poll (&ready, 1, WAIT_MS), 1, "waited in vain");
+  cr_assert_eq (poll (&ready, 1, WAIT_MS), 1, "timed out");
 }
 
 /* Accepts the next connection at the server.  */
@@ -165,8 +165,8 @@
 static const struct stale_case stale_cases[] = {
   { "kept", "", false, 1 },
   { "ended", "", true, 2 },
-  { "bytes of nobody", EMPTY, false, 2 },
-  { "bytes, then ended", EMPTY, true, 2 },
+  { "unsolicited bytes", EMPTY, false, 2 },
+  { "unsolicited bytes, then ended", EMPTY, true, 2 },
 };
 
 static struct mq_pool *
