--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -2,8 +2,8 @@
 
    A connection serves one request at a time; pipelined requests are buffered
    until the response is sent.  The connection is read during a request, so
-   that a disconnect is noticed at once.  Needs: router_state.h, listen.h,
-   clock.h.  */
+   that a disconnect is noticed at once.
+   Needs: router_state.h, listen.h, clock.h.  */
 
 #include "router_state.h"
 #include "net/clock.h"
