--- a/src/router/router_inactivity.h
+++ b/src/router/router_inactivity.h
@@ -4,8 +4,8 @@
    that may be repeated is sent to another one.
    Needs: fleet.h, tevent.  */
 
-#ifndef MQ_ROUTER_SILENCE_H
-#define MQ_ROUTER_SILENCE_H
+#ifndef MQ_ROUTER_INACTIVITY_H
+#define MQ_ROUTER_INACTIVITY_H
 
 #include "core/router/fleet.h"
 #include "core/router/route.h"
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -217,7 +217,7 @@
       request->router->counters.retries++;
       if (request->response_begun)
         request->router->counters.resumed++;
-      mq_answer_reset (&request->answer);
+      mq_response_reset (&request->answer);
       request_dispatch (request);
       return;
     case MQ_NEXT_REFUSE:
@@ -253,11 +253,11 @@
 {
   struct mq_caller *caller = request->caller;
   struct mq_router *router = request->router;
-  struct mq_answer *answer = &request->answer;
+  struct mq_response *answer = &request->answer;
   struct mq_buffer fields = answer->fields;
   struct mq_buffer body = answer->body;
   int status = answer->status;
-  bool with_body = !mq_answer_has_no_body (status)
+  bool with_body = !mq_response_has_no_body (status)
                    && strcmp (request->head->method, "HEAD") != 0;
 
   request_count_served (request);
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -92,7 +92,7 @@
   uint32_t worker;
   struct mq_try *try;
   uint64_t sent_ms;
-  struct mq_answer answer;
+  struct mq_response answer;
   bool response_begun;
   bool response_complete;
   uint64_t completed_ms;
--- a/src/router/router_answer.c
+++ b/src/router/router_response.c
@@ -1,9 +1,9 @@
-/* router_answer.c - receives a worker's response, buffered or as a stream of
+/* router_response.c - receives a worker's response, buffered or as a stream of
    events.
 
-   Needs: router_answer.h.  */
+   Needs: router_response.h.  */
 
-#include "router_answer.h"
+#include "router_response.h"
 #include <string.h>
 #include <strings.h>
 
@@ -35,9 +35,9 @@
 }
 
 void
-mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
-                    const struct mq_http_head *head,
-                    const struct mq_response_fields *received, bool stream)
+mq_response_add_head (TALLOC_CTX *ctx, struct mq_response *answer,
+                      const struct mq_http_head *head,
+                      const struct mq_response_fields *received, bool stream)
 {
   answer->status = head->status;
   answer->not_run = received->not_run;
@@ -48,8 +48,8 @@
 }
 
 bool
-mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
-                    const char *data, size_t len)
+mq_response_add_body (TALLOC_CTX *ctx, struct mq_response *answer,
+                      const char *data, size_t len)
 {
   if (!answer->stream)
     return mq_buffer_append (ctx, &answer->body, data, len, ANSWER_MAX_BYTES);
@@ -60,21 +60,21 @@
 }
 
 bool
-mq_answer_next_event (struct mq_answer *answer, struct mq_event *event)
+mq_response_next_event (struct mq_response *answer, struct mq_event *event)
 {
   return answer->events != NULL
          && mq_event_stream_next (answer->events, event);
 }
 
 bool
-mq_answer_is_truncated (const struct mq_answer *answer)
+mq_response_is_truncated (const struct mq_response *answer)
 {
   return answer->stream && answer->events != NULL
          && mq_event_stream_partial (answer->events);
 }
 
 enum mq_fleet_outcome
-mq_answer_outcome (const struct mq_answer *answer)
+mq_response_outcome (const struct mq_response *answer)
 {
   if (answer->not_run)
     return answer->other_worker ? MQ_OUTCOME_LEAVING : MQ_OUTCOME_FULL;
@@ -82,19 +82,19 @@
 }
 
 bool
-mq_answer_has_no_body (int status)
+mq_response_has_no_body (int status)
 {
   return status == 204 || status == 304;
 }
 
 void
-mq_answer_reset (struct mq_answer *answer)
+mq_response_reset (struct mq_response *answer)
 {
   struct mq_event_stream *events = answer->events;
 
   mq_buffer_clear (&answer->fields);
   mq_buffer_clear (&answer->body);
-  *answer = (struct mq_answer){ .events = events };
+  *answer = (struct mq_response){ .events = events };
   if (events != NULL)
     mq_event_stream_restart (events);
 }
--- a/src/router/router_answer.h
+++ b/src/router/router_response.h
@@ -1,10 +1,10 @@
-/* router_answer.h - receives a worker's response, buffered or as a stream of
+/* router_response.h - receives a worker's response, buffered or as a stream of
    events.
 
    Needs: router_wire.h, event_stream.h, attempt.h, buffer.h.  */
 
-#ifndef MQ_ROUTER_ANSWER_H
-#define MQ_ROUTER_ANSWER_H
+#ifndef MQ_ROUTER_RESPONSE_H
+#define MQ_ROUTER_RESPONSE_H
 
 #include "core/router/attempt.h"
 #include "core/router/event_stream.h"
@@ -13,7 +13,7 @@
 #include "router_wire.h"
 
 /**
- * struct mq_answer - the part of a worker's response received so far
+ * struct mq_response - the part of a worker's response received so far
  * @status: HTTP status; 0 before the head
  * @not_run: the worker states that it did not run the request
  * @other_worker: another worker has taken over the address
@@ -23,7 +23,7 @@
  * @body: body of a buffered response
  * @events: parser of a stream; NULL before its first byte
  */
-struct mq_answer
+struct mq_response
 {
   int status;
   bool not_run;
@@ -36,22 +36,23 @@
 };
 
 /* Adds the response head.  STREAM: the route expects a stream.  */
-void mq_answer_add_head (TALLOC_CTX *ctx, struct mq_answer *answer,
-                         const struct mq_http_head *head,
-                         const struct mq_response_fields *received,
-                         bool stream);
+void mq_response_add_head (TALLOC_CTX *ctx, struct mq_response *answer,
+                           const struct mq_http_head *head,
+                           const struct mq_response_fields *received,
+                           bool stream);
 /* Adds body bytes; returns false if the body is too large or malformed.  */
-bool mq_answer_add_body (TALLOC_CTX *ctx, struct mq_answer *answer,
-                         const char *data, size_t len);
+bool mq_response_add_body (TALLOC_CTX *ctx, struct mq_response *answer,
+                           const char *data, size_t len);
 /* Gets the next complete event; returns false if there is none yet.  */
-bool mq_answer_next_event (struct mq_answer *answer, struct mq_event *event);
+bool mq_response_next_event (struct mq_response *answer,
+                             struct mq_event *event);
 /* Whether the stream ended within an event.  */
-bool mq_answer_is_truncated (const struct mq_answer *answer);
+bool mq_response_is_truncated (const struct mq_response *answer);
 /* Outcome of a complete response, for the health of the worker.  */
-enum mq_fleet_outcome mq_answer_outcome (const struct mq_answer *answer);
+enum mq_fleet_outcome mq_response_outcome (const struct mq_response *answer);
 /* Whether responses with STATUS have no body.  */
-bool mq_answer_has_no_body (int status);
+bool mq_response_has_no_body (int status);
 /* Clears the response before another attempt.  */
-void mq_answer_reset (struct mq_answer *answer);
+void mq_response_reset (struct mq_response *answer);
 
 #endif
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -82,7 +82,7 @@
   struct mq_buffer out = { NULL, 0, 0, 0 };
   bool over = false;
 
-  while (!over && mq_answer_next_event (&request->answer, &event))
+  while (!over && mq_response_next_event (&request->answer, &event))
     {
       over = event.has_data && is_over_budget (request);
       if (over)
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -84,8 +84,8 @@
   if (fields.has_load)
     mq_fleet_told (options->fleet, options->worker, fields.running,
                    fields.waiting, mq_clock_ms ());
-  mq_answer_add_head (options->answer_ctx, options->answer, head, &fields,
-                      options->send.route->kind == MQ_ROUTE_STREAM);
+  mq_response_add_head (options->answer_ctx, options->answer, head, &fields,
+                        options->send.route->kind == MQ_ROUTE_STREAM);
   return true;
 }
 
@@ -96,7 +96,7 @@
   const struct mq_try_options *options = &try->options;
 
   mq_inactivity_reset (try->inactivity);
-  if (!mq_answer_add_body (options->answer_ctx, options->answer, data, len))
+  if (!mq_response_add_body (options->answer_ctx, options->answer, data, len))
     end_broken (try);
   else if (options->answer->stream)
     options->events (options->user);
@@ -107,9 +107,9 @@
 static void
 return_lane (struct mq_try *try)
 {
-  const struct mq_answer *answer = try->options.answer;
+  const struct mq_response *answer = try->options.answer;
 
-  report_outcome (try, mq_answer_outcome (answer));
+  report_outcome (try, mq_response_outcome (answer));
   mq_pool_release (try->options.pool, try->options.worker, try->lane,
                    answer->idle_s);
   try->lane = NULL;
@@ -119,11 +119,11 @@
 on_end (void *user)
 {
   struct mq_try *try = user;
-  const struct mq_answer *answer = try->options.answer;
+  const struct mq_response *answer = try->options.answer;
   struct mq_attempt_answer attempt_answer = {
     .status = answer->status,
     .not_run = answer->not_run,
-    .cut = mq_answer_is_truncated (answer),
+    .cut = mq_response_is_truncated (answer),
     .stream = answer->stream,
     .begun = try->options.begun,
     .repeatable = try->options.repeatable,
--- a/src/router/router_try.h
+++ b/src/router/router_try.h
@@ -3,14 +3,14 @@
    Takes a connection from the pool, sends the request, receives the response
    and reports the outcome to the fleet.  The caller of this module decides
    about retries.
-   Needs: router_answer.h, router_pool.h, router_send.h, attempt.h.  */
+   Needs: router_response.h, router_pool.h, router_send.h, attempt.h.  */
 
 #ifndef MQ_ROUTER_TRY_H
 #define MQ_ROUTER_TRY_H
 
 #include "core/router/attempt.h"
 #include "core/router/fleet.h"
-#include "router_answer.h"
+#include "router_response.h"
 #include "router_pool.h"
 #include "router_send.h"
 #include <tevent.h>
@@ -38,7 +38,7 @@
   const char *id;
   struct mq_send send;
   struct mq_bytes body;
-  struct mq_answer *answer;
+  struct mq_response *answer;
   TALLOC_CTX *answer_ctx;
   bool repeatable;
   bool begun;
