--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -529,10 +529,9 @@
          && (fields->program == NULL || id_fits (fields->program));
 }
 
-/* Routes the request by the active configuration, or refuses what no newer one
-   would accept.  Returns MQ_REFUSE_NOTHING then.  If the route or the key is
-   refusal_if_current, returns the refusal to use when there is no newer
-   configuration.  */
+/* Handles the request by the active configuration and returns
+   MQ_REFUSE_NOTHING.  If that has no such route or key, leaves the request and
+   returns the refusal to use unless a newer configuration has it.  */
 static enum mq_refusal
 apply_config (struct mq_request *request)
 {
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -18,7 +18,7 @@
 #define FIRST LINE HOST "X-Request-Id: q1\r\n\r\n"
 #define REST HOST "X-Request-Id: q2\r\n\r\n"
 /* Limits of the site: idle timeout 400 ms, head timeout 300 ms, sweep interval
-   250 ms, new connections until 200 ms after a stop request.  HELD_BEFORE_MS
+   250 ms, new connections until 200 ms after a stop request.  BLOCKED_MS
    exceeds the sweep interval.  */
 #define IDLE_MS 400U
 #define READ_MS 20U
@@ -79,12 +79,12 @@
 }
 
 /**
- * struct held_case - a request whose end arrives while the event loop is
+ * struct blocked_case - a request whose end arrives while the event loop is
  * blocked
  * @first: data sent before
  * @answered: number of responses received before
  * @stop_requested: a stop was requested; the router is destroyed when it is
- * complete
+ *                  complete
  * @connects: the request arrives on a new connection
  * @then: data sent meanwhile
  * @after_ms: time from then until the loop continues
@@ -141,7 +141,7 @@
 }
 
 /**
- * struct look_case - a check of the connections while a request is unread
+ * struct check_case - a check of the connections while a request is unread
  * @first: data sent before
  * @answered: number of responses received before
  * @stops: the check is that of a stop, which closes the listener
@@ -200,7 +200,7 @@
 }
 
 /**
- * struct rest_case - an idle timeout and the field sent to callers
+ * struct idle_case - an idle timeout and the field sent to callers
  */
 struct idle_case
 {
@@ -370,7 +370,7 @@
     }
 }
 
-/* About 600 KB.  */
+/* Enough routes for a configuration of about 600 KB.  */
 #define LONG_ROUTES 4250U
 /* More than one step parses, and small enough for the stand-in of the table to
    send within the timeout of a call.  */
@@ -434,8 +434,8 @@
   MEANWHILE_END
 };
 
-/* Failure: configurations that arrive during the load of a long one cause a
-   partial one, an older one or a lost one.  */
+/* Failure: a configuration arrives while a long one is loaded, and a partial
+   or older one becomes active or the newest one is lost.  */
 Test (held_up, configurations_received_during_a_long_load)
 {
   struct mq_router *router = site->routers[0];
