--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -1,7 +1,8 @@
 /* router_admit.c - admission control of new programs.
 
-   Turns of programs that have begun are never refused here.  Whether a program
-   has begun is known to this host or stands in the program's record.
+   Turns of programs that have begun are never refused here.  This host knows
+   the programs it serves; the record of a program shows whether another host
+   has served it.
    Needs: router_request.h, id.h, clock.h.  */
 
 #include "core/id.h"
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -258,8 +258,8 @@
     mq_tcp_read (caller->tcp, caller->read_ahead.len < READ_AHEAD_BYTES);
 }
 
-/* Parses DATA, which may hold several messages; what follows the current
-   message is buffered.  */
+/* Parses DATA, which may hold several messages; bytes after the current
+   message are buffered.  */
 static void
 parse_data (struct mq_caller *caller, const char *data, size_t len)
 {
@@ -525,11 +525,11 @@
   return router->front_event != NULL;
 }
 
-/* Closes an idle connection.
+/* Closes an idle connection at once, which resets a request that crosses the
+   close.  A half-close is used only while response data is unsent.
 
-   Failure: after a half-close, a request that crosses it would be read and
-   discarded, and its caller could not tell that it did not run.  Closing
-   outright resets it.  Unsent data still needs the half-close.  */
+   Failure: after a half-close such a request is read and discarded, and its
+   caller cannot tell that it did not run.  */
 static void
 close_idle (struct mq_caller *caller)
 {
@@ -539,8 +539,7 @@
     destroy_caller (caller);
 }
 
-/* Logs how long the connection was idle and the limit, which the caller is not
-   told.  */
+/* Logs the idle time of a closed connection and the limit.  */
 static void
 log_idle_close (struct mq_router *router, uint64_t idle_for_ms,
                 uint32_t idle_ms)
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -184,7 +184,7 @@
   return due > done + STEP_MIN_BYTES ? due - done : STEP_MIN_BYTES;
 }
 
-/* The configuration is not newer than the active one.  */
+/* Whether the configuration is not newer than the active one.  */
 static bool
 is_stale (const struct mq_config_load *load)
 {
@@ -275,7 +275,7 @@
   return load;
 }
 
-/* VALUE equals the configuration of LOAD or is older.  */
+/* Whether VALUE equals the configuration of LOAD or is older.  */
 static bool
 covers (const struct mq_config_load *load, struct mq_bytes value, uint64_t row)
 {
--- a/src/router/router_pool.c
+++ b/src/router/router_pool.c
@@ -55,8 +55,8 @@
   talloc_free (idle);
 }
 
-/* The connection has not expired and leads to the current instance of the
-   worker.  */
+/* Whether the connection has not expired and leads to the current instance of
+   the worker.  */
 static bool
 is_valid (const struct mq_pool *pool, const struct idle_lane *idle,
           uint32_t worker, uint64_t now_ms)
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -112,9 +112,10 @@
 void request_log_end (const struct mq_request *request,
                       enum mq_json_weight weight, const char *outcome,
                       int status);
-/* Answers with a response of the router itself.  */
+/* Sends the response for REFUSAL and closes the request.  */
 void request_refuse (struct mq_request *request, enum mq_refusal refusal);
-/* Likewise, with Retry-After of RETRY_MS.  */
+/* Likewise, with RETRY_MS in Retry-After; 0 keeps the delay of the
+   refusal.  */
 void request_refuse_until (struct mq_request *request, enum mq_refusal refusal,
                            uint32_t retry_ms);
 /* Loads the history, reserves the budget, then dispatches the turn.  */
@@ -155,8 +156,8 @@
 
 /* Obtains a permit, then calls request_dispatch.  */
 void request_acquire_permit (struct mq_request *request);
-/* Refuses the request if this host knows that its organisation is over its
-   limit; returns whether it did.  Saves the reads from the table.  */
+/* Refuses the request if its organisation is known to be over its limit;
+   returns whether it did.  Called before the table is read.  */
 bool request_refuse_over_limit (struct mq_request *request);
 
 /* router_request.c */
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -13,7 +13,8 @@
 struct mq_router_settings *
 mq_router_settings_parse (TALLOC_CTX *ctx, const char *source, size_t len,
                           struct mq_text_errors *errors);
-/* Likewise; an unreadable file is reported as IO with its errno.  */
+/* Reads and parses FILE; if it is unreadable, ERRORS holds IO with the
+   errno.  */
 struct mq_router_settings *
 mq_router_settings_read (TALLOC_CTX *ctx, const char *file,
                          struct mq_text_errors *errors);
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -35,8 +35,8 @@
                           mq_buffer_text (&request->answer.fields));
 }
 
-/* The tokens granted do not suffice for another event.  Applies only if less
-   than the maximum was granted.  */
+/* Whether the tokens granted do not suffice for another event.  Applies only
+   to turns that were granted less than their maximum.  */
 static bool
 is_over_budget (const struct mq_request *request)
 {
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -125,9 +125,8 @@
     mq_chain_cache_put (turns->cache, copy);
 }
 
-/* Adds the CHAIN of the missing turn, of which COMPLETE tells whether it has
-   its beginning; otherwise the beginning is looked up next.  Takes ownership
-   of CHAIN.  */
+/* Adds CHAIN, the chain of the missing turn, and takes ownership of it.  If it
+   is not COMPLETE, its beginning is looked up next.  */
 static void
 add_chain (struct mq_turn *turn, struct mq_chain *chain, bool complete)
 {
--- a/src/router/router_turns.h
+++ b/src/router/router_turns.h
@@ -71,7 +71,8 @@
                                          TALLOC_CTX *ctx, uint32_t tries,
                                          mq_timer_handler *handler,
                                          void *data);
-/* Neither this host nor another one can reach the rows of PART.  */
+/* Whether PART can be reached neither by this host nor through another
+   one.  */
 bool mq_turns_part_unavailable (const struct mq_turns *turns,
                                 const char *part);
 /* Expiry of a record written now, seconds on the table's clock; 0 if that
--- a/src/router/router_wire.h
+++ b/src/router/router_wire.h
@@ -95,7 +95,7 @@
                                   struct mq_request_fields *fields);
 void mq_wire_read_response_fields (const struct mq_http_head *head,
                                    struct mq_response_fields *fields);
-/* The field is reserved for the system: what a caller sent in it is
+/* Whether the field is reserved for the system; values sent by callers are
    dropped.  */
 bool mq_wire_is_reserved_field (const char *name);
 /* Formats FIELDS as header lines, allocated on CTX.  */
