--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -1,7 +1,8 @@
-/* router_admit.c - whether the program of a turn may begin.
+/* router_admit.c - admission control of new programs.
 
-   Turns of programs that have begun are never refused here; whether one has is
-   known to this host, or stands in the program's record.
+   Turns of programs that have begun are never refused here.  This host knows
+   the programs it serves; the record of a program shows whether another host
+   has served it.
    Needs: router_request.h, id.h, clock.h.  */
 
 #include "core/id.h"
@@ -9,25 +10,25 @@
 #include "router_request.h"
 #include <string.h>
 
-/* Seed of the hash by which programs are refused; others choose workers.  */
+/* Hash seed for admission; differs from the seeds that choose workers.  */
 #define ADMISSION_SEED 2U
 
-/* Load of the platform's table, where ends of turns wait for their records, in
-   the unit of mq_fleet_service_pressure: a burst of short turns is bound by
-   the table's rate of writes and not by the engines.  */
+/* Load of the platform's table, measured by the waits of response ends for
+   their records, in the unit of mq_fleet_service_pressure.  Bursts of short
+   turns are limited by the table and not by the engines.  */
 static uint32_t
 record_load (const struct mq_request *request, uint64_t now)
 {
   if (!request->route->retains)
     return 0;
-  return mq_recent_mean (&request->router->record_waits, now) * 100U
+  return mq_recent_mean (&request->router->record_wait, now) * 100U
          / MQ_FLEET_DELAY_FULL_PERCENT;
 }
 
 static struct mq_admission_request
-admission_ask (const struct mq_request *request, uint64_t now)
+make_admission_request (const struct mq_request *request, uint64_t now)
 {
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
 
   return (struct mq_admission_request){
     .service = request->service,
@@ -38,9 +39,9 @@
     .load = mq_fleet_service_pressure (request->router->fleet,
                                        request->service, now),
     .record_load = record_load (request, now),
-    .has_remaining = facts->has_left,
-    .remaining_ms = facts->left_ms,
-    .budget = facts->has_budget ? facts->budget : 0,
+    .has_left = fields->has_left,
+    .left_ms = fields->left_ms,
+    .budget = fields->has_budget ? fields->budget : 0,
     .now_ms = now,
   };
 }
@@ -49,12 +50,12 @@
 refuse_program (struct mq_request *request)
 {
   request->router->counters.programs_refused++;
-  request_refuse (request,
-                  request->program_late ? MQ_REFUSE_LATE : MQ_REFUSE_LOADED);
+  request_refuse (request, request->program_deadline_at_risk
+                               ? MQ_REFUSE_LATE
+                               : MQ_REFUSE_OVERLOADED);
 }
 
-/* A record proves that some host has served a turn of the program; so may one
-   that can't be read.  */
+/* A record, even an unreadable one, shows that the program has begun.  */
 static void
 on_record (const struct mq_rows_result *result, void *user)
 {
@@ -64,14 +65,15 @@
   if (result->status == MQ_STORE_OK && result->row_count == 0)
     refuse_program (request);
   else
-    request_begin_turn (request);
+    request_prepare_turn (request);
 }
 
-/* Failure: a program's next turn comes to a host that has not seen it, looks
-   like a first one and is refused; what was done for the program is lost.  A
-   turn of a retaining route that names none before it is certainly a first
-   one.  Of others the program's record tells, at the cost of one read, and
-   only for those that are about to be refused.  */
+/* Refuses the program unless its record exists.  On a route that retains
+   turns, a turn without a previous one is the first for certain; on others the
+   record is read, at the cost of one read per refusal.
+
+   Failure: a later turn of a program reaches a host that has not served it, is
+   taken for a first turn and refused.  */
 static void
 refuse_unless_begun (struct mq_request *request)
 {
@@ -80,13 +82,13 @@
   if (request->route->retains)
     refuse_program (request);
   else if (mq_table_client_down (router->table_client))
-    request_begin_turn (request);
+    request_prepare_turn (request);
   else
     request->record_call = mq_turns_read_record (
         router->turns, request->program, on_record, request);
 }
 
-/* Where the turns of the program are to stay.  */
+/* Chooses the engine for the turns of the new program.  */
 static uint64_t
 choose_home (const struct mq_request *request, uint64_t now)
 {
@@ -105,25 +107,27 @@
 request_admit_turn (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
-  struct mq_admission_request ask;
+  struct mq_admission_request admission_request;
   enum mq_admission_decision answer;
 
   if (!request->begins_program)
     {
-      request_begin_turn (request);
+      request_prepare_turn (request);
       return;
     }
-  ask = admission_ask (request, now);
+  admission_request = make_admission_request (request, now);
   request->service_load
-      = ask.load > ask.record_load ? ask.load : ask.record_load;
-  answer = mq_admission_decide (request->router->admission, &ask,
+      = admission_request.load > admission_request.record_load
+            ? admission_request.load
+            : admission_request.record_load;
+  answer = mq_admission_decide (request->router->admission, &admission_request,
                                 &request->retry_ms);
-  request->program_late = answer == MQ_ADMISSION_TOO_LATE;
+  request->program_deadline_at_risk = answer == MQ_ADMISSION_TOO_LATE;
   switch (answer)
     {
     case MQ_ADMISSION_ACCEPTED:
       request->home = choose_home (request, now);
-      request_begin_turn (request);
+      request_prepare_turn (request);
       return;
     case MQ_ADMISSION_OVERLOADED:
     case MQ_ADMISSION_TOO_LATE:
--- a/src/router/router_identify.c
+++ b/src/router/router_identify.c
@@ -1,14 +1,14 @@
-/* router_identify.c - whose request it is, and under which ids its program and
-   its turns are kept.
+/* router_identify.c - the organisation of a request and the stored ids of its
+   program and turns.
 
    Needs: router_request.h.  */
 
 #include "router_request.h"
 #include <string.h>
 
-/* A caller whose key nobody has makes this host ask for a newer configuration,
-   but not again within so long: forged keys must not load the table.  A key
-   that was just added comes by the feed meanwhile.  */
+/* Minimum interval between queries for a newer configuration caused by unknown
+   keys, so that forged keys do not load the table.  Newly added keys arrive
+   through the feed.  */
 #define KEY_ASK_MS 1000U
 
 static const char *
@@ -19,17 +19,18 @@
   return mq_org_scoped_id ((TALLOC_CTX *)(uintptr_t)request, request->org, id);
 }
 
-/* Without organisations in the configuration ids are kept as they are.  */
+/* Without organisations ids are stored unchanged.  */
 static void
 set_ids (struct mq_request *request, const struct mq_route_table *table)
 {
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
   bool plain = table->orgs == NULL;
 
-  request->program = plain ? facts->program : scoped (request, facts->program);
-  request->turn_id = plain ? facts->id : scoped (request, facts->id);
+  request->program
+      = plain ? fields->program : scoped (request, fields->program);
+  request->turn_id = plain ? fields->id : scoped (request, fields->id);
   request->previous
-      = plain ? facts->previous : scoped (request, facts->previous);
+      = plain ? fields->previous : scoped (request, fields->previous);
 }
 
 enum request_identity
@@ -40,11 +41,11 @@
   request->org = NULL;
   if (table->orgs != NULL && !route->is_public)
     {
-      if (request->facts.key_count > 1)
-        return REQUEST_DOUBLY_IDENTIFIED;
-      request->org = mq_orgs_find_key (table->orgs, request->facts.key);
+      if (request->fields.key_count > 1)
+        return REQUEST_KEY_AMBIGUOUS;
+      request->org = mq_orgs_find_key (table->orgs, request->fields.key);
       if (request->org == NULL)
-        return REQUEST_UNIDENTIFIED;
+        return REQUEST_KEY_UNKNOWN;
     }
   set_ids (request, table);
   return REQUEST_IDENTIFIED;
@@ -53,27 +54,27 @@
 bool
 request_begins_program (const struct mq_request *request)
 {
-  return request->route->kind == MQ_ROUTE_STREAM && request->facts.main_line
+  return request->route->kind == MQ_ROUTE_STREAM && request->fields.main_line
          && request->previous == NULL
-         && !mq_turns_know (request->router->turns, request->program);
+         && !mq_turns_has_program (request->router->turns, request->program);
 }
 
 bool
-request_key_is_unknown (const struct mq_request *request)
+request_key_lookup_is_fresh (const struct mq_request *request)
 {
   return mq_rows_feeds_healthy (request->router->rows)
-         && mq_config_asked_within (request->router, KEY_ASK_MS);
+         && mq_config_confirmed_within (request->router, KEY_ASK_MS);
 }
 
 bool
-request_keeps_key (const struct mq_request *request)
+request_key_is_still_valid (const struct mq_request *request)
 {
   const struct mq_route_table *now = request->router->routes;
   const struct mq_org *org;
 
   if (request->org == NULL || now == request->table || now->orgs == NULL)
     return true;
-  org = mq_orgs_find_key (now->orgs, request->facts.key);
+  org = mq_orgs_find_key (now->orgs, request->fields.key);
   return org != NULL && strcmp (org->name, request->org->name) == 0;
 }
 
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -59,7 +59,7 @@
 }
 
 void
-mq_loan_forget (struct mq_loan *loan)
+mq_loan_cancel (struct mq_loan *loan)
 {
   if (loan == NULL)
     return;
@@ -73,8 +73,8 @@
   struct mq_turn *turn = loan->turn;
 
   turn->loan = NULL;
-  mq_loan_forget (loan);
-  mq_turn_tell (turn, state);
+  mq_loan_cancel (loan);
+  mq_turn_notify (turn, state);
 }
 
 /* Reserves the tokens of TURN from the local grant; false if they don't
@@ -86,13 +86,13 @@
 
   if (!turn->budgeted)
     return true;
-  program = mq_program_get (turn->turns, turn->program);
+  program = mq_program_get_or_create (turn->turns, turn->program);
   if (program == NULL)
     return false;
-  turn->granted = mq_budget_reserve_local (&program->budget, turn->most);
+  turn->granted = mq_budget_reserve_local (&program->budget, turn->max_tokens);
   if (turn->granted == 0)
     return false;
-  turn->in = program;
+  turn->owner = program;
   program->running++;
   program->limit = turn->limit;
   program->used_ms = mq_clock_ms ();
@@ -147,7 +147,8 @@
 request_issue (struct mq_loan *loan)
 {
   struct mq_turn *turn = loan->turn;
-  struct mq_program *program = mq_program_get (turn->turns, turn->program);
+  struct mq_program *program
+      = mq_program_get_or_create (turn->turns, turn->program);
 
   loan->issue = true;
   if (program == NULL
@@ -165,8 +166,8 @@
 {
   struct mq_program *program = loan->program;
 
-  mq_loan_forget (loan);
-  mq_program_recalled (program);
+  mq_loan_cancel (loan);
+  mq_program_on_recall_done (program);
 }
 
 /* Continues once all replies are in or the timeout has passed.  */
@@ -183,22 +184,22 @@
   if (loan->near)
     {
       turn->loan = NULL;
-      mq_loan_forget (loan);
-      if (mq_turn_find_in_memory (turn))
+      mq_loan_cancel (loan);
+      if (mq_turn_find_cached (turn))
         turn->turns->router->counters.turns_lent++;
       else
-        mq_turn_read (turn);
+        mq_turn_read_history (turn);
       return;
     }
-  if (turn->missing[0] != '\0')
+  if (turn->missing_id[0] != '\0')
     {
       /* With its history complete, the turn requests its budget, which may
          start another loan.  */
       turn->loan = NULL;
-      if (mq_turn_find_in_memory (turn))
-        mq_loan_forget (loan);
+      if (mq_turn_find_cached (turn))
+        mq_loan_cancel (loan);
       else
-        finish_loan (loan, MQ_TURN_NO_STORE);
+        finish_loan (loan, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   if (reserve_tokens (turn))
@@ -207,7 +208,7 @@
       finish_loan (loan, MQ_TURN_READY);
     }
   else if (loan->issue || loan->issue_forbidden)
-    finish_loan (loan, MQ_TURN_NO_STORE);
+    finish_loan (loan, MQ_TURN_STORE_UNAVAILABLE);
   else
     request_issue (loan);
 }
@@ -226,14 +227,14 @@
 }
 
 void
-mq_loan_begin (struct mq_turn *turn)
+mq_loan_request (struct mq_turn *turn)
 {
   /* A turn that may not borrow needs the table.  It continues if only a part
      of the table is unavailable, since its row can go to another part.  */
   if (!turn->may_borrow
       && mq_table_client_down (turn->turns->router->table_client))
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   turn->loan = create_loan (turn->turns);
@@ -245,7 +246,7 @@
    served an earlier turn has the history and a grant in memory, which saves a
    read and a write of the table.  */
 void
-mq_loan_try (struct mq_turn *turn)
+mq_loan_request_local_history (struct mq_turn *turn)
 {
   turn->loan = create_loan (turn->turns);
   turn->loan->turn = turn;
@@ -286,7 +287,8 @@
 store_tokens (struct mq_turns *turns, const struct mq_relay_loan_reply *reply,
               const char *address)
 {
-  struct mq_program *program = mq_program_get (turns, reply->program);
+  struct mq_program *program
+      = mq_program_get_or_create (turns, reply->program);
 
   if (program == NULL)
     return;
@@ -299,7 +301,8 @@
 static void
 adopt_home (struct mq_turns *turns, const struct mq_relay_loan_reply *reply)
 {
-  struct mq_program *program = mq_program_get (turns, reply->program);
+  struct mq_program *program
+      = mq_program_get_or_create (turns, reply->program);
 
   if (program != NULL && program->home == 0)
     program->home = reply->home;
@@ -314,19 +317,20 @@
   const struct mq_program *program;
 
   if (turn == NULL
-      || (turn->missing[0] != '\0'
-          && mq_chain_cache_find (loan->turns->cache, turn->missing) == NULL))
+      || (turn->missing_id[0] != '\0'
+          && mq_chain_cache_find (loan->turns->cache, turn->missing_id)
+                 == NULL))
     return false;
   if (!turn->budgeted)
     return true;
   program = mq_program_find (loan->turns, turn->program);
   return program != NULL
-         && mq_budget_can_reserve (&program->budget, turn->most);
+         && mq_budget_can_reserve (&program->budget, turn->max_tokens);
 }
 
 void
-mq_loan_on_told (const struct mq_relay_loan_reply *reply, const char *address,
-                 void *user)
+mq_loan_on_reply (const struct mq_relay_loan_reply *reply, const char *address,
+                  void *user)
 {
   struct mq_router *router = user;
   struct mq_turns *turns = router->turns;
@@ -359,9 +363,9 @@
   struct mq_turns *turns = router->turns;
   bool may_issue
       = request->may_issue && mq_reserve_may_issue (router, request->program);
-  struct mq_program *program = may_issue
-                                   ? mq_program_get (turns, request->program)
-                                   : mq_program_find (turns, request->program);
+  struct mq_program *program
+      = may_issue ? mq_program_get_or_create (turns, request->program)
+                  : mq_program_find (turns, request->program);
 
   if (program == NULL)
     return;
@@ -392,8 +396,8 @@
 }
 
 void
-mq_loan_on_ask (const struct mq_relay_loan_request *request,
-                struct mq_relay_link *link, void *user)
+mq_loan_on_request (const struct mq_relay_loan_request *request,
+                    struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   struct mq_relay_loan_reply reply
@@ -415,7 +419,7 @@
 }
 
 void
-mq_loan_on_back (const struct mq_relay_loan_return *back, void *user)
+mq_loan_on_return (const struct mq_relay_loan_return *back, void *user)
 {
   struct mq_router *router = user;
   struct mq_program *program = mq_program_find (router->turns, back->program);
@@ -428,13 +432,13 @@
    to their lender, so that a retry of the turn at another host can borrow
    them.  */
 void
-mq_loan_give_back (struct mq_program *program)
+mq_loan_return (struct mq_program *program)
 {
   struct mq_relay *relay = program->turns->router->relay;
   struct mq_relay_loan_return back = { .program = program->id };
 
   if (program->lender == NULL
-      || !mq_turns_away (program->turns, program->part))
+      || !mq_turns_part_unavailable (program->turns, program->part))
     return;
   back.tokens = mq_budget_return_loan (&program->budget);
   if (back.tokens == 0)
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -64,7 +64,7 @@
   bool begins;
   uint64_t message_id;
   uint64_t since_ms;
-  mq_permit_told *callback;
+  mq_permit_handler *callback;
   void *user;
 };
 
@@ -201,7 +201,7 @@
 }
 
 void
-mq_permit_forget (struct mq_permit *permit)
+mq_permit_cancel (struct mq_permit *permit)
 {
   if (permit == NULL)
     return;
@@ -227,7 +227,7 @@
 }
 
 static struct mq_permit *
-enqueue (struct share *share, bool begins, mq_permit_told *callback,
+enqueue (struct share *share, bool begins, mq_permit_handler *callback,
          void *user)
 {
   struct mq_permit *permit
@@ -270,9 +270,9 @@
 }
 
 enum mq_permit_state
-mq_permit_ask (struct mq_router *router, const struct mq_org *org, bool begins,
-               mq_permit_told *callback, void *user, struct mq_permit **permit,
-               uint32_t *retry_ms)
+mq_permit_request (struct mq_router *router, const struct mq_org *org,
+                   bool begins, mq_permit_handler *callback, void *user,
+                   struct mq_permit **permit, uint32_t *retry_ms)
 {
   uint64_t now = mq_clock_boot_ms ();
   struct share *share = get_share (router->permits, org->name);
@@ -288,10 +288,10 @@
       return MQ_PERMIT_GRANTED;
     case MQ_QUOTA_ASK_ISSUER:
       *permit = enqueue (share, begins, callback, user);
-      return MQ_PERMIT_WAITS;
+      return MQ_PERMIT_PENDING;
     case MQ_QUOTA_EXCEEDED:
       *retry_ms = mq_quota_retry_after_ms (&share->quota, begins, now);
-      return MQ_PERMIT_OVER;
+      return MQ_PERMIT_OVER_LIMIT;
     case MQ_QUOTA_NO_ISSUER:
       return MQ_PERMIT_UNKNOWN;
     }
@@ -299,8 +299,8 @@
 }
 
 bool
-mq_permit_refused (struct mq_router *router, const struct mq_org *org,
-                   bool begins, uint32_t *retry_ms)
+mq_permit_would_refuse (struct mq_router *router, const struct mq_org *org,
+                        bool begins, uint32_t *retry_ms)
 {
   const struct share *share = mq_idmap_find (router->permits->shares,
                                              mq_id_text_hash (org->name), 0);
@@ -424,7 +424,7 @@
 
   while ((share = mq_idmap_next (permits->shares, &position)) != NULL)
     if (contact_of (share) == NULL && share->first != NULL)
-      mq_reserve_look (permits->router, share->slot);
+      mq_reserve_refresh_issuer (permits->router, share->slot);
   for (struct contact *contact = permits->contacts; contact != NULL;
        contact = contact->next)
     send_due (permits, contact, now);
@@ -534,7 +534,7 @@
           complete_permit (permit, MQ_PERMIT_GRANTED, 0);
         }
       else
-        complete_permit (permit, MQ_PERMIT_OVER, gift->retry_ms);
+        complete_permit (permit, MQ_PERMIT_OVER_LIMIT, gift->retry_ms);
     }
 }
 
@@ -549,7 +549,7 @@
   if (share == NULL)
     return;
   if (gift->unknown)
-    mq_reserve_look (permits->router, share->slot);
+    mq_reserve_refresh_issuer (permits->router, share->slot);
   if (gift->unknown || !in_time)
     {
       requeue_message (share, reply->id);
@@ -563,8 +563,8 @@
 }
 
 void
-mq_permits_on_told (const struct mq_relay_quota_reply *reply,
-                    const char *address, void *user)
+mq_permits_on_reply (const struct mq_relay_quota_reply *reply,
+                     const char *address, void *user)
 {
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
@@ -668,14 +668,14 @@
   TALLOC_CTX *ctx = mq_must (talloc_new (permits));
   struct mq_relay_quota_reply reply = build_reply (ctx, permits, request);
 
-  mq_permits_on_told (&reply, mq_relay_address (permits->router->relay),
-                      permits->router);
+  mq_permits_on_reply (&reply, mq_relay_address (permits->router->relay),
+                       permits->router);
   talloc_free (ctx);
 }
 
 void
-mq_permits_on_ask (const struct mq_relay_quota_request *request,
-                   struct mq_relay_link *link, void *user)
+mq_permits_on_request (const struct mq_relay_quota_request *request,
+                       struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
   TALLOC_CTX *ctx = mq_must (talloc_new (router));
@@ -725,7 +725,7 @@
   struct mq_router *router = permits->router;
 
   if (permits->unconfirmed_hosts == 0 || !router->hosts_listed
-      || !mq_reserve_inherits (router))
+      || !mq_reserve_has_prior_leases (router))
     return;
   permits->unconfirmed_hosts
       = mq_relay_recall_quota (router->relay, permits->run);
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -1,7 +1,7 @@
 /* router_program.c - budgets of programs in the platform's table.
 
-   A turn asks for its budget before it is sent.  A program has one record,
-   and one call about it is under way at a time.
+   A turn reserves its budget before it is sent.  A program has one record and
+   at most one pending call for it.
    Needs: router_turns.h, id.h, reserve.h, clock.h.  */
 
 #include "router_turns.h"
@@ -12,11 +12,10 @@
 
 const char mq_budget_table[] = "budget";
 
-/* A program that has been idle for so long is forgotten, and what is left of
-   its grant is lost: ten times the longest pause between two turns.  */
-#define FORGET_MS 20000U
+/* Idle time after which a program is freed; the rest of its grant is lost.  */
+#define PROGRAM_IDLE_MS 20000U
 
-static void step_program (struct mq_program *program);
+static void advance_program (struct mq_program *program);
 
 struct mq_program *
 mq_program_find (struct mq_turns *turns, const char *id)
@@ -25,7 +24,7 @@
 }
 
 struct mq_program *
-mq_program_get (struct mq_turns *turns, const char *id)
+mq_program_get_or_create (struct mq_turns *turns, const char *id)
 {
   struct mq_id key = mq_id_text_hash (id);
   struct mq_program *program = mq_idmap_find (turns->programs, key, 0);
@@ -38,14 +37,14 @@
   program->turns = turns;
   program->key = key;
   program->id = talloc_strdup (program, id);
-  mq_turn_set_part (program->part, id, 0);
+  mq_turn_select_part (program->part, id, 0);
   program->holder = mq_random_next (&turns->router->random);
   mq_idmap_put (turns->programs, key, 0, program);
   return program;
 }
 
 bool
-mq_turns_know (struct mq_turns *turns, const char *program)
+mq_turns_has_program (struct mq_turns *turns, const char *program)
 {
   return mq_program_find (turns, program) != NULL;
 }
@@ -54,20 +53,20 @@
 mq_turns_read_record (struct mq_turns *turns, const char *program,
                       mq_rows_done *done, void *user)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, program, 0);
+  mq_turn_select_part (part, program, 0);
   return mq_table_client_get (turns->router->table_client, mq_budget_table,
                               part, program, done, user);
 }
 
 static void
-forget_program (struct mq_program *program)
+free_program (struct mq_program *program)
 {
   mq_idmap_remove (program->turns->programs, program->key, 0);
   if (program->call != NULL)
     mq_table_client_cancel (program->call);
-  mq_loan_forget (program->recall);
+  mq_loan_cancel (program->recall);
   talloc_free (program);
 }
 
@@ -78,21 +77,21 @@
 
   program->waiting = turn->next;
   turn->next = NULL;
-  turn->waits = false;
+  turn->queued = false;
   return turn;
 }
 
-/* The table can't tell.  */
+/* The table is unavailable: the waiting turns borrow from other hosts.  */
 static void
 fail_waiting (struct mq_program *program)
 {
   program->tries = 0;
   while (program->waiting != NULL)
-    mq_loan_begin (pop_waiting (program));
+    mq_loan_request (pop_waiting (program));
 }
 
 static void
-take_record (struct mq_program *program, const struct mq_rows_result *result)
+apply_record (struct mq_program *program, const struct mq_rows_result *result)
 {
   struct mq_budget_record record = { 0 };
   uint64_t version = 0;
@@ -103,7 +102,7 @@
       version = result->rows[0].version;
       if (version != 0 && !mq_budget_unpack (result->rows[0].value, &record))
         {
-          /* A record that can't be read proves nothing: as if all spent.  */
+          /* Treats an unreadable record as an exhausted budget.  */
           record = (struct mq_budget_record){ .spent = UINT32_MAX };
           mq_json_begin (&line, program->turns->router->log, MQ_JSON_NOTE,
                          MQ_LOG_BUDGET_UNREADABLE);
@@ -117,7 +116,7 @@
     program->home = record.home;
   for (struct mq_turn *turn = program->waiting; turn != NULL;
        turn = turn->next)
-    turn->fresh = true;
+    turn->record_checked = true;
 }
 
 static void
@@ -126,20 +125,20 @@
   struct mq_program *program = data;
 
   program->timer = NULL;
-  step_program (program);
+  advance_program (program);
 }
 
 static void
 retry_program (struct mq_program *program)
 {
   program->tries++;
-  if (program->tries >= MQ_TURN_TRIES_MAX
-      || mq_turns_away (program->turns, program->part))
+  if (program->tries >= MQ_TURN_ATTEMPTS_MAX
+      || mq_turns_part_unavailable (program->turns, program->part))
     {
       fail_waiting (program);
       return;
     }
-  program->timer = mq_turn_retry_later (
+  program->timer = mq_turn_schedule_retry (
       program->turns, program, program->tries, on_program_retry, program);
 }
 
@@ -154,8 +153,8 @@
       retry_program (program);
       return;
     }
-  take_record (program, result);
-  step_program (program);
+  apply_record (program, result);
+  advance_program (program);
 }
 
 static void
@@ -181,11 +180,11 @@
       break;
     case MQ_STORE_CONFLICT:
       program->tries = 0;
-      take_record (program, result);
+      apply_record (program, result);
       break;
     case MQ_STORE_LOST:
-      /* Whether it was done shows in the record.  */
-      if (++program->tries < MQ_TURN_TRIES_MAX)
+      /* The record tells whether the write succeeded.  */
+      if (++program->tries < MQ_TURN_ATTEMPTS_MAX)
         read_program (program);
       else
         fail_waiting (program);
@@ -194,7 +193,7 @@
       retry_program (program);
       return;
     }
-  step_program (program);
+  advance_program (program);
 }
 
 static void
@@ -208,7 +207,7 @@
   struct mq_bytes value;
 
   program->next.home = program->home;
-  program->next.until_s = mq_turns_kept_until (program->turns, 0);
+  program->next.until_s = mq_turns_expiry_s (program->turns, 0);
   value = mq_budget_pack (program, &program->next);
   entry.value = value;
   router->counters.budget_writes++;
@@ -218,21 +217,21 @@
 }
 
 static void
-end_waiting (struct mq_program *program, enum mq_turn_state state)
+finish_waiting (struct mq_program *program, enum mq_turn_state state)
 {
   struct mq_turn *turn = pop_waiting (program);
 
   if (state == MQ_TURN_READY)
     program->running++;
   turn->home = program->home;
-  mq_turn_tell (turn, state);
+  mq_turn_notify (turn, state);
 }
 
-/* The table is to be asked for the first turn that waits.  */
+/* Reads or writes the record, as the first waiting turn needs.  */
 static void
-call_table (struct mq_program *program, enum mq_budget_decision need)
+access_record (struct mq_program *program, enum mq_budget_decision need)
 {
-  if (mq_turns_away (program->turns, program->part))
+  if (mq_turns_part_unavailable (program->turns, program->part))
     fail_waiting (program);
   else if (need == MQ_BUDGET_WRITE)
     write_program (program);
@@ -240,56 +239,55 @@
     read_program (program);
 }
 
-/* Pause between two recalls of a program's unused grants.  A program that
-   loops asks several times a second once its budget is spent.  */
-#define RECALL_MS 1000U
+/* Minimum interval between recalls of the unused tokens of one program, whose
+   retries would otherwise cause one each.  */
+#define RECALL_INTERVAL_MS 1000U
 
 static bool
 may_recall (const struct mq_program *program, const struct mq_turn *turn)
 {
   uint64_t now = mq_clock_ms ();
 
-  return !turn->recalled
+  return !turn->recall_done
          && mq_budget_has_other_grants (&program->budget, program->holder)
          && (program->recalled_ms == 0
-             || now - program->recalled_ms >= RECALL_MS);
+             || now - program->recalled_ms >= RECALL_INTERVAL_MS);
 }
 
 void
-mq_program_recalled (struct mq_program *program)
+mq_program_on_recall_done (struct mq_program *program)
 {
   program->recall = NULL;
   program->recalled_ms = mq_clock_ms ();
   for (struct mq_turn *turn = program->waiting; turn != NULL;
        turn = turn->next)
-    turn->recalled = true;
-  step_program (program);
+    turn->recall_done = true;
+  advance_program (program);
 }
 
-/* The record leaves no room for the first turn that waits.
+/* The record has no tokens left for the first waiting turn.  If it was read
+   after the turn arrived, hosts with unused tokens are asked to lend them;
+   turns that arrive meanwhile wait for the same replies.
 
-   Failure: grants that hosts took for turns which then came to other hosts
-   fill the record, and a caller is told that the budget is spent though tokens
-   are left.  So a record read since the turn came is not the last word: hosts
-   that have unused tokens lend them.  Turns that come meanwhile wait for the
-   same answers.  */
+   Failure: grants of hosts that no longer serve the program exhaust its
+   record, and turns are refused although tokens are left.  */
 static void
-answer_doubt (struct mq_program *program)
+handle_uncertain_budget (struct mq_program *program)
 {
   struct mq_turn *turn = program->waiting;
 
-  if (!turn->fresh)
-    call_table (program, MQ_BUDGET_READ);
+  if (!turn->record_checked)
+    access_record (program, MQ_BUDGET_READ);
   else if (may_recall (program, turn))
-    program->recall = mq_loan_recall (program, turn->limit, turn->most);
+    program->recall = mq_loan_recall (program, turn->limit, turn->max_tokens);
   else
-    end_waiting (program, MQ_TURN_SPENT);
+    finish_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
 }
 
-/* Serves the turns that wait, as far as the grant goes; then asks the table
-   for more.  One call is under way at a time.  */
+/* Serves waiting turns from the grant, then calls the table for more
+   tokens.  */
 static void
-step_program (struct mq_program *program)
+advance_program (struct mq_program *program)
 {
   while (program->waiting != NULL && program->call == NULL
          && program->timer == NULL && program->recall == NULL)
@@ -297,88 +295,91 @@
       struct mq_turn *turn = program->waiting;
       enum mq_budget_decision answer
           = mq_budget_reserve (&program->budget, program->holder, turn->limit,
-                               turn->most, &program->next);
+                               turn->max_tokens, &program->next);
 
       switch (answer)
         {
         case MQ_BUDGET_RESERVED:
-          turn->granted = turn->most;
-          end_waiting (program, MQ_TURN_READY);
+          turn->granted = turn->max_tokens;
+          finish_waiting (program, MQ_TURN_READY);
           break;
         case MQ_BUDGET_WRITE:
         case MQ_BUDGET_READ:
-          call_table (program, answer);
+          access_record (program, answer);
           break;
         case MQ_BUDGET_UNCERTAIN:
-          answer_doubt (program);
+          handle_uncertain_budget (program);
           break;
         case MQ_BUDGET_EXHAUSTED:
-          end_waiting (program, MQ_TURN_SPENT);
+          finish_waiting (program, MQ_TURN_BUDGET_EXHAUSTED);
           break;
         }
     }
 }
 
 void
-mq_program_ask (struct mq_turn *turn)
+mq_program_reserve (struct mq_turn *turn)
 {
   struct mq_program *program;
   struct mq_turn **at;
 
   if (!turn->budgeted)
     {
-      mq_turn_tell (turn, MQ_TURN_READY);
+      mq_turn_notify (turn, MQ_TURN_READY);
       return;
     }
-  program = mq_program_get (turn->turns, turn->program);
+  program = mq_program_get_or_create (turn->turns, turn->program);
   if (program == NULL)
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   program->used_ms = mq_clock_ms ();
   program->limit = turn->limit;
   if (program->home == 0)
     program->home = turn->home;
-  turn->in = program;
-  turn->waits = true;
+  turn->owner = program;
+  turn->queued = true;
   for (at = &program->waiting; *at != NULL; at = &(*at)->next)
     continue;
   *at = turn;
-  step_program (program);
+  advance_program (program);
 }
 
 void
-mq_program_leave (struct mq_turn *turn)
+mq_program_dequeue (struct mq_turn *turn)
 {
-  if (!turn->waits)
+  if (!turn->queued)
     return;
-  for (struct mq_turn **at = &turn->in->waiting; *at != NULL;
+  for (struct mq_turn **at = &turn->owner->waiting; *at != NULL;
        at = &(*at)->next)
     if (*at == turn)
       {
         *at = turn->next;
         break;
       }
-  turn->waits = false;
+  turn->queued = false;
 }
 
-/* Failure: a program's limit holds two turns; its host is lost between them,
-   and with it the grant that would have served the second.  */
+/* Returns unused tokens of the grant to the record once the program has no
+   turns.
+
+   Failure: the host fails between two turns, and the rest of its grant is lost
+   to the second.  */
 static void
 release_grant (struct mq_program *program, uint64_t most)
 {
   if (program->call == NULL && program->timer == NULL
-      && !mq_turns_away (program->turns, program->part)
+      && !mq_turns_part_unavailable (program->turns, program->part)
       && mq_budget_release (&program->budget, program->holder, program->limit,
                             most, &program->next))
     write_program (program);
 }
 
 void
-mq_turn_settle (struct mq_turn *turn, uint64_t used)
+mq_turn_settle_budget (struct mq_turn *turn, uint64_t used)
 {
-  struct mq_program *program = turn->in;
+  struct mq_program *program = turn->owner;
 
   if (turn->granted == 0)
     return;
@@ -388,19 +389,21 @@
   turn->granted = 0;
   if (program->running > 0 || program->waiting != NULL)
     return;
-  mq_loan_give_back (program);
-  release_grant (program, turn->most);
+  mq_loan_return (program);
+  release_grant (program, turn->max_tokens);
 }
 
-/* Failure: a host issued tokens while the table was away and forgets it; the
-   record never counts them, and in the next such time another host issues as
-   many again.  So they are written down before the program is forgotten.  */
+/* Records tokens issued during an outage of the table before the program is
+   freed.
+
+   Failure: the tokens are never counted, and in the next outage another host
+   issues as many again.  */
 static void
 record_issued (struct mq_program *program)
 {
   if (program->budget.issued == 0 || program->call != NULL
       || program->timer != NULL || program->running > 0
-      || mq_turns_away (program->turns, program->part))
+      || mq_turns_part_unavailable (program->turns, program->part))
     return;
   if (mq_budget_record_issued (&program->budget, program->holder,
                                program->limit, &program->next))
@@ -416,7 +419,7 @@
 }
 
 bool
-mq_turns_have_issued (const struct mq_turns *turns, uint32_t slot)
+mq_turns_have_unrecorded_tokens (const struct mq_turns *turns, uint32_t slot)
 {
   size_t position = 0;
   const struct mq_program *program;
@@ -427,25 +430,25 @@
   return false;
 }
 
-/* Most programs forgotten at one time, so that a look stays short.  */
-#define FORGET_MAX 64U
+/* Programs freed in one sweep at most, to keep it short.  */
+#define SWEEP_FREE_MAX 64U
 
 void
 mq_turns_sweep (struct mq_turns *turns)
 {
   uint64_t now = mq_clock_ms ();
-  struct mq_program *found[FORGET_MAX];
+  struct mq_program *found[SWEEP_FREE_MAX];
   size_t count = 0;
   size_t position = 0;
   struct mq_program *program;
 
-  while (count < FORGET_MAX
+  while (count < SWEEP_FREE_MAX
          && (program = mq_idmap_next (turns->programs, &position)) != NULL)
     {
       record_issued (program);
-      if (is_idle (program) && now - program->used_ms >= FORGET_MS)
+      if (is_idle (program) && now - program->used_ms >= PROGRAM_IDLE_MS)
         found[count++] = program;
     }
   for (size_t i = 0; i < count; i++)
-    forget_program (found[i]);
+    free_program (found[i]);
 }
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -1,8 +1,9 @@
-/* router_request.c - one request's life, from the caller to its answer.
+/* router_request.c - life cycle of one request, from the caller to its final
+   response.
 
-   Read, check, find its route, make its turn ready, choose a worker, send,
-   pass the answer on.  A try that fails is followed by another one only where
-   core/attempt.h allows it.
+   Validates the request, finds its route, prepares its turn, chooses a worker,
+   sends the request and forwards the response. core/attempt.h decides whether
+   a failed attempt is retried.
    Needs: router_request.h, id.h, outage.h, clock.h.  */
 
 #include "router_request.h"
@@ -12,23 +13,21 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Time that a caller is asked to stay away while the platform's table is down,
-   which lasts for seconds, milliseconds.  */
-#define RETRY_DOWN_MS 2000U
-/* A caller who leaves after so long without an answer tells against the
-   worker; one who leaves earlier does not.  */
-#define LEFT_TELLS_MS 1000U
+/* Retry-After while the platform's table is unavailable.  */
+#define RETRY_TABLE_DOWN_MS 2000U
+/* If a caller disconnects after the worker was inactive for this long, the
+   attempt counts as a failure of the worker.  */
+#define DISCONNECT_FAILURE_MS 1000U
 
-/* Time until the final answer.  */
+/* Time remaining until the deadline.  */
 static uint64_t
 left_ms (const struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
 
-  return request->give_up_ms > now ? request->give_up_ms - now : 0;
+  return request->expires_ms > now ? request->expires_ms - now : 0;
 }
 
-/* Of the last worker that was chosen.  */
 static const char *
 worker_id (const struct mq_request *request)
 {
@@ -36,12 +35,12 @@
 }
 
 static void
-log_head (struct mq_json_line *line, const struct mq_request *request,
-          enum mq_json_weight weight, enum mq_log_event event)
+begin_log_line (struct mq_json_line *line, const struct mq_request *request,
+                enum mq_json_weight weight, enum mq_log_event event)
 {
   mq_json_begin (line, request->router->log, weight, event);
-  mq_json_text (line, "id", request->facts.id);
-  mq_json_text (line, "run", request->facts.program);
+  mq_json_text (line, "id", request->fields.id);
+  mq_json_text (line, "run", request->fields.program);
   if (request->org != NULL)
     mq_json_text (line, "organisation", request->org->name);
   if (request->route != NULL)
@@ -57,45 +56,44 @@
 {
   struct mq_json_line line;
 
-  log_head (&line, request, weight, MQ_LOG_REQUEST_ENDED);
+  begin_log_line (&line, request, weight, MQ_LOG_REQUEST_ENDED);
   mq_json_text (&line, "outcome", outcome);
   mq_json_number (&line, "status", (uint64_t)status);
   mq_json_number (&line, "sent", request->sent);
   if (request->worker != MQ_WORKER_NONE)
     mq_json_text (&line, "worker", worker_id (request));
   if (request->is_turn)
-    mq_json_number (&line, "tokens", request->handed);
+    mq_json_number (&line, "tokens", request->tokens_sent);
   if (request->retry_ms > 0)
     {
       mq_json_number (&line, "load", request->service_load);
-      mq_json_number (&line, "left_ms", request->facts.left_ms);
+      mq_json_number (&line, "left_ms", request->fields.left_ms);
       mq_json_number (&line, "retry_ms", request->retry_ms);
     }
   mq_json_end (&line);
 }
 
-/* Leaves the worker, if the request is still there.  */
+/* Cancels the pending attempt, if any.  */
 static void
-stop_try (struct mq_request *request, enum mq_fleet_outcome outcome)
+cancel_try (struct mq_request *request, enum mq_fleet_outcome outcome)
 {
   mq_try_stop (request->try, outcome);
   request->try = NULL;
 }
 
-/* Frees the request; its caller has been answered or is gone.  */
 void
 request_close (struct mq_request *request)
 {
   struct mq_router *router = request->router;
 
-  stop_try (request, MQ_OUTCOME_CANCELLED);
-  mq_config_forget (request->confirm);
-  mq_permit_forget (request->permit);
+  cancel_try (request, MQ_OUTCOME_CANCELLED);
+  mq_config_cancel_fetch (request->config_waiter);
+  mq_permit_cancel (request->permit);
   mq_table_client_cancel (request->record_call);
   if (request->is_turn)
     {
-      mq_turn_settle (&request->turn, request->handed);
-      mq_turn_forget (&request->turn);
+      mq_turn_settle_budget (&request->turn, request->tokens_sent);
+      mq_turn_cancel (&request->turn);
     }
   router->request_count--;
   if (request->table != NULL)
@@ -116,67 +114,66 @@
 {
   struct mq_caller *caller = request->caller;
   struct mq_router *router = request->router;
-  const struct mq_refusal_row *row = mq_refusal_row (refusal);
+  const struct mq_refusal_response *row = mq_refusal_response (refusal);
 
   request_log_end (request, MQ_JSON_NOTE, row->name, row->status);
   if (row->status >= 500 && row->status != 503)
     router->counters.failed++;
-  if (refusal == MQ_REFUSE_STORE
+  if (refusal == MQ_REFUSE_TABLE_UNAVAILABLE
       && mq_table_client_down (router->table_client))
-    retry_ms = RETRY_DOWN_MS;
+    retry_ms = RETRY_TABLE_DOWN_MS;
   if (refusal == MQ_REFUSE_NO_WORKER)
     retry_ms = mq_fleet_retry_ms (router->fleet, request->service);
-  if (refusal == MQ_REFUSE_LOADED || refusal == MQ_REFUSE_LATE)
+  if (refusal == MQ_REFUSE_OVERLOADED || refusal == MQ_REFUSE_LATE)
     retry_ms = request->retry_ms;
   request_close (request);
-  mq_refuse_caller (router, caller, refusal, retry_ms);
+  mq_caller_refuse (router, caller, refusal, retry_ms);
 }
 
-/* An answer that has begun can't be completed.  */
 void
-request_break_off (struct mq_request *request, const char *why)
+request_abort (struct mq_request *request, const char *why)
 {
   struct mq_caller *caller = request->caller;
 
   request->router->counters.broken++;
   request_log_end (request, MQ_JSON_NOTE, why, request->answer.status);
   request_close (request);
-  mq_caller_break (caller);
+  mq_caller_abort (caller);
 }
 
-/* Whatever was tried, a worker may have run the request.  */
 static bool
 may_have_run (const struct mq_request *request)
 {
-  return request->ran || (request->try != NULL && mq_try_sent (request->try));
+  return request->may_have_run
+         || (request->try != NULL && mq_try_sent (request->try));
 }
 
 static void
-on_overdue (void *data)
+on_deadline (void *data)
 {
   struct mq_request *request = data;
 
   request->timer = NULL;
-  request->ran = may_have_run (request);
+  request->may_have_run = may_have_run (request);
   if (request->answer.status == 0)
-    stop_try (request, MQ_OUTCOME_FAILED);
-  if (request->begun)
-    request_break_off (request, "overdue");
-  else if (request->ran)
-    request_refuse (request, MQ_REFUSE_OVERDUE);
+    cancel_try (request, MQ_OUTCOME_FAILED);
+  if (request->response_begun)
+    request_abort (request, "overdue");
+  else if (request->may_have_run)
+    request_refuse (request, MQ_REFUSE_DEADLINE_EXCEEDED);
   else
     request_refuse (request, MQ_REFUSE_TIMED_OUT);
 }
 
-static void pass_on (struct mq_request *request);
+static void forward_response (struct mq_request *request);
 
 static void
-log_try (const struct mq_request *request, enum mq_attempt_end end,
-         enum mq_attempt_next next)
+log_failed_try (const struct mq_request *request, enum mq_attempt_end end,
+                enum mq_attempt_next next)
 {
   struct mq_json_line line;
 
-  log_head (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+  begin_log_line (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
   mq_json_text (&line, "worker", worker_id (request));
   mq_json_text (&line, "how", mq_attempt_end_name (end));
   mq_json_number (&line, "status", (uint64_t)request->answer.status);
@@ -187,9 +184,10 @@
   mq_json_end (&line);
 }
 
-/* The try at the worker has ended without an answer to pass on.  */
+/* Decides what follows an attempt that ended without a response to
+   forward.  */
 static void
-follow_try (struct mq_request *request, enum mq_attempt_end end)
+handle_failed_try (struct mq_request *request, enum mq_attempt_end end)
 {
   struct mq_attempt attempt;
   enum mq_attempt_next next;
@@ -200,47 +198,47 @@
       request->unreachable++;
     }
   if (end == MQ_ATTEMPT_BROKEN || end == MQ_ATTEMPT_ERROR)
-    request->ran = true;
+    request->may_have_run = true;
   attempt = (struct mq_attempt){
     .end = end,
     .repeatable = mq_route_repeatable (request->route),
-    .begun = request->begun,
+    .begun = request->response_begun,
     .sent = request->sent,
     .sent_max = request->route->attempts,
     .unreachable = request->unreachable,
-    .remaining_ms = left_ms (request),
-    .may_have_run = request->ran,
+    .left_ms = left_ms (request),
+    .ran = request->may_have_run,
   };
   next = mq_attempt_decide (&attempt);
-  log_try (request, end, next);
+  log_failed_try (request, end, next);
   switch (next)
     {
     case MQ_NEXT_RETRY:
       request->router->counters.retries++;
-      if (request->begun)
+      if (request->response_begun)
         request->router->counters.resumed++;
-      mq_answer_reset (&request->answer);
-      request_send (request);
+      mq_response_reset (&request->answer);
+      request_dispatch (request);
       return;
     case MQ_NEXT_REFUSE:
       request_refuse (request, end == MQ_ATTEMPT_NOT_RUN
-                                   ? MQ_REFUSE_FULL
+                                   ? MQ_REFUSE_NO_CAPACITY
                                    : MQ_REFUSE_NO_WORKER);
       return;
     case MQ_NEXT_FAIL:
       request_refuse (request, MQ_REFUSE_FAILED);
       return;
     case MQ_NEXT_FORWARD:
-      pass_on (request);
+      forward_response (request);
       return;
     case MQ_NEXT_ABORT:
-      request_break_off (request, "broken");
+      request_abort (request, "broken");
       return;
     }
 }
 
 void
-request_note_served (const struct mq_request *request)
+request_count_served (const struct mq_request *request)
 {
   struct mq_router *router = request->router;
 
@@ -249,27 +247,27 @@
                     mq_clock_ms () - request->arrived_ms);
 }
 
-/* The worker's answer as a whole, as it was.  */
+/* Forwards the worker's buffered response unchanged.  */
 static void
-pass_on (struct mq_request *request)
+forward_response (struct mq_request *request)
 {
   struct mq_caller *caller = request->caller;
   struct mq_router *router = request->router;
-  struct mq_answer *answer = &request->answer;
+  struct mq_response *answer = &request->answer;
   struct mq_buffer fields = answer->fields;
   struct mq_buffer body = answer->body;
   int status = answer->status;
-  bool with_body = !mq_answer_bodiless (status)
+  bool with_body = !mq_response_has_no_body (status)
                    && strcmp (request->head->method, "HEAD") != 0;
 
-  request_note_served (request);
+  request_count_served (request);
   request_log_end (request, status >= 500 ? MQ_JSON_NOTE : MQ_JSON_PLAIN,
                    "served", status);
   talloc_steal (router, fields.data);
   talloc_steal (router, body.data);
   request_close (request);
-  mq_caller_answer (caller, status, mq_buffer_text (&fields),
-                    mq_buffer_text (&body), body.len, with_body);
+  mq_caller_respond (caller, status, mq_buffer_text (&fields),
+                     mq_buffer_text (&body), body.len, with_body);
   mq_buffer_clear (&fields);
   mq_buffer_clear (&body);
 }
@@ -280,8 +278,8 @@
   struct mq_fleet_query query = {
     .service = request->service,
     .data_centre = request->router->settings->data_centre,
-    .tried = request->tried,
-    .tried_count = request->tried_count,
+    .tried = request->attempted,
+    .tried_count = request->attempted_count,
     .now_ms = now,
     .random = mq_random_next (&request->router->random),
   };
@@ -290,25 +288,25 @@
     query.home = request->turn.home;
   query.has_key = mq_route_affinity_key (request->route, request->service_info,
                                          request->program,
-                                         request->facts.affinity, &query.key);
+                                         request->fields.affinity, &query.key);
   return mq_fleet_choose (request->router->fleet, &query);
 }
 
 static void
-refuse_unplaced (struct mq_request *request)
+refuse_no_worker_left (struct mq_request *request)
 {
-  if (request->begun)
-    request_break_off (request, "no_worker");
-  else if (request->ran)
+  if (request->response_begun)
+    request_abort (request, "no_worker");
+  else if (request->may_have_run)
     request_refuse (request, MQ_REFUSE_FAILED);
-  else if (request->tried_count > 0)
-    request_refuse (request, MQ_REFUSE_FULL);
+  else if (request->attempted_count > 0)
+    request_refuse (request, MQ_REFUSE_NO_CAPACITY);
   else
     request_refuse (request, MQ_REFUSE_NO_WORKER);
 }
 
 static void
-on_tried (enum mq_attempt_end end, void *user)
+on_try_ended (enum mq_attempt_end end, void *user)
 {
   struct mq_request *request = user;
 
@@ -319,13 +317,13 @@
       request_end_stream (request);
       return;
     case MQ_ATTEMPT_ANSWERED:
-      pass_on (request);
+      forward_response (request);
       return;
     case MQ_ATTEMPT_UNREACHABLE:
     case MQ_ATTEMPT_NOT_RUN:
     case MQ_ATTEMPT_BROKEN:
     case MQ_ATTEMPT_ERROR:
-      follow_try (request, end);
+      handle_failed_try (request, end);
       return;
     }
 }
@@ -339,27 +337,27 @@
     .fleet = router->fleet,
     .pool = router->pool,
     .worker = request->worker,
-    .id = request->facts.id,
+    .id = request->fields.id,
     .body = request->send_body,
     .answer = &request->answer,
     .answer_ctx = request,
     .repeatable = mq_route_repeatable (request->route),
-    .begun = request->begun,
-    .events = request_pass_events,
-    .ended = on_tried,
+    .begun = request->response_begun,
+    .events = request_forward_events,
+    .ended = on_try_ended,
     .user = request,
   };
 
-  options.watched
+  options.detect_inactivity
       = options.repeatable && request->sent < request->route->attempts;
   options.send = (struct mq_send){
     .head = request->head,
-    .host = request->facts.host,
+    .host = request->fields.host,
     .route = request->route,
     .engine = request->service_info != NULL && request->service_info->engine,
     .worker = worker_id (request),
     .last_event = request->last_event,
-    .left_ms = (uint32_t)(request->give_up_ms - request->sent_ms),
+    .left_ms = (uint32_t)(request->expires_ms - request->sent_ms),
     .priority = request_priority (request),
     .organisation = request->org == NULL ? NULL : request->org->name,
     .body_len = request->send_body.len,
@@ -368,56 +366,57 @@
 }
 
 void
-request_send (struct mq_request *request)
+request_dispatch (struct mq_request *request)
 {
   uint64_t now = mq_clock_ms ();
   uint32_t worker;
 
   if (!request->permitted)
     {
-      request_limit (request);
+      request_acquire_permit (request);
       return;
     }
   worker = choose_worker (request, now);
 
-  if (worker == MQ_WORKER_NONE || request->tried_count == TRIED_MAX
-      || now >= request->give_up_ms)
+  if (worker == MQ_WORKER_NONE
+      || request->attempted_count == ATTEMPTED_WORKERS_MAX
+      || now >= request->expires_ms)
     {
-      refuse_unplaced (request);
+      refuse_no_worker_left (request);
       return;
     }
-  if (!request->begun && !request_keeps_key (request))
+  if (!request->response_begun && !request_key_is_still_valid (request))
     {
-      request_refuse (request,
-                      request->ran ? MQ_REFUSE_FAILED : MQ_REFUSE_NO_KEY);
+      request_refuse (request, request->may_have_run ? MQ_REFUSE_FAILED
+                                                     : MQ_REFUSE_UNKNOWN_KEY);
       return;
     }
   request->worker = worker;
-  request->tried[request->tried_count++] = worker;
+  request->attempted[request->attempted_count++] = worker;
   request->sent++;
   request->sent_ms = now;
   request->try = begin_try (request);
   if (request->try == NULL)
-    follow_try (request, MQ_ATTEMPT_UNREACHABLE);
+    handle_failed_try (request, MQ_ATTEMPT_UNREACHABLE);
 }
 
-/* The worker gets all that was said before, then the new input.  */
+/* Sends the turn with its history followed by the new input.  */
 static void
 send_turn (struct mq_request *request)
 {
-  const struct mq_chain *before = request->turn.before;
+  const struct mq_chain *before = request->turn.history;
 
   if (before != NULL)
     request->send_body
         = mq_chain_append_input (request, before, request->body);
   if (before != NULL && request->send_body.data == NULL)
-    request_refuse (request, MQ_REFUSE_FULL);
+    request_refuse (request, MQ_REFUSE_NO_CAPACITY);
   else
-    request_send (request);
+    request_dispatch (request);
 }
 
 static void
-on_turn (enum mq_turn_state state, void *user)
+on_turn_state (enum mq_turn_state state, void *user)
 {
   struct mq_request *request = user;
 
@@ -426,26 +425,26 @@
     case MQ_TURN_READY:
       send_turn (request);
       return;
-    case MQ_TURN_SPENT:
-      request_refuse (request, MQ_REFUSE_BUDGET);
+    case MQ_TURN_BUDGET_EXHAUSTED:
+      request_refuse (request, MQ_REFUSE_BUDGET_EXHAUSTED);
       return;
-    case MQ_TURN_NO_CHAIN:
+    case MQ_TURN_NOT_FOUND:
       request_refuse (request, MQ_REFUSE_NO_TURN);
       return;
-    case MQ_TURN_NO_STORE:
-      if (request->ended)
-        request_break_off (request, "not_kept");
+    case MQ_TURN_STORE_UNAVAILABLE:
+      if (request->response_complete)
+        request_abort (request, "not_kept");
       else
-        request_refuse (request, MQ_REFUSE_STORE);
+        request_refuse (request, MQ_REFUSE_TABLE_UNAVAILABLE);
       return;
-    case MQ_TURN_KEPT:
+    case MQ_TURN_STORED:
       request_finish_stream (request);
       return;
     }
 }
 
 void
-request_begin_turn (struct mq_request *request)
+request_prepare_turn (struct mq_request *request)
 {
   bool runs
       = mq_outage_should_run (left_ms (request), request->route->timeout_ms);
@@ -453,7 +452,7 @@
   if (!runs && request->route->retains
       && mq_table_client_down (request->router->table_client))
     {
-      request_refuse (request, MQ_REFUSE_STORE);
+      request_refuse (request, MQ_REFUSE_TABLE_UNAVAILABLE);
       return;
     }
   request->is_turn = true;
@@ -461,35 +460,36 @@
     .program = request->program,
     .id = request->turn_id,
     .previous = request->route->retains ? request->previous : NULL,
-    .limit = request->facts.budget,
-    .most = mq_route_round_to_events (request->service_info,
-                                      request->facts.tokens_out),
-    .budgeted = request->facts.has_budget && request->program != NULL,
+    .limit = request->fields.budget,
+    .max_tokens = mq_route_round_to_events (request->service_info,
+                                            request->fields.tokens_out),
+    .budgeted = request->fields.has_budget && request->program != NULL,
     .retains = request->route->retains,
     .retain_s = request->route->retain_s,
     .may_borrow = runs,
     .home = request->home,
-    .told = on_turn,
+    .notify = on_turn_state,
     .user = request,
   };
   mq_turn_prepare (request->router->turns, &request->turn);
 }
 
-/* Time until the final answer: what the caller waits, and no longer than the
-   operator wants it kept waiting.  */
+/* Time allowed for the final response: the deadline of the caller, at most the
+   timeout of the route.  */
 static uint64_t
-patience_ms (const struct mq_request *request)
+response_timeout_ms (const struct mq_request *request)
 {
   uint64_t wait = request->route->timeout_ms;
 
-  if (request->facts.deadline_ms > 0 && request->facts.deadline_ms < wait)
-    wait = request->facts.deadline_ms;
+  if (request->fields.deadline_ms > 0 && request->fields.deadline_ms < wait)
+    wait = request->fields.deadline_ms;
   return wait;
 }
 
-/* Makes the request go by ROUTE of the configuration in force.  */
+/* Binds the request to ROUTE of the active configuration and dispatches
+   it.  */
 static void
-follow_route (struct mq_request *request, const struct mq_path_route *route)
+apply_route (struct mq_request *request, const struct mq_path_route *route)
 {
   struct mq_router *router = request->router;
   uint64_t key = mq_random_next (&router->random);
@@ -501,17 +501,17 @@
   request->service = mq_route_service (route, key);
   request->service_info
       = mq_route_service_find (request->table, request->service);
-  request->give_up_ms = request->arrived_ms + patience_ms (request);
+  request->expires_ms = request->arrived_ms + response_timeout_ms (request);
   request->timer = mq_timer_add (request, router->ev, left_ms (request),
-                                 on_overdue, request);
+                                 on_deadline, request);
   request->begins_program = request_begins_program (request);
-  if (request_is_over (request))
+  if (request_refuse_over_limit (request))
     return;
   if (route->kind == MQ_ROUTE_STREAM
-      && (route->retains || request->facts.has_budget))
+      && (route->retains || request->fields.has_budget))
     request_admit_turn (request);
   else
-    request_send (request);
+    request_dispatch (request);
 }
 
 static bool
@@ -521,36 +521,36 @@
 }
 
 static bool
-is_sound (const struct mq_request *request)
+is_valid (const struct mq_request *request)
 {
   const struct mq_http_head *head = request->head;
-  const struct mq_call_facts *facts = &request->facts;
+  const struct mq_request_fields *fields = &request->fields;
 
   return head->target[0] == '/' && mq_http_head_count (head, "Host") == 1
-         && facts->id != NULL && id_fits (facts->id)
-         && (facts->program == NULL || id_fits (facts->program));
+         && fields->id != NULL && id_fits (fields->id)
+         && (fields->program == NULL || id_fits (fields->program));
 }
 
-/* What the configuration in force says: goes on by it, or refuses what is
-   wrong under any.  If it lacks the route or the key, which a newer one may
-   have, returns the refusal for when there is no newer one.  */
+/* Handles the request by the active configuration and returns
+   MQ_REFUSE_NOTHING.  If that has no such route or key, leaves the request and
+   returns the refusal to use unless a newer configuration has it.  */
 static enum mq_refusal
-follow_config (struct mq_request *request)
+apply_config (struct mq_request *request)
 {
   const struct mq_route_table *table = request->router->routes;
   const struct mq_path_route *route
-      = mq_route_find (table, request->facts.host, request->head->target);
+      = mq_route_find (table, request->fields.host, request->head->target);
 
   if (route == NULL)
     return MQ_REFUSE_NO_ROUTE;
   switch (request_identify (request, table, route))
     {
     case REQUEST_IDENTIFIED:
-      follow_route (request, route);
+      apply_route (request, route);
       return MQ_REFUSE_NOTHING;
-    case REQUEST_UNIDENTIFIED:
-      return MQ_REFUSE_NO_KEY;
-    case REQUEST_DOUBLY_IDENTIFIED:
+    case REQUEST_KEY_UNKNOWN:
+      return MQ_REFUSE_UNKNOWN_KEY;
+    case REQUEST_KEY_AMBIGUOUS:
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
       return MQ_REFUSE_NOTHING;
     }
@@ -561,12 +561,13 @@
 on_confirmed (bool current, void *user)
 {
   struct mq_request *request = user;
-  enum mq_refusal missing;
+  enum mq_refusal refusal_if_current;
 
-  request->confirm = NULL;
-  missing = follow_config (request);
-  if (missing != MQ_REFUSE_NOTHING)
-    request_refuse (request, current ? missing : MQ_REFUSE_NOT_READY);
+  request->config_waiter = NULL;
+  refusal_if_current = apply_config (request);
+  if (refusal_if_current != MQ_REFUSE_NOTHING)
+    request_refuse (request,
+                    current ? refusal_if_current : MQ_REFUSE_NOT_READY);
 }
 
 void
@@ -575,11 +576,11 @@
                   uint64_t arrived_ms)
 {
   struct mq_request *request = talloc_zero (router, struct mq_request);
-  enum mq_refusal missing;
+  enum mq_refusal refusal_if_current;
 
   if (request == NULL)
     {
-      mq_refuse_caller (router, caller, MQ_REFUSE_FULL, 0);
+      mq_caller_refuse (router, caller, MQ_REFUSE_NO_CAPACITY, 0);
       return;
     }
   router->request_count++;
@@ -591,42 +592,45 @@
   request->send_body = body;
   request->arrived_ms = arrived_ms;
   request->worker = MQ_WORKER_NONE;
-  mq_wire_read_call (head, &request->facts);
-  mq_caller_serves (caller, request);
-  if (!is_sound (request))
+  mq_wire_read_request_fields (head, &request->fields);
+  mq_caller_attach_request (caller, request);
+  if (!is_valid (request))
     {
       request_refuse (request, MQ_REFUSE_BAD_REQUEST);
       return;
     }
-  if (request->facts.last_event != NULL)
+  if (request->fields.last_event != NULL)
     snprintf (request->last_event, sizeof request->last_event, "%s",
-              request->facts.last_event);
+              request->fields.last_event);
   if (router->routes == NULL || !router->workers_listed)
     {
       request_refuse (request, MQ_REFUSE_NOT_READY);
       return;
     }
-  missing = follow_config (request);
-  if (missing == MQ_REFUSE_NO_KEY && request_key_is_unknown (request))
-    request_refuse (request, missing);
-  else if (missing != MQ_REFUSE_NOTHING)
-    request->confirm = mq_config_confirm (router, on_confirmed, request);
+  refusal_if_current = apply_config (request);
+  if (refusal_if_current == MQ_REFUSE_UNKNOWN_KEY
+      && request_key_lookup_is_fresh (request))
+    request_refuse (request, refusal_if_current);
+  else if (refusal_if_current != MQ_REFUSE_NOTHING)
+    request->config_waiter
+        = mq_config_fetch_latest (router, on_confirmed, request);
 }
 
 void
-mq_request_caller_left (struct mq_request *request)
+mq_request_caller_disconnected (struct mq_request *request)
 {
   request->router->counters.left++;
   request_log_end (request, MQ_JSON_PLAIN, "caller_left",
                    request->answer.status);
-  if (request->try != NULL && mq_try_silent_ms (request->try) >= LEFT_TELLS_MS)
-    stop_try (request, MQ_OUTCOME_FAILED);
+  if (request->try != NULL
+      && mq_try_inactive_ms (request->try) >= DISCONNECT_FAILURE_MS)
+    cancel_try (request, MQ_OUTCOME_FAILED);
   request_close (request);
 }
 
 void
-mq_request_caller_reads (struct mq_request *request)
+mq_request_caller_writable (struct mq_request *request)
 {
   if (request->try != NULL)
-    mq_try_read (request->try, true);
+    mq_try_set_reading (request->try, true);
 }
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -1,5 +1,6 @@
-/* router_request.h - one request, shared by router_request.c, router_admit.c,
-   router_identify.c and router_stream.c only.
+/* router_request.h - state and steps of one request, shared by
+   router_request.c, router_admit.c, router_identify.c, router_limit.c and
+   router_stream.c only.
 
    Needs: router_state.h, router_try.h.  */
 
@@ -9,50 +10,56 @@
 #include "router_state.h"
 #include "router_try.h"
 
-#define TRIED_MAX 8U
-#define EVENT_ID_MAX 64U
+#define ATTEMPTED_WORKERS_MAX 8U
+#define EVENT_ID_BYTES 64U
 
 /**
- * struct mq_request - one request
- * @body: what the caller sent
- * @table: configuration that the request goes by
- * @service: where it goes
- * @org: whose request it is, part of @table; NULL: nobody's
- * @program: id of its program as it is kept; NULL: none
- * @turn_id: id of its turn as it is kept
- * @previous: the turn that it continues from, likewise; NULL: none
- * @begins_program: it is a program's first turn, as far as this host can tell
- * @confirm: question whether the configuration is the newest, NULL: none
- * @service_load: what the workers had when its program was to begin, in
- *                thousandths of what they can do in time, 0: not known
- * @program_late: its program has lost much of its time
- * @retry_ms: when its program may be worth to come back, 0: not refused
- * @home: where its program, which begins, is to stay; 0: it does not begin
- * @permit: it waits for one of its organisation's, NULL: not
- * @permitted: it has one, or needs none
- * @record_call: asks whether its program has begun, NULL: not under way
- * @is_turn: it is a turn of a program, see @turn
- * @send_body: what the worker gets
- * @give_up_ms: its final answer goes out then at the latest
- * @tried: workers that are not asked again
- * @sent: workers that it was sent to
- * @ran: an earlier try may have run
- * @worker: the last one, @try: the request there, NULL: it is over
- * @sent_ms: when it was sent there
- * @answer: what has come from there
- * @begun: the caller has got the beginning of an answer
- * @ended: the worker's stream is whole, its record is being written
- * @ended_ms: since when
- * @last_event: last event passed on, or that the caller told
- * @handed: tokens that the caller got
- * @output: data of the events, for the turn's record
+ * struct mq_request - one request, from its arrival to the final response
+ * @head: the caller's message head, valid until the caller is answered
+ * @body: the caller's message body, likewise
+ * @table: configuration the request was routed with; holds a reference
+ * @service: name of the target service
+ * @org: organisation of the caller's key, owned by @table; NULL if none
+ * @program: stored id of the program; NULL if none
+ * @turn_id: stored id of the turn
+ * @previous: stored id of the turn this one continues; NULL if none
+ * @begins_program: as far as this host knows, the program's first turn
+ * @config_waiter: pending query for the latest configuration; NULL if none
+ * @service_load: load of the service when the program asked to begin, in
+ *                thousandths of its capacity; 0 if unknown
+ * @program_deadline_at_risk: refused because little of the program's time is
+ *                            left
+ * @retry_ms: delay after which the refused program may retry; 0 if not refused
+ * @home: engine assigned to the new program; 0 if the program is not new
+ * @permit: pending permit request; NULL if none
+ * @permitted: a permit was granted or none is needed
+ * @record_call: pending read of the program's record; NULL if none
+ * @is_turn: the request is a turn of a program; @turn is valid
+ * @send_body: body sent to the worker
+ * @expires_ms: deadline of the final response, local monotonic clock
+ * @attempted: workers already tried
+ * @sent: number of workers the request was sent to
+ * @unreachable: number of workers that could not be reached
+ * @may_have_run: an earlier attempt may have run the request
+ * @worker: last chosen worker; MQ_WORKER_NONE if none
+ * @try: pending attempt at @worker; NULL if none
+ * @sent_ms: start of the last attempt, local monotonic clock
+ * @answer: response received from @worker so far
+ * @response_begun: the response head was sent to the caller
+ * @response_complete: the worker's stream is complete, its record is being
+ *                     written
+ * @completed_ms: time @response_complete was set
+ * @last_event: id of the last event forwarded, or of the one the caller
+ *              reported
+ * @tokens_sent: tokens forwarded to the caller
+ * @output: data of the forwarded events, for the turn's record
  */
 struct mq_request
 {
   struct mq_router *router;
   struct mq_caller *caller;
   const struct mq_http_head *head;
-  struct mq_call_facts facts;
+  struct mq_request_fields fields;
   struct mq_bytes body;
   struct mq_route_table *table;
   const struct mq_path_route *route;
@@ -63,9 +70,9 @@
   const char *turn_id;
   const char *previous;
   bool begins_program;
-  struct mq_confirm *confirm;
+  struct mq_config_waiter *config_waiter;
   uint32_t service_load;
-  bool program_late;
+  bool program_deadline_at_risk;
   uint32_t retry_ms;
   uint64_t home;
   struct mq_permit *permit;
@@ -75,95 +82,103 @@
   struct mq_turn turn;
   struct mq_bytes send_body;
   uint64_t arrived_ms;
-  uint64_t give_up_ms;
+  uint64_t expires_ms;
   struct mq_timer *timer;
-  uint32_t tried[TRIED_MAX];
-  size_t tried_count;
+  uint32_t attempted[ATTEMPTED_WORKERS_MAX];
+  size_t attempted_count;
   uint32_t sent;
   uint32_t unreachable;
-  bool ran;
+  bool may_have_run;
   uint32_t worker;
   struct mq_try *try;
   uint64_t sent_ms;
-  struct mq_answer answer;
-  bool begun;
-  bool ended;
-  uint64_t ended_ms;
-  char last_event[EVENT_ID_MAX];
-  uint64_t handed;
+  struct mq_response answer;
+  bool response_begun;
+  bool response_complete;
+  uint64_t completed_ms;
+  char last_event[EVENT_ID_BYTES];
+  uint64_t tokens_sent;
   struct mq_buffer output;
 };
 
 /* router_request.c */
 
-/* Frees the request; its caller has been answered or is gone.  */
+/* Cancels everything pending and frees the request.  The caller must have been
+   answered or have disconnected.  */
 void request_close (struct mq_request *request);
-/* An answer that has begun can't be completed.  */
-void request_break_off (struct mq_request *request, const char *why);
+/* Closes the connection within a response that cannot be completed.  WHY is
+   the outcome logged.  */
+void request_abort (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
                       enum mq_json_weight weight, const char *outcome,
                       int status);
-/* A final answer of our own.  */
+/* Sends the response for REFUSAL and closes the request.  */
 void request_refuse (struct mq_request *request, enum mq_refusal refusal);
-/* A final answer of our own that says when to come back.  */
+/* Likewise, with RETRY_MS in Retry-After; 0 keeps the delay of the
+   refusal.  */
 void request_refuse_until (struct mq_request *request, enum mq_refusal refusal,
                            uint32_t retry_ms);
-/* Finds the turn's history and its budget, then sends it.  */
-void request_begin_turn (struct mq_request *request);
-void request_note_served (const struct mq_request *request);
+/* Loads the history, reserves the budget, then dispatches the turn.  */
+void request_prepare_turn (struct mq_request *request);
+void request_count_served (const struct mq_request *request);
 
 /* router_identify.c */
 
-/* As far as the request itself and this host's memory tell.  */
+/* Whether the request is its program's first turn, judging by the request and
+   the programs this host serves.  */
 bool request_begins_program (const struct mq_request *request);
 
 enum request_identity
 {
-  REQUEST_IDENTIFIED,       /* or no key is asked for */
-  REQUEST_UNIDENTIFIED,     /* no organisation has the key */
-  REQUEST_DOUBLY_IDENTIFIED /* there are two keys */
+  REQUEST_IDENTIFIED,   /* or the route needs no key */
+  REQUEST_KEY_UNKNOWN,  /* no organisation has the key */
+  REQUEST_KEY_AMBIGUOUS /* several keys were sent */
 };
 
-/* Finds whose request it is by TABLE, and its ids.  */
+/* Sets the organisation and the stored ids according to TABLE.  */
 enum request_identity request_identify (struct mq_request *request,
                                         const struct mq_route_table *table,
                                         const struct mq_path_route *route);
-/* Nothing is gained by asking for a newer configuration for its key.  */
-bool request_key_is_unknown (const struct mq_request *request);
-/* Its key has not been taken away since the request came.
-
-   Failure: a request waits, or is tried again, while its key is taken away,
-   and a worker runs it long after that.  */
-bool request_keeps_key (const struct mq_request *request);
-/* That of its organisation goes before its route's.  */
+/* The configuration was confirmed recently enough to refuse the caller's key
+   without another query.  */
+bool request_key_lookup_is_fresh (const struct mq_request *request);
+/* Whether the caller's key still belongs to the organisation in the active
+   configuration.
+
+   Failure: a request that waits or is retried would run after its key was
+   revoked.  */
+bool request_key_is_still_valid (const struct mq_request *request);
+/* Priority of the organisation, or of the route if the organisation has
+   none.  */
 uint32_t request_priority (const struct mq_request *request);
 
 /* router_limit.c */
 
-/* Gets a permit for the request, then sends it (request_send).  */
-void request_limit (struct mq_request *request);
-/* Its organisation is over its limit, as far as this host knows: refuses it.
-   What waits for the table need not then.  */
-bool request_is_over (struct mq_request *request);
+/* Obtains a permit, then calls request_dispatch.  */
+void request_acquire_permit (struct mq_request *request);
+/* Refuses the request if its organisation is known to be over its limit;
+   returns whether it did.  Called before the table is read.  */
+bool request_refuse_over_limit (struct mq_request *request);
 
 /* router_request.c */
 
-/* Sends the request to the best worker that it was not sent to yet.  */
-void request_send (struct mq_request *request);
+/* Sends the request to the best worker not tried yet.  */
+void request_dispatch (struct mq_request *request);
 
 /* router_admit.c */
 
-/* Begins the turn, unless it would begin a program that is refused.  */
+/* Prepares the turn, unless it would begin a program that admission control
+   refuses.  */
 void request_admit_turn (struct mq_request *request);
 
 /* router_stream.c */
 
-/* Passes on the whole events that have come.  */
-void request_pass_events (void *request);
-/* The worker's stream is whole; the answer ends, at once or with the turn's
-   record.  */
+/* Forwards the complete events received so far.  */
+void request_forward_events (void *request);
+/* The worker's stream is complete.  Ends the response, after the turn's record
+   is stored if the route retains turns.  */
 void request_end_stream (struct mq_request *request);
-/* The answer ends now.  */
+/* Ends the response.  */
 void request_finish_stream (struct mq_request *request);
 
 #endif
--- a/src/router/router_answer.c
+++ b/src/router/router_response.c
@@ -1,17 +1,18 @@
-/* router_answer.c - takes in a worker's answer, as a whole or as events.
+/* router_response.c - receives a worker's response, buffered or as a stream of
+   events.
 
-   Needs: router_answer.h.  */
+   Needs: router_response.h.  */
 
-#include "router_answer.h"
+#include "router_response.h"
 #include <string.h>
 #include <strings.h>
 
-/* Bytes of an answer that is passed on as a whole.  */
+/* Size limit of a buffered response.  */
 #define ANSWER_MAX_BYTES ((size_t)16 << 20)
 
 static void
-keep_field (TALLOC_CTX *ctx, struct mq_buffer *fields,
-            const struct mq_http_field *field)
+append_field (TALLOC_CTX *ctx, struct mq_buffer *fields,
+              const struct mq_http_field *field)
 {
   const char *const parts[] = { field->name, ": ", field->value, "\r\n" };
 
@@ -20,8 +21,8 @@
 }
 
 static void
-keep_fields (TALLOC_CTX *ctx, struct mq_buffer *fields,
-             const struct mq_http_head *head)
+append_fields (TALLOC_CTX *ctx, struct mq_buffer *fields,
+               const struct mq_http_head *head)
 {
   for (size_t i = 0; i < head->field_count; i++)
     {
@@ -29,26 +30,26 @@
 
       if (!mq_http_field_is_hop (head, field->name)
           && strcasecmp (field->name, "Content-Length") != 0)
-        keep_field (ctx, fields, field);
+        append_field (ctx, fields, field);
     }
 }
 
 void
-mq_answer_take_head (TALLOC_CTX *ctx, struct mq_answer *answer,
-                     const struct mq_http_head *head,
-                     const struct mq_answer_facts *facts, bool stream)
+mq_response_add_head (TALLOC_CTX *ctx, struct mq_response *answer,
+                      const struct mq_http_head *head,
+                      const struct mq_response_fields *received, bool stream)
 {
   answer->status = head->status;
-  answer->not_run = facts->not_run;
-  answer->other_worker = facts->other_worker;
-  answer->idle_s = facts->idle_s;
+  answer->not_run = received->not_run;
+  answer->other_worker = received->other_worker;
+  answer->idle_s = received->idle_s;
   answer->stream = stream && head->status == 200;
-  keep_fields (ctx, &answer->fields, head);
+  append_fields (ctx, &answer->fields, head);
 }
 
 bool
-mq_answer_take_body (TALLOC_CTX *ctx, struct mq_answer *answer,
-                     const char *data, size_t len)
+mq_response_add_body (TALLOC_CTX *ctx, struct mq_response *answer,
+                      const char *data, size_t len)
 {
   if (!answer->stream)
     return mq_buffer_append (ctx, &answer->body, data, len, ANSWER_MAX_BYTES);
@@ -59,21 +60,21 @@
 }
 
 bool
-mq_answer_next_event (struct mq_answer *answer, struct mq_event *event)
+mq_response_next_event (struct mq_response *answer, struct mq_event *event)
 {
   return answer->events != NULL
          && mq_event_stream_next (answer->events, event);
 }
 
 bool
-mq_answer_is_cut (const struct mq_answer *answer)
+mq_response_is_truncated (const struct mq_response *answer)
 {
   return answer->stream && answer->events != NULL
          && mq_event_stream_has_partial (answer->events);
 }
 
 enum mq_fleet_outcome
-mq_answer_outcome (const struct mq_answer *answer)
+mq_response_outcome (const struct mq_response *answer)
 {
   if (answer->not_run)
     return answer->other_worker ? MQ_OUTCOME_LEAVING : MQ_OUTCOME_FULL;
@@ -81,19 +82,19 @@
 }
 
 bool
-mq_answer_bodiless (int status)
+mq_response_has_no_body (int status)
 {
   return status == 204 || status == 304;
 }
 
 void
-mq_answer_reset (struct mq_answer *answer)
+mq_response_reset (struct mq_response *answer)
 {
   struct mq_event_stream *events = answer->events;
 
   mq_buffer_clear (&answer->fields);
   mq_buffer_clear (&answer->body);
-  *answer = (struct mq_answer){ .events = events };
+  *answer = (struct mq_response){ .events = events };
   if (events != NULL)
     mq_event_stream_reset (events);
 }
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -1,27 +1,26 @@
-/* router_try.c - one try to have a request served by one worker.
+/* router_try.c - one attempt to have a request served by one worker.
 
-   Needs: router_try.h, router_silence.h, memory.h, clock.h.  */
+   Needs: router_try.h, router_inactivity.h, memory.h, clock.h.  */
 
 #include "router_try.h"
 #include "core/memory.h"
 #include "net/clock.h"
-#include "router_silence.h"
+#include "router_inactivity.h"
 #include <string.h>
 
 /**
- * struct mq_try - a request at a worker
- * @lane: connection to the worker
- * @silence: of the worker
+ * struct mq_try - a pending attempt
+ * @lane: connection to the worker; NULL once returned to the pool
  */
 struct mq_try
 {
   struct mq_try_options options;
   struct mq_http_lane *lane;
-  struct mq_silence *silence;
+  struct mq_inactivity *inactivity;
 };
 
 static void
-tell_fleet (const struct mq_try *try, enum mq_fleet_outcome outcome)
+report_outcome (const struct mq_try *try, enum mq_fleet_outcome outcome)
 {
   mq_fleet_request_ended (try->options.fleet, try->options.worker, outcome,
                           mq_clock_ms ());
@@ -35,12 +34,12 @@
   if (try->lane != NULL)
     {
       mq_http_lane_destroy (try->lane);
-      tell_fleet (try, outcome);
+      report_outcome (try, outcome);
     }
   talloc_free (try);
 }
 
-/* Frees TRY and tells above.  */
+/* Frees TRY and calls its ended callback.  */
 static void
 end_try (struct mq_try *try, enum mq_attempt_end end,
          enum mq_fleet_outcome outcome)
@@ -58,34 +57,35 @@
 }
 
 static void
-on_silent (void *user)
+on_inactive (void *user)
 {
   end_broken (user);
 }
 
-/* An answer without the request's id can't be told from another's; one with
-   another id is a late answer to an earlier request of the connection.  */
+/* A response without a request id can't be matched to its request.  One with
+   another id is a late response to an earlier request on the connection and is
+   skipped.  */
 static bool
 on_head (const struct mq_http_head *head, void *user)
 {
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
-  struct mq_answer_facts facts;
+  struct mq_response_fields fields;
 
-  mq_wire_read_answer (head, &facts);
-  mq_silence_heard (try->silence);
-  if (facts.id == NULL)
+  mq_wire_read_response_fields (head, &fields);
+  mq_inactivity_reset (try->inactivity);
+  if (fields.id == NULL)
     {
       end_broken (try);
       return true;
     }
-  if (strcmp (facts.id, options->id) != 0)
+  if (strcmp (fields.id, options->id) != 0)
     return false;
-  if (facts.has_load)
-    mq_fleet_record_load (options->fleet, options->worker, facts.running,
-                          facts.waiting, mq_clock_ms ());
-  mq_answer_take_head (options->answer_ctx, options->answer, head, &facts,
-                       options->send.route->kind == MQ_ROUTE_STREAM);
+  if (fields.has_load)
+    mq_fleet_record_load (options->fleet, options->worker, fields.running,
+                          fields.waiting, mq_clock_ms ());
+  mq_response_add_head (options->answer_ctx, options->answer, head, &fields,
+                        options->send.route->kind == MQ_ROUTE_STREAM);
   return true;
 }
 
@@ -95,22 +95,23 @@
   struct mq_try *try = user;
   const struct mq_try_options *options = &try->options;
 
-  mq_silence_heard (try->silence);
-  if (!mq_answer_take_body (options->answer_ctx, options->answer, data, len))
+  mq_inactivity_reset (try->inactivity);
+  if (!mq_response_add_body (options->answer_ctx, options->answer, data, len))
     end_broken (try);
   else if (options->answer->stream)
     options->events (options->user);
 }
 
-/* The connection is sound, whatever becomes of the request.  */
+/* The response was complete: the connection can be reused whatever its
+   status.  */
 static void
-keep_lane (struct mq_try *try)
+return_lane (struct mq_try *try)
 {
-  const struct mq_answer *answer = try->options.answer;
+  const struct mq_response *answer = try->options.answer;
 
-  tell_fleet (try, mq_answer_outcome (answer));
-  mq_pool_give (try->options.pool, try->options.worker, try->lane,
-                answer->idle_s);
+  report_outcome (try, mq_response_outcome (answer));
+  mq_pool_release (try->options.pool, try->options.worker, try->lane,
+                   answer->idle_s);
   try->lane = NULL;
 }
 
@@ -118,29 +119,29 @@
 on_end (void *user)
 {
   struct mq_try *try = user;
-  const struct mq_answer *answer = try->options.answer;
-  struct mq_attempt_response facts = {
+  const struct mq_response *answer = try->options.answer;
+  struct mq_attempt_response attempt_answer = {
     .status = answer->status,
     .not_run = answer->not_run,
-    .truncated = mq_answer_is_cut (answer),
+    .truncated = mq_response_is_truncated (answer),
     .stream = answer->stream,
     .begun = try->options.begun,
     .repeatable = try->options.repeatable,
   };
 
-  if (!facts.truncated)
-    keep_lane (try);
-  end_try (try, mq_attempt_classify (&facts), MQ_OUTCOME_FAILED);
+  if (!attempt_answer.cut)
+    return_lane (try);
+  end_try (try, mq_attempt_classify (&attempt_answer), MQ_OUTCOME_FAILED);
 }
 
-/* Failure: a worker that goes down and up by turns takes connections while it
-   is down and closes them on a request.  Counted as one failure of two, each
-   host sends it a second turn each time, and one after the other of a
-   program's tries ends there.  A new connection that ends before any byte
-   tells as much as one that is refused; on a kept one it may be no more than
-   the connection's end.  */
+/* A new connection closed before any byte counts as unreachable, like one that
+   is refused; a reused one may have reached its idle timeout.
+
+   Failure: a restarting worker accepts connections and closes them on a
+   request.  Counted as an ordinary failure, it would be sent further requests
+   before it is ejected.  */
 static bool
-closed_new (const struct mq_try *try)
+closed_without_response (const struct mq_try *try)
 {
   return try->options.answer->status == 0 && mq_http_lane_is_new (try->lane);
 }
@@ -155,7 +156,8 @@
       return;
     case MQ_LANE_BROKEN:
       end_try (user, MQ_ATTEMPT_BROKEN,
-               closed_new (user) ? MQ_OUTCOME_UNREACHABLE : MQ_OUTCOME_FAILED);
+               closed_without_response (user) ? MQ_OUTCOME_UNREACHABLE
+                                              : MQ_OUTCOME_FAILED);
       return;
     case MQ_LANE_DAMAGED:
       end_broken (user);
@@ -164,20 +166,20 @@
 }
 
 static void
-watch_worker (struct mq_try *try)
+start_inactivity_timer (struct mq_try *try)
 {
-  struct mq_silence_options options = {
+  struct mq_inactivity_options options = {
     .fleet = try->options.fleet,
     .worker = try->options.worker,
     .route = try->options.send.route,
     .begun = try->options.begun,
-    .patience_ms = try->options.send.left_ms,
-    .watched = try->options.watched,
-    .gone = on_silent,
+    .left_ms = try->options.send.left_ms,
+    .detect_inactivity = try->options.detect_inactivity,
+    .timed_out = on_inactive,
     .user = try,
   };
 
-  try->silence = mq_silence_create (try, try->options.ev, &options);
+  try->inactivity = mq_inactivity_create (try, try->options.ev, &options);
 }
 
 static void
@@ -206,14 +208,14 @@
 
   try->options = *options;
   mq_fleet_request_started (options->fleet, options->worker);
-  try->lane = mq_pool_take (options->pool, options->worker, &error);
+  try->lane = mq_pool_acquire (options->pool, options->worker, &error);
   if (try->lane == NULL)
     {
-      tell_fleet (try, MQ_OUTCOME_UNREACHABLE);
+      report_outcome (try, MQ_OUTCOME_UNREACHABLE);
       talloc_free (try);
       return NULL;
     }
-  watch_worker (try);
+  start_inactivity_timer (try);
   send_message (try);
   return try;
 }
@@ -225,20 +227,20 @@
 }
 
 void
-mq_try_begun (struct mq_try *try)
+mq_try_response_begun (struct mq_try *try)
 {
   try->options.begun = true;
-  mq_silence_begun (try->silence);
+  mq_inactivity_response_begun (try->inactivity);
 }
 
 void
-mq_try_read (struct mq_try *try, bool on)
+mq_try_set_reading (struct mq_try *try, bool on)
 {
   mq_http_lane_read (try->lane, on);
 }
 
 uint64_t
-mq_try_silent_ms (const struct mq_try *try)
+mq_try_inactive_ms (const struct mq_try *try)
 {
-  return mq_silence_ms (try->silence);
+  return mq_inactivity_ms (try->inactivity);
 }
--- a/src/router/router_turn.c
+++ b/src/router/router_turn.c
@@ -1,8 +1,8 @@
 /* router_turn.c - histories of programs in the platform's table.
 
-   A turn finds its history and its budget before it is sent, and is written
-   down before its answer ends.  Rows are spread over parts by a hash of their
-   key, so that no part carries more than its share of the writes.
+   A turn obtains its history and its budget before it is sent, and is stored
+   before its response ends.  Rows are spread over the parts of the table by a
+   hash of their key, to balance the writes.
    Needs: router_turns.h, id.h.  */
 
 #include "router_turns.h"
@@ -12,15 +12,15 @@
 
 const char mq_turn_table[] = "turn";
 
-/* Pause before a call is tried again; it doubles, and half of it is left to
-   chance, so that hosts which failed together don't come back together.  */
-#define RETRY_MS 60U
+/* Exponential backoff of retries, with jitter so that hosts do not retry in
+   step.  */
+#define RETRY_MIN_MS 60U
 #define RETRY_MAX_MS 480U
-/* Histories kept in memory: a share of what the process may use.  */
-#define CACHE_PART 4U
+/* Divisor of the memory limit that bounds the cache of histories.  */
+#define CACHE_MEMORY_DIVISOR 4U
 
 static void find_chain (struct mq_turn *turn);
-static void read_place (struct mq_turn *turn);
+static void read_candidate (struct mq_turn *turn);
 static void write_turn (struct mq_turn *turn);
 static void begin_write (struct mq_turn *turn);
 
@@ -34,26 +34,27 @@
     return NULL;
   turns->router = router;
   turns->programs = mq_idmap_create (turns);
-  turns->cache = mq_chain_cache_create (turns, bytes / CACHE_PART);
+  turns->cache = mq_chain_cache_create (turns, bytes / CACHE_MEMORY_DIVISOR);
   return turns->cache == NULL ? NULL : turns;
 }
 
 void
-mq_turn_set_part (char part[MQ_PART_BYTES], const char *key, uint32_t place)
+mq_turn_select_part (char part[MQ_PART_NAME_BYTES], const char *key,
+                     uint32_t candidate)
 {
   uint64_t hash = mq_hash_bytes (key, strlen (key), 0);
-  /* Odd steps, so that no two places are in one part.  */
+  /* With an odd step and a power of two parts, all candidates differ.  */
   uint64_t step = hash / MQ_TURN_PARTS | 1U;
 
-  snprintf (part, MQ_PART_BYTES, "%02x",
-            (unsigned int)((hash + place * step) % MQ_TURN_PARTS));
+  snprintf (part, MQ_PART_NAME_BYTES, "%02x",
+            (unsigned int)((hash + candidate * step) % MQ_TURN_PARTS));
 }
 
 struct mq_timer *
-mq_turn_retry_later (struct mq_turns *turns, TALLOC_CTX *ctx, uint32_t tries,
-                     mq_timer_handler *handler, void *data)
+mq_turn_schedule_retry (struct mq_turns *turns, TALLOC_CTX *ctx,
+                        uint32_t tries, mq_timer_handler *handler, void *data)
 {
-  uint32_t wait = RETRY_MS;
+  uint32_t wait = RETRY_MIN_MS;
 
   for (uint32_t i = 1; i < tries && wait < RETRY_MAX_MS; i++)
     wait *= 2;
@@ -63,23 +64,23 @@
 }
 
 bool
-mq_turns_away (const struct mq_turns *turns, const char *part)
+mq_turns_part_unavailable (const struct mq_turns *turns, const char *part)
 {
   return mq_table_client_part_down (turns->router->table_client, part);
 }
 
 uint64_t
-mq_turns_kept_until (const struct mq_turns *turns, uint32_t retain_s)
+mq_turns_expiry_s (const struct mq_turns *turns, uint32_t retain_s)
 {
   uint64_t now = mq_rows_clock_s (turns->router->rows);
 
-  return now == 0 ? 0 : now + retain_s + MQ_RECORD_KEEP_S;
+  return now == 0 ? 0 : now + retain_s + MQ_RECORD_GRACE_PERIOD_S;
 }
 
 void
-mq_turn_tell (struct mq_turn *turn, enum mq_turn_state state)
+mq_turn_notify (struct mq_turn *turn, enum mq_turn_state state)
 {
-  turn->told (state, turn->user);
+  turn->notify (state, turn->user);
 }
 
 static void
@@ -88,7 +89,7 @@
   struct mq_turn *turn = data;
 
   turn->timer = NULL;
-  if (turn->made != NULL)
+  if (turn->new_chain != NULL)
     begin_write (turn);
   else
     find_chain (turn);
@@ -98,21 +99,22 @@
 retry_turn (struct mq_turn *turn)
 {
   turn->tries++;
-  turn->timer = mq_turn_retry_later (turn->turns, turn->turns, turn->tries,
-                                     on_turn_retry, turn);
+  turn->timer = mq_turn_schedule_retry (turn->turns, turn->turns, turn->tries,
+                                        on_turn_retry, turn);
 }
 
 static void
 set_missing (struct mq_turn *turn, const char *id)
 {
-  snprintf (turn->missing, sizeof turn->missing, "%s", id);
+  snprintf (turn->missing_id, sizeof turn->missing_id, "%s", id);
 }
 
-/* Failure: a history that was read from the table was forgotten with its turn;
-   when the table went away before the turn could end, no host had it for the
-   caller's next try, though one had just used it.  */
+/* Caches a history read from the table.
+
+   Failure: when the table becomes unavailable before the turn ends, the
+   retried turn finds its history on no host.  */
 static void
-remember (struct mq_turns *turns, const struct mq_chain *chain)
+cache_chain (struct mq_turns *turns, const struct mq_chain *chain)
 {
   struct mq_chain *copy;
 
@@ -123,46 +125,46 @@
     mq_chain_cache_put (turns->cache, copy);
 }
 
-/* CHAIN is that of the turn that was missing, its own beginning may be missing
-   too.  Takes CHAIN over.  */
+/* Adds CHAIN, the chain of the missing turn, and takes ownership of it.  If it
+   is not COMPLETE, its beginning is looked up next.  */
 static void
-add_found (struct mq_turn *turn, struct mq_chain *chain, bool complete)
+add_chain (struct mq_turn *turn, struct mq_chain *chain, bool complete)
 {
   set_missing (turn, complete ? "" : chain->base);
-  if (turn->found == NULL)
-    turn->found = chain;
+  if (turn->partial_chain == NULL)
+    turn->partial_chain = chain;
   else
     {
-      bool joined = mq_chain_prepend (turn->found, chain);
+      bool joined = mq_chain_prepend (turn->partial_chain, chain);
 
       talloc_free (chain);
       if (!joined)
         {
-          mq_turn_tell (turn, MQ_TURN_NO_STORE);
+          mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
           return;
         }
     }
-  if (turn->missing[0] != '\0')
+  if (turn->missing_id[0] != '\0')
     {
       find_chain (turn);
       return;
     }
-  remember (turn->turns, turn->found);
-  turn->before = turn->found;
-  turn->found = NULL;
-  mq_program_ask (turn);
+  cache_chain (turn->turns, turn->partial_chain);
+  turn->history = turn->partial_chain;
+  turn->partial_chain = NULL;
+  mq_program_reserve (turn);
 }
 
-/* All places were read, or could not be.  */
+/* All candidate parts were read or are unavailable.  */
 static void
-end_reading (struct mq_turn *turn)
+finish_reading (struct mq_turn *turn)
 {
-  if (turn->unread == 0)
-    mq_turn_tell (turn, MQ_TURN_NO_CHAIN);
-  else if (turn->tries + 1 >= MQ_TURN_TRIES_MAX
-           || turn->unread == MQ_TURN_PLACES
+  if (turn->unreadable == 0)
+    mq_turn_notify (turn, MQ_TURN_NOT_FOUND);
+  else if (turn->tries + 1 >= MQ_TURN_ATTEMPTS_MAX
+           || turn->unreadable == MQ_TURN_CANDIDATE_PARTS
            || mq_table_client_down (turn->turns->router->table_client))
-    mq_loan_begin (turn);
+    mq_loan_request (turn);
   else
     retry_turn (turn);
 }
@@ -175,81 +177,84 @@
 
   turn->call = NULL;
   if (result->status != MQ_STORE_OK)
-    turn->unread++;
+    turn->unreadable++;
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
-      turn->place++;
-      read_place (turn);
+      turn->candidate++;
+      read_candidate (turn);
       return;
     }
-  chain = mq_chain_unpack (turn->turns, turn->missing, result->rows[0].value);
+  chain
+      = mq_chain_unpack (turn->turns, turn->missing_id, result->rows[0].value);
   if (chain == NULL)
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else
-    add_found (turn, chain, false);
+    add_chain (turn, chain, false);
 }
 
 bool
-mq_turn_find_in_memory (struct mq_turn *turn)
+mq_turn_find_cached (struct mq_turn *turn)
 {
   struct mq_turns *turns = turn->turns;
   const struct mq_chain *cached
-      = mq_chain_cache_find (turns->cache, turn->missing);
+      = mq_chain_cache_find (turns->cache, turn->missing_id);
   struct mq_chain *copy = NULL;
 
   if (cached != NULL)
     copy = mq_chain_copy (turns, cached);
   if (copy == NULL)
     return false;
-  add_found (turn, copy, true);
+  add_chain (turn, copy, true);
   return true;
 }
 
-/* Reads the row at the turn's place, or the next one that can be read.  */
+/* Reads the row from the current candidate part, or the next one
+   available.  */
 static void
-read_place (struct mq_turn *turn)
+read_candidate (struct mq_turn *turn)
 {
   struct mq_turns *turns = turn->turns;
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  for (; turn->place < MQ_TURN_PLACES; turn->place++, turn->unread++)
+  for (; turn->candidate < MQ_TURN_CANDIDATE_PARTS;
+       turn->candidate++, turn->unreadable++)
     {
-      mq_turn_set_part (part, turn->missing, turn->place);
-      if (mq_turns_away (turns, part))
+      mq_turn_select_part (part, turn->missing_id, turn->candidate);
+      if (mq_turns_part_unavailable (turns, part))
         continue;
       turns->router->counters.turn_reads++;
       turn->call
           = mq_table_client_get (turns->router->table_client, mq_turn_table,
-                                 part, turn->missing, on_turn_read, turn);
+                                 part, turn->missing_id, on_turn_read, turn);
       return;
     }
-  end_reading (turn);
+  finish_reading (turn);
 }
 
-/* A row that is in none of its places proves that there is no such turn, since
-   a turn's row is written before its answer ends.  */
+/* If all candidate parts can be read and none has the row, the turn does not
+   exist: a row is written before its response ends.  */
 void
-mq_turn_read (struct mq_turn *turn)
+mq_turn_read_history (struct mq_turn *turn)
 {
-  turn->place = 0;
-  turn->unread = 0;
-  read_place (turn);
+  turn->candidate = 0;
+  turn->unreadable = 0;
+  read_candidate (turn);
 }
 
-/* Finds the chain of the turn that is missing: in memory, at a host near by,
-   else in its row.  */
+/* Finds the chain of the missing turn: in the cache, at a host of this data
+   centre, or in the table.  */
 static void
 find_chain (struct mq_turn *turn)
 {
-  if (mq_turn_find_in_memory (turn))
+  if (mq_turn_find_cached (turn))
     return;
-  if (!turn->tried_near && turn->found == NULL)
+  if (!turn->queried_nearby && turn->partial_chain == NULL)
     {
-      turn->tried_near = true;
-      mq_loan_try (turn);
+      turn->queried_nearby = true;
+      mq_loan_request_local_history (turn);
     }
   else
-    mq_turn_read (turn);
+    mq_turn_read_history (turn);
 }
 
 void
@@ -258,7 +263,7 @@
   turn->turns = turns;
   if (turn->previous == NULL)
     {
-      mq_program_ask (turn);
+      mq_program_reserve (turn);
       return;
     }
   set_missing (turn, turn->previous);
@@ -266,7 +271,7 @@
 }
 
 static bool
-is_ours (const struct mq_turn *turn, const struct mq_rows_result *result)
+is_own_record (const struct mq_turn *turn, const struct mq_rows_result *result)
 {
   const struct mq_bytes *there;
 
@@ -278,33 +283,35 @@
 }
 
 static void
-end_keeping (struct mq_turn *turn)
+finish_store (struct mq_turn *turn)
 {
-  mq_chain_cache_put (turn->turns->cache, turn->made);
-  turn->made = NULL;
-  mq_turn_tell (turn, MQ_TURN_KEPT);
+  mq_chain_cache_put (turn->turns->cache, turn->new_chain);
+  turn->new_chain = NULL;
+  mq_turn_notify (turn, MQ_TURN_STORED);
 }
 
-static void check_turn (struct mq_turn *turn);
+static void verify_write (struct mq_turn *turn);
+
+/* Writes the row to the next candidate part.  If the first write completes
+   late, the same row exists twice, which is harmless.
 
-/* Failure: a part of the table is silent, and turns whose rows belong there
-   can't end, though all others can.  The row goes to its next place then; a
-   first write that is done after all leaves the same row twice.  */
+   Failure: while a part of the table is unresponsive, turns whose rows belong
+   there could not end.  */
 static bool
-go_to_next_place (struct mq_turn *turn)
+write_to_next_candidate (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
   while (!mq_table_client_down (turn->turns->router->table_client)
-         && ++turn->place < MQ_TURN_PLACES)
+         && ++turn->candidate < MQ_TURN_CANDIDATE_PARTS)
     {
-      mq_turn_set_part (part, turn->id, turn->place);
-      if (mq_turns_away (turn->turns, part))
+      mq_turn_select_part (part, turn->id, turn->candidate);
+      if (mq_turns_part_unavailable (turn->turns, part))
         continue;
       write_turn (turn);
       return true;
     }
-  turn->place = 0;
+  turn->candidate = 0;
   return false;
 }
 
@@ -314,52 +321,52 @@
   struct mq_turn *turn = user;
 
   turn->call = NULL;
-  /* An earlier try of this write may have been done without an answer.  */
+  /* An earlier attempt at this write may have succeeded without a reply.  */
   if (result->status == MQ_STORE_OK
-      || (result->status == MQ_STORE_CONFLICT && is_ours (turn, result)))
+      || (result->status == MQ_STORE_CONFLICT && is_own_record (turn, result)))
     {
-      end_keeping (turn);
+      finish_store (turn);
       return;
     }
   if (result->status == MQ_STORE_CONFLICT)
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
   else if (result->status == MQ_STORE_LOST)
-    check_turn (turn);
-  else if (!go_to_next_place (turn))
+    verify_write (turn);
+  else if (!write_to_next_candidate (turn))
     retry_turn (turn);
 }
 
-/* Nothing is there yet: the write is sent again; a late one then finds its
-   condition broken.  */
+/* If the row is absent, the write is repeated; should the first one complete
+   late, its version check fails.  */
 static void
-on_turn_checked (const struct mq_rows_result *result, void *user)
+on_write_verified (const struct mq_rows_result *result, void *user)
 {
   struct mq_turn *turn = user;
 
   turn->call = NULL;
   if (result->status != MQ_STORE_OK)
     {
-      if (!go_to_next_place (turn))
+      if (!write_to_next_candidate (turn))
         retry_turn (turn);
     }
   else if (result->row_count == 0)
     write_turn (turn);
-  else if (is_ours (turn, result))
-    end_keeping (turn);
+  else if (is_own_record (turn, result))
+    finish_store (turn);
   else
-    mq_turn_tell (turn, MQ_TURN_NO_STORE);
+    mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
 }
 
-/* A write got no answer: its row tells whether it was done.  */
+/* The write got no reply: reads the row to find out whether it succeeded.  */
 static void
-check_turn (struct mq_turn *turn)
+verify_write (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->candidate);
   turn->call
       = mq_table_client_get (turn->turns->router->table_client, mq_turn_table,
-                             part, turn->id, on_turn_checked, turn);
+                             part, turn->id, on_write_verified, turn);
 }
 
 static void
@@ -370,42 +377,45 @@
                                  .key = turn->id,
                                  .version = MQ_VERSION_ABSENT,
                                  .value = turn->record };
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  mq_turn_set_part (part, turn->id, turn->place);
+  mq_turn_select_part (part, turn->id, turn->candidate);
   entry.part = part;
   router->counters.turn_writes++;
   turn->call = mq_table_client_commit (router->table_client, &entry,
                                        on_turn_written, turn);
 }
 
-/* Writes to the first of the row's places that can be reached.  */
+/* Writes to the first candidate part that is available.  */
 static void
 begin_write (struct mq_turn *turn)
 {
-  char part[MQ_PART_BYTES];
+  char part[MQ_PART_NAME_BYTES];
 
-  turn->place = 0;
-  mq_turn_set_part (part, turn->id, 0);
-  if (!mq_turns_away (turn->turns, part) || !go_to_next_place (turn))
+  turn->candidate = 0;
+  mq_turn_select_part (part, turn->id, 0);
+  if (!mq_turns_part_unavailable (turn->turns, part)
+      || !write_to_next_candidate (turn))
     write_turn (turn);
 }
 
-/* Tries until it is done or its caller's time is up.  */
+/* Retries until the row is stored or the turn is cancelled at its
+   deadline.  */
 void
-mq_turn_keep (struct mq_turn *turn, struct mq_bytes input,
-              struct mq_bytes output)
+mq_turn_store (struct mq_turn *turn, struct mq_bytes input,
+               struct mq_bytes output)
 {
-  turn->made
-      = mq_chain_extend (turn->turns, turn->before, turn->id, input, output);
-  if (turn->made != NULL)
+  turn->new_chain
+      = mq_chain_extend (turn->turns, turn->history, turn->id, input, output);
+  if (turn->new_chain != NULL)
     {
-      turn->made->until_s = mq_turns_kept_until (turn->turns, turn->retain_s);
-      turn->record = mq_chain_pack (turn->turns, turn->made);
+      turn->new_chain->until_s
+          = mq_turns_expiry_s (turn->turns, turn->retain_s);
+      turn->record = mq_chain_pack (turn->turns, turn->new_chain);
     }
   if (turn->record.data == NULL)
     {
-      mq_turn_tell (turn, MQ_TURN_NO_STORE);
+      mq_turn_notify (turn, MQ_TURN_STORE_UNAVAILABLE);
       return;
     }
   turn->tries = 0;
@@ -413,17 +423,17 @@
 }
 
 void
-mq_turn_forget (struct mq_turn *turn)
+mq_turn_cancel (struct mq_turn *turn)
 {
-  mq_program_leave (turn);
-  mq_loan_forget (turn->loan);
+  mq_program_dequeue (turn);
+  mq_loan_cancel (turn->loan);
   turn->loan = NULL;
   if (turn->call != NULL)
     mq_table_client_cancel (turn->call);
   turn->call = NULL;
   TALLOC_FREE (turn->timer);
-  TALLOC_FREE (turn->found);
-  TALLOC_FREE (turn->before);
-  TALLOC_FREE (turn->made);
+  TALLOC_FREE (turn->partial_chain);
+  TALLOC_FREE (turn->history);
+  TALLOC_FREE (turn->new_chain);
   TALLOC_FREE (turn->record.data);
 }
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -366,8 +366,8 @@
 refused_turn (const char *id, const char *program, const char *previous)
 {
   begin_turn (id, program, previous);
-  edge_wait (site, &call, 1);
-  edge_hang_up (&call);
+  edge_wait_responses (site, &call, 1);
+  edge_close (&call);
   return atoi (call.answer + strlen ("HTTP/1.1 "));
 }
 
@@ -380,7 +380,7 @@
   site->seeds[0] = lender->address;
   edge_start (site, 0);
   rows_server_fault (site->rows, ROWS_BUSY);
-  edge_run (site, 1200);
+  edge_run_for (site, 1200);
   lender->blocked = true;
   cr_assert_eq (refused_turn ("u1", "p1", "t1"), 503, "%s", call.answer);
   wait_ms (PAST_TIMEOUT_MS);
@@ -390,8 +390,8 @@
   wait_ms (PAST_TIMEOUT_MS);
   begin_turn ("u3", "p3", "t3");
   EDGE_WAIT (site, call_has ("data: e4") || call_has ("HTTP/1.1 503"));
-  edge_hang_up (&call);
-  cr_expect_eq (edge_runs (site, "u1"), 0);
-  cr_expect_eq (edge_runs (site, "u2"), 0);
-  cr_expect_eq (edge_runs (site, "u3"), 1, "%s", call.answer);
+  edge_close (&call);
+  cr_expect_eq (edge_run_count (site, "u1"), 0);
+  cr_expect_eq (edge_run_count (site, "u2"), 0);
+  cr_expect_eq (edge_run_count (site, "u3"), 1, "%s", call.answer);
 }
