--- a/src/router/router_admit.c
+++ b/src/router/router_admit.c
@@ -39,8 +39,8 @@
     .load = mq_fleet_service_pressure (request->router->fleet,
                                        request->service, now),
     .record_load = record_load (request, now),
-    .has_left = fields->has_left,
-    .left_ms = fields->left_ms,
+    .has_remaining = fields->has_left,
+    .remaining_ms = fields->left_ms,
     .budget = fields->has_budget ? fields->budget : 0,
     .now_ms = now,
   };
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -134,8 +134,8 @@
     .id = loan->id,
     .program = turn->program == NULL ? "" : turn->program,
     .limit = turn->limit,
-    .tokens = turn->budgeted ? turn->most : 0,
-    .turn = turn->missing,
+    .tokens = turn->budgeted ? turn->max_tokens : 0,
+    .turn = turn->missing_id,
     .may_issue = loan->issue,
   };
 
@@ -157,7 +157,7 @@
       request_for_turn (loan);
       return;
     }
-  mq_budget_issue_unrecorded (&program->budget, turn->limit, turn->most);
+  mq_budget_issue_unrecorded (&program->budget, turn->limit, turn->max_tokens);
   advance_loan (loan);
 }
 
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -257,7 +257,7 @@
 
   /* A restarted issuer can't recall rates from a host that is shutting down.
    */
-  if (share->permits->router->leaving)
+  if (share->permits->router->stopping)
     share->quota.standing = 0;
   /* Without a known issuer, the timeout runs from the first request.  */
   unknown_issuer.answered_ms = share->created_ms;
@@ -616,7 +616,7 @@
   struct mq_quota_grant gift
       = { .organisation = want->organisation, .unknown = true };
   struct mq_reserve_own_lease own;
-  struct mq_quota_bounds bounds = { .may_lend = lends && !router->leaving };
+  struct mq_quota_bounds bounds = { .may_lend = lends && !router->stopping };
   struct mq_quota_lease lease;
   const struct mq_org *org = NULL;
 
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -206,8 +206,8 @@
     .sent = request->sent,
     .sent_max = request->route->attempts,
     .unreachable = request->unreachable,
-    .left_ms = left_ms (request),
-    .ran = request->may_have_run,
+    .remaining_ms = left_ms (request),
+    .may_have_run = request->may_have_run,
   };
   next = mq_attempt_decide (&attempt);
   log_failed_try (request, end, next);
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -314,7 +314,7 @@
 
   if (leases == NULL)
     leases = router->leases = create_leases (router);
-  if (leases->busy || leases->stopped || router->leaving
+  if (leases->busy || leases->stopped || router->stopping
       || !mq_rows_sample_clocks (router->rows, &leases->clock_sample.asked_ms,
                                  &leases->clock_sample.table_ms))
     return;
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -129,7 +129,7 @@
     .repeatable = try->options.repeatable,
   };
 
-  if (!attempt_answer.cut)
+  if (!attempt_answer.truncated)
     return_lane (try);
   end_try (try, mq_attempt_classify (&attempt_answer), MQ_OUTCOME_FAILED);
 }
