--- a/src/core/owner/owner.c
+++ b/src/core/owner/owner.c
@@ -209,7 +209,7 @@
 
   if (message->type == MQ_MSG_HANDOVER)
     {
-      take_handover (owner, &message->u.handover);
+      take_on_handover (owner, &message->u.handover);
       return;
     }
   if (target == NULL || owner->text == NULL)
@@ -223,16 +223,16 @@
       calls_outcome (owner, target, &message->u.outcome);
       break;
     case MQ_MSG_SEALED:
-      settle_sealed (owner, target, &message->u.sealed);
+      settle_on_seal_reply (owner, target, &message->u.sealed);
       break;
     case MQ_MSG_RECOVERED:
       read_recovered (owner, target, &message->u.recovered);
       break;
     case MQ_MSG_EVICTED:
-      evict_done (owner, target, message->u.evicted.program);
+      evict_on_confirmed (owner, target, message->u.evicted.program);
       break;
     case MQ_MSG_LOAD:
-      hosts_load (owner, target, &message->u.load);
+      hosts_on_load (owner, target, &message->u.load);
       break;
     default:
       break;
@@ -278,7 +278,7 @@
      it did not see of others meanwhile must not count against them.  */
   if (owner->now_us != 0
       && input->now_us > owner->now_us + 1000ULL * MQ_OWNER_RENEW_MS)
-    rows_paused (owner, input->now_us);
+    rows_on_pause (owner, input->now_us);
   if (input->now_us > owner->now_us)
     owner->now_us = input->now_us;
   switch (input->type)
@@ -293,11 +293,11 @@
       hosts_listed (owner, input->u.hosts);
       break;
     case MQ_OWNER_PEER_UP:
-      hosts_peer_up (owner, input->peer, input->u.peer_up.host,
-                     input->u.peer_up.role, input->u.peer_up.boot);
+      hosts_on_peer_up (owner, input->peer, input->u.peer_up.host,
+                        input->u.peer_up.role, input->u.peer_up.boot);
       break;
     case MQ_OWNER_PEER_DOWN:
-      hosts_peer_down (owner, input->peer);
+      hosts_on_peer_down (owner, input->peer);
       break;
     case MQ_OWNER_MESSAGE:
       handle_message (owner, input->peer, input->u.message);
@@ -309,7 +309,7 @@
       request_handle (owner, input->peer, input->handle, input->u.request);
       break;
     case MQ_OWNER_CALLER_GONE:
-      events_gone (owner, input->peer, input->handle);
+      events_on_caller_gone (owner, input->peer, input->handle);
       break;
     case MQ_OWNER_LEAVE:
       handle_leave (owner);
@@ -317,7 +317,7 @@
     }
   if (owner->text != NULL)
     {
-      tick_confirm (owner);
+      tick_start_confirmation (owner);
       log_flush (owner);
     }
   owner->counters.programs_live = owner->live;
@@ -327,7 +327,7 @@
 uint64_t
 mq_owner_next_tick (const struct mq_owner *owner)
 {
-  uint64_t next = tick_next (owner);
+  uint64_t next = tick_next_us (owner);
 
   if (owner->timer_count > 0 && owner->timers[0].when_us < next)
     next = owner->timers[0].when_us;
--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -171,7 +171,7 @@
           && grant_for (r, max_tokens) > r->grant_wanted)
         {
           append_grant (owner, r, grant_for (r, max_tokens));
-          log_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
+          log_add_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
               = r->grant_wanted;
         }
     }
@@ -179,7 +179,7 @@
   if (!covered && !running->grant_asked)
     {
       running->grant_asked = true;
-      log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
+      log_add_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return covered;
 }
--- a/src/core/owner/owner_calls.c
+++ b/src/core/owner/owner_calls.c
@@ -17,7 +17,7 @@
 static bool
 take_retry (struct mq_owner *owner, const struct call *call)
 {
-  struct pool *pool = hosts_pool (owner, call->service->name);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
 
   if (pool->retry_credit < 1)
     return false;
@@ -28,7 +28,7 @@
 static void
 earn_retry (struct mq_owner *owner, const struct call *call)
 {
-  struct pool *pool = hosts_pool (owner, call->service->name);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
   double most = 10;
 
   pool->retry_credit += call->service->retry_percent / 100.0;
@@ -49,11 +49,11 @@
   if (call->tokens_seen > 0)
     {
       /* What callers saw of the first attempt is void.  */
-      events_tell (owner, running, MQ_EVENT_RESET, call->number << 16,
-                   call->number, "{}");
+      events_notify_waiters (owner, running, MQ_EVENT_RESET,
+                             call->number << 16, call->number, "{}");
       call->tokens_seen = 0;
     }
-  place_later (owner, running, wait_ms > backoff ? wait_ms : backoff);
+  place_schedule_retry (owner, running, wait_ms > backoff ? wait_ms : backoff);
 }
 
 static void
@@ -84,7 +84,7 @@
 calls_give_up_unknown (struct mq_owner *owner, struct running *running)
 {
   note_unknown (owner, running);
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   end_call (owner, running, MQ_ERR_TARGET_UNKNOWN, MQ_RAN_UNKNOWN, "", NULL);
 }
 
@@ -126,8 +126,7 @@
               const char *host)
 {
   struct mq_message message = { .type = MQ_MSG_FORGET };
-  struct target *target
-      = host == NULL ? NULL : hosts_target_named (owner, host);
+  struct target *target = host == NULL ? NULL : hosts_get_target (owner, host);
 
   if (target == NULL)
     return;
@@ -147,7 +146,7 @@
 calls_forget_later (struct mq_owner *owner, struct running *running,
                     uint32_t number, uint32_t attempt, const char *host)
 {
-  log_hook (owner, running, HOOK_FORGET, number, attempt, host);
+  log_add_hook (owner, running, HOOK_FORGET, number, attempt, host);
 }
 
 static void
@@ -189,7 +188,7 @@
 count_prompt (struct mq_owner *owner, const struct running *running,
               const struct mq_outcome_msg *outcome)
 {
-  struct shared_prompt shared = place_find_shared (owner, running);
+  struct shared_prompt shared = place_shared_prompt (owner, running);
   uint32_t known = running->known_tokens;
 
   if (!running->call->model || outcome->error != MQ_ERR_NONE)
@@ -222,7 +221,7 @@
               outcome->error);
   count_prompt (owner, running, outcome);
   remember_sticky (running, outcome);
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   if (!call->prepaid)
     running->pending_charge += outcome->tokens_out;
   if (outcome->error == MQ_ERR_NONE)
@@ -345,7 +344,7 @@
   running->call->tokens_seen++;
   if (running->waiters == NULL)
     return;
-  events_tell (owner, running, MQ_EVENT_TOKEN,
-               token->ref.call << 16 | ((token->index + 1) & 0xffff),
-               token->ref.call, token->text);
+  events_notify_waiters (owner, running, MQ_EVENT_TOKEN,
+                         token->ref.call << 16 | ((token->index + 1) & 0xffff),
+                         token->ref.call, token->text);
 }
--- a/src/core/owner/owner_chain.c
+++ b/src/core/owner/owner_chain.c
@@ -86,7 +86,7 @@
   struct mq_id id = running->program->id;
 
   events_detach (owner, running);
-  place_drop (owner, running);
+  place_discard_call (owner, running);
   mq_idmap_remove (owner->running, id, 0);
   mq_idmap_remove (running->partition->programs, id, 0);
   talloc_free (running);
@@ -415,7 +415,7 @@
     }
   if (owner->options.commit_each_step && running->undurable > 0 && place)
     {
-      log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL);
+      log_add_hook (owner, running, HOOK_GRANTED, 0, 0, NULL);
       return;
     }
   if (next == MQ_NEXT_MODEL)
@@ -450,7 +450,7 @@
     running->grant_durable = granted;
   mq_id_format (running->program->id, id);
   body = talloc_asprintf (owner->actions, "{\"program\":\"%s\"}", id);
-  events_tell (owner, running, MQ_EVENT_ACCEPTED, 0, 0, body);
+  events_notify_waiters (owner, running, MQ_EVENT_ACCEPTED, 0, 0, body);
   if (running->program->mode == MQ_MODE_STEPS)
     events_final (owner, running);
   else
@@ -467,7 +467,7 @@
   if (running->call == NULL)
     chain_advance (owner, running);
   else
-    place_continue (owner, running);
+    place_retry (owner, running);
 }
 
 /* Failure: a repeated request waits for the commit of an answer; before
@@ -509,18 +509,18 @@
       break;
     case HOOK_INTENT:
       if (running->partition->state == PARTITION_ACTIVE)
-        place_intent_durable (owner, running, hook->call, hook->attempt);
+        place_on_intent_durable (owner, running, hook->call, hook->attempt);
       break;
     case HOOK_FORGET:
       break;
     case HOOK_STEP:
-      events_step_done (owner, running, hook->call);
+      events_send_step_result (owner, running, hook->call);
       break;
     case HOOK_ANSWERED:
       answer_is_durable (owner, running, hook->since_us);
       break;
     case HOOK_REPLY:
-      request_reply (owner, hook);
+      request_send_reply (owner, hook);
       break;
     }
 }
--- a/src/core/owner/owner_drive.c
+++ b/src/core/owner/owner_drive.c
@@ -106,7 +106,7 @@
       /* An earlier owner may have sent it: settled first.  */
       running->call = call;
       call->started_us = owner->now_us;
-      settle_intent (owner, running);
+      settle_logged_intent (owner, running);
       return MQ_ERR_NONE;
     }
   place_start (owner, running, call);
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -114,7 +114,7 @@
   if (part->snapshot.len > 0)
     start_snapshot (owner, part);
   if (part->release)
-    take_released (owner, partition);
+    take_on_released (owner, partition);
 }
 
 static void
@@ -341,7 +341,7 @@
          and put the old fence back over the new one.  So whose fence it is
          decides; what is durable the new owner tells.  */
       if (!settled[i].present || !settled[i].ours)
-        take_lose (owner, partition);
+        take_on_lost (owner, partition);
       else if (settled[i].applied)
         part_applied (owner, &flight->parts[i], settled[i].version);
     }
--- a/src/core/owner/owner_end.c
+++ b/src/core/owner/owner_end.c
@@ -77,7 +77,7 @@
   record.body_case = MQLOG__RECORD__BODY_OUTCOME;
   record.outcome = &outcome;
   log_append (owner, running, &record);
-  log_hook (owner, running, HOOK_STEP, outcome.call, attempt, host);
+  log_add_hook (owner, running, HOOK_STEP, outcome.call, attempt, host);
   owner->counters.calls_done++;
 }
 
@@ -89,7 +89,8 @@
 
   /* What the target's process keeps is settled by the program's end.  */
   if (call != NULL)
-    log_hook (owner, running, HOOK_STEP, call->number, call->attempt, host);
+    log_add_hook (owner, running, HOOK_STEP, call->number, call->attempt,
+                  host);
   running->call = NULL;
   end_program (owner, running,
                running->stop != MQ_ERR_NONE ? running->stop : error, ran, "");
@@ -168,7 +169,7 @@
     owner->counters.budget_stops++;
   if (answered.ended)
     owner->counters.programs_ended++;
-  log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
+  log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
   if (running->parent != NULL)
     end_child (owner, running);
 }
--- a/src/core/owner/owner_events.c
+++ b/src/core/owner/owner_events.c
@@ -11,7 +11,7 @@
 enum
 {
   RETRY_SOON_MS = 100,
-  STORE_PATIENCE_MS = 2000 /* batch work waits this long for the store */
+  STORE_WAIT_MAX_MS = 2000 /* batch work waits this long for the store */
 };
 
 /* ---- Events ---- */
@@ -43,8 +43,8 @@
 /* The partition is not ours, or not now: the caller's entry host asks
    again, elsewhere.  It says nothing of the program.  */
 void
-events_send_away (struct mq_owner *owner, uint32_t peer, uint64_t handle,
-                  enum mq_error_type error, const char *redirect)
+events_redirect_caller (struct mq_owner *owner, uint32_t peer, uint64_t handle,
+                        enum mq_error_type error, const char *redirect)
 {
   struct mq_event_msg event = { .handle = handle,
                                 .type = MQ_EVENT_REFUSED,
@@ -64,8 +64,8 @@
    waits for a read of the partition's row that began after the request
    came; many wait for the same read.  */
 void
-events_answer_later (struct mq_owner *owner, uint32_t partition, uint32_t peer,
-                     const struct mq_event_msg *event)
+events_queue_reply (struct mq_owner *owner, uint32_t partition, uint32_t peer,
+                    const struct mq_event_msg *event)
 {
   struct reply *reply = talloc_zero (owner, struct reply);
 
@@ -80,7 +80,7 @@
   reply->event.redirect = "";
   reply->next = owner->replies;
   owner->replies = reply;
-  events_unconfirmed (owner);
+  events_fail_overdue_replies (owner);
 }
 
 /* The store has been down for a while: nothing can be confirmed soon.  */
@@ -88,7 +88,7 @@
 events_is_outage (const struct mq_owner *owner)
 {
   return owner->store_down
-         && owner->now_us - owner->store_down_us > 1000ULL * STORE_PATIENCE_MS;
+         && owner->now_us - owner->store_down_us > 1000ULL * STORE_WAIT_MAX_MS;
 }
 
 static void
@@ -97,9 +97,9 @@
   const struct partition *partition = &owner->partitions[reply->partition];
 
   if (partition->state != PARTITION_ACTIVE)
-    events_send_away (owner, reply->peer, reply->event.handle,
-                      MQ_ERR_NOT_READY,
-                      events_redirect_for (owner, partition));
+    events_redirect_caller (owner, reply->peer, reply->event.handle,
+                            MQ_ERR_NOT_READY,
+                            events_redirect_for (owner, partition));
   else
     {
       if (reply->event.type == MQ_EVENT_REFUSED)
@@ -114,7 +114,7 @@
 /* Every reply queued before BEFORE_US is confirmed, or its partition was
    seen to be lost.  */
 void
-events_confirmed (struct mq_owner *owner, uint64_t before_us)
+events_on_confirmed (struct mq_owner *owner, uint64_t before_us)
 {
   struct reply **at = &owner->replies;
 
@@ -137,7 +137,7 @@
    taken the partition and run the same request, if the store is out of
    reach for this host alone.  */
 void
-events_unconfirmed (struct mq_owner *owner)
+events_fail_overdue_replies (struct mq_owner *owner)
 {
   struct reply **at = &owner->replies;
 
@@ -146,7 +146,7 @@
       struct reply *reply = *at;
 
       if (!events_is_outage (owner)
-          && owner->now_us - reply->queued_us < 1000ULL * STORE_PATIENCE_MS)
+          && owner->now_us - reply->queued_us < 1000ULL * STORE_WAIT_MAX_MS)
         {
           at = &reply->next;
           continue;
@@ -173,16 +173,16 @@
                                 .body = "{}" };
 
   if (error == MQ_ERR_LEAVING)
-    events_send_away (owner, peer, handle, error,
-                      events_redirect_for (owner, partition));
+    events_redirect_caller (owner, peer, handle, error,
+                            events_redirect_for (owner, partition));
   else
-    events_answer_later (owner, partition->number, peer, &event);
+    events_queue_reply (owner, partition->number, peer, &event);
 }
 
 void
-events_tell (struct mq_owner *owner, struct running *running,
-             enum mq_event_type type, uint32_t number, uint32_t call,
-             const char *body)
+events_notify_waiters (struct mq_owner *owner, struct running *running,
+                       enum mq_event_type type, uint32_t number, uint32_t call,
+                       const char *body)
 {
   for (struct waiter *w = running->waiters; w != NULL; w = w->next)
     {
@@ -340,8 +340,8 @@
 
 /* A call's outcome is durable.  */
 void
-events_step_done (struct mq_owner *owner, struct running *running,
-                  uint32_t call)
+events_send_step_result (struct mq_owner *owner, struct running *running,
+                         uint32_t call)
 {
   struct waiter **at = &running->waiters;
   char *body;
@@ -349,8 +349,8 @@
   if (running->program->mode != MQ_MODE_STEPS)
     {
       body = talloc_asprintf (owner->actions, "{\"call\":%u}", call);
-      events_tell (owner, running, MQ_EVENT_STEP, call << 16 | 0xffff, call,
-                   body);
+      events_notify_waiters (owner, running, MQ_EVENT_STEP,
+                             call << 16 | 0xffff, call, body);
       return;
     }
   while (*at != NULL)
@@ -433,13 +433,13 @@
 
 /* The program goes on without its caller, who may come back for it.  */
 void
-events_gone (struct mq_owner *owner, uint32_t peer, uint64_t handle)
+events_on_caller_gone (struct mq_owner *owner, uint32_t peer, uint64_t handle)
 {
   remove_waiters (owner, peer, false, handle);
 }
 
 void
-events_peer_gone (struct mq_owner *owner, uint32_t peer)
+events_on_peer_gone (struct mq_owner *owner, uint32_t peer)
 {
   remove_waiters (owner, peer, true, 0);
 }
@@ -450,7 +450,7 @@
 events_detach (struct mq_owner *owner, struct running *running)
 {
   for (struct waiter *w = running->waiters; w != NULL; w = w->next)
-    events_send_away (owner, w->peer, w->handle, MQ_ERR_NOT_READY,
-                      events_redirect_for (owner, running->partition));
+    events_redirect_caller (owner, w->peer, w->handle, MQ_ERR_NOT_READY,
+                            events_redirect_for (owner, running->partition));
   running->waiters = NULL;
 }
--- a/src/core/owner/owner_evict.c
+++ b/src/core/owner/owner_evict.c
@@ -27,8 +27,8 @@
 }
 
 void
-evict_lease (struct mq_owner *owner, struct running *running,
-             struct target *target)
+evict_send_lease (struct mq_owner *owner, struct running *running,
+                  struct target *target)
 {
   send_lease (owner, running, target, MQ_LEASE_ACTIVE);
   if (running->lease_us == 0)
@@ -81,8 +81,8 @@
 }
 
 void
-evict_done (struct mq_owner *owner, struct target *target,
-            struct mq_id program)
+evict_on_confirmed (struct mq_owner *owner, struct target *target,
+                    struct mq_id program)
 {
   struct running *running = chain_find (owner, program);
 
--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -12,7 +12,7 @@
 /* ---- Pools ---- */
 
 struct pool *
-hosts_pool (struct mq_owner *owner, const char *service)
+hosts_get_pool (struct mq_owner *owner, const char *service)
 {
   struct pool *pool;
 
@@ -62,7 +62,8 @@
 }
 
 struct mq_worker_view *
-hosts_view (struct mq_owner *owner, struct target *target, uint32_t worker)
+hosts_worker_view (struct mq_owner *owner, struct target *target,
+                   uint32_t worker)
 {
   (void)owner;
   if (worker >= target->worker_count)
@@ -78,7 +79,7 @@
    spends the same budget again.  So the former run stays in the row: nobody
    can hear it, and what was granted counts as spent.  */
 static void
-keep_former (struct mq_owner *owner, struct target *target)
+add_former_run (struct mq_owner *owner, struct target *target)
 {
   struct former_run *former;
 
@@ -117,7 +118,7 @@
    the log, and every partition that we gave up or lost is with an owner that
    has accounted for ours.  */
 void
-hosts_formers_tick (struct mq_owner *owner)
+hosts_expire_former_runs (struct mq_owner *owner)
 {
   if (owner->formers == NULL)
     return;
@@ -145,11 +146,11 @@
 }
 
 void
-hosts_target_usable (struct mq_owner *owner, struct target *target)
+hosts_on_target_usable (struct mq_owner *owner, struct target *target)
 {
   for (uint32_t i = 0; i < target->worker_count; i++)
     {
-      struct mq_worker_view *view = hosts_view (owner, target, i);
+      struct mq_worker_view *view = hosts_worker_view (owner, target, i);
 
       view->peer = target->peer;
       view->avoid = target->peer == 0 || target->leaving
@@ -178,7 +179,7 @@
 }
 
 struct target *
-hosts_target_named (struct mq_owner *owner, const char *host)
+hosts_get_target (struct mq_owner *owner, const char *host)
 {
   return mq_idmap_find (owner->targets_by_name, name_key (host), 0);
 }
@@ -206,7 +207,7 @@
 }
 
 struct sibling *
-hosts_sibling_named (struct mq_owner *owner, const char *host, bool create)
+hosts_get_sibling (struct mq_owner *owner, const char *host, bool create)
 {
   struct sibling *sibling;
 
@@ -230,7 +231,7 @@
 static void
 list_target (struct mq_owner *owner, const struct mq_host *host)
 {
-  struct target *target = hosts_target_named (owner, host->name);
+  struct target *target = hosts_get_target (owner, host->name);
 
   if (target == NULL)
     target = add_target (owner, host->name, host->data_centre);
@@ -238,7 +239,7 @@
   /* A target that said itself that it leaves is believed until it is new.  */
   if (host->leaving)
     target->leaving = true;
-  hosts_target_usable (owner, target);
+  hosts_on_target_usable (owner, target);
 }
 
 static void
@@ -248,7 +249,7 @@
 
   if (strcmp (host->name, owner->options.host) == 0)
     return;
-  sibling = hosts_sibling_named (owner, host->name, true);
+  sibling = hosts_get_sibling (owner, host->name, true);
   sibling->listed = true;
 }
 
@@ -302,7 +303,7 @@
    charged when they were given up, so the dead run is a former one.  It is
    not used before a row with it is durable again.  */
 static void
-settle_gone (struct mq_owner *owner, struct target *target)
+retire_dead_run (struct mq_owner *owner, struct target *target)
 {
   if (target->settled || target->peer != 0 || target->boot == 0
       || target->calls > 0
@@ -310,7 +311,7 @@
     return;
   target->settled = true;
   target->durable_boot = 0;
-  keep_former (owner, target);
+  add_former_run (owner, target);
 }
 
 /* Forgets targets that the list dropped long ago and where nothing of ours
@@ -321,7 +322,7 @@
   struct target **at = &owner->targets;
 
   for (struct target *t = owner->targets; t != NULL; t = t->next)
-    settle_gone (owner, t);
+    retire_dead_run (owner, t);
   while (*at != NULL)
     {
       struct target *target = *at;
@@ -337,7 +338,7 @@
         pool_remove (target->workers[i]);
       drop_references (owner, target);
       mq_idmap_remove (owner->targets_by_name, name_key (target->host), 0);
-      keep_former (owner, target);
+      add_former_run (owner, target);
       talloc_free (target);
     }
 }
@@ -348,7 +349,7 @@
 target_up (struct mq_owner *owner, uint32_t peer, const char *host,
            uint64_t boot)
 {
-  struct target *target = hosts_target_named (owner, host);
+  struct target *target = hosts_get_target (owner, host);
 
   if (target == NULL)
     target = add_target (owner, host, "");
@@ -361,18 +362,18 @@
   target->peer = peer;
   target->down_us = 0;
   target->settled = false;
-  hosts_target_usable (owner, target);
-  read_target_up (owner, target);
-  settle_target_up (owner, target);
+  hosts_on_target_usable (owner, target);
+  read_on_target_up (owner, target);
+  settle_on_target_up (owner, target);
   if (target->sent_boot != boot)
-    keep_former (owner, target);
+    add_former_run (owner, target);
   if (target->durable_boot != boot)
     owner->targets_dirty = true;
 }
 
 void
-hosts_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
-               enum mq_host_role role, uint64_t boot)
+hosts_on_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
+                  enum mq_host_role role, uint64_t boot)
 {
   struct sibling *sibling;
 
@@ -383,7 +384,7 @@
       target_up (owner, peer, host, boot);
       break;
     case MQ_HOST_ENTRY:
-      sibling = hosts_sibling_named (owner, host, true);
+      sibling = hosts_get_sibling (owner, host, true);
       sibling->peer = peer;
       sibling->peer_down_us = 0;
       break;
@@ -391,11 +392,11 @@
 }
 
 void
-hosts_peer_down (struct mq_owner *owner, uint32_t peer)
+hosts_on_peer_down (struct mq_owner *owner, uint32_t peer)
 {
   struct target *target = hosts_find_target (owner, peer);
 
-  events_peer_gone (owner, peer);
+  events_on_peer_gone (owner, peer);
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     if (s->peer == peer)
       {
@@ -409,8 +410,8 @@
   mq_idmap_remove (owner->targets_by_peer, peer_key (peer), 0);
   target->peer = 0;
   target->down_us = owner->now_us;
-  hosts_target_usable (owner, target);
-  settle_target_down (owner, target);
+  hosts_on_target_usable (owner, target);
+  settle_on_target_down (owner, target);
 }
 
 void
@@ -454,13 +455,14 @@
       worker->target = target;
       worker->index = (uint32_t)i;
       target->workers[i] = worker;
-      pool_add (owner, hosts_pool (owner, load->workers[i].service), worker);
+      pool_add (owner, hosts_get_pool (owner, load->workers[i].service),
+                worker);
     }
 }
 
 void
-hosts_load (struct mq_owner *owner, struct target *target,
-            const struct mq_load_msg *load)
+hosts_on_load (struct mq_owner *owner, struct target *target,
+               const struct mq_load_msg *load)
 {
   if (!same_workers (target, load))
     rebuild_workers (owner, target, load);
@@ -468,7 +470,7 @@
   for (uint32_t i = 0; i < load->worker_count; i++)
     {
       const struct mq_worker_load *from = &load->workers[i];
-      struct mq_worker_view *view = hosts_view (owner, target, i);
+      struct mq_worker_view *view = hosts_worker_view (owner, target, i);
 
       view->slots = from->slots;
       view->reported_busy = from->running + from->queued;
@@ -479,5 +481,5 @@
       view->prefill_rate = from->prefill_rate;
       view->decode_us = from->decode_us;
     }
-  hosts_target_usable (owner, target);
+  hosts_on_target_usable (owner, target);
 }
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -63,7 +63,7 @@
   owner->gathered++;
   owner->gathered_bytes += item->len;
   running->undurable++;
-  read_apply (owner, partition, record);
+  read_apply_record (owner, partition, record);
 }
 
 static struct hook *
@@ -86,8 +86,9 @@
 }
 
 struct hook *
-log_hook (struct mq_owner *owner, struct running *running, enum hook_type type,
-          uint32_t call, uint32_t attempt, const char *host)
+log_add_hook (struct mq_owner *owner, struct running *running,
+              enum hook_type type, uint32_t call, uint32_t attempt,
+              const char *host)
 {
   struct hook *hook = add_hook (owner, running, type);
 
@@ -99,8 +100,8 @@
 }
 
 struct hook *
-log_hook_reply (struct mq_owner *owner, struct running *running, uint32_t peer,
-                uint64_t handle)
+log_add_reply_hook (struct mq_owner *owner, struct running *running,
+                    uint32_t peer, uint64_t handle)
 {
   struct hook *hook = add_hook (owner, running, HOOK_REPLY);
 
@@ -114,7 +115,7 @@
    Failure: FORGET, under the new owner's fence that we have read by then,
    for outcomes that no log holds.  */
 void
-log_drop_hooks (struct mq_owner *owner, const struct partition *partition)
+log_cancel_hooks (struct mq_owner *owner, const struct partition *partition)
 {
   struct hook **lists[] = { &owner->flight.hooks, &owner->hooks_first };
 
@@ -139,7 +140,7 @@
 /* ---- Sealing a batch ---- */
 
 static bool
-row_is_behind (const struct partition *partition)
+row_is_stale (const struct partition *partition)
 {
   /* Failure: a partition without work is taken over and its row goes on
      naming the earlier owner, for days; that owner must keep every former
@@ -151,12 +152,12 @@
 }
 
 static bool
-wants_commit (const struct partition *partition)
+needs_commit (const struct partition *partition)
 {
   if (partition->state != PARTITION_ACTIVE
       && partition->state != PARTITION_RELEASING)
     return false;
-  return partition->pending_first != NULL || row_is_behind (partition)
+  return partition->pending_first != NULL || row_is_stale (partition)
          || partition->state == PARTITION_RELEASING;
 }
 
@@ -238,7 +239,7 @@
 }
 
 static void
-seal_partition (struct mq_owner *owner, struct partition *partition)
+prepare_partition (struct mq_owner *owner, struct partition *partition)
 {
   struct flight *flight = &owner->flight;
   struct flight_part *part = &flight->parts[flight->count++];
@@ -408,7 +409,7 @@
   if (flight->state != FLIGHT_NONE)
     return;
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (wants_commit (&owner->partitions[i]))
+    if (needs_commit (&owner->partitions[i]))
       count++;
   if (count == 0)
     {
@@ -425,8 +426,8 @@
   if (flight->parts == NULL)
     abort ();
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (wants_commit (&owner->partitions[i]))
-      seal_partition (owner, &owner->partitions[i]);
+    if (needs_commit (&owner->partitions[i]))
+      prepare_partition (owner, &owner->partitions[i]);
   flight->hooks = owner->hooks_first;
   owner->hooks_first = NULL;
   owner->hooks_last = NULL;
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -26,8 +26,8 @@
 }
 
 static enum mq_error_type
-check_room (struct mq_owner *owner, const struct mq_request_msg *request,
-            enum mq_priority priority, uint32_t *retry_after_ms)
+check_capacity (struct mq_owner *owner, const struct mq_request_msg *request,
+                enum mq_priority priority, uint32_t *retry_after_ms)
 {
   const struct mq_organisation *organisation
       = mq_text_find_organisation (owner->text, request->organisation);
@@ -211,8 +211,8 @@
 
 /* A history that carries over has been computed before.  */
 static void
-note_known_tokens (struct mq_owner *owner, struct running *running,
-                   struct mq_id continues)
+set_reusable_tokens (struct mq_owner *owner, struct running *running,
+                     struct mq_id continues)
 {
   const struct running *before
       = mq_id_is_zero (continues) ? NULL : chain_find (owner, continues);
@@ -231,19 +231,19 @@
   enum mq_error_type error = fill_opening (owner, &opening, request);
 
   if (error == MQ_ERR_NONE)
-    error = check_room (owner, request,
-                        (enum mq_priority)opening.opened.priority,
-                        &retry_after_ms);
+    error = check_capacity (owner, request,
+                            (enum mq_priority)opening.opened.priority,
+                            &retry_after_ms);
   if (error != MQ_ERR_NONE)
     {
       events_refuse (owner, partition, peer, handle, error, retry_after_ms);
       return;
     }
   running = chain_open (owner, partition, request->program, &opening.opened);
-  note_known_tokens (owner, running, request->continues);
+  set_reusable_tokens (owner, running, request->continues);
   events_add_waiter (running, peer, handle, request, 0);
   grant_first (owner, running);
-  log_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
+  log_add_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
       = running->grant_wanted;
   if (running->program->mode != MQ_MODE_STEPS)
     budget_start_clock (owner, running);
@@ -252,9 +252,9 @@
 
 /* The caller's open came before: the same program answers.  */
 void
-open_join_program (struct mq_owner *owner, struct running *running,
-                   uint32_t peer, uint64_t handle,
-                   const struct mq_request_msg *request)
+open_attach_caller (struct mq_owner *owner, struct running *running,
+                    uint32_t peer, uint64_t handle,
+                    const struct mq_request_msg *request)
 {
   const struct mq_program *program = running->program;
   struct mq_event_msg event = { .handle = handle, .type = MQ_EVENT_ACCEPTED };
@@ -271,7 +271,7 @@
     {
       /* What it waits for is durable soon; then it is told.  */
       if (program->state != MQ_PROGRAM_RUNNING)
-        log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
+        log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
       return;
     }
   mq_id_format (program->id, id);
--- a/src/core/owner/owner_parts.h
+++ b/src/core/owner/owner_parts.h
@@ -34,31 +34,32 @@
 /* owner_hosts.c */
 
 void hosts_listed (struct mq_owner *owner, const struct mq_host_list *hosts);
-void hosts_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
-                    enum mq_host_role role, uint64_t boot);
-void hosts_peer_down (struct mq_owner *owner, uint32_t peer);
-void hosts_load (struct mq_owner *owner, struct target *target,
-                 const struct mq_load_msg *load);
-void hosts_formers_tick (struct mq_owner *owner);
-void hosts_target_usable (struct mq_owner *owner, struct target *target);
+void hosts_on_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
+                       enum mq_host_role role, uint64_t boot);
+void hosts_on_peer_down (struct mq_owner *owner, uint32_t peer);
+void hosts_on_load (struct mq_owner *owner, struct target *target,
+                    const struct mq_load_msg *load);
+void hosts_expire_former_runs (struct mq_owner *owner);
+void hosts_on_target_usable (struct mq_owner *owner, struct target *target);
 void hosts_tick (struct mq_owner *owner);
 struct target *hosts_find_target (struct mq_owner *owner, uint32_t peer);
-struct target *hosts_target_named (struct mq_owner *owner, const char *host);
-struct sibling *hosts_sibling_named (struct mq_owner *owner, const char *host,
-                                     bool create);
-struct pool *hosts_pool (struct mq_owner *owner, const char *service);
-struct mq_worker_view *hosts_view (struct mq_owner *owner,
-                                   struct target *target, uint32_t worker);
+struct target *hosts_get_target (struct mq_owner *owner, const char *host);
+struct sibling *hosts_get_sibling (struct mq_owner *owner, const char *host,
+                                   bool create);
+struct pool *hosts_get_pool (struct mq_owner *owner, const char *service);
+struct mq_worker_view *hosts_worker_view (struct mq_owner *owner,
+                                          struct target *target,
+                                          uint32_t worker);
 void hosts_send (struct mq_owner *owner, struct target *target,
                  const struct mq_message *message);
 
 /* owner_peers.c */
 
-bool peers_renews (const struct mq_owner *owner,
-                   const struct sibling *sibling);
-void peers_find_eligible (struct mq_owner *owner);
+bool peers_is_renewing (const struct mq_owner *owner,
+                        const struct sibling *sibling);
+void peers_update_eligible (struct mq_owner *owner);
 void peers_count_owned (struct mq_owner *owner);
-uint32_t peers_count_ours (const struct mq_owner *owner);
+uint32_t peers_count_own (const struct mq_owner *owner);
 uint32_t peers_fair_share (const struct mq_owner *owner);
 uint32_t peers_own_rank (const struct mq_owner *owner,
                          const struct partition *partition);
@@ -67,36 +68,36 @@
 
 /* owner_rows.c */
 
-void rows_paused (struct mq_owner *owner, uint64_t now_us);
-void rows_read_owners (struct mq_owner *owner,
-                       const struct mq_store_result *result);
-void rows_read_partitions (struct mq_owner *owner,
-                           const struct mq_store_result *result);
+void rows_on_pause (struct mq_owner *owner, uint64_t now_us);
+void rows_apply_owners (struct mq_owner *owner,
+                        const struct mq_store_result *result);
+void rows_apply_partitions (struct mq_owner *owner,
+                            const struct mq_store_result *result);
 void rows_scan_failed (struct mq_owner *owner);
 
 /* owner_take.c */
 
-void take_handover (struct mq_owner *owner,
-                    const struct mq_handover_msg *handover);
-void take_lose (struct mq_owner *owner, struct partition *partition);
-void take_released (struct mq_owner *owner, struct partition *partition);
-void take_forget_partition (struct mq_owner *owner,
+void take_on_handover (struct mq_owner *owner,
+                       const struct mq_handover_msg *handover);
+void take_on_lost (struct mq_owner *owner, struct partition *partition);
+void take_on_released (struct mq_owner *owner, struct partition *partition);
+void take_unload_partition (struct mq_owner *owner,
                             struct partition *partition);
-void take_consider_claim (struct mq_owner *owner, struct partition *partition);
-void take_claim_result (struct mq_owner *owner, struct partition *partition,
-                        const struct mq_store_result *result);
+void take_claim_if_due (struct mq_owner *owner, struct partition *partition);
+void take_on_claim_result (struct mq_owner *owner, struct partition *partition,
+                           const struct mq_store_result *result);
 
 /* owner_read.c */
 
 void read_recovered (struct mq_owner *owner, struct target *target,
                      const struct mq_recovered_msg *recovered);
-void read_target_up (struct mq_owner *owner, struct target *target);
-void read_apply (struct mq_owner *owner, struct partition *partition,
-                 const Mqlog__Record *record);
-void read_next (struct mq_owner *owner, struct partition *partition);
+void read_on_target_up (struct mq_owner *owner, struct target *target);
+void read_apply_record (struct mq_owner *owner, struct partition *partition,
+                        const Mqlog__Record *record);
+void read_send_next (struct mq_owner *owner, struct partition *partition);
 void read_start (struct mq_owner *owner, struct partition *partition);
-void read_result (struct mq_owner *owner, struct partition *partition,
-                  const struct mq_store_result *result);
+void read_on_result (struct mq_owner *owner, struct partition *partition,
+                     const struct mq_store_result *result);
 void read_activate (struct mq_owner *owner, struct partition *partition);
 
 /* owner_tick.c */
@@ -105,23 +106,24 @@
 bool tick_store_result (struct mq_owner *owner,
                         const struct mq_store_result *result);
 void tick_set_partitions (struct mq_owner *owner, uint32_t count);
-void tick_confirm (struct mq_owner *owner);
+void tick_start_confirmation (struct mq_owner *owner);
 bool tick_is_drained (const struct mq_owner *owner);
-uint64_t tick_next (const struct mq_owner *owner);
+uint64_t tick_next_us (const struct mq_owner *owner);
 void tick_scan_owners (struct mq_owner *owner);
 
 /* owner_log.c */
 
 void log_append (struct mq_owner *owner, struct running *running,
                  Mqlog__Record *record);
-struct hook *log_hook (struct mq_owner *owner, struct running *running,
-                       enum hook_type type, uint32_t call, uint32_t attempt,
-                       const char *host);
-struct hook *log_hook_reply (struct mq_owner *owner, struct running *running,
-                             uint32_t peer, uint64_t handle);
+struct hook *log_add_hook (struct mq_owner *owner, struct running *running,
+                           enum hook_type type, uint32_t call,
+                           uint32_t attempt, const char *host);
+struct hook *log_add_reply_hook (struct mq_owner *owner,
+                                 struct running *running, uint32_t peer,
+                                 uint64_t handle);
 void log_flush (struct mq_owner *owner);
-void log_drop_hooks (struct mq_owner *owner,
-                     const struct partition *partition);
+void log_cancel_hooks (struct mq_owner *owner,
+                       const struct partition *partition);
 void log_send_transaction (struct mq_owner *owner);
 void log_send_objects (struct mq_owner *owner);
 
@@ -193,10 +195,10 @@
 
 /* owner_evict.c */
 
-void evict_done (struct mq_owner *owner, struct target *target,
-                 struct mq_id program);
-void evict_lease (struct mq_owner *owner, struct running *running,
-                  struct target *target);
+void evict_on_confirmed (struct mq_owner *owner, struct target *target,
+                         struct mq_id program);
+void evict_send_lease (struct mq_owner *owner, struct running *running,
+                       struct target *target);
 void evict_send (struct mq_owner *owner, struct running *running);
 void evict_start (struct mq_owner *owner, struct running *running);
 void evict_renew_leases (struct mq_owner *owner, struct running *running);
@@ -212,20 +214,20 @@
 
 void place_start (struct mq_owner *owner, struct running *running,
                   struct call *call);
-void place_continue (struct mq_owner *owner, struct running *running);
-void place_intent_durable (struct mq_owner *owner, struct running *running,
-                           uint32_t call, uint32_t attempt);
-void place_drop (struct mq_owner *owner, struct running *running);
-void place_count (struct mq_owner *owner, struct call *call, int change);
-void place_leave_target (struct mq_owner *owner, struct running *running);
-void place_abandon (struct mq_owner *owner, struct running *running);
-struct shared_prompt place_find_shared (const struct mq_owner *owner,
-                                        const struct running *running);
-void place_remember_cache (struct mq_owner *owner, struct running *running,
-                           struct target *target);
+void place_retry (struct mq_owner *owner, struct running *running);
+void place_on_intent_durable (struct mq_owner *owner, struct running *running,
+                              uint32_t call, uint32_t attempt);
+void place_discard_call (struct mq_owner *owner, struct running *running);
+void place_adjust_load (struct mq_owner *owner, struct call *call, int change);
+void place_detach_target (struct mq_owner *owner, struct running *running);
+void place_abandon_attempt (struct mq_owner *owner, struct running *running);
+struct shared_prompt place_shared_prompt (const struct mq_owner *owner,
+                                          const struct running *running);
+void place_record_cache (struct mq_owner *owner, struct running *running,
+                         struct target *target);
 void place_send_call (struct mq_owner *owner, struct running *running);
-void place_later (struct mq_owner *owner, struct running *running,
-                  uint32_t wait_ms);
+void place_schedule_retry (struct mq_owner *owner, struct running *running,
+                           uint32_t wait_ms);
 void place_call (struct mq_owner *owner, struct running *running);
 
 /* owner_calls.c */
@@ -255,41 +257,43 @@
 
 /* owner_settle.c */
 
-void settle_sealed (struct mq_owner *owner, struct target *target,
-                    const struct mq_sealed_msg *sealed);
-void settle_target_up (struct mq_owner *owner, struct target *target);
-void settle_target_down (struct mq_owner *owner, struct target *target);
-void settle_adopt (struct mq_owner *owner, struct target *target,
-                   struct mq_call_ref ref, uint32_t partition);
-void settle_intent (struct mq_owner *owner, struct running *running);
-void settle_resume (struct mq_owner *owner, struct running *running);
+void settle_on_seal_reply (struct mq_owner *owner, struct target *target,
+                           const struct mq_sealed_msg *sealed);
+void settle_on_target_up (struct mq_owner *owner, struct target *target);
+void settle_on_target_down (struct mq_owner *owner, struct target *target);
+void settle_reported_attempt (struct mq_owner *owner, struct target *target,
+                              struct mq_call_ref ref, uint32_t partition);
+void settle_logged_intent (struct mq_owner *owner, struct running *running);
+void settle_resume_program (struct mq_owner *owner, struct running *running);
 bool settle_cancel (struct mq_owner *owner, struct running *running);
 void settle_tick (struct mq_owner *owner, struct running *running);
 
 /* owner_events.c */
 
-void events_gone (struct mq_owner *owner, uint32_t peer, uint64_t handle);
-void events_peer_gone (struct mq_owner *owner, uint32_t peer);
-void events_tell (struct mq_owner *owner, struct running *running,
-                  enum mq_event_type type, uint32_t number, uint32_t call,
-                  const char *body);
+void events_on_caller_gone (struct mq_owner *owner, uint32_t peer,
+                            uint64_t handle);
+void events_on_peer_gone (struct mq_owner *owner, uint32_t peer);
+void events_notify_waiters (struct mq_owner *owner, struct running *running,
+                            enum mq_event_type type, uint32_t number,
+                            uint32_t call, const char *body);
 void events_final (struct mq_owner *owner, struct running *running);
-void events_step_done (struct mq_owner *owner, struct running *running,
-                       uint32_t call);
+void events_send_step_result (struct mq_owner *owner, struct running *running,
+                              uint32_t call);
 void events_refuse_step (struct mq_owner *owner, struct running *running,
                          uint32_t call, enum mq_error_type error);
 void events_detach (struct mq_owner *owner, struct running *running);
-void events_confirmed (struct mq_owner *owner, uint64_t before_us);
-void events_unconfirmed (struct mq_owner *owner);
+void events_on_confirmed (struct mq_owner *owner, uint64_t before_us);
+void events_fail_overdue_replies (struct mq_owner *owner);
 char *events_final_body (TALLOC_CTX *ctx, const struct running *running);
 void events_send_event (struct mq_owner *owner, uint32_t peer,
                         const struct mq_event_msg *event);
 const char *events_redirect_for (const struct mq_owner *owner,
                                  const struct partition *partition);
-void events_send_away (struct mq_owner *owner, uint32_t peer, uint64_t handle,
-                       enum mq_error_type error, const char *redirect);
-void events_answer_later (struct mq_owner *owner, uint32_t partition,
-                          uint32_t peer, const struct mq_event_msg *event);
+void events_redirect_caller (struct mq_owner *owner, uint32_t peer,
+                             uint64_t handle, enum mq_error_type error,
+                             const char *redirect);
+void events_queue_reply (struct mq_owner *owner, uint32_t partition,
+                         uint32_t peer, const struct mq_event_msg *event);
 bool events_is_outage (const struct mq_owner *owner);
 void events_refuse (struct mq_owner *owner, const struct partition *partition,
                     uint32_t peer, uint64_t handle, enum mq_error_type error,
@@ -305,14 +309,14 @@
 void open_new (struct mq_owner *owner, struct partition *partition,
                uint32_t peer, uint64_t handle,
                const struct mq_request_msg *request);
-void open_join_program (struct mq_owner *owner, struct running *running,
-                        uint32_t peer, uint64_t handle,
-                        const struct mq_request_msg *request);
+void open_attach_caller (struct mq_owner *owner, struct running *running,
+                         uint32_t peer, uint64_t handle,
+                         const struct mq_request_msg *request);
 
 /* owner_request.c */
 
 void request_handle (struct mq_owner *owner, uint32_t peer, uint64_t handle,
                      const struct mq_request_msg *request);
-void request_reply (struct mq_owner *owner, struct hook *hook);
+void request_send_reply (struct mq_owner *owner, struct hook *hook);
 
 #endif
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -15,7 +15,7 @@
 /* ---- Who is there ---- */
 
 bool
-peers_renews (const struct mq_owner *owner, const struct sibling *sibling)
+peers_is_renewing (const struct mq_owner *owner, const struct sibling *sibling)
 {
   uint64_t age = owner->now_us - sibling->counter_us;
   uint64_t lease_us = 1000ULL * owner->text->lease_ms;
@@ -34,7 +34,7 @@
 sibling_is_live (const struct mq_owner *owner, const struct sibling *sibling)
 {
   return !sibling->leaving && sibling->eligible
-         && peers_renews (owner, sibling);
+         && peers_is_renewing (owner, sibling);
 }
 
 /* Failure: nobody removes the row of a host that died.  If it counted for
@@ -63,7 +63,7 @@
 /* Only so many hosts may own partitions, so that the writes of all owners
    fit the store however many entry hosts there are.  */
 void
-peers_find_eligible (struct mq_owner *owner)
+peers_update_eligible (struct mq_owner *owner)
 {
   uint64_t own = mq_rendezvous_weight (owner->options.host, ELIGIBLE_KEY);
   uint32_t better_than_self = 0;
@@ -101,7 +101,7 @@
 }
 
 uint32_t
-peers_count_ours (const struct mq_owner *owner)
+peers_count_own (const struct mq_owner *owner)
 {
   uint32_t ours = 0;
 
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -16,14 +16,14 @@
 /* ---- Accounting at targets ---- */
 
 void
-place_count (struct mq_owner *owner, struct call *call, int change)
+place_adjust_load (struct mq_owner *owner, struct call *call, int change)
 {
   struct mq_worker_view *view;
 
   if (call->target == NULL)
     return;
   call->target->calls += (uint32_t)change;
-  view = hosts_view (owner, call->target, call->worker);
+  view = hosts_worker_view (owner, call->target, call->worker);
   if (view == NULL)
     return;
   if (change > 0)
@@ -40,11 +40,11 @@
 }
 
 void
-place_leave_target (struct mq_owner *owner, struct running *running)
+place_detach_target (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
-  place_count (owner, call, -1);
+  place_adjust_load (owner, call, -1);
   call->target = NULL;
   call->down_us = 0;
   budget_release (running, call->reserved);
@@ -54,19 +54,19 @@
 /* Whether the attempt spent its tokens can't be known: it counts as if it
    had spent all that it may.  */
 void
-place_abandon (struct mq_owner *owner, struct running *running)
+place_abandon_attempt (struct mq_owner *owner, struct running *running)
 {
   uint64_t reserved = running->call->reserved;
 
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   budget_charge (owner, running, reserved);
 }
 
 void
-place_drop (struct mq_owner *owner, struct running *running)
+place_discard_call (struct mq_owner *owner, struct running *running)
 {
   if (running->call != NULL && running->call->target != NULL)
-    place_count (owner, running->call, -1);
+    place_adjust_load (owner, running->call, -1);
   running->call = NULL;
 }
 
@@ -84,7 +84,8 @@
 }
 
 struct shared_prompt
-place_find_shared (const struct mq_owner *owner, const struct running *running)
+place_shared_prompt (const struct mq_owner *owner,
+                     const struct running *running)
 {
   const struct mq_service *agent
       = mq_text_find_service (owner->text, running->program->service);
@@ -103,8 +104,8 @@
 choose_worker (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
-  struct pool *pool = hosts_pool (owner, call->service->name);
-  struct shared_prompt shared = place_find_shared (owner, running);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
+  struct shared_prompt shared = place_shared_prompt (owner, running);
   struct mq_place_call place = { 0 };
   int32_t chosen;
 
@@ -123,8 +124,8 @@
 }
 
 void
-place_remember_cache (struct mq_owner *owner, struct running *running,
-                      struct target *target)
+place_record_cache (struct mq_owner *owner, struct running *running,
+                    struct target *target)
 {
   struct cache_place *place;
 
@@ -138,7 +139,7 @@
   place->boot = target->boot;
   place->next = running->caches;
   running->caches = place;
-  evict_lease (owner, running, target);
+  evict_send_lease (owner, running, target);
 }
 
 static void
@@ -204,7 +205,8 @@
 }
 
 static void
-go_to (struct mq_owner *owner, struct running *running, struct worker *worker)
+assign_worker (struct mq_owner *owner, struct running *running,
+               struct worker *worker)
 {
   struct call *call = running->call;
 
@@ -216,7 +218,7 @@
   call->boot = worker->target->boot;
   call->sent_us = owner->now_us;
   call->uncached_tokens = expect_uncached (running, worker);
-  place_count (owner, call, 1);
+  place_adjust_load (owner, call, 1);
   if (call->model)
     {
       call->reserved = call->max_tokens;
@@ -225,7 +227,7 @@
 }
 
 static void
-send_first (struct mq_owner *owner, struct running *running)
+dispatch_call (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
@@ -233,7 +235,7 @@
   call->sent_us = owner->now_us;
   place_send_call (owner, running);
   if (call->model)
-    place_remember_cache (owner, running, call->target);
+    place_record_cache (owner, running, call->target);
   owner_wake_at (owner, running,
                  owner->now_us + 1000ULL * call->service->timeout_ms
                      + 1000ULL * GUARD_MS);
@@ -255,11 +257,13 @@
   record.intent = &intent;
   call->state = CALL_INTENT;
   log_append (owner, running, &record);
-  log_hook (owner, running, HOOK_INTENT, call->number, call->attempt, NULL);
+  log_add_hook (owner, running, HOOK_INTENT, call->number, call->attempt,
+                NULL);
 }
 
 void
-place_later (struct mq_owner *owner, struct running *running, uint32_t wait_ms)
+place_schedule_retry (struct mq_owner *owner, struct running *running,
+                      uint32_t wait_ms)
 {
   struct call *call = running->call;
 
@@ -273,14 +277,14 @@
    durable, and the next owner finds no trace of them: the budget is spent
    again.  So no call goes out before they are.  */
 static bool
-discards_are_durable (struct mq_owner *owner, struct running *running)
+charges_are_durable (struct mq_owner *owner, struct running *running)
 {
   if (owner->settled >= running->discard_mark)
     return true;
   if (!running->grant_asked)
     {
       running->grant_asked = true;
-      log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
+      log_add_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return false;
 }
@@ -291,7 +295,7 @@
   struct call *call = running->call;
   struct worker *worker;
 
-  if (!discards_are_durable (owner, running))
+  if (!charges_are_durable (owner, running))
     {
       call->state = CALL_GRANT;
       return;
@@ -311,12 +315,12 @@
   worker = choose_worker (owner, running);
   if (worker == NULL)
     {
-      place_later (owner, running, PLACE_RETRY_MS);
+      place_schedule_retry (owner, running, PLACE_RETRY_MS);
       return;
     }
-  go_to (owner, running, worker);
+  assign_worker (owner, running, worker);
   if (call->idempotent)
-    send_first (owner, running);
+    dispatch_call (owner, running);
   else
     append_intent (owner, running);
 }
@@ -332,7 +336,7 @@
 }
 
 void
-place_continue (struct mq_owner *owner, struct running *running)
+place_retry (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
@@ -346,8 +350,8 @@
 /* The intent is durable: whoever owns the partition from now on knows that
    the call may have been sent, and to which run of which process.  */
 void
-place_intent_durable (struct mq_owner *owner, struct running *running,
-                      uint32_t number, uint32_t attempt)
+place_on_intent_durable (struct mq_owner *owner, struct running *running,
+                         uint32_t number, uint32_t attempt)
 {
   struct call *call = running->call;
 
@@ -358,9 +362,9 @@
       || call->target->leaving)
     {
       /* Never sent from here, and only this owner may send it.  */
-      place_leave_target (owner, running);
-      place_later (owner, running, 0);
+      place_detach_target (owner, running);
+      place_schedule_retry (owner, running, 0);
       return;
     }
-  send_first (owner, running);
+  dispatch_call (owner, running);
 }
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -9,13 +9,13 @@
 
 enum
 {
-  LOG_PAGE = 256 /* log rows read at a time */
+  LOG_PAGE_ROWS = 256 /* log rows read at a time */
 };
 
 /* ---- Reading the log ---- */
 
 static void
-read_again_later (struct mq_owner *owner, struct partition *partition)
+read_schedule_retry (struct mq_owner *owner, struct partition *partition)
 {
   durable_store_failed (owner);
   partition->retry_us
@@ -52,7 +52,7 @@
                            struct partition *partition);
 
 void
-read_next (struct mq_owner *owner, struct partition *partition)
+read_send_next (struct mq_owner *owner, struct partition *partition)
 {
   struct takeover *take = partition->takeover;
 
@@ -77,7 +77,7 @@
       send_scan (
           owner, partition,
           talloc_asprintf (owner->actions, "log/%05u/", partition->number),
-          take->after, LOG_PAGE);
+          take->after, LOG_PAGE_ROWS);
       return;
     }
   if (take->step == TAKE_OBJECTS)
@@ -116,14 +116,14 @@
   take->after = talloc_asprintf (take, "log/%05u/%012llu", partition->number,
                                  (unsigned long long)partition->checkpoint);
   partition->takeover = take;
-  read_next (owner, partition);
+  read_send_next (owner, partition);
 }
 
 /* Starts over: what was read does not fit together.  */
 static void
-read_afresh (struct mq_owner *owner, struct partition *partition)
+read_restart (struct mq_owner *owner, struct partition *partition)
 {
-  take_forget_partition (owner, partition);
+  take_unload_partition (owner, partition);
   partition->retry_us = owner->now_us + 1000ULL * MQ_STORE_RETRY_MAX_MS;
   owner->next_scan_us = owner->now_us;
 }
@@ -145,7 +145,7 @@
 }
 
 static void
-keep_log_row (struct takeover *take, const struct mq_row *row)
+add_log_row (struct takeover *take, const struct mq_row *row)
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
@@ -170,7 +170,7 @@
 }
 
 static void
-keep_segment (struct partition *partition, const struct read_batch *row)
+add_segment (struct partition *partition, const struct read_batch *row)
 {
   struct segment *segment;
 
@@ -198,7 +198,7 @@
       if (record == NULL)
         whole = false;
       else
-        read_apply (owner, partition, record);
+        read_apply_record (owner, partition, record);
       partition->records_since_checkpoint++;
       mqlog__record__free_unpacked (record, NULL);
     }
@@ -221,13 +221,13 @@
         return false;
       if (!replay_batch (owner, partition, &take->rows[i].bytes))
         return false;
-      keep_segment (partition, &take->rows[i]);
+      add_segment (partition, &take->rows[i]);
     }
   return expected == partition->sequence;
 }
 
 static void
-add_wait (struct takeover *take, const char *host, uint64_t boot)
+add_recovery_wait (struct takeover *take, const char *host, uint64_t boot)
 {
   struct recover_wait *wait;
 
@@ -242,8 +242,8 @@
 }
 
 static void
-keep_targets (struct partition *partition,
-              const struct mq_store_result *result)
+add_recovery_targets (struct partition *partition,
+                      const struct mq_store_result *result)
 {
   struct takeover *take = partition->takeover;
   char *key = talloc_asprintf (take, "targets/%s",
@@ -260,21 +260,21 @@
       if (row == NULL)
         continue;
       for (size_t j = 0; j < row->n_hosts && j < row->n_boots; j++)
-        add_wait (take, row->hosts[j], row->boots[j]);
+        add_recovery_wait (take, row->hosts[j], row->boots[j]);
       mqlog__targets_row__free_unpacked (row, NULL);
     }
 }
 
 void
-read_result (struct mq_owner *owner, struct partition *partition,
-             const struct mq_store_result *result)
+read_on_result (struct mq_owner *owner, struct partition *partition,
+                const struct mq_store_result *result)
 {
   struct takeover *take = partition->takeover;
 
   partition->read_id = 0;
   if (result->status != MQ_STORE_OK)
     {
-      read_again_later (owner, partition);
+      read_schedule_retry (owner, partition);
       return;
     }
   durable_store_worked (owner);
@@ -283,14 +283,14 @@
     case TAKE_CHECKPOINT:
       if (!read_checkpoint (owner, partition, result))
         {
-          read_afresh (owner, partition);
+          read_restart (owner, partition);
           return;
         }
       take->step = TAKE_ROWS;
       break;
     case TAKE_ROWS:
       for (size_t i = 0; i < result->row_count; i++)
-        keep_log_row (take, &result->rows[i]);
+        add_log_row (take, &result->rows[i]);
       if (!result->more)
         take->step = TAKE_OBJECTS;
       break;
@@ -304,18 +304,18 @@
         break;
       }
     case TAKE_TARGETS:
-      keep_targets (partition, result);
+      add_recovery_targets (partition, result);
       if (++take->sender_next < partition->sender_count)
         break;
       if (!replay (owner, partition))
         {
-          read_afresh (owner, partition);
+          read_restart (owner, partition);
           return;
         }
       start_recover (owner, partition);
       return;
     }
-  read_next (owner, partition);
+  read_send_next (owner, partition);
 }
 
 /* ---- Asking targets' processes ---- */
@@ -361,7 +361,7 @@
     if (!exact)
       budget_forfeit (owner, all[i]);
   for (size_t i = 0; i < count; i++)
-    settle_resume (owner, all[i]);
+    settle_resume_program (owner, all[i]);
   log_flush (owner);
 }
 
@@ -394,7 +394,8 @@
       return;
     }
   for (size_t i = 0; i < recovered->running_count; i++)
-    settle_adopt (owner, target, recovered->running[i], partition->number);
+    settle_reported_attempt (owner, target, recovered->running[i],
+                             partition->number);
   if (partition->state != PARTITION_RECOVER)
     return;
   for (size_t i = 0; i < partition->takeover->wait_count; i++)
@@ -408,7 +409,7 @@
 /* A target's process may keep outcomes that were meant for an earlier owner
    or were lost with the connection: it is asked for them.  */
 void
-read_target_up (struct mq_owner *owner, struct target *target)
+read_on_target_up (struct mq_owner *owner, struct target *target)
 {
   for (uint32_t i = 0; i < owner->partition_count; i++)
     {
@@ -438,8 +439,8 @@
 }
 
 void
-read_apply (struct mq_owner *owner, struct partition *partition,
-            const Mqlog__Record *record)
+read_apply_record (struct mq_owner *owner, struct partition *partition,
+                   const Mqlog__Record *record)
 {
   struct mq_id id = { record->hi, record->lo };
   struct running *running = mq_idmap_find (partition->programs, id, 0);
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -24,7 +24,7 @@
   if (running->undurable == 0)
     events_final (owner, running);
   else
-    log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
+    log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
 }
 
 static void
@@ -163,7 +163,7 @@
   if (sequence <= running->program->calls)
     {
       if (running->undurable == 0)
-        events_step_done (owner, running, sequence);
+        events_send_step_result (owner, running, sequence);
       return;
     }
   if (running->call != NULL || sequence > running->program->calls + 1)
@@ -195,11 +195,11 @@
     }
   else
     event.body = events_final_body (owner->actions, running);
-  events_answer_later (owner, running->partition->number, peer, &event);
+  events_queue_reply (owner, running->partition->number, peer, &event);
 }
 
 void
-request_reply (struct mq_owner *owner, struct hook *hook)
+request_send_reply (struct mq_owner *owner, struct hook *hook)
 {
   struct running *running = chain_find (owner, hook->program);
 
@@ -208,7 +208,7 @@
   /* A later answer came meanwhile, and its commit is still to come.  */
   if (owner->settled < running->answer_mark)
     {
-      log_hook_reply (owner, running, hook->peer, hook->handle)->history
+      log_add_reply_hook (owner, running, hook->peer, hook->handle)->history
           = hook->history;
       return;
     }
@@ -230,7 +230,7 @@
   /* Nothing is shown that a takeover could still undo.  */
   if (running->undurable > 0)
     {
-      log_hook_reply (owner, running, peer, handle)->history = history;
+      log_add_reply_hook (owner, running, peer, handle)->history = history;
       return;
     }
   answer_get (owner, running, peer, handle, history);
@@ -281,7 +281,7 @@
     {
     case MQ_REQUEST_OPEN:
     case MQ_REQUEST_CREATE:
-      open_join_program (owner, running, peer, handle, request);
+      open_attach_caller (owner, running, peer, handle, request);
       break;
     case MQ_REQUEST_STEP:
       handle_step (owner, running, peer, handle, request);
@@ -308,15 +308,15 @@
 
   if (owner->partition_count == 0)
     {
-      events_send_away (owner, peer, handle, MQ_ERR_NOT_READY, "");
+      events_redirect_caller (owner, peer, handle, MQ_ERR_NOT_READY, "");
       return;
     }
   partition = &owner->partitions[mq_id_partition (request->program,
                                                   owner->partition_count)];
   if (partition->state != PARTITION_ACTIVE)
     {
-      events_send_away (owner, peer, handle, MQ_ERR_NOT_READY,
-                        events_redirect_for (owner, partition));
+      events_redirect_caller (owner, peer, handle, MQ_ERR_NOT_READY,
+                              events_redirect_for (owner, partition));
       return;
     }
   running = chain_find (owner, request->program);
--- a/src/core/owner/owner_rows.c
+++ b/src/core/owner/owner_rows.c
@@ -56,8 +56,8 @@
 /* A row of another owner, or of ours that shows that we lost it.  Rows older
    than what we wrote ourselves are of a scan that began before.  */
 static void
-read_partition_row (struct mq_owner *owner, struct partition *partition,
-                    const struct mq_row *row)
+apply_partition_row (struct mq_owner *owner, struct partition *partition,
+                     const struct mq_row *row)
 {
   Mqlog__PartitionRow *value;
   bool lost;
@@ -85,13 +85,13 @@
   mqlog__partition_row__free_unpacked (value, NULL);
   if (!lost)
     return;
-  take_lose (owner, partition);
+  take_on_lost (owner, partition);
   copy_row (owner, partition, row);
 }
 
 static void
-read_owner_row (struct mq_owner *owner, const char *host,
-                const struct mq_row *row)
+apply_owner_row (struct mq_owner *owner, const char *host,
+                 const struct mq_row *row)
 {
   struct sibling *sibling;
   Mqlog__OwnerRow *value;
@@ -101,7 +101,7 @@
   value = mqlog__owner_row__unpack (NULL, row->value.len, row->value.data);
   if (value == NULL)
     return;
-  sibling = hosts_sibling_named (owner, host, true);
+  sibling = hosts_get_sibling (owner, host, true);
   sibling->seen = true;
   if (!sibling->row_known || sibling->counter != value->counter
       || sibling->boot != value->boot)
@@ -115,13 +115,14 @@
 }
 
 void
-rows_read_owners (struct mq_owner *owner, const struct mq_store_result *result)
+rows_apply_owners (struct mq_owner *owner,
+                   const struct mq_store_result *result)
 {
   static const char prefix[] = "owner/";
 
   for (size_t i = 0; i < result->row_count; i++)
-    read_owner_row (owner, result->rows[i].key + sizeof prefix - 1,
-                    &result->rows[i]);
+    apply_owner_row (owner, result->rows[i].key + sizeof prefix - 1,
+                     &result->rows[i]);
   if (result->more && result->row_count > 0)
     {
       mq_text_set (owner, &owner->owners_after,
@@ -132,12 +133,12 @@
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     if (!s->seen)
       s->row_known = false;
-  peers_find_eligible (owner);
+  peers_update_eligible (owner);
 }
 
 void
-rows_read_partitions (struct mq_owner *owner,
-                      const struct mq_store_result *result)
+rows_apply_partitions (struct mq_owner *owner,
+                       const struct mq_store_result *result)
 {
   for (size_t i = 0; i < result->row_count; i++)
     {
@@ -145,8 +146,8 @@
           = strtoul (result->rows[i].key + strlen ("part/"), NULL, 10);
 
       if (number < owner->partition_count)
-        read_partition_row (owner, &owner->partitions[number],
-                            &result->rows[i]);
+        apply_partition_row (owner, &owner->partitions[number],
+                             &result->rows[i]);
     }
   peers_count_owned (owner);
 }
@@ -163,7 +164,7 @@
 
 /* This process stood still until NOW_US.  */
 void
-rows_paused (struct mq_owner *owner, uint64_t now_us)
+rows_on_pause (struct mq_owner *owner, uint64_t now_us)
 {
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     s->counter_us = now_us;
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -10,8 +10,8 @@
 /* ---- Settling ---- */
 
 static void
-send_ref (struct mq_owner *owner, struct running *running,
-          enum mq_message_type type)
+send_call_ref (struct mq_owner *owner, struct running *running,
+               enum mq_message_type type)
 {
   struct call *call = running->call;
   struct mq_message message = { .type = type };
@@ -28,12 +28,12 @@
 send_seal (struct mq_owner *owner, struct running *running)
 {
   owner->counters.seals_sent++;
-  send_ref (owner, running, MQ_MSG_SEAL);
+  send_call_ref (owner, running, MQ_MSG_SEAL);
 }
 
 void
-settle_sealed (struct mq_owner *owner, struct target *target,
-               const struct mq_sealed_msg *sealed)
+settle_on_seal_reply (struct mq_owner *owner, struct target *target,
+                      const struct mq_sealed_msg *sealed)
 {
   struct running *running = chain_find (owner, sealed->ref.program);
 
@@ -50,7 +50,7 @@
       running->call->state = CALL_SENT;
       break;
     case MQ_SEAL_SEALED:
-      place_leave_target (owner, running);
+      place_detach_target (owner, running);
       calls_fail_or_retry (owner, running, MQ_ERR_SEALED, MQ_RAN_NOT_RUN, 0,
                            NULL);
       break;
@@ -63,8 +63,8 @@
 /* ---- Connections ---- */
 
 static void
-target_is_back (struct mq_owner *owner, struct running *running,
-                struct target *target)
+resume_at_target (struct mq_owner *owner, struct running *running,
+                  struct target *target)
 {
   struct call *call = running->call;
 
@@ -80,7 +80,7 @@
           place_send_call (owner, running);
           /* The lease was lost with it.  */
           if (call->model)
-            evict_lease (owner, running, target);
+            evict_send_lease (owner, running, target);
         }
       else
         send_seal (owner, running);
@@ -91,7 +91,7 @@
       calls_give_up_unknown (owner, running);
       return;
     }
-  place_abandon (owner, running);
+  place_abandon_attempt (owner, running);
   calls_retry_call (owner, running, 0);
 }
 
@@ -115,18 +115,18 @@
 }
 
 void
-settle_target_up (struct mq_owner *owner, struct target *target)
+settle_on_target_up (struct mq_owner *owner, struct target *target)
 {
   size_t count;
   struct running **list = list_at_target (owner, target, &count);
 
   for (size_t i = 0; i < count; i++)
     if (list[i]->partition->state == PARTITION_ACTIVE)
-      target_is_back (owner, list[i], target);
+      resume_at_target (owner, list[i], target);
 }
 
 void
-settle_target_down (struct mq_owner *owner, struct target *target)
+settle_on_target_down (struct mq_owner *owner, struct target *target)
 {
   size_t count;
   struct running **list = list_at_target (owner, target, &count);
@@ -140,7 +140,7 @@
 }
 
 static void
-tick_down (struct mq_owner *owner, struct running *running)
+check_unreachable (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
   uint64_t down_ms = (owner->now_us - call->down_us) / 1000;
@@ -150,7 +150,7 @@
     {
       if (down_ms < MQ_ATTEMPT_RESEND_MS)
         return;
-      place_abandon (owner, running);
+      place_abandon_attempt (owner, running);
       calls_retry_call (owner, running, 0);
       return;
     }
@@ -159,7 +159,7 @@
 }
 
 static void
-tick_overdue (struct mq_owner *owner, struct running *running)
+check_timeout (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
   uint64_t limit_us = 1000ULL * call->service->timeout_ms + 1000ULL * GUARD_MS;
@@ -172,8 +172,8 @@
   call->sent_us = owner->now_us;
   if (call->idempotent)
     {
-      send_ref (owner, running, MQ_MSG_CANCEL);
-      place_abandon (owner, running);
+      send_call_ref (owner, running, MQ_MSG_CANCEL);
+      place_abandon_attempt (owner, running);
       calls_retry_call (owner, running, 0);
       return;
     }
@@ -195,14 +195,14 @@
       if (owner->now_us < call->retry_us)
         owner_wake_at (owner, running, call->retry_us);
       else
-        place_continue (owner, running);
+        place_retry (owner, running);
       break;
     case CALL_SENT:
     case CALL_SEALING:
       if (call->down_us != 0)
-        tick_down (owner, running);
+        check_unreachable (owner, running);
       else
-        tick_overdue (owner, running);
+        check_timeout (owner, running);
       break;
     case CALL_GRANT:
     case CALL_INTENT:
@@ -233,17 +233,17 @@
           send_seal (owner, running);
           return false;
         }
-      send_ref (owner, running, MQ_MSG_CANCEL);
+      send_call_ref (owner, running, MQ_MSG_CANCEL);
       if (call->down_us == 0)
         return false; /* the outcome tells what it spent */
-      place_abandon (owner, running);
+      place_abandon_attempt (owner, running);
       break;
     case CALL_SEALING:
     case CALL_CHILD:
       return false;
     case CALL_INTENT:
       /* Not sent, and it won't be.  */
-      place_leave_target (owner, running);
+      place_detach_target (owner, running);
       break;
     case CALL_GRANT:
     case CALL_PLACE:
@@ -256,8 +256,8 @@
 /* ---- Takeover ---- */
 
 void
-settle_adopt (struct mq_owner *owner, struct target *target,
-              struct mq_call_ref ref, uint32_t partition_number)
+settle_reported_attempt (struct mq_owner *owner, struct target *target,
+                         struct mq_call_ref ref, uint32_t partition_number)
 {
   struct running *running = chain_find (owner, ref.program);
   struct partition *partition = &owner->partitions[partition_number];
@@ -301,7 +301,7 @@
 }
 
 static const struct recovered *
-best_recovered (const struct running *running)
+choose_recovered (const struct running *running)
 {
   const struct recovered *best = NULL;
 
@@ -315,14 +315,15 @@
 /* An attempt of the earlier owner that is of no use: its tokens are
    charged, what still runs is cancelled.  */
 static void
-discard_one (struct mq_owner *owner, struct running *running,
-             const struct recovered *r)
+discard_attempt (struct mq_owner *owner, struct running *running,
+                 const struct recovered *r)
 {
   if (is_intended (running, r))
     return;
   if (r->running)
     {
-      settle_adopt (owner, r->target, r->ref, running->partition->number);
+      settle_reported_attempt (owner, r->target, r->ref,
+                               running->partition->number);
       return;
     }
   if (!running->forfeited && r->ref.call > running->program->calls
@@ -341,15 +342,15 @@
 {
   for (struct recovered *r = running->recovered; r != NULL; r = r->next)
     if (r != used)
-      discard_one (owner, running, r);
+      discard_attempt (owner, running, r);
 }
 
 void
-settle_intent (struct mq_owner *owner, struct running *running)
+settle_logged_intent (struct mq_owner *owner, struct running *running)
 {
   const struct mq_intent *intent = &running->program->intent;
   struct call *call = running->call;
-  struct target *target = hosts_target_named (owner, intent->host);
+  struct target *target = hosts_get_target (owner, intent->host);
 
   call->attempt = intent->attempt;
   call->boot = intent->boot;
@@ -362,7 +363,7 @@
       return;
     }
   call->target = target;
-  place_count (owner, call, 1);
+  place_adjust_load (owner, call, 1);
   if (target->peer == 0)
     {
       call->down_us = owner->now_us;
@@ -379,8 +380,8 @@
 }
 
 static void
-take_up_running (struct mq_owner *owner, struct running *running,
-                 const struct recovered *best)
+attach_running_attempt (struct mq_owner *owner, struct running *running,
+                        const struct recovered *best)
 {
   struct call *call = running->call;
 
@@ -390,12 +391,12 @@
   call->state = CALL_SENT;
   call->sent_us = owner->now_us;
   call->prepaid = running->forfeited;
-  place_count (owner, call, 1);
+  place_adjust_load (owner, call, 1);
   if (call->model)
     {
       call->reserved = call->prepaid ? 0 : call->max_tokens;
       budget_reserve (running, call->reserved);
-      place_remember_cache (owner, running, call->target);
+      place_record_cache (owner, running, call->target);
     }
   owner_wake_at (owner, running, owner->now_us + 1000000);
 }
@@ -418,9 +419,9 @@
 
 /* Goes on with a program after a takeover, where it stood.  */
 void
-settle_resume (struct mq_owner *owner, struct running *running)
+settle_resume_program (struct mq_owner *owner, struct running *running)
 {
-  const struct recovered *best = best_recovered (running);
+  const struct recovered *best = choose_recovered (running);
   bool stepwise = running->program->mode == MQ_MODE_STEPS;
   uint32_t attempts = 0; /* of the call that is due, by earlier owners */
 
@@ -445,15 +446,15 @@
               running->call->target = best->target;
               running->call->attempt = best->ref.attempt;
               running->call->prepaid = running->forfeited;
-              place_count (owner, running->call, 1);
+              place_adjust_load (owner, running->call, 1);
               calls_accept_outcome (owner, running, &best->outcome);
               best = NULL;
             }
           else if (running->program->intent.call == running->call->number)
-            settle_intent (owner, running);
+            settle_logged_intent (owner, running);
           else if (best != NULL)
             {
-              take_up_running (owner, running, best);
+              attach_running_attempt (owner, running, best);
               best = NULL;
             }
           else
@@ -468,6 +469,6 @@
      outcome that it might have used stayed at the target's process, which
      then held the program's cache for ever and could not drain.  */
   if (best != NULL)
-    discard_one (owner, running, best);
+    discard_attempt (owner, running, best);
   running->recovered = NULL;
 }
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -25,7 +25,7 @@
   while ((running = mq_idmap_next (partition->programs, &position)) != NULL)
     {
       events_detach (owner, running);
-      place_drop (owner, running);
+      place_discard_call (owner, running);
       if (running->program->state != MQ_PROGRAM_ENDED)
         chain_count_live (owner, running, -1);
       mq_idmap_remove (owner->running, running->program->id, 0);
@@ -35,7 +35,7 @@
 }
 
 void
-take_forget_partition (struct mq_owner *owner, struct partition *partition)
+take_unload_partition (struct mq_owner *owner, struct partition *partition)
 {
   if (partition->state == PARTITION_CLAIMING
       || partition->state == PARTITION_READING
@@ -49,12 +49,12 @@
 }
 
 void
-take_lose (struct mq_owner *owner, struct partition *partition)
+take_on_lost (struct mq_owner *owner, struct partition *partition)
 {
   owner->counters.partitions_lost++;
   owner_state (owner, MQ_STATE_PARTITION_LOST, partition->number, "");
-  log_drop_hooks (owner, partition);
-  take_forget_partition (owner, partition);
+  log_cancel_hooks (owner, partition);
+  take_unload_partition (owner, partition);
   partition->row_known = false;
   partition->row_version = 0;
   mq_text_set (owner->partitions, &partition->owner, "");
@@ -62,7 +62,7 @@
 }
 
 void
-take_released (struct mq_owner *owner, struct partition *partition)
+take_on_released (struct mq_owner *owner, struct partition *partition)
 {
   struct sibling *successor = peers_find_successor (owner, partition);
   struct mq_message message = { .type = MQ_MSG_HANDOVER };
@@ -74,7 +74,7 @@
   mq_text_set (owner->partitions, &partition->owner, "");
   mq_text_set (owner->partitions, &partition->address,
                successor == NULL ? "" : successor->address);
-  take_forget_partition (owner, partition);
+  take_unload_partition (owner, partition);
   partition->unowned_us = owner->now_us;
   if (successor == NULL)
     return;
@@ -87,7 +87,8 @@
 }
 
 void
-take_handover (struct mq_owner *owner, const struct mq_handover_msg *handover)
+take_on_handover (struct mq_owner *owner,
+                  const struct mq_handover_msg *handover)
 {
   for (size_t i = 0; i < handover->partition_count; i++)
     {
@@ -164,7 +165,7 @@
     return true;
   if (strcmp (partition->owner, owner->options.host) == 0)
     return true; /* an earlier run of this process */
-  sibling = hosts_sibling_named (owner, partition->owner, false);
+  sibling = hosts_get_sibling (owner, partition->owner, false);
   if (sibling == NULL || !sibling->row_known)
     return true;
   /* A new run of that process holds nothing of the earlier one.  */
@@ -173,11 +174,11 @@
   /* One that leaves, or may no longer own, gives its partitions up by
      itself as long as it lives.  Failure: it dies before it has; its row
      then stands still like any other dead owner's.  */
-  return !peers_renews (owner, sibling);
+  return !peers_is_renewing (owner, sibling);
 }
 
 void
-take_consider_claim (struct mq_owner *owner, struct partition *partition)
+take_claim_if_due (struct mq_owner *owner, struct partition *partition)
 {
   uint32_t rank;
   uint64_t wait_us;
@@ -195,7 +196,7 @@
   if (owner->claiming >= MQ_TAKEOVERS_MAX)
     return;
   rank = peers_own_rank (owner, partition);
-  if (peers_count_ours (owner) >= peers_fair_share (owner))
+  if (peers_count_own (owner) >= peers_fair_share (owner))
     rank += owner->live_hosts;
   wait_us = 1000ULL * MQ_OWNER_RANK_MS * rank;
   if (owner->now_us - partition->unowned_us < wait_us)
@@ -204,8 +205,8 @@
 }
 
 void
-take_claim_result (struct mq_owner *owner, struct partition *partition,
-                   const struct mq_store_result *result)
+take_on_claim_result (struct mq_owner *owner, struct partition *partition,
+                      const struct mq_store_result *result)
 {
   partition->read_id = 0;
   if (result->status == MQ_STORE_OK && result->row_count == 1)
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -100,7 +100,7 @@
   for (struct target *t = owner->targets; t != NULL; t = t->next)
     {
       t->durable_boot = t->sent_boot;
-      hosts_target_usable (owner, t);
+      hosts_on_target_usable (owner, t);
     }
 }
 
@@ -119,18 +119,18 @@
 
 /* Whether others may wait for this host's row to stand still.  */
 static bool
-is_owner (const struct mq_owner *owner)
+may_hold_partitions (const struct mq_owner *owner)
 {
-  return owner->eligible || peers_count_ours (owner) > 0;
+  return owner->eligible || peers_count_own (owner) > 0;
 }
 
 /* The rows of those that may not own only say that they are there.  */
 static uint32_t
-renew_ms (const struct mq_owner *owner)
+renew_interval_ms (const struct mq_owner *owner)
 {
   uint32_t ms = owner->text->lease_ms / RENEWALS_PER_LEASE;
 
-  if (!owner->leaving && !is_owner (owner))
+  if (!owner->leaving && !may_hold_partitions (owner))
     return MQ_OWNER_STANDBY_MS;
   return ms < MQ_OWNER_RENEW_MS ? ms : MQ_OWNER_RENEW_MS;
 }
@@ -140,7 +140,7 @@
    the living.  So owners read at least twice in a lease, however many hosts
    there are; those that may not own only look where to send callers.  */
 static uint32_t
-scan_ms (const struct mq_owner *owner)
+scan_interval_ms (const struct mq_owner *owner)
 {
   uint32_t hosts = 1;
   uint32_t ms;
@@ -148,7 +148,8 @@
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     hosts++;
   ms = MQ_OWNER_SCAN_MS * (1 + hosts / SCAN_HOSTS_PER_STEP);
-  if (is_owner (owner) && ms > owner->text->lease_ms / SCANS_PER_LEASE)
+  if (may_hold_partitions (owner)
+      && ms > owner->text->lease_ms / SCANS_PER_LEASE)
     ms = owner->text->lease_ms / SCANS_PER_LEASE;
   return ms;
 }
@@ -160,7 +161,9 @@
 
   owner->next_scan_us
       = owner->now_us
-        + 1000ULL * owner_jitter_ms (owner, scan_ms (owner), 0, UINT32_MAX);
+        + 1000ULL
+              * owner_jitter_ms (owner, scan_interval_ms (owner), 0,
+                                 UINT32_MAX);
   owner->counters.store_reads += 2;
   TALLOC_FREE (owner->owners_after);
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
@@ -176,7 +179,7 @@
    turns by a pause that grows with their number, so that all of them
    together leave the store's reads to others.  */
 static void
-send_confirm (struct mq_owner *owner)
+send_confirmation_read (struct mq_owner *owner)
 {
   struct mq_store_request *request;
 
@@ -191,7 +194,8 @@
 }
 
 static void
-confirm_result (struct mq_owner *owner, const struct mq_store_result *result)
+on_confirmation_read (struct mq_owner *owner,
+                      const struct mq_store_result *result)
 {
   owner->confirm_id = 0;
   if (result->status != MQ_STORE_OK)
@@ -200,16 +204,16 @@
       return;
     }
   durable_store_worked (owner);
-  rows_read_partitions (owner, result);
-  events_confirmed (owner, owner->confirm_sent_us);
+  rows_apply_partitions (owner, result);
+  events_on_confirmed (owner, owner->confirm_sent_us);
 }
 
 void
-tick_confirm (struct mq_owner *owner)
+tick_start_confirmation (struct mq_owner *owner)
 {
   if (owner->replies != NULL && owner->confirm_id == 0
       && owner->now_us >= owner->next_confirm_us)
-    send_confirm (owner);
+    send_confirmation_read (owner);
 }
 
 /* Gives up one partition a while when this host holds more than its share,
@@ -223,7 +227,7 @@
   if (!owner->leaving
       && (owner->claiming > 0
           || (owner->eligible
-              && peers_count_ours (owner) <= peers_fair_share (owner))))
+              && peers_count_own (owner) <= peers_fair_share (owner))))
     return;
   for (uint32_t i = 0; i < owner->partition_count; i++)
     {
@@ -269,11 +273,11 @@
     case PARTITION_OTHER:
       if (!owner->leaving && owner->eligible && owner->renewed
           && owner->scanned)
-        take_consider_claim (owner, partition);
+        take_claim_if_due (owner, partition);
       break;
     case PARTITION_READING:
       if (partition->read_id == 0 && owner->now_us >= partition->retry_us)
-        read_next (owner, partition);
+        read_send_next (owner, partition);
       break;
     case PARTITION_RECOVER:
       if (owner->now_us >= partition->takeover->recover_until_us)
@@ -293,18 +297,19 @@
     return;
   if (owner->renew_id == 0 && owner->now_us >= owner->next_renew_us)
     {
-      owner->next_renew_us = owner->now_us + 1000ULL * renew_ms (owner);
+      owner->next_renew_us
+          = owner->now_us + 1000ULL * renew_interval_ms (owner);
       send_renewal (owner);
     }
-  hosts_formers_tick (owner);
+  hosts_expire_former_runs (owner);
   if (owner->targets_dirty && owner->targets_id == 0
       && owner->now_us >= owner->targets_retry_us)
     send_targets (owner);
   if (owner->owners_scan_id == 0 && owner->partitions_scan_id == 0
       && owner->now_us >= owner->next_scan_us)
     send_scans (owner);
-  tick_confirm (owner);
-  events_unconfirmed (owner);
+  tick_start_confirmation (owner);
+  events_fail_overdue_replies (owner);
   peers_count_owned (owner);
   for (uint32_t i = 0; i < owner->partition_count; i++)
     partition_tick (owner, &owner->partitions[i]);
@@ -330,12 +335,12 @@
   durable_store_worked (owner);
   if (owners)
     {
-      rows_read_owners (owner, result);
+      rows_apply_owners (owner, result);
       if (owner->owners_scan_id == 0)
         owner->owners_scanned_us = owner->now_us;
       return;
     }
-  rows_read_partitions (owner, result);
+  rows_apply_partitions (owner, result);
   if (owner->owners_scanned_us != 0)
     owner->scanned = true;
 }
@@ -346,7 +351,7 @@
 {
   if (result->id == owner->confirm_id)
     {
-      confirm_result (owner, result);
+      on_confirmation_read (owner, result);
       return true;
     }
   if (result->id == owner->owners_scan_id
@@ -376,9 +381,9 @@
       if (partition->read_id != result->id)
         continue;
       if (partition->state == PARTITION_CLAIMING)
-        take_claim_result (owner, partition, result);
+        take_on_claim_result (owner, partition, result);
       else if (partition->state == PARTITION_READING)
-        read_result (owner, partition, result);
+        read_on_result (owner, partition, result);
       return true;
     }
   return false;
@@ -409,7 +414,7 @@
 }
 
 uint64_t
-tick_next (const struct mq_owner *owner)
+tick_next_us (const struct mq_owner *owner)
 {
   uint64_t next = owner->now_us + 250000;
 
