--- a/tests/test_protocol_model.c
+++ b/tests/test_protocol_model.c
@@ -117,9 +117,9 @@
   struct write former[OWNERS]; /* of a former run, may still take effect */
   struct row row;
   struct gate gate;
-  uint8_t told;     /* what the caller heard */
-  uint8_t retold;   /* and what it heard then, if that was another outcome */
-  uint8_t spare[6]; /* no padding: states are compared as bytes */
+  uint8_t told;       /* what the caller heard */
+  uint8_t told_again; /* and what it heard then, if that was another outcome */
+  uint8_t spare[6];   /* no padding: states are compared as bytes */
 };
 _Static_assert(sizeof (struct state) == 64, "a state must have no padding");
 
@@ -224,7 +224,7 @@
     return "attempt 1 was settled as not run, and ran";
   if (s->row.log.ending == NOT_RUN && effects > 0)
     return "the log says not_run, and it ran";
-  if (s->retold != OPEN)
+  if (s->told_again != OPEN)
     return "the caller heard two different outcomes";
   if (s->told == NOT_RUN && effects > 0)
     return "the caller heard not_run, and it ran";
@@ -285,7 +285,7 @@
 
 /* Takes the successor S of the node at hand into the search.  */
 static void
-visit (struct search *search, struct state *s, const char *step)
+add_successor (struct search *search, struct state *s, const char *step)
 {
   uint32_t *slot;
   struct node *node;
@@ -311,8 +311,8 @@
 /* The table: a write applies when the row still has the version that its
    writer knew.  */
 static bool
-write_holds (const struct search *search, const struct state *s,
-             uint8_t version)
+write_applies (const struct search *search, const struct state *s,
+               uint8_t version)
 {
   return s->row.version == version || search->mutant == NO_CONDITION;
 }
@@ -343,19 +343,19 @@
       struct state s = *from;
 
       if (o->pending.kind != WRITE_NONE && !o->applied
-          && write_holds (search, from, o->version)
+          && write_applies (search, from, o->version)
           && fence_is_left (from, &o->pending))
         {
           s.owner[i].applied = 1;
           apply_write (&s, &o->pending);
-          visit (search, &s, "table: a write applies");
+          add_successor (search, &s, "table: a write applies");
         }
       if (from->former[i].kind != WRITE_NONE
           && fence_is_left (from, &from->former[i]))
         {
           s = *from;
           apply_write (&s, &from->former[i]);
-          visit (search, &s, "table: a write of a former run applies");
+          add_successor (search, &s, "table: a write of a former run applies");
         }
     }
 }
@@ -381,12 +381,12 @@
   if (s->told == OPEN)
     s->told = ending;
   else if (s->told != ending)
-    s->retold = ending;
+    s->told_again = ending;
 }
 
 /* Sends all that an owner with this log may send.  */
 static void
-send_entitled (struct state *s, const struct owner *o)
+send_allowed (struct state *s, const struct owner *o)
 {
   uint8_t k = o->log.attempt;
 
@@ -420,7 +420,7 @@
   o->applied = 0;
   o->log = o->pending.log;
   memset (&o->pending, 0, sizeof o->pending);
-  send_entitled (s, o);
+  send_allowed (s, o);
 }
 
 /* The answer to a write comes; or it was lost and the owner reads its own
@@ -437,7 +437,7 @@
   if (o->pending.kind == WRITE_NONE || (!o->applied && !taken))
     return;
   accept_applied (&s, o);
-  visit (search, &s, "owner: hears that its write applied");
+  add_successor (search, &s, "owner: hears that its write applied");
 }
 
 static void
@@ -453,7 +453,7 @@
   o->fence = s.row.fence;
   o->log = s.row.log;
   start_write (o, WRITE_FENCE, s.row.log);
-  visit (search, &s, "owner: reads the row, raises the fence");
+  add_successor (search, &s, "owner: reads the row, raises the fence");
 }
 
 /* Dies and starts again, or reads that another has the partition.  */
@@ -473,7 +473,7 @@
       s.former[i] = o->pending;
     }
   memset (o, 0, sizeof *o);
-  visit (search, &s, "owner: dies and restarts");
+  add_successor (search, &s, "owner: dies and restarts");
 }
 
 /* Intents for the attempt after the last; the boot may be a stale guess.  */
@@ -492,7 +492,7 @@
       start_write (o, WRITE_COMMIT, log);
       if (search->mutant == SEND_BEFORE_COMMIT)
         send_bit (&s, CALL_BIT (log.attempt, o->fence, boot));
-      visit (search, &s, step);
+      add_successor (search, &s, step);
     }
 }
 
@@ -508,7 +508,7 @@
   start_write (o, WRITE_COMMIT, log);
   if (search->mutant == ANSWER_BEFORE_COMMIT)
     tell_caller (&s, log.ending);
-  visit (search, &s, step);
+  add_successor (search, &s, step);
 }
 
 /* The attempt is known not to have run: another, or a typed refusal.  */
@@ -615,7 +615,7 @@
   if (boot != g->boot && search->mutant != NO_BOOT_CHECK)
     {
       send_bit (&s, WRONG_BOOT_BIT (k));
-      visit (search, &s, "gate: CALL for another boot");
+      add_successor (search, &s, "gate: CALL for another boot");
       return;
     }
   if (!gate_accepts_fence (search, &s, f))
@@ -623,20 +623,20 @@
   if (g->entry[k] != ENTRY_NONE)
     {
       gate_answer (&s, k);
-      visit (search, &s, "gate: CALL seen before");
+      add_successor (search, &s, "gate: CALL seen before");
       return;
     }
   /* It may refuse: overloaded or leaving.  */
   send_bit (&s, REFUSED_BIT (k, g->boot));
   if (search->mutant != REFUSAL_FORGOTTEN)
     g->entry[k] = ENTRY_REFUSED;
-  visit (search, &s, "gate: refuses CALL");
+  add_successor (search, &s, "gate: refuses CALL");
   s = *from;
   if (f > g->fence)
     g->fence = (uint8_t)f;
   g->entry[k] = ENTRY_RUNNING;
   g->started[k]++;
-  visit (search, &s, "gate: lets CALL through");
+  add_successor (search, &s, "gate: lets CALL through");
 }
 
 static void
@@ -654,7 +654,7 @@
     }
   else
     gate_answer (&s, k);
-  visit (search, &s, "gate: SEAL");
+  add_successor (search, &s, "gate: SEAL");
 }
 
 static void
@@ -672,7 +672,7 @@
               && search->mutant == RUNNING_TAKEN_AS_NOT_RUN))
         send_bit (&s, ABSENT_BIT (k, f, s.gate.boot));
     }
-  visit (search, &s, "gate: RECOVER");
+  add_successor (search, &s, "gate: RECOVER");
 }
 
 static void
@@ -686,7 +686,7 @@
   s.gate.entry[k] = search->mutant == FORGET_WITHOUT_TOMBSTONE
                         ? ENTRY_NONE
                         : ENTRY_TOMBSTONE;
-  visit (search, &s, "gate: FORGET");
+  add_successor (search, &s, "gate: FORGET");
 }
 
 static void
@@ -722,12 +722,12 @@
         {
           s.gate.started[k]--;
           s.gate.effect[k]++;
-          visit (search, &s, "worker: effect, answer lost");
+          add_successor (search, &s, "worker: effect, answer lost");
           if (s.gate.entry[k] == ENTRY_RUNNING)
             {
               s.gate.entry[k] = ENTRY_DONE;
               gate_answer (&s, k);
-              visit (search, &s, "worker: effect and answer");
+              add_successor (search, &s, "worker: effect and answer");
             }
         }
       s = *from;
@@ -737,7 +737,8 @@
                                 ? ENTRY_REFUSED
                                 : ENTRY_UNKNOWN;
           gate_answer (&s, k);
-          visit (search, &s, "gate: the worker is silent for too long");
+          add_successor (search, &s,
+                         "gate: the worker is silent for too long");
         }
     }
 }
@@ -752,7 +753,7 @@
   s.gate.boot++;
   s.gate.fence = 0;
   memset (s.gate.entry, 0, sizeof s.gate.entry);
-  visit (search, &s, "gate: restarts and remembers nothing");
+  add_successor (search, &s, "gate: restarts and remembers nothing");
 }
 
 static void
@@ -784,7 +785,7 @@
   search->witnessed_second_run = false;
   memset (&first, 0, sizeof first);
   first.gate.boot = 1;
-  visit (search, &first, "start");
+  add_successor (search, &first, "start");
   for (; search->at < search->count && search->violation == NULL; search->at++)
     expand (search);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -54,7 +54,7 @@
 world_plant_name (enum world_plant plant)
 {
 #define PLANT_NAME(id, name) name,
-  static const char *const names[] = { WORLD_PLANT_LIST (PLANT_NAME) };
+  static const char *const names[] = { WORLD_MUTATION_LIST (PLANT_NAME) };
 #undef PLANT_NAME
 
   return names[plant];
@@ -77,8 +77,8 @@
 }
 
 void
-world_violate (struct world *world, enum world_invariant invariant,
-               const char *format, ...)
+world_report_violation (struct world *world, enum world_invariant invariant,
+                        const char *format, ...)
 {
   struct world_report *report = world->report;
   struct world_violation *violation;
@@ -113,7 +113,7 @@
 
   event->type = type;
   event->host = host;
-  if (host != NOBODY)
+  if (host != NO_HOST)
     event->run = world->hosts[host].run;
   return event;
 }
@@ -172,16 +172,16 @@
 
 /* A fault goes on until AT_US.  */
 void
-world_until (struct world *world, uint64_t at_us)
+world_extend_faults (struct world *world, uint64_t at_us)
 {
-  if (at_us > world->faults_over_us)
-    world->faults_over_us = at_us;
+  if (at_us > world->faults_end_us)
+    world->faults_end_us = at_us;
 }
 
 /* Hosts.  */
 
 bool
-world_runs (const struct world *world, int host, uint32_t run)
+world_is_current_run (const struct world *world, int host, uint32_t run)
 {
   return world->hosts[host].alive && world->hosts[host].run == run;
 }
@@ -198,12 +198,12 @@
                            mq_id_partition (program, host->text->partitions)))
         return i;
     }
-  return NOBODY;
+  return NO_HOST;
 }
 
 /* Where the front of a host looks up owners.  */
 static const char *
-look_up_owner (const void *data, uint32_t partition)
+find_owner_address (const void *data, uint32_t partition)
 {
   const struct host *host = data;
   const char *address = mq_owner_address (host->owner, partition);
@@ -216,15 +216,15 @@
 static void
 create_entry (struct world *world, struct host *host)
 {
-  struct mq_front_lookup lookup = { look_up_owner, host };
+  struct mq_front_lookup lookup = { find_owner_address, host };
   struct mq_owner_options options = {
     .host = host->name,
     .data_centre = host->data_centre,
     .address = host->address,
     .boot = host->boot,
     .seed = mq_random_next (&world->random),
-    .checkpoint_records = world->low ? LOW_CHECKPOINT_RECORDS : 0,
-    .commit_inline_bytes = world->low ? LOW_INLINE_BYTES : 0,
+    .checkpoint_records = world->low ? SMALL_CHECKPOINT_RECORDS : 0,
+    .commit_inline_bytes = world->low ? SMALL_INLINE_BYTES : 0,
   };
 
   host->owner = mq_owner_create (host->memory, &options);
@@ -254,9 +254,10 @@
 
 /* Draws when HOST reads the platform's list next.  */
 static void
-plan_hosts_read (struct world *world, int host)
+schedule_host_list_read (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_HOSTS, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_HOST_LIST, host);
 
   world_push (world, event,
               world->now_us + world_delay (world, 1, HOSTS_READ_US));
@@ -265,7 +266,8 @@
 static void
 plan_cache_read (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_CACHE, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_CACHE_READ, host);
 
   event->index = 0;
   world_push (world, event,
@@ -313,7 +315,7 @@
 /* An entry host starts or wakes; if it is the only one that stays, nobody
    could take anything over until now.  */
 static void
-note_somebody (struct world *world, int host)
+record_entry_start (struct world *world, int host)
 {
   int others = 0;
 
@@ -321,7 +323,7 @@
     others += i != host && world->hosts[i].alive && !world->hosts[i].leaving
               && world->hosts[i].paused_until_us <= world->now_us;
   if (host < ENTRIES && others == 0)
-    world->nobody_us = world->now_us;
+    world->no_entry_until_us = world->now_us;
 }
 
 static void
@@ -338,14 +340,14 @@
   host->held = false;
   host->alive_us = world->now_us;
   host->version = 0;
-  host->message_fate = FATE_NORMAL;
-  host->store_fate = FATE_NORMAL;
+  host->message_delivery = DELIVERY_NORMAL;
+  host->store_delivery = DELIVERY_NORMAL;
   memset (host->tick_us, 0, sizeof host->tick_us);
   host->memory = talloc_new (world);
   host->spread = mq_spread_create (host->memory, host->name, host->data_centre,
                                    mq_random_next (&world->random));
   world_trace (world, "%s starts", host->name);
-  note_somebody (world, index);
+  record_entry_start (world, index);
   if (host->role == MQ_HOST_ENTRY)
     {
       create_entry (world, host);
@@ -360,7 +362,7 @@
       plan_cache_read (world, index);
     }
   plan_tick (world, index, MACHINE_SPREAD);
-  plan_hosts_read (world, index);
+  schedule_host_list_read (world, index);
   for (int other = 0; other < HOSTS; other++)
     if (other != index)
       wire_connect_later (world, index, other, world_delay (world, 1, 5 * MS));
@@ -381,7 +383,7 @@
 
   world->ends++;
   if (host->role == MQ_HOST_TARGET)
-    worker_gate_died (world, index);
+    worker_gate_crashed (world, index);
   host->alive = false;
   host->dead_us = world->now_us;
   drop_backlog (host);
@@ -398,17 +400,18 @@
 static void
 plan_start (struct world *world, int index, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_START, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_HOST_START, NO_HOST);
 
   event->index = index;
   world_push (world, event, world->now_us + in_us);
-  world_until (world, world->now_us + in_us);
+  world_extend_faults (world, world->now_us + in_us);
 }
 
 /* The host's partitions are without an owner from now on; whoever was to
    take others over may have been this one, so for these it begins anew.  */
 static void
-note_unowned (struct world *world, const struct host *host)
+record_unowned (struct world *world, const struct host *host)
 {
   for (uint32_t p = 0; host->owner != NULL && p < PARTITIONS; p++)
     if (mq_owner_has (host->owner, p) || world->unowned_us[p] != 0)
@@ -417,17 +420,17 @@
 
 /* The process dies, its connections break; it starts again later.  */
 void
-world_kill (struct world *world, int index, uint64_t restart_us)
+world_crash (struct world *world, int index, uint64_t restart_us)
 {
   struct host *host = &world->hosts[index];
 
   if (!host->alive)
     return;
   world_trace (world, "%s dies", host->name);
-  note_unowned (world, host);
+  record_unowned (world, host);
   end_process (world, index);
-  wire_host_died (world, index, false);
-  caller_host_died (world, index);
+  wire_host_crashed (world, index, false);
+  caller_host_crashed (world, index);
   plan_start (world, index, restart_us);
 }
 
@@ -440,20 +443,20 @@
   if (!host->alive || host->paused_until_us > world->now_us)
     return;
   world_trace (world, "%s is paused", host->name);
-  note_unowned (world, host);
+  record_unowned (world, host);
   host->paused_until_us = world->now_us + pause_us;
   /* What it was about to do at this very step it does when it wakes.  */
   host->held = world->acting == index;
-  event = world_event_create (world, EVENT_WAKE, NOBODY);
+  event = world_event_create (world, EVENT_HOST_WAKE, NO_HOST);
   event->index = index;
   event->run = host->run;
   world_push (world, event, host->paused_until_us);
-  world_until (world, host->paused_until_us);
+  world_extend_faults (world, host->paused_until_us);
 }
 
 /* A paused host wakes and nobody has taken its partitions.  */
 static void
-note_still_owned (struct world *world, int host)
+record_still_owned (struct world *world, int host)
 {
   for (uint32_t p = 0; p < PARTITIONS; p++)
     {
@@ -473,11 +476,11 @@
   struct host *host = &world->hosts[event->index];
   size_t count = host->backlog_count;
 
-  if (!world_runs (world, event->index, event->run))
+  if (!world_is_current_run (world, event->index, event->run))
     return;
   world_trace (world, "%s wakes with %zu events", host->name, count);
-  note_still_owned (world, event->index);
-  note_somebody (world, event->index);
+  record_still_owned (world, event->index);
+  record_entry_start (world, event->index);
   host->paused_until_us = 0;
   host->backlog_count = 0;
   for (size_t i = 0; i < count; i++)
@@ -490,9 +493,9 @@
   uint32_t count = 0;
 
   for (int i = 0; i < world->caller_count; i++)
-    count += world->callers[i].state == CALLER_WAITS
+    count += world->callers[i].state == CALLER_WAITING
              && world->callers[i].host == host
-             && world_runs (world, host, world->callers[i].host_run);
+             && world_is_current_run (world, host, world->callers[i].host_run);
   return count;
 }
 
@@ -515,14 +518,14 @@
 
   world_trace (world, "%s stops", host->name);
   if (calls > 0 || callers > 0)
-    world_violate (world, INVARIANT_PLANNED_STOP,
-                   "%s stops with %u calls and %u callers", host->name, calls,
-                   callers);
+    world_report_violation (world, INVARIANT_PLANNED_STOP,
+                            "%s stops with %u calls and %u callers",
+                            host->name, calls, callers);
   end_process (world, index);
   if (host->role == MQ_HOST_TARGET)
-    worker_host_died (world, index);
-  wire_host_died (world, index, false);
-  caller_host_died (world, index);
+    worker_host_crashed (world, index);
+  wire_host_crashed (world, index, false);
+  caller_host_crashed (world, index);
   plan_start (world, index, RESTART_US);
 }
 
@@ -538,7 +541,7 @@
 
 /* Planned stop of a host.  */
 void
-world_leave (struct world *world, int index)
+world_stop (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
 
@@ -546,8 +549,8 @@
     return;
   world_trace (world, "%s is to leave", host->name);
   host->leaving = true;
-  host->leave_us = world->now_us + LEAVE_US;
-  world_push (world, world_event_create (world, EVENT_LEAVE, index),
+  host->leave_us = world->now_us + STOP_NOTICE_US;
+  world_push (world, world_event_create (world, EVENT_PLANNED_STOP, index),
               host->leave_us);
 }
 
@@ -607,9 +610,10 @@
     }
   spread.u.hosts = &list;
   owner.u.hosts = &list;
-  plan_hosts_read (world, index);
+  schedule_host_list_read (world, index);
   world_spread_input (world, index, &spread);
-  if (world_runs (world, index, run) && world->hosts[index].owner != NULL)
+  if (world_is_current_run (world, index, run)
+      && world->hosts[index].owner != NULL)
     world_owner_input (world, index, &owner);
 }
 
@@ -669,7 +673,7 @@
 /* How long it takes is judged where the store can be reached: else nobody
    can take anything over.  */
 static bool
-is_store_well (const struct world *world)
+is_store_healthy (const struct world *world)
 {
   static const enum world_fault faults[]
       = { FAULT_STORE_DOWN, FAULT_STORE_SLOW, FAULT_WRITE_LOST,
@@ -685,12 +689,12 @@
 
 /* Whoever had the partition last and did not give it up still runs.  */
 static void
-note_taken (struct world *world, int host, uint64_t partition)
+record_takeover (struct world *world, int host, uint64_t partition)
 {
   int last = world->last_owner[partition];
 
-  if (last != NOBODY && last != host
-      && world_runs (world, last, world->last_run[partition])
+  if (last != NO_HOST && last != host
+      && world_is_current_run (world, last, world->last_run[partition])
       && world->hosts[last].paused_until_us <= world->now_us)
     {
       world->report->taken_alive++;
@@ -708,20 +712,20 @@
   uint64_t since_us;
 
   if (partition < PARTITIONS)
-    note_taken (world, host, partition);
+    record_takeover (world, host, partition);
   if (partition >= PARTITIONS || world->unowned_us[partition] == 0)
     return;
   since_us = world->unowned_us[partition];
-  if (since_us < world->nobody_us)
-    since_us = world->nobody_us;
+  if (since_us < world->no_entry_until_us)
+    since_us = world->no_entry_until_us;
   since_us = world->now_us - since_us;
   world->unowned_us[partition] = 0;
-  if (!is_store_well (world) || world->replayed)
+  if (!is_store_healthy (world) || world->replayed)
     return;
   if (since_us > world->report->unowned_us)
     world->report->unowned_us = since_us;
-  if (since_us > OWNED_WITHIN_US)
-    world_violate (
+  if (since_us > TAKEOVER_DEADLINE_US)
+    world_report_violation (
         world, INVARIANT_RESUMED, "partition %llu had no owner for %llu ms",
         (unsigned long long)partition, (unsigned long long)(since_us / MS));
 }
@@ -737,7 +741,8 @@
       break;
     case MQ_ACT_STORE:
       store_send (world, host,
-                  machine == MACHINE_OWNER ? ASKER_OWNER : ASKER_SPREAD,
+                  machine == MACHINE_OWNER ? REQUESTER_OWNER
+                                           : REQUESTER_SPREAD,
                   &action->u.store);
       break;
     case MQ_ACT_EVENT:
@@ -759,7 +764,7 @@
       if (action->u.state.change == MQ_STATE_PARTITION_OWNED)
         note_owned (world, host, action->u.state.number);
       if (action->u.state.change == MQ_STATE_PARTITION_RELEASED)
-        world->last_owner[action->u.state.number % PARTITIONS] = NOBODY;
+        world->last_owner[action->u.state.number % PARTITIONS] = NO_HOST;
       world_trace (world, "%s: %s %llu %s", world->hosts[host].name,
                    state_name (action->u.state.change),
                    (unsigned long long)action->u.state.number,
@@ -774,8 +779,8 @@
 /* Carries the actions out one by one.  The process may die or be paused
    between any two; what is left then is lost, or waits for it to wake.  */
 static void
-carry_out_from (struct world *world, int index, enum machine machine,
-                struct mq_actions *actions, size_t next)
+run_actions_from (struct world *world, int index, enum machine machine,
+                  struct mq_actions *actions, size_t next)
 {
   struct host *host = &world->hosts[index];
   uint32_t run = host->run;
@@ -783,11 +788,11 @@
 
   for (; next < actions->count; next++)
     {
-      if (!world_runs (world, index, run))
+      if (!world_is_current_run (world, index, run))
         break;
       if (host->paused_until_us > world->now_us)
         {
-          event = world_event_create (world, EVENT_RESUME, index);
+          event = world_event_create (world, EVENT_ACTIONS_RESUME, index);
           event->machine = machine;
           event->actions = talloc_steal (event, actions);
           event->action_next = next;
@@ -796,7 +801,7 @@
         }
       world->acting = index;
       carry_out (world, index, machine, &actions->items[next]);
-      world->acting = NOBODY;
+      world->acting = NO_HOST;
       if (host->held)
         next--;
       host->held = false;
@@ -811,8 +816,8 @@
   uint32_t run = world->hosts[index].run;
 
   plan_tick (world, index, machine);
-  carry_out_from (world, index, machine, actions, 0);
-  if (world_runs (world, index, run))
+  run_actions_from (world, index, machine, actions, 0);
+  if (world_is_current_run (world, index, run))
     stop_if_drained (world, index);
 }
 
@@ -876,10 +881,10 @@
   if (version == host->version)
     return;
   if (version < host->version)
-    world_violate (world, INVARIANT_CONFIG_RISES,
-                   "%s falls from version %llu to %llu", host->name,
-                   (unsigned long long)host->version,
-                   (unsigned long long)version);
+    world_report_violation (world, INVARIANT_CONFIG_RISES,
+                            "%s falls from version %llu to %llu", host->name,
+                            (unsigned long long)host->version,
+                            (unsigned long long)version);
   world_trace (world, "%s: configuration %llu", host->name,
                (unsigned long long)version);
   host->version = version;
@@ -908,7 +913,7 @@
   actions = mq_actions_create (world);
   mq_spread_handle (host->spread, input, actions);
   finish_input (world, index, MACHINE_SPREAD, actions);
-  if (world_runs (world, index, run))
+  if (world_is_current_run (world, index, run))
     look_at_version (world, index);
 }
 
@@ -965,7 +970,7 @@
       input.handle = message->u.forward.handle;
       input.u.request = &message->u.forward.request;
       fault_message_step (world, event->host, NULL, message);
-      if (!world_runs (world, event->host, event->run))
+      if (!world_is_current_run (world, event->host, event->run))
         return;
     }
   else
@@ -985,7 +990,7 @@
   input.peer = MQ_PEER_SELF;
   input.u.event = &event->message->u.event;
   fault_message_step (world, event->host, NULL, event->message);
-  if (world_runs (world, event->host, event->run))
+  if (world_is_current_run (world, event->host, event->run))
     world_front_input (world, event->host, &input);
 }
 
@@ -1004,19 +1009,19 @@
 /* Everything is at rest: every owner dies, and what the next ones read from
    checkpoint and log must give each caller the answer that it had.  */
 static void
-replay_all (struct world *world)
+restart_all_owners (struct world *world)
 {
   world_trace (world, "at rest; all owners die");
   world->replayed = true;
   world->done_us = 0;
   for (int i = 0; i < ENTRIES; i++)
-    world_kill (world, i, RESTART_US);
-  caller_check_all (world);
+    world_crash (world, i, RESTART_US);
+  caller_repeat_all (world);
 }
 
 /* In the world's small runs a process needs some hundred kilobytes.  */
 static void
-look_at_memory (struct world *world)
+check_memory (struct world *world)
 {
   for (int i = 0; i < HOSTS; i++)
     {
@@ -1030,30 +1035,30 @@
       if (bytes > world->report->memory_max)
         world->report->memory_max = bytes;
       if (bytes > MEMORY_MAX)
-        world_violate (world, INVARIANT_MEMORY, "%s holds %zu bytes",
-                       world->hosts[i].name, bytes);
+        world_report_violation (world, INVARIANT_MEMORY, "%s holds %zu bytes",
+                                world->hosts[i].name, bytes);
     }
 }
 
 static void
 look (struct world *world)
 {
-  look_at_memory (world);
-  if (!caller_all_done (world) || world->now_us < world->faults_over_us)
+  check_memory (world);
+  if (!caller_all_done (world) || world->now_us < world->faults_end_us)
     world->done_us = 0;
   else if (world->done_us == 0)
     world->done_us = world->now_us;
-  if (world->done_us != 0 && world->now_us > world->done_us + QUIET_US
+  if (world->done_us != 0 && world->now_us > world->done_us + IDLE_PERIOD_US
       && (check_rest (world)
-          || world->now_us > world->done_us + FORGET_EVERYTHING_US))
+          || world->now_us > world->done_us + CACHE_EXPIRY_US))
     {
       if (world->low && !world->replayed && check_rest (world))
-        replay_all (world);
+        restart_all_owners (world);
       else
         world->over = true;
     }
   if (!world->over)
-    world_push (world, world_event_create (world, EVENT_LOOK, NOBODY),
+    world_push (world, world_event_create (world, EVENT_CHECK_IDLE, NO_HOST),
                 world->now_us + SECOND);
 }
 
@@ -1094,13 +1099,13 @@
     case EVENT_WIRE_DOWN:
       wire_down (world, event);
       break;
-    case EVENT_BEAT:
-      wire_beat (world, event);
+    case EVENT_HEARTBEAT:
+      wire_heartbeat (world, event);
       break;
-    case EVENT_RESUME:
-      carry_out_from (world, event->host, event->machine,
-                      talloc_steal (world, event->actions),
-                      event->action_next);
+    case EVENT_ACTIONS_RESUME:
+      run_actions_from (world, event->host, event->machine,
+                        talloc_steal (world, event->actions),
+                        event->action_next);
       break;
     case EVENT_FORWARD:
       forward_local (world, event);
@@ -1111,59 +1116,59 @@
     case EVENT_TO_CALLER:
       caller_event (world, event);
       break;
-    case EVENT_CALLER:
+    case EVENT_CALLER_TIMER:
       caller_timer (world, event);
       break;
     case EVENT_REQUEST:
       caller_request (world, event);
       break;
-    case EVENT_GONE:
-      caller_gone (world, event);
+    case EVENT_CALLER_DISCONNECT:
+      caller_disconnected (world, event);
       break;
     case EVENT_STORE:
       store_serve (world, event);
       break;
-    case EVENT_STORE_DONE:
+    case EVENT_STORE_RESULT:
       store_done (world, event);
       break;
     case EVENT_OPERATOR:
       operator_wake (world, event);
       break;
-    case EVENT_RUN:
+    case EVENT_CALL_STAGE:
       worker_step (world, event);
       break;
     case EVENT_EVICTED:
       worker_evicted (world, event);
       break;
-    case EVENT_ORDERED:
+    case EVENT_ORDER_DONE:
       worker_ordered (world, event);
       break;
-    case EVENT_CACHE:
+    case EVENT_CACHE_READ:
       worker_read_cache (world, event);
       plan_cache_read (world, event->host);
       break;
     case EVENT_ENGINE:
       worker_engine (world, event);
       break;
-    case EVENT_HOSTS:
+    case EVENT_HOST_LIST:
       read_hosts (world, event->host);
       break;
-    case EVENT_START:
+    case EVENT_HOST_START:
       if (!world->hosts[event->index].alive)
         start_host (world, event->index);
       break;
-    case EVENT_WAKE:
+    case EVENT_HOST_WAKE:
       wake (world, event);
       break;
-    case EVENT_LEAVE:
+    case EVENT_PLANNED_STOP:
       give_leave (world, event->host);
       break;
-    case EVENT_DIE:
-      world_kill (world, event->host,
-                  world->hosts[event->host].rebooting ? GATE_RESTART_US
-                                                      : RESTART_US);
+    case EVENT_CRASH:
+      world_crash (world, event->host,
+                   world->hosts[event->host].rebooting ? GATE_RESTART_US
+                                                       : RESTART_US);
       break;
-    case EVENT_LOOK:
+    case EVENT_CHECK_IDLE:
       look (world);
       break;
     case EVENT_STORE_UP:
@@ -1177,11 +1182,11 @@
 
 /* An event for a process that is paused waits in the order it came.  */
 static bool
-waits_for_wake (struct world *world, struct world_event *event)
+defer_if_paused (struct world *world, struct world_event *event)
 {
   struct host *host;
 
-  if (event->host == NOBODY)
+  if (event->host == NO_HOST)
     return false;
   host = &world->hosts[event->host];
   if (!host->alive || host->paused_until_us <= world->now_us)
@@ -1195,13 +1200,13 @@
 static void
 handle (struct world *world, struct world_event *event)
 {
-  if (event->host != NOBODY && event->run != 0
-      && !world_runs (world, event->host, event->run))
+  if (event->host != NO_HOST && event->run != 0
+      && !world_is_current_run (world, event->host, event->run))
     {
       talloc_free (event);
       return;
     }
-  if (waits_for_wake (world, event))
+  if (defer_if_paused (world, event))
     return;
   dispatch (world, event);
   talloc_free (event);
@@ -1231,7 +1236,7 @@
           host->workers[w].boot = 1;
         }
       for (int j = 0; j < HOSTS; j++)
-        world->current[i][j] = NOBODY;
+        world->current[i][j] = NO_HOST;
     }
 }
 
@@ -1245,7 +1250,7 @@
   world->report = report;
   world->trace = trace;
   world->random = cell->seed;
-  world->acting = NOBODY;
+  world->acting = NO_HOST;
   world->script = world_step_script (cell->step);
   world->low = world->script == SCRIPT_CHECKPOINT || cell->seed % 3 == 0;
   create_hosts (world);
@@ -1255,11 +1260,12 @@
     start_host (world, i);
   operator_apply (world, 0);
   for (int p = 0; p < PARTITIONS; p++)
-    world->last_owner[p] = NOBODY;
+    world->last_owner[p] = NO_HOST;
   if (world->script == SCRIPT_OUTAGE)
-    world_push (world, world_event_create (world, EVENT_OUTAGE, NOBODY),
+    world_push (world, world_event_create (world, EVENT_OUTAGE, NO_HOST),
                 LONG_OUTAGE_FROM_US);
-  world_push (world, world_event_create (world, EVENT_LOOK, NOBODY), SECOND);
+  world_push (world, world_event_create (world, EVENT_CHECK_IDLE, NO_HOST),
+              SECOND);
   return world;
 }
 
@@ -1282,9 +1288,10 @@
     }
   report->end_us = world->now_us;
   if (report->events > EVENTS_MAX)
-    world_violate (world, INVARIANT_SETTLES, "over %llu events by %llu ms",
-                   (unsigned long long)EVENTS_MAX,
-                   (unsigned long long)(world->now_us / MS));
+    world_report_violation (world, INVARIANT_SETTLES,
+                            "over %llu events by %llu ms",
+                            (unsigned long long)EVENTS_MAX,
+                            (unsigned long long)(world->now_us / MS));
   check_end (world);
   talloc_free (world);
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -144,7 +144,7 @@
 
 /* Bugs planted in the world, so that each invariant is known to be able to
    fail.  X (enumerator, name)  */
-#define WORLD_PLANT_LIST(X)                                                   \
+#define WORLD_MUTATION_LIST(X)                                                \
   X (NONE, "none")                                                            \
   X (ANSWER_BEFORE_RUN, "a worker answers a call before it runs it")          \
   X (START_CLONED, "a call reaches its worker twice")                         \
@@ -176,9 +176,9 @@
 
 enum world_plant
 {
-#define WORLD_PLANT_ENUM(id, name) PLANT_##id,
-  WORLD_PLANT_LIST (WORLD_PLANT_ENUM)
-#undef WORLD_PLANT_ENUM
+#define WORLD_MUTATION_ENUM(id, name) PLANT_##id,
+  WORLD_MUTATION_LIST (WORLD_MUTATION_ENUM)
+#undef WORLD_MUTATION_ENUM
       PLANT_COUNT
 };
 
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -202,8 +202,8 @@
 
 /* Whether a history of PROGRAM may hold TEXT as what a person said.  */
 bool
-caller_asked (const struct world *world, struct mq_id program,
-              const char *text)
+caller_has_text (const struct world *world, struct mq_id program,
+                 const char *text)
 {
   const struct caller *caller = find_family (world, program.hi);
 
@@ -243,7 +243,8 @@
 static void
 plan_timer (struct world *world, struct caller *caller, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_CALLER, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_CALLER_TIMER, NO_HOST);
 
   event->index = caller->index;
   caller->timer_us = world->now_us + in_us;
@@ -271,14 +272,14 @@
       plan_timer (world, caller,
                   CALLERS_START_US + world_delay (world, 0, 200 * MS)
                       + (i < CALLERS ? 0 : (uint64_t)(i - CALLERS))
-                            * OUTAGE_CALLER_US);
+                            * OUTAGE_CALLER_INTERVAL_US);
     }
 }
 
 /* The last request of CALLER that asked its program for an answer, or
    ask_count.  */
 static size_t
-last_answer (const struct caller *caller)
+last_answered_request (const struct caller *caller)
 {
   size_t last = caller->ask_count;
 
@@ -292,20 +293,20 @@
 
 /* Everyone who had an answer asks for it again.  */
 void
-caller_check_all (struct world *world)
+caller_repeat_all (struct world *world)
 {
   for (int i = 0; i < world->caller_count; i++)
     {
       struct caller *caller = &world->callers[i];
 
-      caller->ask = last_answer (caller);
+      caller->ask = last_answered_request (caller);
       if (caller->ask == caller->ask_count)
         continue;
       caller->checks = true;
       caller->tries = 0;
       caller->refusals = 0;
       caller->doubtful = true;
-      caller->state = CALLER_PAUSES;
+      caller->state = CALLER_BACKOFF;
       plan_timer (world, caller,
                   RESTART_US + world_delay (world, 0, AGAIN_US));
     }
@@ -328,7 +329,7 @@
 static int
 choose_host (struct world *world)
 {
-  int chosen = NOBODY;
+  int chosen = NO_HOST;
   uint32_t count = 0;
 
   for (int i = 0; i < ENTRIES; i++)
@@ -342,7 +343,7 @@
 static void
 ask_again (struct world *world, struct caller *caller, uint64_t in_us)
 {
-  caller->state = CALLER_PAUSES;
+  caller->state = CALLER_BACKOFF;
   plan_timer (world, caller, in_us + world_delay (world, 0, AGAIN_US));
 }
 
@@ -375,16 +376,16 @@
   int host = choose_host (world);
   struct world_event *event;
 
-  if (host == NOBODY)
+  if (host == NO_HOST)
     {
       ask_again (world, caller, AGAIN_US);
       return;
     }
-  worker_program_fact (world, caller->program)->refused = false;
+  worker_observed_program (world, caller->program)->refused = false;
   caller->host = host;
   caller->host_run = world->hosts[host].run;
   caller->handle = ++world->next_handle;
-  caller->state = CALLER_WAITS;
+  caller->state = CALLER_WAITING;
   caller->last_us = world->now_us;
   caller->tries++;
   caller->ends = 0;
@@ -397,12 +398,12 @@
   event->index = caller->index;
   event->handle = caller->handle;
   world_push (world, event, world->now_us + world_delay (world, 1, MS));
-  plan_timer (world, caller, CALLER_PATIENCE_US);
+  plan_timer (world, caller, CALLER_TIMEOUT_US);
 }
 
 /* Refuses a request and runs it all the same.  */
 static void
-plant_refusal (struct world *world, struct caller *caller)
+inject_refusal (struct world *world, struct caller *caller)
 {
   struct mq_event_msg refusal = { .type = MQ_EVENT_REFUSED };
   struct world_event *event;
@@ -431,9 +432,9 @@
   struct mq_front_input input
       = { .type = MQ_FRONT_REQUEST, .now_us = world->now_us };
 
-  if (caller->handle != event->handle || caller->state != CALLER_WAITS)
+  if (caller->handle != event->handle || caller->state != CALLER_WAITING)
     return; /* it has closed the connection already */
-  plant_refusal (world, caller);
+  inject_refusal (world, caller);
   input.handle = event->handle;
   input.partition = mq_id_partition (
       caller->program, world->hosts[event->host].text->partitions);
@@ -442,7 +443,7 @@
 }
 
 void
-caller_gone (struct world *world, const struct world_event *event)
+caller_disconnected (struct world *world, const struct world_event *event)
 {
   struct mq_front_input input
       = { .type = MQ_FRONT_CALLER_GONE, .now_us = world->now_us };
@@ -456,9 +457,9 @@
 {
   struct world_event *event;
 
-  if (!world_runs (world, caller->host, caller->host_run))
+  if (!world_is_current_run (world, caller->host, caller->host_run))
     return;
-  event = world_event_create (world, EVENT_GONE, caller->host);
+  event = world_event_create (world, EVENT_CALLER_DISCONNECT, caller->host);
   event->handle = caller->handle;
   world_push (world, event, world->now_us + world_delay (world, 1, MS));
 }
@@ -470,14 +471,14 @@
 
   if (caller->timer_us != event->at_us)
     return;
-  if (caller->state == CALLER_IDLE || caller->state == CALLER_PAUSES)
+  if (caller->state == CALLER_IDLE || caller->state == CALLER_BACKOFF)
     ask_now (world, caller);
-  else if (caller->state == CALLER_WAITS)
+  else if (caller->state == CALLER_WAITING)
     {
-      if (world->now_us < caller->last_us + CALLER_PATIENCE_US)
+      if (world->now_us < caller->last_us + CALLER_TIMEOUT_US)
         {
           plan_timer (world, caller,
-                      caller->last_us + CALLER_PATIENCE_US - world->now_us);
+                      caller->last_us + CALLER_TIMEOUT_US - world->now_us);
           return;
         }
       world_trace (world, "caller %d hears nothing and asks elsewhere",
@@ -490,13 +491,13 @@
 
 /* The connection broke with the process.  */
 void
-caller_host_died (struct world *world, int host)
+caller_host_crashed (struct world *world, int host)
 {
   for (int i = 0; i < world->caller_count; i++)
     {
       struct caller *caller = &world->callers[i];
 
-      if (caller->state != CALLER_WAITS || caller->host != host)
+      if (caller->state != CALLER_WAITING || caller->host != host)
         continue;
       caller->doubtful = true;
       ask_again (world, caller, MS);
@@ -524,7 +525,8 @@
 static bool
 holds_final (struct world *world, struct mq_id program, const char *body)
 {
-  const struct program_fact *fact = worker_program_fact (world, program);
+  const struct observed_program *fact
+      = worker_observed_program (world, program);
 
   for (size_t i = 0; i < fact->final_count; i++)
     if (strstr (body, fact->finals[i]) != NULL)
@@ -561,7 +563,7 @@
                const char *body)
 {
   const struct ask *ask = &caller->asks[caller->ask];
-  const struct call_fact *fact;
+  const struct observed_call *fact;
 
   switch (ask->type)
     {
@@ -574,7 +576,7 @@
     case MQ_REQUEST_STEP:
       if (ask->text == TEXT_ASK)
         return holds_final (world, caller->program, body);
-      fact = worker_call_fact (world, caller->program, ask->sequence);
+      fact = worker_observed_call (world, caller->program, ask->sequence);
       return fact->result != NULL && answer_is (body, fact->result);
     case MQ_REQUEST_CREATE:
     case MQ_REQUEST_CLOSE:
@@ -593,10 +595,10 @@
       && !world->replayed)
     world->report->outage_done_us = world->now_us - world->outage_until_us;
   if ((type == MQ_REQUEST_OPEN || type == MQ_REQUEST_TURN)
-      && !check_is_told (world, caller->program, body))
-    world_violate (world, INVARIANT_TOLD,
-                   "caller %d, request %zu: no log holds %.120s",
-                   caller->index, caller->ask, body);
+      && !check_is_logged (world, caller->program, body))
+    world_report_violation (world, INVARIANT_TOLD,
+                            "caller %d, request %zu: no log holds %.120s",
+                            caller->index, caller->ask, body);
 }
 
 /* In an outage only batch work is turned away.  */
@@ -613,8 +615,9 @@
     world->report->urgent_refused++;
   if (world->cell->nth == 0 && caller->asks == desk_asks
       && event->ran == MQ_RAN_NOT_RUN)
-    world_violate (world, INVARIANT_OUTAGE, "caller %d is refused: %s",
-                   caller->index, mq_error_name (event->error));
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "caller %d is refused: %s", caller->index,
+                            mq_error_name (event->error));
 }
 
 static void
@@ -632,8 +635,9 @@
   const char *had = caller->answers[caller->ask];
 
   if (had == NULL || !is_same_answer (had, body))
-    world_violate (world, INVARIANT_REPLAYED, "caller %d had %.80s, has %.80s",
-                   caller->index, had == NULL ? "a refusal" : had, body);
+    world_report_violation (world, INVARIANT_REPLAYED,
+                            "caller %d had %.80s, has %.80s", caller->index,
+                            had == NULL ? "a refusal" : had, body);
   end_check (world, caller);
 }
 
@@ -642,9 +646,9 @@
                enum mq_error_type error)
 {
   if (error != caller->errors[caller->ask])
-    world_violate (world, INVARIANT_REPLAYED, "caller %d had %s, has %s",
-                   caller->index, mq_error_name (caller->errors[caller->ask]),
-                   mq_error_name (error));
+    world_report_violation (
+        world, INVARIANT_REPLAYED, "caller %d had %s, has %s", caller->index,
+        mq_error_name (caller->errors[caller->ask]), mq_error_name (error));
   end_check (world, caller);
 }
 
@@ -656,9 +660,9 @@
 
   if (++caller->ends > 1)
     {
-      world_violate (world, INVARIANT_ONE_ANSWER,
-                     "caller %d got %u ends of request %zu", caller->index,
-                     caller->ends, caller->ask);
+      world_report_violation (world, INVARIANT_ONE_ANSWER,
+                              "caller %d got %u ends of request %zu",
+                              caller->index, caller->ends, caller->ask);
       return;
     }
   note_told (world, caller, body);
@@ -668,15 +672,15 @@
       return;
     }
   if (!answer_is_own (world, caller, body))
-    world_violate (world, INVARIANT_OWN_ANSWER,
-                   "caller %d, request %zu: %.160s", caller->index,
-                   caller->ask, body);
+    world_report_violation (world, INVARIANT_OWN_ANSWER,
+                            "caller %d, request %zu: %.160s", caller->index,
+                            caller->ask, body);
   /* The last call that was streamed whole or in part, if it is the answer.  */
   if (caller->stream_call == (event->number >> 16) - 1
       && strstr (body, caller->stream) == NULL)
-    world_violate (world, INVARIANT_STREAM,
-                   "caller %d: \"%s\" is no beginning of the answer",
-                   caller->index, caller->stream);
+    world_report_violation (world, INVARIANT_STREAM,
+                            "caller %d: \"%s\" is no beginning of the answer",
+                            caller->index, caller->stream);
   caller->answers[caller->ask] = talloc_strdup (world, body);
   next_ask (world, caller);
 }
@@ -706,7 +710,7 @@
 /* Callers here ask only what is right, in order and of their own program,
    so a refusal that says otherwise is false.  */
 static bool
-is_false (enum mq_error_type error)
+is_impossible_refusal (enum mq_error_type error)
 {
   switch (error)
     {
@@ -738,19 +742,21 @@
 /* A request that was refused as not run, and never tried before, must not
    have run, nor run before it is made again.  */
 static void
-hold_to_not_run (struct world *world, struct caller *caller)
+expect_not_run (struct world *world, struct caller *caller)
 {
   const struct ask *ask = &caller->asks[caller->ask];
-  struct program_fact *fact = worker_program_fact (world, caller->program);
+  struct observed_program *fact
+      = worker_observed_program (world, caller->program);
 
   if (caller->doubtful
       || (ask->type != MQ_REQUEST_OPEN && ask->type != MQ_REQUEST_CREATE))
     return;
   if (fact->starts > 0)
-    world_violate (world, INVARIANT_NOT_RUN,
-                   "caller %d hears not_run of a program that started %u "
-                   "calls",
-                   caller->index, fact->starts);
+    world_report_violation (
+        world, INVARIANT_NOT_RUN,
+        "caller %d hears not_run of a program that started %u "
+        "calls",
+        caller->index, fact->starts);
   fact->refused = true;
 }
 
@@ -763,13 +769,13 @@
   note_refused (world, caller, event);
   if (++caller->ends > 1)
     {
-      world_violate (world, INVARIANT_ONE_ANSWER,
-                     "caller %d got %u ends of request %zu", caller->index,
-                     caller->ends, caller->ask);
+      world_report_violation (world, INVARIANT_ONE_ANSWER,
+                              "caller %d got %u ends of request %zu",
+                              caller->index, caller->ends, caller->ask);
       return;
     }
   if (event->ran == MQ_RAN_NOT_RUN)
-    hold_to_not_run (world, caller);
+    expect_not_run (world, caller);
   else
     caller->doubtful = true;
   if (passes (event->error) && ++caller->refusals < REFUSALS_MAX)
@@ -782,10 +788,11 @@
       check_refusal (world, caller, event->error);
       return;
     }
-  if (is_false (event->error))
-    world_violate (world, INVARIANT_OWN_ANSWER,
-                   "caller %d, request %zu: refused as %s, which is not so",
-                   caller->index, caller->ask, mq_error_name (event->error));
+  if (is_impossible_refusal (event->error))
+    world_report_violation (
+        world, INVARIANT_OWN_ANSWER,
+        "caller %d, request %zu: refused as %s, which is not so",
+        caller->index, caller->ask, mq_error_name (event->error));
   caller->errors[caller->ask] = event->error;
   caller->ends = 1;
   skip_to_close (caller);
@@ -823,9 +830,9 @@
     caller->stream
         = talloc_asprintf (world, "%s%s", caller->stream, event->body);
   if (!is_streamed (world, caller, caller->stream, event->call))
-    world_violate (world, INVARIANT_STREAM,
-                   "caller %d, call %u: \"%s\" was never said", caller->index,
-                   event->call, caller->stream);
+    world_report_violation (world, INVARIANT_STREAM,
+                            "caller %d, call %u: \"%s\" was never said",
+                            caller->index, event->call, caller->stream);
 }
 
 static struct caller *
@@ -845,7 +852,7 @@
       = &world->callers[(caller->index + 1) % world->caller_count];
 
   if (world->cell->plant != PLANT_ANSWER_SWAPPED
-      || event->type != MQ_EVENT_FINAL || other->state != CALLER_WAITS)
+      || event->type != MQ_EVENT_FINAL || other->state != CALLER_WAITING)
     return caller;
   return other;
 }
@@ -859,7 +866,7 @@
   if (caller == NULL || caller->host != from->host
       || caller->host_run != from->run)
     return; /* its connection is closed */
-  if (caller->state != CALLER_WAITS && caller->ends == 0)
+  if (caller->state != CALLER_WAITING && caller->ends == 0)
     return;
   caller = plant_swap (world, caller, event);
   caller->last_us = world->now_us;
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -11,7 +11,7 @@
 {
   VERSION_BYTES = 8,
   APPLY_ID_BYTES = 16,
-  ORPHANS_MAX = 4 /* objects that each fault or end may leave */
+  ORPHAN_OBJECTS_PER_END_MAX = 4 /* objects that each fault or end may leave */
 };
 
 /* One program as the table's log has it.  */
@@ -176,7 +176,7 @@
 /* Whether a row names OBJECT: a partition its checkpoint, a log row its
    batch.  */
 static bool
-is_named (const struct mq_table_snapshot *all, const char *object)
+is_referenced (const struct mq_table_snapshot *all, const char *object)
 {
   size_t len = strlen (object);
 
@@ -199,12 +199,12 @@
   unsigned long number = strtoul (key + 5, NULL, 10) % PARTITIONS;
   uint64_t since = part->sequence - world->installed[number].sequence;
   uint64_t most = (1 + world->report->injected + world->ends)
-                  * (uint64_t)LOW_CHECKPOINT_RECORDS;
+                  * (uint64_t)SMALL_CHECKPOINT_RECORDS;
 
   if (world->low && since > most)
-    world_violate (world, INVARIANT_STORED,
-                   "%llu batches of %s since the last checkpoint",
-                   (unsigned long long)since, key);
+    world_report_violation (world, INVARIANT_STORED,
+                            "%llu batches of %s since the last checkpoint",
+                            (unsigned long long)since, key);
 }
 
 static void
@@ -224,10 +224,10 @@
         continue;
       sequence = strtoull (key + strlen (prefix), NULL, 10);
       if (sequence <= part->checkpoint || sequence > part->sequence)
-        world_violate (world, INVARIANT_STORED,
-                       "%s is left: checkpoint %llu, sequence %llu", key,
-                       (unsigned long long)part->checkpoint,
-                       (unsigned long long)part->sequence);
+        world_report_violation (world, INVARIANT_STORED,
+                                "%s is left: checkpoint %llu, sequence %llu",
+                                key, (unsigned long long)part->checkpoint,
+                                (unsigned long long)part->sequence);
     }
   if (part == NULL)
     return;
@@ -248,14 +248,15 @@
     if (strncmp (all->rows[i].key, "part/", 5) == 0)
       check_log_rows (world, all, &all->rows[i]);
   for (size_t i = 0; i < all->object_count; i++)
-    if (!is_named (all, all->objects[i].key))
+    if (!is_referenced (all, all->objects[i].key))
       {
         world->report->orphans++;
         world_trace (world, "%s is named by no row", all->objects[i].key);
       }
-  if (world->report->orphans > doubts * ORPHANS_MAX)
-    world_violate (world, INVARIANT_STORED, "%u objects that no row names",
-                   world->report->orphans);
+  if (world->report->orphans > doubts * ORPHAN_OBJECTS_PER_END_MAX)
+    world_report_violation (world, INVARIANT_STORED,
+                            "%u objects that no row names",
+                            world->report->orphans);
 }
 
 /* The configuration.  */
@@ -288,7 +289,7 @@
 
   for (int i = 0; i < HOSTS; i++)
     if (world->hosts[i].alive && world->hosts[i].version != version)
-      world_violate (
+      world_report_violation (
           world, INVARIANT_CONFIG_EQUAL, "%s has version %llu, the table %llu",
           world->hosts[i].name, (unsigned long long)world->hosts[i].version,
           (unsigned long long)version);
@@ -301,10 +302,11 @@
               && memcmp (accepted->id, row->value.data + VERSION_BYTES,
                          APPLY_ID_BYTES)
                      != 0))
-        world_violate (world, INVARIANT_APPLY_HOLDS,
-                       "version %llu was accepted, the table has %llu",
-                       (unsigned long long)accepted->version,
-                       (unsigned long long)version);
+        world_report_violation (
+            world, INVARIANT_APPLY_HOLDS,
+            "version %llu was accepted, the table has %llu",
+            (unsigned long long)accepted->version,
+            (unsigned long long)version);
     }
 }
 
@@ -327,7 +329,7 @@
 
 /* Whether the log holds by now what a caller is told.  */
 bool
-check_is_told (struct world *world, struct mq_id program, const char *body)
+check_is_logged (struct world *world, struct mq_id program, const char *body)
 {
   struct log *log = read_log (world);
   const struct logged *logged = logged_find (log, program);
@@ -377,15 +379,16 @@
     return; /* not reached; its caller is still waiting */
   if (caller->answers[index] != NULL
       && (logged == NULL || !is_answer (logged, caller->answers[index])))
-    world_violate (world, INVARIANT_LOGGED_ANSWER,
-                   "caller %d, request %zu: the log does not hold %.120s",
-                   caller->index, index, caller->answers[index]);
+    world_report_violation (
+        world, INVARIANT_LOGGED_ANSWER,
+        "caller %d, request %zu: the log does not hold %.120s", caller->index,
+        index, caller->answers[index]);
   if (caller->answers[index] == NULL && logged != NULL
       && !has_error (logged, caller->errors[index]))
-    world_violate (world, INVARIANT_LOGGED_ANSWER,
-                   "caller %d, request %zu: the log does not hold %s",
-                   caller->index, index,
-                   mq_error_name (caller->errors[index]));
+    world_report_violation (world, INVARIANT_LOGGED_ANSWER,
+                            "caller %d, request %zu: the log does not hold %s",
+                            caller->index, index,
+                            mq_error_name (caller->errors[index]));
 }
 
 static void
@@ -396,9 +399,10 @@
       const struct caller *caller = &world->callers[i];
 
       if (caller->state != CALLER_DONE)
-        world_violate (world, INVARIANT_ENDS,
-                       "caller %d still waits for request %zu after %u tries",
-                       i, caller->ask, caller->tries);
+        world_report_violation (
+            world, INVARIANT_ENDS,
+            "caller %d still waits for request %zu after %u tries", i,
+            caller->ask, caller->tries);
       for (size_t a = 0; a < caller->ask_count; a++)
         if (is_program_answer (&caller->asks[a]))
           check_answer (world, log, caller, a);
@@ -410,19 +414,20 @@
 {
   for (size_t i = 0; i < world->call_count; i++)
     {
-      const struct call_fact *fact = &world->calls[i];
-
-      if (fact->told_not_run && fact->effects > 0)
-        world_violate (world, INVARIANT_NOT_RUN,
-                       "program %016llx was told not_run of call %u, which "
-                       "took effect",
-                       (unsigned long long)fact->program.lo, fact->call);
+      const struct observed_call *fact = &world->calls[i];
+
+      if (fact->reported_not_run && fact->effects > 0)
+        world_report_violation (
+            world, INVARIANT_NOT_RUN,
+            "program %016llx was told not_run of call %u, which "
+            "took effect",
+            (unsigned long long)fact->program.lo, fact->call);
     }
 }
 
 /* Without a fault nothing is refused and nothing runs twice.  */
 static void
-check_calm (struct world *world)
+check_fault_free (struct world *world)
 {
   bool dies
       = world->script == SCRIPT_TAKEOVER || world->script == SCRIPT_SETTLE;
@@ -433,16 +438,17 @@
         enum mq_error_type error = world->callers[i].errors[a];
 
         if (error != MQ_ERR_NONE && error != MQ_ERR_BUDGET_TOKENS)
-          world_violate (world, INVARIANT_ENDS,
-                         "caller %d, request %zu: %s without a fault", i, a,
-                         mq_error_name (error));
+          world_report_violation (world, INVARIANT_ENDS,
+                                  "caller %d, request %zu: %s without a fault",
+                                  i, a, mq_error_name (error));
       }
   for (size_t i = 0; !dies && i < world->call_count; i++)
     if (world->calls[i].starts > 1)
-      world_violate (world, INVARIANT_PLANNED_STOP,
-                     "program %016llx call %u ran %u times without a fault",
-                     (unsigned long long)world->calls[i].program.lo,
-                     world->calls[i].call, world->calls[i].starts);
+      world_report_violation (
+          world, INVARIANT_PLANNED_STOP,
+          "program %016llx call %u ran %u times without a fault",
+          (unsigned long long)world->calls[i].program.lo, world->calls[i].call,
+          world->calls[i].starts);
 }
 
 /* Engines.  */
@@ -453,15 +459,17 @@
   for (int i = ENTRIES; i < HOSTS; i++)
     for (size_t c = 0; c < world->hosts[i].workers[0].cache_count; c++)
       {
-        const struct cache_row *row = &world->hosts[i].workers[0].cache[c];
+        const struct engine_cache_entry *row
+            = &world->hosts[i].workers[0].cache[c];
         const struct logged *logged = logged_find (log, row->program);
 
         if (logged == NULL || logged->ended)
-          world_violate (world, INVARIANT_CACHE,
-                         "%s holds %u tokens of program %016llx, which has "
-                         "ended",
-                         world->hosts[i].name, row->tokens,
-                         (unsigned long long)row->program.lo);
+          world_report_violation (
+              world, INVARIANT_CACHE,
+              "%s holds %u tokens of program %016llx, which has "
+              "ended",
+              world->hosts[i].name, row->tokens,
+              (unsigned long long)row->program.lo);
       }
 }
 
@@ -470,8 +478,8 @@
 {
   for (int i = 0; i < HOSTS; i++)
     if (world->hosts[i].alive && world->hosts[i].leaving)
-      world_violate (world, INVARIANT_PLANNED_STOP, "%s never drains",
-                     world->hosts[i].name);
+      world_report_violation (world, INVARIANT_PLANNED_STOP, "%s never drains",
+                              world->hosts[i].name);
 }
 
 /* Nothing is left to be done or cleared away.  */
@@ -503,12 +511,13 @@
   if (world->script != SCRIPT_OUTAGE || world->cell->nth != 0)
     return;
   if (report->starts_in_outage == 0)
-    world_violate (world, INVARIANT_OUTAGE, "nothing went on");
+    world_report_violation (world, INVARIANT_OUTAGE, "nothing went on");
   if (report->batch_refused == 0)
-    world_violate (world, INVARIANT_OUTAGE, "batch work was not refused");
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "batch work was not refused");
   if (report->taken_alive > 0)
-    world_violate (world, INVARIANT_TAKEN, "%u partitions",
-                   report->taken_alive);
+    world_report_violation (world, INVARIANT_TAKEN, "%u partitions",
+                            report->taken_alive);
 }
 
 void
@@ -524,5 +533,5 @@
   check_store (world);
   check_outage (world);
   if (world->cell->nth == 0 && world->cell->plant == PLANT_NONE)
-    check_calm (world);
+    check_fault_free (world);
 }
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -15,7 +15,7 @@
 static int
 some_host (struct world *world, int first, int count)
 {
-  int chosen = NOBODY;
+  int chosen = NO_HOST;
   uint32_t seen = 0;
 
   for (int i = first; i < first + count; i++)
@@ -27,7 +27,7 @@
 static int
 entry_of (struct world *world, const struct site *site)
 {
-  if (site->entry != NOBODY && world->hosts[site->entry].alive)
+  if (site->entry != NO_HOST && world->hosts[site->entry].alive)
     return site->entry;
   return some_host (world, 0, ENTRIES);
 }
@@ -35,7 +35,7 @@
 static int
 target_of (struct world *world, const struct site *site)
 {
-  if (site->target != NOBODY && world->hosts[site->target].alive)
+  if (site->target != NO_HOST && world->hosts[site->target].alive)
     return site->target;
   return some_host (world, ENTRIES, TARGETS);
 }
@@ -45,7 +45,7 @@
 static void
 kill_after (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_DIE, host);
+  struct world_event *event = world_event_create (world, EVENT_CRASH, host);
 
   world_push (world, event, world->now_us);
 }
@@ -57,7 +57,7 @@
   if (mq_random_below (&world->random, 2) == 0)
     kill_after (world, host);
   else
-    world_kill (world, host, GATE_RESTART_US);
+    world_crash (world, host, GATE_RESTART_US);
 }
 
 static void
@@ -71,9 +71,9 @@
     {
       if (strcmp (world->hosts[i].data_centre, centre) != 0)
         continue;
-      wire_host_died (world, i, true);
-      world_kill (world, i, CENTRE_RESTART_US);
-      worker_host_died (world, i);
+      wire_host_crashed (world, i, true);
+      world_crash (world, i, DATA_CENTRE_RESTART_US);
+      worker_host_crashed (world, i);
     }
 }
 
@@ -81,13 +81,13 @@
 break_store (struct world *world, bool down)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_STORE_UP, NOBODY);
+      = world_event_create (world, EVENT_STORE_UP, NO_HOST);
 
   world_trace (world, "the store is %s", down ? "down" : "slow");
   world->store_down = down;
   world->store_slow = !down;
   world_push (world, event, world->now_us + OUTAGE_US);
-  world_until (world, world->now_us + OUTAGE_US);
+  world_extend_faults (world, world->now_us + OUTAGE_US);
 }
 
 static void
@@ -98,28 +98,30 @@
                         ? mq_random_below (&world->random, WORKERS)
                         : (uint32_t)site->worker;
 
-  if (host != NOBODY)
+  if (host != NO_HOST)
     world->hosts[host].workers[worker].hangs = true;
 }
 
 static void
-set_message_fate (struct world *world, const struct site *site, enum fate fate)
+set_message_fate (struct world *world, const struct site *site,
+                  enum delivery_fault delivery_fault)
 {
-  int host = site->actor != NOBODY ? site->actor : entry_of (world, site);
+  int host = site->actor != NO_HOST ? site->actor : entry_of (world, site);
 
-  if (host != NOBODY)
-    world->hosts[host].message_fate = fate;
+  if (host != NO_HOST)
+    world->hosts[host].message_delivery = delivery_fault;
 }
 
 static void
-set_store_fate (struct world *world, const struct site *site, enum fate fate)
+set_store_fate (struct world *world, const struct site *site,
+                enum delivery_fault delivery_fault)
 {
   int host = entry_of (world, site);
 
   if (site->step == STEP_APPLY_WRITE)
-    world->operator_fate = fate;
-  else if (host != NOBODY)
-    world->hosts[host].store_fate = fate;
+    world->operator_delivery = delivery_fault;
+  else if (host != NO_HOST)
+    world->hosts[host].store_delivery = delivery_fault;
 }
 
 static void
@@ -137,22 +139,22 @@
     case FAULT_COUNT:
       break;
     case FAULT_OWNER_DIES:
-      if (entry != NOBODY)
-        world_kill (world, entry, RESTART_US);
+      if (entry != NO_HOST)
+        world_crash (world, entry, RESTART_US);
       break;
     case FAULT_OWNER_DIES_AFTER:
-      if (entry != NOBODY)
+      if (entry != NO_HOST)
         kill_after (world, entry);
       break;
     case FAULT_OWNER_PAUSED:
-      if (entry != NOBODY)
+      if (entry != NO_HOST)
         world_pause (world, entry, PAUSE_US);
       break;
     case FAULT_WRITE_LOST:
-      set_store_fate (world, site, FATE_ANSWER_LOST);
+      set_store_fate (world, site, DELIVERY_REPLY_LOST);
       break;
     case FAULT_WRITE_LATE:
-      set_store_fate (world, site, FATE_EFFECT_LATE);
+      set_store_fate (world, site, DELIVERY_APPLIED_LATE);
       break;
     case FAULT_STORE_DOWN:
       break_store (world, true);
@@ -161,35 +163,35 @@
       break_store (world, false);
       break;
     case FAULT_SILENT:
-      set_message_fate (world, site, FATE_SILENT);
+      set_message_fate (world, site, DELIVERY_BLACKHOLED);
       break;
     case FAULT_LATE:
-      set_message_fate (world, site, FATE_LATE);
+      set_message_fate (world, site, DELIVERY_DELAYED);
       break;
     case FAULT_DOUBLED:
-      set_message_fate (world, site, FATE_DOUBLED);
+      set_message_fate (world, site, DELIVERY_DUPLICATED);
       break;
     case FAULT_CROSSED:
-      set_message_fate (world, site, FATE_CROSSED);
+      set_message_fate (world, site, DELIVERY_REORDERED);
       break;
     case FAULT_GATE_REBOOTS:
-      if (target != NOBODY)
+      if (target != NO_HOST)
         reboot_gate (world, target);
       break;
     case FAULT_ENGINE_REBOOTS:
-      if (target != NOBODY)
+      if (target != NO_HOST)
         worker_plan_engine (world, target, 0, true, 0);
       break;
     case FAULT_WORKER_HANGS:
       hang_worker (world, site);
       break;
     case FAULT_TARGET_LEAVES:
-      if (target != NOBODY)
-        world_leave (world, target);
+      if (target != NO_HOST)
+        world_stop (world, target);
       break;
     case FAULT_CENTRE_DIES:
       kill_centre (world,
-                   entry != NOBODY ? world->hosts[entry].data_centre : "a");
+                   entry != NO_HOST ? world->hosts[entry].data_centre : "a");
       break;
     case FAULT_OPERATORS_RACE:
       operator_apply (world, 0);
@@ -202,18 +204,18 @@
 void
 fault_outage (struct world *world)
 {
-  struct site site = { .step = STEP_OUTAGE, .entry = NOBODY };
+  struct site site = { .step = STEP_OUTAGE, .entry = NO_HOST };
 
-  site.target = NOBODY;
-  site.actor = NOBODY;
+  site.target = NO_HOST;
+  site.actor = NO_HOST;
   site.worker = ANY_WORKER;
   world_trace (world, "the store is down for long");
   world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + LONG_OUTAGE_US;
   world->store_down = true;
-  world_push (world, world_event_create (world, EVENT_STORE_UP, NOBODY),
+  world_push (world, world_event_create (world, EVENT_STORE_UP, NO_HOST),
               world->outage_until_us);
-  world_until (world, world->outage_until_us);
+  world_extend_faults (world, world->outage_until_us);
   fault_step (world, &site);
 }
 
@@ -252,7 +254,7 @@
 
   if (world->script == SCRIPT_PLAIN || world->script == SCRIPT_CHECKPOINT
       || world->script == SCRIPT_OUTAGE || world->script == SCRIPT_SETTLE
-      || world->script_done || entry == NOBODY
+      || world->script_done || entry == NO_HOST
       || site->program.hi != world->callers[0].program.hi)
     return;
   world->script_done = true;
@@ -266,16 +268,16 @@
     case SCRIPT_COUNT:
       break;
     case SCRIPT_TAKEOVER:
-      world_kill (world, entry, RESTART_US);
+      world_crash (world, entry, RESTART_US);
       break;
     case SCRIPT_DRAIN_ENTRY:
       here.step = STEP_DRAIN_ENTRY;
-      world_leave (world, entry);
+      world_stop (world, entry);
       fault_step (world, &here);
       break;
     case SCRIPT_DRAIN_TARGET:
       here.step = STEP_DRAIN_TARGET;
-      world_leave (world, site->target);
+      world_stop (world, site->target);
       fault_step (world, &here);
       break;
     }
@@ -291,16 +293,16 @@
       || message->type != MQ_MSG_CALL || message->u.call.idempotent)
     return;
   world->script_done = true;
-  world_kill (world, host, RESTART_US);
+  world_crash (world, host, RESTART_US);
 }
 
-enum fate
-fault_take_message_fate (struct world *world, int host)
+enum delivery_fault
+fault_next_message_delivery (struct world *world, int host)
 {
-  enum fate fate = world->hosts[host].message_fate;
+  enum delivery_fault delivery_fault = world->hosts[host].message_delivery;
 
-  world->hosts[host].message_fate = FATE_NORMAL;
-  return fate;
+  world->hosts[host].message_delivery = DELIVERY_NORMAL;
+  return delivery_fault;
 }
 
 static bool
@@ -321,19 +323,20 @@
   return false;
 }
 
-enum fate
-fault_take_store_fate (struct world *world, int host,
-                       const struct mq_store_request *request)
+enum delivery_fault
+fault_next_store_delivery (struct world *world, int host,
+                           const struct mq_store_request *request)
 {
-  enum fate *at = host == NOBODY ? &world->operator_fate
-                                 : &world->hosts[host].store_fate;
-  enum fate fate = *at;
-
-  if (host == NOBODY ? request->kind != MQ_STORE_TXN
-                     : !is_owner_write (request))
-    return FATE_NORMAL;
-  *at = FATE_NORMAL;
-  return fate;
+  enum delivery_fault *at = host == NO_HOST
+                                ? &world->operator_delivery
+                                : &world->hosts[host].store_delivery;
+  enum delivery_fault delivery_fault = *at;
+
+  if (host == NO_HOST ? request->kind != MQ_STORE_TXN
+                      : !is_owner_write (request))
+    return DELIVERY_NORMAL;
+  *at = DELIVERY_NORMAL;
+  return delivery_fault;
 }
 
 /* Steps that a message is.  */
@@ -406,14 +409,14 @@
 fault_message_step (struct world *world, int host, struct wire *wire,
                     const struct mq_message *message)
 {
-  struct site site = { .actor = host, .target = NOBODY, .entry = NOBODY };
+  struct site site = { .actor = host, .target = NO_HOST, .entry = NO_HOST };
 
   site.worker = ANY_WORKER;
   site.step = message_step (message, &site.program);
   if (site.step == STEP_COUNT)
     return;
   if (wire == NULL)
-    site.actor = NOBODY;
+    site.actor = NO_HOST;
   else if (other_host (wire, host) >= ENTRIES)
     site.target = other_host (wire, host);
   if (host >= ENTRIES)
@@ -561,15 +564,15 @@
 fault_store_step (struct world *world, int host, enum asker asker,
                   const struct mq_store_request *request)
 {
-  struct site site = { .actor = host, .target = NOBODY, .entry = host };
+  struct site site = { .actor = host, .target = NO_HOST, .entry = host };
 
   site.worker = ANY_WORKER;
-  if (asker == ASKER_OPERATOR && request->kind == MQ_STORE_TXN)
+  if (asker == REQUESTER_OPERATOR && request->kind == MQ_STORE_TXN)
     {
       site.step = STEP_APPLY_WRITE;
       fault_step (world, &site);
     }
-  if (asker != ASKER_OWNER)
+  if (asker != REQUESTER_OWNER)
     return;
   if (request->kind == MQ_STORE_TXN)
     transaction_steps (world, &site, request);
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -24,17 +24,17 @@
   CALLERS = 5,
   CALLERS_MAX = 29, /* in an outage */
   OPERATORS = 2,
-  ASKS_MAX = 6,
+  REQUESTS_PER_CALLER_MAX = 6,
   PARTITIONS = 4, /* as the text of world_store.c says */
-  NOBODY = -1
+  NO_HOST = -1
 };
 
 #define MS 1000ULL
 #define SECOND 1000000ULL
 
 /* Times of the world.  */
-#define BEAT_US (MQ_BEAT_MS * MS)
-#define SILENT_US (MQ_SILENT_MS * MS)
+#define HEARTBEAT_INTERVAL_US (MQ_BEAT_MS * MS)
+#define PEER_TIMEOUT_US (MQ_SILENT_MS * MS)
 #define STORE_TIMEOUT_US (MQ_STORE_TIMEOUT_MS * MS)
 #define HOSTS_READ_US (1 * SECOND)
 #define LIST_LAG_US (1500 * MS)
@@ -42,81 +42,84 @@
 #define RESTART_US (3 * SECOND)
 #define GATE_RESTART_US (300 * MS)
 #define ENGINE_RESTART_US (200 * MS)
-#define CENTRE_RESTART_US (6 * SECOND)
+#define DATA_CENTRE_RESTART_US (6 * SECOND)
 #define PAUSE_US (7 * SECOND)
 #define OUTAGE_US (8 * SECOND)
-#define SLOW_US (1500 * MS)
+#define SLOW_STORE_DELAY_US (1500 * MS)
 #define LATE_US (1200 * MS)
-#define LEAVE_US (2 * MS) /* until a process hears that it is to stop */
+#define STOP_NOTICE_US (2 * MS) /* until a process hears that it is to stop   \
+                                 */
 #define CALLERS_START_US (1500 * MS)
 #define LONG_OUTAGE_US (30 * SECOND)
 #define LONG_OUTAGE_FROM_US (1900 * MS)
-#define OUTAGE_CALLER_US (1200 * MS) /* between two further callers */
-#define MEMORY_MAX (8ULL << 20)      /* of one process of this small world */
+#define OUTAGE_CALLER_INTERVAL_US (1200 * MS) /* between two further callers  \
+                                               */
+#define MEMORY_MAX (8ULL << 20) /* of one process of this small world */
 /* What survivors may ask of the store in a second: each host its scans, its
    configuration and its renewal, and the takeover of each partition.  */
 #define LOAD_HOST_READS 6
 #define LOAD_PARTITION_READS 12
 #define LOAD_HOST_WRITES 3
 #define LOAD_PARTITION_WRITES 2
-#define CALLER_PATIENCE_US (9 * SECOND)
-#define LOW_CHECKPOINT_RECORDS 8
-#define LOW_INLINE_BYTES 400
+#define CALLER_TIMEOUT_US (9 * SECOND)
+#define SMALL_CHECKPOINT_RECORDS 8
+#define SMALL_INLINE_BYTES 400
 /* Cache of an ended program: its lease, and what a restarted process waits
    for somebody to claim what it finds.  */
-#define EVICT_WITHIN_US (CACHE_LEASE_US + MQ_GATE_LEASE_GRACE_MS * MS + SECOND)
+#define EVICTION_DEADLINE_US                                                  \
+  (CACHE_LEASE_US + MQ_GATE_LEASE_GRACE_MS * MS + SECOND)
 #define CACHE_LEASE_US (4 * SECOND) /* as the text of world_store.c says */
 /* A partition whose owner is gone has another: its lease and this.  */
-#define OWNED_WITHIN_US (LEASE_US + 6 * SECOND)
+#define TAKEOVER_DEADLINE_US (LEASE_US + 6 * SECOND)
 #define LEASE_US (2 * SECOND)
-#define REST_US (300 * SECOND)             /* the longest run */
-#define EVENTS_MAX 400000ULL               /* more: the machines never rest */
-#define QUIET_US (4 * SECOND)              /* looked at after all is done */
-#define FORGET_EVERYTHING_US (90 * SECOND) /* caches gone by then */
+#define REST_US (300 * SECOND)        /* the longest run */
+#define EVENTS_MAX 400000ULL          /* more: the machines never rest */
+#define IDLE_PERIOD_US (4 * SECOND)   /* looked at after all is done */
+#define CACHE_EXPIRY_US (90 * SECOND) /* caches gone by then */
 
 enum event_type
 {
-  EVENT_TICK,       /* index: machine */
-  EVENT_MESSAGE,    /* index: wire, end: who gets it */
-  EVENT_CONNECT,    /* index, end: the two hosts */
-  EVENT_WIRE_UP,    /* index: wire, end */
-  EVENT_WIRE_DOWN,  /* index: wire, end */
-  EVENT_BEAT,       /* index: wire */
-  EVENT_RESUME,     /* the rest of a list of actions */
-  EVENT_FORWARD,    /* front to the owner of the same process */
-  EVENT_ANSWER,     /* owner to the front of the same process */
-  EVENT_TO_CALLER,  /* index: caller */
-  EVENT_CALLER,     /* index: caller: its timer */
-  EVENT_REQUEST,    /* index: caller: its request reaches the front */
-  EVENT_GONE,       /* a caller closed its connection */
-  EVENT_STORE,      /* a request reaches the table */
-  EVENT_STORE_DONE, /* its result reaches the asker */
-  EVENT_OPERATOR,   /* index: operator */
-  EVENT_RUN,        /* index: run: its next stage */
-  EVENT_EVICTED,    /* index: worker */
-  EVENT_ORDERED,
-  EVENT_CACHE,  /* index: worker: its cache is read */
-  EVENT_ENGINE, /* index: worker; flag: it goes down, else up */
-  EVENT_HOSTS,  /* the platform's list is read */
-  EVENT_START,  /* the host starts again */
-  EVENT_WAKE,   /* the process goes on */
-  EVENT_LEAVE,  /* planned stop */
-  EVENT_DIE,    /* the process dies */
-  EVENT_LOOK,   /* has everything come to rest */
+  EVENT_TICK,              /* index: machine */
+  EVENT_MESSAGE,           /* index: wire, end: who gets it */
+  EVENT_CONNECT,           /* index, end: the two hosts */
+  EVENT_WIRE_UP,           /* index: wire, end */
+  EVENT_WIRE_DOWN,         /* index: wire, end */
+  EVENT_HEARTBEAT,         /* index: wire */
+  EVENT_ACTIONS_RESUME,    /* the rest of a list of actions */
+  EVENT_FORWARD,           /* front to the owner of the same process */
+  EVENT_ANSWER,            /* owner to the front of the same process */
+  EVENT_TO_CALLER,         /* index: caller */
+  EVENT_CALLER_TIMER,      /* index: caller: its timer */
+  EVENT_REQUEST,           /* index: caller: its request reaches the front */
+  EVENT_CALLER_DISCONNECT, /* a caller closed its connection */
+  EVENT_STORE,             /* a request reaches the table */
+  EVENT_STORE_RESULT,      /* its result reaches the asker */
+  EVENT_OPERATOR,          /* index: operator */
+  EVENT_CALL_STAGE,        /* index: run: its next stage */
+  EVENT_EVICTED,           /* index: worker */
+  EVENT_ORDER_DONE,
+  EVENT_CACHE_READ,   /* index: worker: its cache is read */
+  EVENT_ENGINE,       /* index: worker; flag: it goes down, else up */
+  EVENT_HOST_LIST,    /* the platform's list is read */
+  EVENT_HOST_START,   /* the host starts again */
+  EVENT_HOST_WAKE,    /* the process goes on */
+  EVENT_PLANNED_STOP, /* planned stop */
+  EVENT_CRASH,        /* the process dies */
+  EVENT_CHECK_IDLE,   /* has everything come to rest */
   EVENT_STORE_UP,
   EVENT_OUTAGE /* the long one begins */
 };
 
 enum asker
 {
-  ASKER_OWNER,
-  ASKER_SPREAD,
-  ASKER_OPERATOR
+  REQUESTER_OWNER,
+  REQUESTER_SPREAD,
+  REQUESTER_OPERATOR
 };
 
 /**
  * struct world_event - something that happens at a time
- * @host: whose process it is for, or NOBODY; waits while that is paused
+ * @host: whose process it is for, or NO_HOST; waits while that is paused
  * @run: run of that process that it is meant for, 0: any
  */
 struct world_event
@@ -149,15 +152,15 @@
 };
 
 /* What becomes of the next message or store request of a host.  */
-enum fate
+enum delivery_fault
 {
-  FATE_NORMAL,
-  FATE_LATE,
-  FATE_DOUBLED,
-  FATE_SILENT,
-  FATE_CROSSED,
-  FATE_ANSWER_LOST,
-  FATE_EFFECT_LATE
+  DELIVERY_NORMAL,
+  DELIVERY_DELAYED,
+  DELIVERY_DUPLICATED,
+  DELIVERY_BLACKHOLED,
+  DELIVERY_REORDERED,
+  DELIVERY_REPLY_LOST,
+  DELIVERY_APPLIED_LATE
 };
 
 /**
@@ -181,7 +184,7 @@
   uint64_t heard_us[2];
 };
 
-struct cache_row
+struct engine_cache_entry
 {
   struct mq_id program;
   uint32_t tokens;
@@ -195,7 +198,7 @@
   bool up;
   bool hangs; /* the next call gets no answer */
   uint32_t boot;
-  struct cache_row *cache;
+  struct engine_cache_entry *cache;
   size_t cache_count;
 };
 
@@ -227,8 +230,8 @@
   struct world_event **backlog;
   size_t backlog_count;
   uint32_t next_peer;
-  enum fate message_fate;
-  enum fate store_fate;
+  enum delivery_fault message_delivery;
+  enum delivery_fault store_delivery;
   struct worker workers[WORKERS];
 };
 
@@ -256,7 +259,7 @@
 };
 
 /* What targets saw of one call of one program.  */
-struct call_fact
+struct observed_call
 {
   struct mq_id program;
   uint32_t call;
@@ -264,12 +267,12 @@
   uint32_t starts;
   uint32_t ends;
   uint32_t effects;
-  bool told_not_run; /* the program was told so */
-  char *result;      /* of a plain service or tool */
+  bool reported_not_run; /* the program was told so */
+  char *result;          /* of a plain service or tool */
 };
 
 /* What engines saw of one program.  */
-struct program_fact
+struct observed_program
 {
   struct mq_id program;
   uint32_t starts;
@@ -279,7 +282,7 @@
   size_t final_count;
 };
 
-struct spent_fact
+struct observed_spend
 {
   uint64_t family; /* hi of the ids */
   uint64_t tokens;
@@ -295,7 +298,7 @@
 };
 
 /* What a caller's request says.  */
-enum ask_text
+enum request_text
 {
   TEXT_NONE,
   TEXT_CHAIN,  /* model, tool, plain, sub-program, model: the answer */
@@ -321,7 +324,7 @@
   const char *service;
   const char *route;
   uint32_t sequence;
-  enum ask_text text;
+  enum request_text text;
 };
 
 struct caller
@@ -333,14 +336,15 @@
   struct mq_id program;
   char *organisation;
   char *key;
-  char *bodies[ASKS_MAX];
-  const char *texts[2 * ASKS_MAX]; /* that its histories may hold */
+  char *bodies[REQUESTS_PER_CALLER_MAX];
+  const char
+      *texts[2 * REQUESTS_PER_CALLER_MAX]; /* that its histories may hold */
   size_t text_count;
   enum
   {
     CALLER_IDLE,
-    CALLER_WAITS,
-    CALLER_PAUSES,
+    CALLER_WAITING,
+    CALLER_BACKOFF,
     CALLER_DONE
   } state;
   int host;
@@ -350,10 +354,10 @@
   uint64_t timer_us;
   uint32_t tries;
   uint32_t refusals;
-  bool doubtful;           /* an earlier try of this request may have run */
-  uint32_t ends;           /* final events of this handle */
-  char *answers[ASKS_MAX]; /* final bodies, NULL: refused */
-  enum mq_error_type errors[ASKS_MAX];
+  bool doubtful; /* an earlier try of this request may have run */
+  uint32_t ends; /* final events of this handle */
+  char *answers[REQUESTS_PER_CALLER_MAX]; /* final bodies, NULL: refused */
+  enum mq_error_type errors[REQUESTS_PER_CALLER_MAX];
   uint32_t stream_call;
   char *stream;
   bool checks; /* asks at rest for the answer that it had */
@@ -365,9 +369,9 @@
   enum
   {
     OPERATOR_IDLE,
-    OPERATOR_READS,
-    OPERATOR_WRITES,
-    OPERATOR_SETTLES,
+    OPERATOR_READING,
+    OPERATOR_WRITING,
+    OPERATOR_VERIFYING,
     OPERATOR_DONE
   } state;
   uint32_t applies_left;
@@ -399,13 +403,13 @@
   struct host hosts[HOSTS];
   struct wire *wires;
   size_t wire_count;
-  int current[HOSTS][HOSTS]; /* wire of two hosts, or NOBODY */
+  int current[HOSTS][HOSTS]; /* wire of two hosts, or NO_HOST */
   bool connecting[HOSTS][HOSTS];
   struct mq_table *table;
   bool low;                /* few records between checkpoints, small batches */
   uint64_t outage_from_us; /* of the long outage, 0: none */
   uint64_t outage_until_us;
-  int last_owner[PARTITIONS]; /* host, or NOBODY */
+  int last_owner[PARTITIONS]; /* host, or NO_HOST */
   uint32_t last_run[PARTITIONS];
   uint64_t fences[PARTITIONS]; /* in the table */
   uint64_t centre_dead_us;     /* when a data centre died, 0: never */
@@ -417,7 +421,7 @@
   size_t removed_count;
   uint64_t checkpoints[PARTITIONS]; /* highest one that a row was to name */
   uint64_t unowned_us[PARTITIONS];  /* since when it has no owner */
-  uint64_t nobody_us;               /* until when no entry host ran */
+  uint64_t no_entry_until_us;       /* until when no entry host ran */
   struct installed
   {
     uint64_t checkpoint;
@@ -427,11 +431,11 @@
   bool store_slow;
   struct run **runs;
   size_t run_count;
-  struct call_fact *calls;
+  struct observed_call *calls;
   size_t call_count;
-  struct program_fact *programs;
+  struct observed_program *programs;
   size_t program_count;
-  struct spent_fact *spent;
+  struct observed_spend *spent;
   size_t spent_count;
   struct arrival *arrivals;
   size_t arrival_count;
@@ -442,13 +446,13 @@
   struct accepted *accepted;
   size_t accepted_count;
   uint64_t next_store_id;
-  enum fate operator_fate;
-  int acting; /* host whose action is carried out, or NOBODY */
+  enum delivery_fault operator_delivery;
+  int acting; /* host whose action is carried out, or NO_HOST */
   bool script_done;
   enum world_script script;
   bool first_injected;
   uint32_t steps_since;
-  uint64_t faults_over_us;
+  uint64_t faults_end_us;
   uint64_t done_us; /* callers and operators were done */
   bool over;
 };
@@ -457,7 +461,7 @@
 struct site
 {
   enum world_step step;
-  int entry; /* the owner concerned, or NOBODY */
+  int entry; /* the owner concerned, or NO_HOST */
   int target;
   int actor;  /* whose message or request it is */
   int worker; /* the worker concerned, or -1: any */
@@ -467,8 +471,9 @@
 /* world.c */
 void world_trace (struct world *world, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-void world_violate (struct world *world, enum world_invariant invariant,
-                    const char *format, ...)
+void world_report_violation (struct world *world,
+                             enum world_invariant invariant,
+                             const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 struct world_event *world_event_create (struct world *world,
                                         enum event_type type, int host);
@@ -476,10 +481,10 @@
                  uint64_t at_us);
 uint64_t world_delay (struct world *world, uint64_t least_us,
                       uint64_t most_us);
-bool world_runs (const struct world *world, int host, uint32_t run);
-void world_kill (struct world *world, int host, uint64_t restart_us);
+bool world_is_current_run (const struct world *world, int host, uint32_t run);
+void world_crash (struct world *world, int host, uint64_t restart_us);
 void world_pause (struct world *world, int host, uint64_t pause_us);
-void world_leave (struct world *world, int host);
+void world_stop (struct world *world, int host);
 int world_owner_of (const struct world *world, struct mq_id program);
 void world_owner_input (struct world *world, int host,
                         const struct mq_owner_input *input);
@@ -489,18 +494,18 @@
                          const struct mq_spread_input *input);
 void world_gate_input (struct world *world, int host,
                        const struct mq_gate_input *input);
-void world_until (struct world *world, uint64_t at_us);
+void world_extend_faults (struct world *world, uint64_t at_us);
 
 /* world_wire.c */
 void wire_connect_later (struct world *world, int a, int b, uint64_t in_us);
 void wire_connect (struct world *world, const struct world_event *event);
 void wire_up (struct world *world, const struct world_event *event);
 void wire_down (struct world *world, const struct world_event *event);
-void wire_beat (struct world *world, const struct world_event *event);
+void wire_heartbeat (struct world *world, const struct world_event *event);
 void wire_message (struct world *world, const struct world_event *event);
 void wire_send (struct world *world, int host, uint32_t handle,
                 const struct mq_message *message);
-void wire_host_died (struct world *world, int host, bool silently);
+void wire_host_crashed (struct world *world, int host, bool silently);
 void wire_silence (struct world *world, struct wire *wire);
 
 /* world_store.c */
@@ -527,26 +532,28 @@
 void worker_engine (struct world *world, const struct world_event *event);
 void worker_plan_engine (struct world *world, int host, uint32_t index,
                          bool down, uint64_t in_us);
-void worker_note_end (struct world *world, struct mq_id program);
-void worker_gate_died (struct world *world, int host);
-void worker_host_died (struct world *world, int host);
+void worker_on_program_end (struct world *world, struct mq_id program);
+void worker_gate_crashed (struct world *world, int host);
+void worker_host_crashed (struct world *world, int host);
 uint32_t worker_running (const struct world *world, int host);
-struct call_fact *worker_call_fact (struct world *world, struct mq_id program,
-                                    uint32_t call);
-struct program_fact *worker_program_fact (struct world *world,
-                                          struct mq_id program);
+struct observed_call *worker_observed_call (struct world *world,
+                                            struct mq_id program,
+                                            uint32_t call);
+struct observed_program *worker_observed_program (struct world *world,
+                                                  struct mq_id program);
 
 /* world_caller.c */
 void caller_create_all (struct world *world);
 void caller_timer (struct world *world, const struct world_event *event);
 void caller_request (struct world *world, const struct world_event *event);
-void caller_gone (struct world *world, const struct world_event *event);
+void caller_disconnected (struct world *world,
+                          const struct world_event *event);
 void caller_event (struct world *world, const struct world_event *event);
-void caller_host_died (struct world *world, int host);
+void caller_host_crashed (struct world *world, int host);
 bool caller_all_done (const struct world *world);
-void caller_check_all (struct world *world);
-bool caller_asked (const struct world *world, struct mq_id program,
-                   const char *text);
+void caller_repeat_all (struct world *world);
+bool caller_has_text (const struct world *world, struct mq_id program,
+                      const char *text);
 uint32_t caller_calls_before (const struct world *world, struct mq_id program,
                               uint32_t call);
 uint64_t caller_budget_of (const struct world *world, uint64_t family);
@@ -558,9 +565,11 @@
 void fault_store_step (struct world *world, int host, enum asker asker,
                        const struct mq_store_request *request);
 void fault_step (struct world *world, const struct site *site);
-enum fate fault_take_message_fate (struct world *world, int host);
-enum fate fault_take_store_fate (struct world *world, int host,
-                                 const struct mq_store_request *request);
+enum delivery_fault fault_next_message_delivery (struct world *world,
+                                                 int host);
+enum delivery_fault
+fault_next_store_delivery (struct world *world, int host,
+                           const struct mq_store_request *request);
 void fault_script (struct world *world, const struct site *site);
 void fault_settle_script (struct world *world, int host,
                           const struct mq_message *message);
@@ -568,8 +577,8 @@
 /* world_check.c */
 bool check_rest (const struct world *world);
 void check_end (struct world *world);
-bool check_is_told (struct world *world, struct mq_id program,
-                    const char *body);
+bool check_is_logged (struct world *world, struct mq_id program,
+                      const char *body);
 bool check_is_intended (struct world *world, const struct mq_call_ref *ref);
 struct mq_row *check_config_row (struct world *world, TALLOC_CTX *ctx);
 
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -10,7 +10,7 @@
 
 #define TABLE_LEAST_US (1 * MS)
 #define TABLE_MOST_US (3 * MS)
-#define OPERATOR_PAUSE_US (400 * MS)
+#define OPERATOR_BACKOFF_US (400 * MS)
 
 enum
 {
@@ -110,7 +110,7 @@
              struct mq_store_result *result, uint64_t in_us)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_STORE_DONE, from->index);
+      = world_event_create (world, EVENT_STORE_RESULT, from->index);
 
   event->run = from->run;
   event->index = from->index;
@@ -140,8 +140,8 @@
 /* Programs here write a few kilobytes; a write of a megabyte is a machine
    that goes round in a circle and takes the more the longer it does.  */
 static bool
-is_runaway (struct world *world, int host,
-            const struct mq_store_request *request)
+is_excessive_write (struct world *world, int host,
+                    const struct mq_store_request *request)
 {
   size_t len = request->value.len;
 
@@ -149,8 +149,9 @@
     len += request->ops[i].value.len;
   if (len < WRITE_MAX)
     return false;
-  world_violate (world, INVARIANT_SETTLES, "%s writes %zu bytes at once",
-                 host == NOBODY ? "operator" : world->hosts[host].name, len);
+  world_report_violation (
+      world, INVARIANT_SETTLES, "%s writes %zu bytes at once",
+      host == NO_HOST ? "operator" : world->hosts[host].name, len);
   world->over = true;
   return true;
 }
@@ -188,9 +189,10 @@
   if (load->reads > hosts * LOAD_HOST_READS + PARTITIONS * LOAD_PARTITION_READS
       || load->writes
              > hosts * LOAD_HOST_WRITES + PARTITIONS * LOAD_PARTITION_WRITES)
-    world_violate (world, INVARIANT_LOAD,
-                   "%u hosts ask for %u reads and %u writes in a second",
-                   hosts, load->reads, load->writes);
+    world_report_violation (
+        world, INVARIANT_LOAD,
+        "%u hosts ask for %u reads and %u writes in a second", hosts,
+        load->reads, load->writes);
 }
 
 /* Seconds since a data centre died, until its hosts are back.  */
@@ -200,8 +202,8 @@
 {
   uint64_t since_us = world->now_us - world->centre_dead_us;
 
-  if (world->centre_dead_us == 0 || host == NOBODY || world->replayed
-      || since_us >= CENTRE_RESTART_US)
+  if (world->centre_dead_us == 0 || host == NO_HOST || world->replayed
+      || since_us >= DATA_CENTRE_RESTART_US)
     return;
   if (since_us / SECOND != world->load_second)
     {
@@ -223,33 +225,33 @@
             const struct mq_store_request *request)
 {
   struct world_event *event;
-  uint32_t run = host == NOBODY ? 0 : world->hosts[host].run;
-  enum fate fate;
+  uint32_t run = host == NO_HOST ? 0 : world->hosts[host].run;
+  enum delivery_fault delivery_fault;
   uint64_t delay_us = world_delay (world, TABLE_LEAST_US, TABLE_MOST_US);
 
-  if (is_runaway (world, host, request))
+  if (is_excessive_write (world, host, request))
     return;
   note_load (world, host, request);
   fault_store_step (world, host, asker, request);
-  fate = fault_take_store_fate (world, host, request);
-  if (host != NOBODY
-      && (!world_runs (world, host, run) || world->hosts[host].held))
+  delivery_fault = fault_next_store_delivery (world, host, request);
+  if (host != NO_HOST
+      && (!world_is_current_run (world, host, run) || world->hosts[host].held))
     return;
   /* On its way it belongs to nobody: it arrives though its sender died.  */
-  event = world_event_create (world, EVENT_STORE, NOBODY);
+  event = world_event_create (world, EVENT_STORE, NO_HOST);
   event->index = host;
   event->run = run;
   event->asker = asker;
   event->request = copy_request (event, request);
   world_trace (world, "%s asks the table: %s %s",
-               host == NOBODY ? "operator" : world->hosts[host].name,
+               host == NO_HOST ? "operator" : world->hosts[host].name,
                is_write (request) ? "write" : "read",
                request->kind == MQ_STORE_TXN && request->op_count > 0
                    ? request->ops[0].key
                    : request->key);
-  if (fate == FATE_ANSWER_LOST)
+  if (delivery_fault == DELIVERY_REPLY_LOST)
     event->flag = true;
-  if (fate == FATE_EFFECT_LATE)
+  if (delivery_fault == DELIVERY_APPLIED_LATE)
     {
       event->flag = true;
       delay_us = STORE_TIMEOUT_US + 700 * MS;
@@ -257,7 +259,7 @@
   if (event->flag)
     {
       struct world_event *lost
-          = world_event_create (world, EVENT_STORE_DONE, host);
+          = world_event_create (world, EVENT_STORE_RESULT, host);
 
       lost->index = host;
       lost->asker = asker;
@@ -265,14 +267,14 @@
       lost->result->id = request->id;
       lost->result->status = MQ_STORE_LOST;
       world_push (world, lost, world->now_us + STORE_TIMEOUT_US);
-      world_until (world, world->now_us + STORE_TIMEOUT_US + SECOND);
+      world_extend_faults (world, world->now_us + STORE_TIMEOUT_US + SECOND);
     }
   world_push (world, event, world->now_us + delay_us);
 }
 
 /* Reports a commit as applied that was not.  */
 static bool
-plant_drops (struct world *world, const struct world_event *event)
+inject_dropped_commit (struct world *world, const struct world_event *event)
 {
   struct mq_store_result *result;
 
@@ -304,7 +306,8 @@
 
 /* Writes a checkpoint without its last program.  */
 static void
-plant_cuts (struct world *world, struct mq_store_request *request)
+inject_truncated_checkpoint (struct world *world,
+                             struct mq_store_request *request)
 {
   Mqlog__Checkpoint *checkpoint;
   size_t count;
@@ -328,7 +331,7 @@
 
 /* Refuses claims for a while after the owner died.  */
 static bool
-plant_holds_claims (struct world *world, const struct world_event *event)
+inject_claim_refusal (struct world *world, const struct world_event *event)
 {
   const struct mq_store_request *request = event->request;
 
@@ -343,7 +346,7 @@
 
 /* Owners seem dead after the outage, though they renew.  */
 static bool
-plant_refuses_renewals (struct world *world, const struct world_event *event)
+inject_renewal_refusal (struct world *world, const struct world_event *event)
 {
   const struct mq_store_request *request = event->request;
 
@@ -391,7 +394,8 @@
 /* What the log held is known also after a checkpoint took its place.  Returns
    how many batches were noted; they stay only if the request applies.  */
 static size_t
-note_removed (struct world *world, const struct mq_store_request *request)
+record_removed_batches (struct world *world,
+                        const struct mq_store_request *request)
 {
   size_t noted = 0;
 
@@ -413,7 +417,8 @@
 
 /* Programs whose end a batch holds.  */
 static void
-note_ends (struct world *world, const struct mq_store_request *request)
+record_program_ends (struct world *world,
+                     const struct mq_store_request *request)
 {
   for (size_t i = 0; i < request->op_count; i++)
     {
@@ -437,7 +442,7 @@
           program.lo = record->lo;
           if (record->body_case == MQLOG__RECORD__BODY_ANSWERED
               && record->answered->ended)
-            worker_note_end (world, program);
+            worker_on_program_end (world, program);
           mqlog__record__free_unpacked (record, NULL);
         }
       if (batch != NULL)
@@ -451,14 +456,15 @@
   uint64_t *had = &world->fences[strtoul (key + 5, NULL, 10) % PARTITIONS];
 
   if (fence < *had)
-    world_violate (world, INVARIANT_FENCE, "%s falls from %llu to %llu", key,
-                   (unsigned long long)*had, (unsigned long long)fence);
+    world_report_violation (
+        world, INVARIANT_FENCE, "%s falls from %llu to %llu", key,
+        (unsigned long long)*had, (unsigned long long)fence);
   *had = fence;
 }
 
 /* How far the log was when a checkpoint came into force.  */
 static void
-note_installed (struct world *world, const struct mq_store_request *request)
+record_checkpoint (struct world *world, const struct mq_store_request *request)
 {
   for (size_t i = 0; i < request->op_count; i++)
     {
@@ -496,27 +502,28 @@
         push_failure (world, event, MQ_STORE_DOWN, delay_us);
       return;
     }
-  if (plant_drops (world, event) || plant_keeps (world, event)
-      || plant_holds_claims (world, event)
-      || plant_refuses_renewals (world, event))
+  if (inject_dropped_commit (world, event) || plant_keeps (world, event)
+      || inject_claim_refusal (world, event)
+      || inject_renewal_refusal (world, event))
     return;
   plant_passes (world, event->request);
-  plant_cuts (world, event->request);
+  inject_truncated_checkpoint (world, event->request);
   result = talloc_zero (world, struct mq_store_result);
-  noted = note_removed (world, event->request);
+  noted = record_removed_batches (world, event->request);
   mq_table_serve (world->table, result, event->request, result);
   if (result->status == MQ_STORE_OK)
     {
       world->removed_count += noted;
-      note_installed (world, event->request);
-      note_ends (world, event->request);
+      record_checkpoint (world, event->request);
+      record_program_ends (world, event->request);
     }
   world_trace (world, "table: %s for %s",
                result->status == MQ_STORE_CONFLICT ? "conflict" : "served",
-               event->index == NOBODY ? "operator"
-                                      : world->hosts[event->index].name);
+               event->index == NO_HOST ? "operator"
+                                       : world->hosts[event->index].name);
   if (world->store_slow)
-    delay_us += world_delay (world, SLOW_US / 2, SLOW_US);
+    delay_us
+        += world_delay (world, SLOW_STORE_DELAY_US / 2, SLOW_STORE_DELAY_US);
   if (event->flag)
     talloc_free (result);
   else
@@ -538,13 +545,13 @@
   spread.u.store = event->result;
   switch (event->asker)
     {
-    case ASKER_OWNER:
+    case REQUESTER_OWNER:
       world_owner_input (world, event->host, &owner);
       break;
-    case ASKER_SPREAD:
+    case REQUESTER_SPREAD:
       world_spread_input (world, event->host, &spread);
       break;
-    case ASKER_OPERATOR:
+    case REQUESTER_OPERATOR:
       for (int i = 0; i < OPERATORS; i++)
         if (event->result->id >> 32 == (uint64_t)i + 1)
           operator_result (world, &world->operators[i], event->result);
@@ -597,7 +604,7 @@
 operator_plan (struct world *world, struct world_operator *who, uint64_t in_us)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_OPERATOR, NOBODY);
+      = world_event_create (world, EVENT_OPERATOR, NO_HOST);
 
   event->index = who->index;
   world_push (world, event, world->now_us + in_us);
@@ -612,7 +619,7 @@
   who->applies_left++;
   if (who->state == OPERATOR_DONE || who->state == OPERATOR_IDLE)
     {
-      who->state = OPERATOR_READS;
+      who->state = OPERATOR_READING;
       operator_plan (world, who, world->now_us == 0 ? 2 * SECOND : 1);
     }
 }
@@ -630,7 +637,7 @@
 
   request.id = operator_request_id (world, who);
   request.key = (char *)MQ_CONFIG_KEY;
-  store_send (world, NOBODY, ASKER_OPERATOR, &request);
+  store_send (world, NO_HOST, REQUESTER_OPERATOR, &request);
 }
 
 static void
@@ -643,8 +650,8 @@
   op.if_version = who->base_row;
   op.value = who->value;
   request.id = operator_request_id (world, who);
-  who->state = OPERATOR_WRITES;
-  store_send (world, NOBODY, ASKER_OPERATOR, &request);
+  who->state = OPERATOR_WRITING;
+  store_send (world, NO_HOST, REQUESTER_OPERATOR, &request);
 }
 
 void
@@ -652,7 +659,7 @@
 {
   struct world_operator *who = &world->operators[event->index];
 
-  if (who->state == OPERATOR_WRITES)
+  if (who->state == OPERATOR_WRITING)
     operator_write (world, who);
   else if (who->state != OPERATOR_DONE)
     operator_read (world, who);
@@ -693,9 +700,9 @@
 operator_next (struct world *world, struct world_operator *who)
 {
   who->applies_left--;
-  who->state = who->applies_left > 0 ? OPERATOR_READS : OPERATOR_DONE;
+  who->state = who->applies_left > 0 ? OPERATOR_READING : OPERATOR_DONE;
   if (who->applies_left > 0)
-    operator_plan (world, who, OPERATOR_PAUSE_US);
+    operator_plan (world, who, OPERATOR_BACKOFF_US);
 }
 
 static void
@@ -725,16 +732,16 @@
       break;
     case MQ_STORE_CONFLICT:
       /* The other won: looks at the difference and applies again.  */
-      who->state = OPERATOR_READS;
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      who->state = OPERATOR_READING;
+      operator_plan (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_DOWN:
     case MQ_STORE_MISSING:
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      operator_plan (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_LOST:
-      who->state = OPERATOR_SETTLES;
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      who->state = OPERATOR_VERIFYING;
+      operator_plan (world, who, OPERATOR_BACKOFF_US);
       break;
     }
 }
@@ -758,17 +765,17 @@
 operator_result (struct world *world, struct world_operator *who,
                  const struct mq_store_result *result)
 {
-  if (who->state == OPERATOR_WRITES)
+  if (who->state == OPERATOR_WRITING)
     {
       operator_wrote (world, who, result);
       return;
     }
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      operator_plan (world, who, OPERATOR_BACKOFF_US);
       return;
     }
-  if (who->state == OPERATOR_SETTLES)
+  if (who->state == OPERATOR_VERIFYING)
     {
       operator_settled (world, who, &result->rows[0]);
       return;
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -34,10 +34,10 @@
   struct world_event *event;
 
   if (!may_connect (world, low, high) || world->connecting[low][high]
-      || world->current[low][high] != NOBODY)
+      || world->current[low][high] != NO_HOST)
     return;
   world->connecting[low][high] = true;
-  event = world_event_create (world, EVENT_CONNECT, NOBODY);
+  event = world_event_create (world, EVENT_CONNECT, NO_HOST);
   event->index = low;
   event->end = high;
   world_push (world, event, world->now_us + in_us);
@@ -71,10 +71,11 @@
 static void
 plan_beat (struct world *world, int wire)
 {
-  struct world_event *event = world_event_create (world, EVENT_BEAT, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_HEARTBEAT, NO_HOST);
 
   event->index = wire;
-  world_push (world, event, world->now_us + BEAT_US);
+  world_push (world, event, world->now_us + HEARTBEAT_INTERVAL_US);
 }
 
 static void
@@ -109,7 +110,7 @@
   int b = event->end;
 
   world->connecting[a][b] = false;
-  if (world->current[a][b] != NOBODY || !world->hosts[a].alive
+  if (world->current[a][b] != NO_HOST || !world->hosts[a].alive
       || !world->hosts[b].alive)
     return; /* a host that starts connects anew */
   if (answers (world, a) && answers (world, b))
@@ -140,7 +141,7 @@
   owner.u.peer_up.role = peer->role;
   owner.u.peer_up.boot = peer->boot;
   world_owner_input (world, host, &owner);
-  if (peer->role != MQ_HOST_ENTRY || !world_runs (world, host, run))
+  if (peer->role != MQ_HOST_ENTRY || !world_is_current_run (world, host, run))
     return;
   front.peer = wire->handle[end];
   front.u.address = peer->address;
@@ -168,12 +169,12 @@
     return;
   /* The other end may have started again since: then it was not this run
      that shook hands, and the connection breaks.  */
-  if (!world_runs (world, wire.host[other_end (event->end)],
-                   wire.run[other_end (event->end)]))
+  if (!world_is_current_run (world, wire.host[other_end (event->end)],
+                             wire.run[other_end (event->end)]))
     return;
   spread.peer = wire.handle[event->end];
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
     entry_up (world, &wire, event->end);
@@ -193,7 +194,7 @@
   owner.peer = handle;
   front.peer = handle;
   world_owner_input (world, host, &owner);
-  if (world_runs (world, host, run))
+  if (world_is_current_run (world, host, run))
     world_front_input (world, host, &front);
 }
 
@@ -217,7 +218,7 @@
   wire->open[event->end] = false;
   if (world->current[a][b] == event->index)
     {
-      world->current[a][b] = NOBODY;
+      world->current[a][b] = NO_HOST;
       wire_connect_later (world, a, b, RECONNECT_US);
     }
   if (wire->open[other_end (event->end)] && !wire->silent)
@@ -226,7 +227,7 @@
   spread.peer = handle;
   gate.peer = handle;
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
     entry_down (world, event->host, handle);
@@ -236,7 +237,7 @@
 
 /* Beats carry the version in force at the other end.  */
 static void
-hear_beat (struct world *world, int index, int end)
+receive_heartbeat (struct world *world, int index, int end)
 {
   const struct wire *wire = &world->wires[index];
   struct mq_message message = { .type = MQ_MSG_NONE };
@@ -253,12 +254,12 @@
 end_beats (const struct world *world, const struct wire *wire, int end)
 {
   return wire->open[end] && answers (world, wire->host[end])
-         && world_runs (world, wire->host[end], wire->run[end]);
+         && world_is_current_run (world, wire->host[end], wire->run[end]);
 }
 
 /* An end that hears nothing closes the connection.  */
 void
-wire_beat (struct world *world, const struct world_event *event)
+wire_heartbeat (struct world *world, const struct world_event *event)
 {
   int index = event->index;
   bool any = false;
@@ -277,9 +278,9 @@
           && wire->last_us[end] <= world->now_us)
         {
           wire->heard_us[end] = world->now_us;
-          hear_beat (world, index, end);
+          receive_heartbeat (world, index, end);
         }
-      else if (world->now_us > wire->heard_us[end] + SILENT_US)
+      else if (world->now_us > wire->heard_us[end] + PEER_TIMEOUT_US)
         {
           wire->heard_us[end] = world->now_us;
           push_wire_event (world, EVENT_WIRE_DOWN, index, end,
@@ -293,7 +294,7 @@
 /* A process that dies takes its connections with it.  Its peers hear of it
    at once, or by silence where the whole host is gone.  */
 void
-wire_host_died (struct world *world, int host, bool silently)
+wire_host_crashed (struct world *world, int host, bool silently)
 {
   for (size_t i = 0; i < world->wire_count; i++)
     {
@@ -309,7 +310,7 @@
         push_wire_event (world, EVENT_WIRE_DOWN, (int)i, other_end (end),
                          LINK_LEAST_US);
       if (world->current[wire->host[0]][wire->host[1]] == (int)i)
-        world->current[wire->host[0]][wire->host[1]] = NOBODY;
+        world->current[wire->host[0]][wire->host[1]] = NO_HOST;
     }
 }
 
@@ -339,7 +340,7 @@
             return (int)(i - 1);
           }
     }
-  return NOBODY;
+  return NO_HOST;
 }
 
 static void
@@ -364,8 +365,8 @@
 /* Holds a message back on a connection that its sender has given up; the
    receiver, which has not, takes it in after what comes on the new one.  */
 static void
-cross (struct world *world, int index, int end,
-       const struct mq_message *message)
+deliver_reordered (struct world *world, int index, int end,
+                   const struct mq_message *message)
 {
   push_message (world, index, end, message, world->now_us + LATE_US);
   push_wire_event (world, EVENT_WIRE_DOWN, index, end, 50 * MS);
@@ -389,35 +390,35 @@
   uint64_t at_us
       = world->now_us + world_delay (world, LINK_LEAST_US, LINK_MOST_US);
   struct mq_message copy = *message;
-  enum fate fate;
+  enum delivery_fault delivery_fault;
 
-  if (index == NOBODY)
+  if (index == NO_HOST)
     return;
   copy.config_version = world->hosts[host].version;
   fault_settle_script (world, host, message);
-  if (!world_runs (world, host, run))
+  if (!world_is_current_run (world, host, run))
     return;
   fault_message_step (world, host, &world->wires[index], message);
-  fate = fault_take_message_fate (world, host);
-  if (!world_runs (world, host, run) || world->hosts[host].held)
+  delivery_fault = fault_next_message_delivery (world, host);
+  if (!world_is_current_run (world, host, run) || world->hosts[host].held)
     return;
   world_trace (world, "%s -> %s (wire %d): %s%s", world->hosts[host].name,
                world->hosts[world->wires[index].host[other_end (end)]].name,
                index, mq_message_name (message->type),
                swallows (&world->wires[index], end) ? ", swallowed" : "");
-  if (fate == FATE_SILENT)
+  if (delivery_fault == DELIVERY_BLACKHOLED)
     wire_silence (world, &world->wires[index]);
   if (swallows (&world->wires[index], end))
     return;
-  if (fate == FATE_CROSSED)
+  if (delivery_fault == DELIVERY_REORDERED)
     {
-      cross (world, index, other_end (end), &copy);
+      deliver_reordered (world, index, other_end (end), &copy);
       return;
     }
-  if (fate == FATE_LATE)
+  if (delivery_fault == DELIVERY_DELAYED)
     at_us += LATE_US;
   push_message (world, index, other_end (end), &copy, at_us);
-  if (fate == FATE_DOUBLED)
+  if (delivery_fault == DELIVERY_DUPLICATED)
     push_message (world, index, other_end (end), &copy, at_us + 2 * MS);
 }
 
@@ -507,7 +508,7 @@
   spread.peer = wire->handle[event->end];
   spread.u.message = event->message;
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
     entry_message (world, event);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -31,16 +31,16 @@
 
 /* What was seen.  */
 
-struct call_fact *
-worker_call_fact (struct world *world, struct mq_id program, uint32_t call)
+struct observed_call *
+worker_observed_call (struct world *world, struct mq_id program, uint32_t call)
 {
-  struct call_fact *fact;
+  struct observed_call *fact;
 
   for (size_t i = 0; i < world->call_count; i++)
     if (world->calls[i].call == call
         && mq_id_equal (world->calls[i].program, program))
       return &world->calls[i];
-  world->calls = talloc_realloc (world, world->calls, struct call_fact,
+  world->calls = talloc_realloc (world, world->calls, struct observed_call,
                                  (unsigned int)world->call_count + 1);
   fact = &world->calls[world->call_count++];
   memset (fact, 0, sizeof *fact);
@@ -49,16 +49,16 @@
   return fact;
 }
 
-struct program_fact *
-worker_program_fact (struct world *world, struct mq_id program)
+struct observed_program *
+worker_observed_program (struct world *world, struct mq_id program)
 {
-  struct program_fact *fact;
+  struct observed_program *fact;
 
   for (size_t i = 0; i < world->program_count; i++)
     if (mq_id_equal (world->programs[i].program, program))
       return &world->programs[i];
   world->programs
-      = talloc_realloc (world, world->programs, struct program_fact,
+      = talloc_realloc (world, world->programs, struct observed_program,
                         (unsigned int)world->program_count + 1);
   fact = &world->programs[world->program_count++];
   memset (fact, 0, sizeof *fact);
@@ -69,7 +69,7 @@
 static void
 spend (struct world *world, struct mq_id program, uint64_t tokens)
 {
-  struct spent_fact *fact = NULL;
+  struct observed_spend *fact = NULL;
   uint64_t budget = caller_budget_of (world, program.hi);
 
   for (size_t i = 0; i < world->spent_count; i++)
@@ -77,14 +77,15 @@
       fact = &world->spent[i];
   if (fact == NULL)
     {
-      world->spent = talloc_realloc (world, world->spent, struct spent_fact,
-                                     (unsigned int)world->spent_count + 1);
+      world->spent
+          = talloc_realloc (world, world->spent, struct observed_spend,
+                            (unsigned int)world->spent_count + 1);
       fact = &world->spent[world->spent_count++];
       fact->family = program.hi;
       fact->tokens = 0;
     }
   if (fact->tokens <= budget && fact->tokens + tokens > budget)
-    world_violate (
+    world_report_violation (
         world, INVARIANT_BUDGET, "program %016llx spent %llu tokens of %llu",
         (unsigned long long)program.hi,
         (unsigned long long)fact->tokens + tokens, (unsigned long long)budget);
@@ -223,7 +224,7 @@
               json_t *result)
 {
   if (strcmp (text_of (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
-    worker_call_fact (world, program, call)->told_not_run = true;
+    worker_observed_call (world, program, call)->reported_not_run = true;
 }
 
 static bool
@@ -231,7 +232,7 @@
                  const char *content)
 {
   struct mq_id child = mq_id_child (program, call);
-  const struct program_fact *fact = worker_program_fact (world, child);
+  const struct observed_program *fact = worker_observed_program (world, child);
 
   for (size_t i = 0; i < fact->final_count; i++)
     if (strstr (content, fact->finals[i]) != NULL)
@@ -244,7 +245,8 @@
                     json_t *message)
 {
   const char *content = text_of (message, "content");
-  const struct call_fact *fact = worker_call_fact (world, program, call);
+  const struct observed_call *fact
+      = worker_observed_call (world, program, call);
   json_t *result = json_loads (content, 0, NULL);
   bool holds = is_failure (result);
 
@@ -279,8 +281,8 @@
 /* Place of the first message that does not follow, COUNT when all do.  CALLS
    is set to the calls that the history holds.  */
 static size_t
-first_wrong (struct world *world, struct mq_id program, json_t *messages,
-             uint32_t *calls)
+first_invalid_message (struct world *world, struct mq_id program,
+                       json_t *messages, uint32_t *calls)
 {
   size_t count = json_array_size (messages);
   *calls = 0;
@@ -297,7 +299,7 @@
       else if (has_role (message, "tool"))
         holds = tool_message_holds (world, program, ++*calls, message);
       else if (has_role (message, "user"))
-        holds = caller_asked (world, program, text_of (message, "content"));
+        holds = caller_has_text (world, program, text_of (message, "content"));
       else
         holds = has_role (message, "system") && i == 0;
       if (!holds)
@@ -311,30 +313,32 @@
 {
   uint32_t calls = 0;
   size_t count = json_array_size (messages);
-  size_t wrong = first_wrong (world, run->ref.program, messages, &calls);
+  size_t wrong
+      = first_invalid_message (world, run->ref.program, messages, &calls);
   char *text;
 
   if (wrong < count)
     {
       text = json_dumps (json_array_get (messages, wrong), JSON_COMPACT);
-      world_violate (world, INVARIANT_HISTORY,
-                     "program %016llx call %u: message %zu of %zu does not "
-                     "follow: %.120s",
-                     (unsigned long long)run->ref.program.lo, run->ref.call,
-                     wrong, count, text);
+      world_report_violation (
+          world, INVARIANT_HISTORY,
+          "program %016llx call %u: message %zu of %zu does not "
+          "follow: %.120s",
+          (unsigned long long)run->ref.program.lo, run->ref.call, wrong, count,
+          text);
       free (text);
     }
   else if (calls
            != caller_calls_before (world, run->ref.program, run->ref.call))
-    world_violate (world, INVARIANT_HISTORY,
-                   "program %016llx call %u: the history holds %u calls",
-                   (unsigned long long)run->ref.program.lo, run->ref.call,
-                   calls);
+    world_report_violation (
+        world, INVARIANT_HISTORY,
+        "program %016llx call %u: the history holds %u calls",
+        (unsigned long long)run->ref.program.lo, run->ref.call, calls);
 }
 
 /* Engines' caches.  */
 
-static struct cache_row *
+static struct engine_cache_entry *
 cache_find (struct worker *worker, struct mq_id program)
 {
   for (size_t i = 0; i < worker->cache_count; i++)
@@ -347,12 +351,13 @@
 cache_hold (struct world *world, struct worker *worker, struct mq_id program,
             uint32_t tokens)
 {
-  struct cache_row *row = cache_find (worker, program);
+  struct engine_cache_entry *row = cache_find (worker, program);
 
   if (row == NULL)
     {
-      worker->cache = talloc_realloc (world, worker->cache, struct cache_row,
-                                      (unsigned int)worker->cache_count + 1);
+      worker->cache
+          = talloc_realloc (world, worker->cache, struct engine_cache_entry,
+                            (unsigned int)worker->cache_count + 1);
       row = &worker->cache[worker->cache_count++];
       row->program = program;
     }
@@ -362,9 +367,9 @@
 
 /* How long ROW has been held for a program that has ended.  */
 static uint64_t
-held_in_vain (struct world *world, const struct cache_row *row)
+unneeded_cache_us (struct world *world, const struct engine_cache_entry *row)
 {
-  uint64_t ended_us = worker_program_fact (world, row->program)->ended_us;
+  uint64_t ended_us = worker_observed_program (world, row->program)->ended_us;
 
   if (ended_us == 0)
     return 0;
@@ -373,31 +378,31 @@
 
 /* WORKER gives up what it holds for a program, or for all.  */
 static void
-note_held (struct world *world, const struct worker *worker,
-           const struct mq_id *program)
+record_cache_held (struct world *world, const struct worker *worker,
+                   const struct mq_id *program)
 {
   for (size_t i = 0; i < worker->cache_count; i++)
     {
-      const struct cache_row *row = &worker->cache[i];
-      uint64_t held_us = held_in_vain (world, row);
+      const struct engine_cache_entry *row = &worker->cache[i];
+      uint64_t held_us = unneeded_cache_us (world, row);
 
       if (program != NULL && !mq_id_equal (row->program, *program))
         continue;
       if (held_us > world->report->held_us)
         world->report->held_us = held_us;
-      if (held_us > EVICT_WITHIN_US)
-        world_violate (world, INVARIANT_EVICTED,
-                       "program %016llx ended %llu ms before",
-                       (unsigned long long)row->program.lo,
-                       (unsigned long long)(held_us / MS));
+      if (held_us > EVICTION_DEADLINE_US)
+        world_report_violation (world, INVARIANT_EVICTED,
+                                "program %016llx ended %llu ms before",
+                                (unsigned long long)row->program.lo,
+                                (unsigned long long)(held_us / MS));
     }
 }
 
 /* The program's end is in the log.  */
 void
-worker_note_end (struct world *world, struct mq_id program)
+worker_on_program_end (struct world *world, struct mq_id program)
 {
-  struct program_fact *fact = worker_program_fact (world, program);
+  struct observed_program *fact = worker_observed_program (world, program);
 
   if (fact->ended_us == 0)
     fact->ended_us = world->now_us;
@@ -406,7 +411,7 @@
 static void
 cache_drop (struct worker *worker, struct mq_id program)
 {
-  struct cache_row *row = cache_find (worker, program);
+  struct engine_cache_entry *row = cache_find (worker, program);
 
   if (row != NULL)
     *row = worker->cache[--worker->cache_count];
@@ -417,7 +422,8 @@
 static void
 plan_stage (struct world *world, size_t index, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_RUN, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_CALL_STAGE, NO_HOST);
 
   event->index = (int)index;
   world_push (world, event, world->now_us + in_us);
@@ -448,7 +454,7 @@
   json_t *calls = tool_calls_of (step, count);
   json_t *answer = json_object ();
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  const struct cache_row *row = cache_find (worker, run->ref.program);
+  const struct engine_cache_entry *row = cache_find (worker, run->ref.program);
   char *text;
 
   check_history (world, run, messages);
@@ -479,8 +485,8 @@
 static void
 prepare_plain (struct world *world, struct run *run)
 {
-  struct call_fact *fact
-      = worker_call_fact (world, run->ref.program, run->ref.call);
+  struct observed_call *fact
+      = worker_observed_call (world, run->ref.program, run->ref.call);
 
   run->answer = talloc_asprintf (run, "{\"receipt\":\"%016llx%016llx/%u\"}",
                                  (unsigned long long)run->ref.program.hi,
@@ -494,31 +500,31 @@
 check_start (struct world *world, const struct run *run)
 {
   const struct mq_call_ref *ref = &run->ref;
-  const struct program_fact *program
-      = worker_program_fact (world, ref->program);
+  const struct observed_program *program
+      = worker_observed_program (world, ref->program);
   const struct host *host = &world->hosts[run->host];
-  struct call_fact *before;
+  struct observed_call *before;
 
   if (program->refused)
-    world_violate (world, INVARIANT_NOT_RUN,
-                   "program %016llx call %u starts after not_run",
-                   (unsigned long long)ref->program.lo, ref->call);
+    world_report_violation (world, INVARIANT_NOT_RUN,
+                            "program %016llx call %u starts after not_run",
+                            (unsigned long long)ref->program.lo, ref->call);
   if (world->now_us > world->outage_from_us
       && world->now_us < world->outage_until_us)
     world->report->starts_in_outage++;
   if (host->workers[run->worker].kind == MQ_SERVICE_PLAIN
       && !check_is_intended (world, ref))
-    world_violate (
+    world_report_violation (
         world, INVARIANT_INTENDED, "program %016llx call %u attempt %u starts",
         (unsigned long long)ref->program.lo, ref->call, ref->attempt);
   if (ref->call > 1)
     {
-      before = worker_call_fact (world, ref->program, ref->call - 1);
+      before = worker_observed_call (world, ref->program, ref->call - 1);
       if (before->starts > 0 && before->ends == 0)
-        world_violate (world, INVARIANT_ORDER,
-                       "program %016llx call %u starts, call %u never ended",
-                       (unsigned long long)ref->program.lo, ref->call,
-                       ref->call - 1);
+        world_report_violation (
+            world, INVARIANT_ORDER,
+            "program %016llx call %u starts, call %u never ended",
+            (unsigned long long)ref->program.lo, ref->call, ref->call - 1);
     }
   if (!host->leaving)
     return;
@@ -531,10 +537,10 @@
           && arrival->ref.attempt == ref->attempt
           && mq_id_equal (arrival->ref.program, ref->program)
           && arrival->at_us > host->leave_us)
-        world_violate (world, INVARIANT_LEAVING,
-                       "%s starts program %016llx call %u after its LEAVE",
-                       host->name, (unsigned long long)ref->program.lo,
-                       ref->call);
+        world_report_violation (
+            world, INVARIANT_LEAVING,
+            "%s starts program %016llx call %u after its LEAVE", host->name,
+            (unsigned long long)ref->program.lo, ref->call);
     }
 }
 
@@ -561,13 +567,13 @@
 begin (struct world *world, struct run *run, size_t index)
 {
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  struct call_fact *fact;
+  struct observed_call *fact;
 
   check_start (world, run);
-  fact = worker_call_fact (world, run->ref.program, run->ref.call);
+  fact = worker_observed_call (world, run->ref.program, run->ref.call);
   fact->starts++;
   fact->idempotent = worker->kind != MQ_SERVICE_PLAIN;
-  worker_program_fact (world, run->ref.program)->starts++;
+  worker_observed_program (world, run->ref.program)->starts++;
   run->hangs = worker->hangs;
   worker->hangs = false;
   if (worker->kind == MQ_SERVICE_MODEL)
@@ -593,7 +599,8 @@
   fault_step (world, &site);
   if (world->hosts[host].workers[start->worker].kind == MQ_SERVICE_PLAIN)
     fault_script (world, &site);
-  if (!world_runs (world, host, run_number) || world->hosts[host].held)
+  if (!world_is_current_run (world, host, run_number)
+      || world->hosts[host].held)
     return;
   world_trace (
       world, "%s starts %016llx call %u attempt %u at %s, max_tokens %u",
@@ -614,7 +621,7 @@
 static bool
 is_heard (const struct world *world, const struct run *run)
 {
-  return world_runs (world, run->host, run->host_run)
+  return world_is_current_run (world, run->host, run->host_run)
          && run->slot != UINT32_MAX;
 }
 
@@ -622,7 +629,7 @@
 end_run (struct world *world, struct run *run)
 {
   run->ended = true;
-  worker_call_fact (world, run->ref.program, run->ref.call)->ends++;
+  worker_observed_call (world, run->ref.program, run->ref.call)->ends++;
 }
 
 static void
@@ -677,7 +684,8 @@
 static void
 note_final (struct world *world, const struct run *run)
 {
-  struct program_fact *fact = worker_program_fact (world, run->ref.program);
+  struct observed_program *fact
+      = worker_observed_program (world, run->ref.program);
 
   if (strstr (run->answer, "\"finish\":\"stop\"") == NULL)
     return;
@@ -710,8 +718,8 @@
 static void
 take_effect (struct world *world, struct run *run)
 {
-  struct call_fact *fact
-      = worker_call_fact (world, run->ref.program, run->ref.call);
+  struct observed_call *fact
+      = worker_observed_call (world, run->ref.program, run->ref.call);
 
   fact->effects++;
   world_trace (world, "%s: effect of %016llx call %u attempt %u",
@@ -719,11 +727,12 @@
                (unsigned long long)run->ref.program.lo, run->ref.call,
                run->ref.attempt);
   if (!fact->idempotent && fact->effects == 2)
-    world_violate (world, INVARIANT_ONCE,
-                   "program %016llx call %u took effect twice, now by "
-                   "attempt %u at %s",
-                   (unsigned long long)run->ref.program.lo, run->ref.call,
-                   run->ref.attempt, world->hosts[run->host].name);
+    world_report_violation (
+        world, INVARIANT_ONCE,
+        "program %016llx call %u took effect twice, now by "
+        "attempt %u at %s",
+        (unsigned long long)run->ref.program.lo, run->ref.call,
+        run->ref.attempt, world->hosts[run->host].name);
 }
 
 static void
@@ -810,7 +819,7 @@
   site.program = evict->program;
   site.worker = (int)evict->worker;
   fault_step (world, &site);
-  if (!world_runs (world, host, run))
+  if (!world_is_current_run (world, host, run))
     return;
   world_trace (world, "%s evicts %016llx", world->hosts[host].name,
                (unsigned long long)evict->program.lo);
@@ -822,8 +831,8 @@
                     || world->now_us > PLANT_EVICT_FROM_US);
   if (event->flag && world->cell->plant != PLANT_EVICT_SWALLOWED)
     {
-      note_held (world, &world->hosts[host].workers[evict->worker],
-                 &evict->program);
+      record_cache_held (world, &world->hosts[host].workers[evict->worker],
+                         &evict->program);
       cache_drop (&world->hosts[host].workers[evict->worker], evict->program);
     }
   world_push (world, event, world->now_us + EVICT_US);
@@ -844,7 +853,8 @@
 void
 worker_order (struct world *world, int host, const struct mq_order_msg *order)
 {
-  struct world_event *event = world_event_create (world, EVENT_ORDERED, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_ORDER_DONE, host);
 
   event->handle = order->order;
   world_push (world, event, world->now_us + EVICT_US);
@@ -911,7 +921,7 @@
   if (event->flag)
     {
       worker->boot++;
-      note_held (world, worker, NULL);
+      record_cache_held (world, worker, NULL);
       worker->cache_count = 0;
       abort_runs (world, event->host, (uint32_t)event->index);
       worker_plan_engine (world, event->host, (uint32_t)event->index, false,
@@ -936,7 +946,7 @@
 /* A call that hangs has had its effect, and only the gate's client waits for
    the answer: it ends with that client.  */
 void
-worker_gate_died (struct world *world, int host)
+worker_gate_crashed (struct world *world, int host)
 {
   for (size_t i = 0; i < world->run_count; i++)
     if (!world->runs[i]->ended && world->runs[i]->stopped
@@ -947,14 +957,14 @@
 
 /* The whole host is gone, its workers with it.  */
 void
-worker_host_died (struct world *world, int host)
+worker_host_crashed (struct world *world, int host)
 {
   for (uint32_t i = 0; i < WORKERS; i++)
     {
       struct worker *worker = &world->hosts[host].workers[i];
 
       worker->boot++;
-      note_held (world, worker, NULL);
+      record_cache_held (world, worker, NULL);
       worker->cache_count = 0;
       worker->up = true;
       abort_runs (world, host, i);
