--- a/src/core/owner/owner_events.c
+++ b/src/core/owner/owner_events.c
@@ -1,4 +1,4 @@
-/* owner_events.c - what waiting callers are told of their programs.
+/* owner_events.c - events and replies for callers that wait for a program.
 
    Needs: owner_parts.h.  */
 
@@ -11,7 +11,7 @@
 enum
 {
   RETRY_SOON_MS = 100,
-  STORE_WAIT_MAX_MS = 2000 /* batch work waits this long for the store */
+  STORE_WAIT_MAX_MS = 2000 /* for replies that need a confirmation read */
 };
 
 /* ---- Events ---- */
@@ -40,8 +40,9 @@
   return partition->address;
 }
 
-/* The partition is not ours, or not now: the caller's entry host asks
-   again, elsewhere.  It says nothing of the program.  */
+/* Redirects a caller whose partition is not active here; its entry host
+   retries with the current owner.  The reply does not reflect the program's
+   state.  */
 void
 events_redirect_caller (struct mq_owner *owner, uint32_t peer, uint64_t handle,
                         enum mq_error_type error, const char *redirect)
@@ -57,12 +58,11 @@
   events_send_event (owner, peer, &event);
 }
 
-/* Failure: an owner that was paused past its lease wakes, still believes
-   that the partition is its own, and answers from memory: a call that the
-   new owner ran is refused as not run, or a caller is shown an old state.
-   No clock can tell.  What is not the direct result of a commit therefore
-   waits for a read of the partition's row that began after the request
-   came; many wait for the same read.  */
+/* Queues a reply that is not the direct result of a commit until a read of the
+   partition's row, started after the request arrived, confirms ownership.  An
+   owner that was paused past its lease could otherwise answer from outdated
+   memory, for example refuse a call as not run that the new owner has run.
+   Queued replies share one read.  */
 void
 events_queue_reply (struct mq_owner *owner, uint32_t partition, uint32_t peer,
                     const struct mq_event_msg *event)
@@ -83,7 +83,8 @@
   events_fail_overdue_replies (owner);
 }
 
-/* The store has been down for a while: nothing can be confirmed soon.  */
+/* Whether the store has been unavailable for longer than
+   STORE_WAIT_MAX_MS.  */
 bool
 events_is_outage (const struct mq_owner *owner)
 {
@@ -111,8 +112,8 @@
   talloc_free (reply);
 }
 
-/* Every reply queued before BEFORE_US is confirmed, or its partition was
-   seen to be lost.  */
+/* Sends the replies that were queued before BEFORE_US; callers of lost
+   partitions are redirected.  */
 void
 events_on_confirmed (struct mq_owner *owner, uint64_t before_us)
 {
@@ -132,10 +133,9 @@
     }
 }
 
-/* The store can't be read: whoever waits long is answered that nothing can
-   be known.  Not even that it was not run here: another owner may have
-   taken the partition and run the same request, if the store is out of
-   reach for this host alone.  */
+/* Fails replies that waited too long for the store.  The result is unknown
+   rather than not run: if only this host cannot reach the store, a new owner
+   may have run the same request.  */
 void
 events_fail_overdue_replies (struct mq_owner *owner)
 {
@@ -338,7 +338,7 @@
   events_send_event (owner, peer, &event);
 }
 
-/* A call's outcome is durable.  */
+/* Sends the result of a call whose outcome is durable.  */
 void
 events_send_step_result (struct mq_owner *owner, struct running *running,
                          uint32_t call)
@@ -431,7 +431,7 @@
     }
 }
 
-/* The program goes on without its caller, who may come back for it.  */
+/* The program continues; its caller may reconnect.  */
 void
 events_on_caller_gone (struct mq_owner *owner, uint32_t peer, uint64_t handle)
 {
@@ -444,8 +444,8 @@
   remove_waiters (owner, peer, true, 0);
 }
 
-/* The partition is no longer ours: callers' entry hosts ask its new owner.
-   Nothing is said of the program but that it goes on elsewhere.  */
+/* Redirects the callers of a partition that was lost or released to its new
+   owner.  */
 void
 events_detach (struct mq_owner *owner, struct running *running)
 {
--- a/src/core/owner/owner_evict.c
+++ b/src/core/owner/owner_evict.c
@@ -1,4 +1,5 @@
-/* owner_evict.c - engine memory of programs that have ended is given back.
+/* owner_evict.c - cache leases of programs, and eviction from the engines when
+   programs end.
 
    Needs: owner_parts.h.  */
 
@@ -6,8 +7,8 @@
 
 enum
 {
-  EVICT_AGAIN_MS = 2000,
-  LEASE_DIVISOR = 3 /* renewals in a lease */
+  EVICT_RETRY_MS = 2000,
+  LEASE_DIVISOR = 3 /* renewals per lease */
 };
 
 /* ---- Eviction ---- */
@@ -40,8 +41,8 @@
     }
 }
 
-/* Asks again until each process confirms.  A process that was started anew
-   holds no leases; it evicts what its engine holds without one.  */
+/* Requests eviction until each target's process confirms.  A restarted process
+   holds no leases and evicts unleased cache by itself.  */
 void
 evict_send (struct mq_owner *owner, struct running *running)
 {
@@ -66,7 +67,7 @@
       running->evicting = false;
       return;
     }
-  running->evict_us = owner->now_us + 1000ULL * EVICT_AGAIN_MS;
+  running->evict_us = owner->now_us + 1000ULL * EVICT_RETRY_MS;
   owner_wake_at (owner, running, running->evict_us);
 }
 
--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -1,6 +1,7 @@
-/* owner_hosts.c - hosts, connections to them, and pools of workers.
+/* owner_hosts.c - known hosts, connections to them and worker pools.
 
-   Hints only: a wrong entry costs latency, never a promise.
+   The data is advisory: an outdated entry adds latency but does not affect
+   correctness.
    Needs: owner_parts.h, id.h.  */
 
 #include "owner_parts.h"
@@ -71,20 +72,19 @@
   return &target->workers[worker]->pool->views[target->workers[worker]->view];
 }
 
-/* ---- The row of targets ---- */
+/* ---- Targets row ---- */
 
-/* Failure: a target's process is restarted and our row names its new run
-   only.  Whoever takes over a partition that we had hears the new run, which
-   knows of no call, believes that it has heard everyone, and the program
-   spends the same budget again.  So the former run stays in the row: nobody
-   can hear it, and what was granted counts as spent.  */
+/* Keeps a target's former run in the targets row.  If only the new run were
+   listed, a new owner of the partition would hear from it, assume that it
+   knows every attempt, and let the program spend the same budget again.  A
+   former run cannot reply, so the grants count as spent.  */
 static void
 add_former_run (struct mq_owner *owner, struct target *target)
 {
   struct former_run *former;
 
   if (target->sent_boot == 0)
-    return; /* no row ever named it, so no call went there */
+    return; /* no calls are sent to a run that is not in the row */
   former = talloc_zero (owner, struct former_run);
   if (former == NULL)
     abort ();
@@ -97,8 +97,8 @@
   owner->targets_dirty = true;
 }
 
-/* Whether a takeover of a partition that another host has, or that nobody
-   has, would read our row.  */
+/* Whether a takeover of a partition that is not active here would read this
+   run's targets row.  */
 static bool
 is_row_needed (const struct mq_owner *owner)
 {
@@ -114,9 +114,9 @@
   return false;
 }
 
-/* Former runs leave the row when all that is known of attempts there is in
-   the log, and every partition that we gave up or lost is with an owner that
-   has accounted for ours.  */
+/* Removes former runs from the targets row once all records about their
+   attempts are durable and every partition that was released or lost has an
+   owner that has accounted for this run.  */
 void
 hosts_expire_former_runs (struct mq_owner *owner)
 {
@@ -129,7 +129,7 @@
     }
   if (owner->formers_needed)
     {
-      /* Taking a partition back may have charged for them just now.  */
+      /* Reclaiming a partition may have appended charges for these runs.  */
       owner->formers_needed = false;
       owner->formers_mark = owner->appended;
     }
@@ -236,7 +236,7 @@
   if (target == NULL)
     target = add_target (owner, host->name, host->data_centre);
   target->listed = true;
-  /* A target that said itself that it leaves is believed until it is new.  */
+  /* A target that announced that it is leaving stays so until it restarts.  */
   if (host->leaving)
     target->leaving = true;
   hosts_on_target_usable (owner, target);
@@ -296,12 +296,11 @@
     }
 }
 
-/* Failure: a target host has died and is still listed; minutes later a
-   partition is handed over as planned, and its new owner waits for an answer
-   of the dead process, then counts every grant of its programs as spent:
-   they end with budget_tokens.  What the attempts there may have spent was
-   charged when they were given up, so the dead run is a former one.  It is
-   not used before a row with it is durable again.  */
+/* Makes the run of a dead target host a former run.  Tokens of its attempts
+   were charged when they were abandoned.  Otherwise the next owner would wait
+   for the dead process and count all grants as spent, ending programs with
+   budget_tokens.  The target is not used again until a row that lists it is
+   durable.  */
 static void
 retire_dead_run (struct mq_owner *owner, struct target *target)
 {
@@ -314,8 +313,8 @@
   add_former_run (owner, target);
 }
 
-/* Forgets targets that the list dropped long ago and where nothing of ours
-   is under way.  */
+/* Removes targets that left the host list more than MQ_TARGET_KEEP_MS ago and
+   have no calls of this owner.  */
 void
 hosts_tick (struct mq_owner *owner)
 {
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -1,9 +1,9 @@
 /* owner_log.c - group commit of the partition log.
 
-   Records of all partitions of this owner gather while one transaction is
-   under way; the next one takes them all.  Each partition's row is written
-   on condition of its version, so a commit applies only while no other
-   owner has raised the fence, and at most once.
+   While a transaction is in progress, records of all partitions of this owner
+   accumulate; the next transaction commits them together.  Each partition's
+   row is written conditionally on its version, so a batch is applied at most
+   once, and only if no other owner has raised the fence.
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
@@ -13,7 +13,7 @@
 
 enum
 {
-  REMOVE_ROWS_MAX = 64 /* old log rows removed by one transaction */
+  TRUNCATE_ROWS_MAX = 64 /* log rows removed per transaction */
 };
 
 static char *
@@ -28,7 +28,7 @@
   return key;
 }
 
-/* ---- Gathering ---- */
+/* ---- Appending ---- */
 
 void
 log_append (struct mq_owner *owner, struct running *running,
@@ -110,10 +110,9 @@
   return hook;
 }
 
-/* What was to follow the commit of records that another owner's fence has
-   made void must not follow the commit of the others' in the same flight.
-   Failure: FORGET, under the new owner's fence that we have read by then,
-   for outcomes that no log holds.  */
+/* Cancels the hooks of a partition that another owner has fenced; its records
+   will not commit, although the rest of the batch may.  Otherwise FORGET would
+   be sent, under the new owner's fence, for outcomes that are in no log.  */
 void
 log_cancel_hooks (struct mq_owner *owner, const struct partition *partition)
 {
@@ -137,16 +136,15 @@
     owner->hooks_last = owner->hooks_last->next;
 }
 
-/* ---- Sealing a batch ---- */
+/* ---- Preparing a batch ---- */
 
 static bool
 row_is_stale (const struct partition *partition)
 {
-  /* Failure: a partition without work is taken over and its row goes on
-     naming the earlier owner, for days; that owner must keep every former
-     run of a target's process in its row of targets, and each of its own
-     partitions that moves waits for them and forfeits its grants.  So the
-     row is written once after each takeover.  */
+  /* Writes the row once after a takeover, even without new records.  Otherwise
+     an idle partition's row would keep naming the previous owner as a sender.
+     That owner could then not remove former runs from its targets row, and its
+     partitions would forfeit their grants on every takeover.  */
   return partition->snapshot_written || partition->sender_count > 1
          || partition->first <= partition->checkpoint;
 }
@@ -194,8 +192,8 @@
                                     (unsigned long long)owner->flight.batch);
 }
 
-/* A checkpoint as of the batch that is being sealed: memory holds just the
-   records up to its end.  */
+/* Packs a checkpoint of the partition as of this batch.  The programs in
+   memory reflect exactly the records up to the end of the batch.  */
 static void
 pack_snapshot (struct mq_owner *owner, struct flight_part *part)
 {
@@ -284,7 +282,7 @@
   row.owner = part->release ? (char *)"" : (char *)owner->options.host;
   row.owner_boot = owner->options.boot;
   row.address = (char *)owner->options.address;
-  /* From this batch on, what earlier owners spent is accounted for.  */
+  /* This batch accounts for the tokens that earlier senders spent.  */
   row.n_senders = 1;
   row.senders = &owner->run;
   row.sequence = part->sequence;
@@ -295,7 +293,7 @@
                            : (char *)part->checkpoint_key;
   part->first = partition->first;
   while (part->first <= part->checkpoint
-         && part->first < partition->first + REMOVE_ROWS_MAX)
+         && part->first < partition->first + TRUNCATE_ROWS_MAX)
     part->first++;
   row.first = part->first;
   part->row_op = request->op_count++;
@@ -347,7 +345,7 @@
   request = owner_store (owner, MQ_STORE_TXN, flight->request_id);
   request->ops = talloc_zero_array (
       owner->actions, struct mq_store_op,
-      (unsigned int)(flight->count * (2 + REMOVE_ROWS_MAX)));
+      (unsigned int)(flight->count * (2 + TRUNCATE_ROWS_MAX)));
   if (request->ops == NULL)
     abort ();
   for (size_t i = 0; i < flight->count; i++)
@@ -355,8 +353,8 @@
       add_row_ops (owner, request, &flight->parts[i]);
 }
 
-/* Writes the next large batch to its object, or goes on to the
-   transaction.  The key holds the batch's random id, so writing it twice
+/* Writes the next large batch to the object store, or starts the transaction
+   if none is left.  The object's key holds the random batch ID, so a retry
    writes the same bytes.  */
 void
 log_send_objects (struct mq_owner *owner)
@@ -384,7 +382,7 @@
   request->value.len = part->bytes.len;
 }
 
-/* Nothing is under way or gathers: what was to follow a commit follows now. */
+/* Runs hooks at once if no records are uncommitted.  */
 static void
 run_hooks (struct mq_owner *owner)
 {
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -1,4 +1,4 @@
-/* owner_open.c - new programs, and new calls by themselves.
+/* owner_open.c - opens programs and single calls.
 
    Needs: owner_parts.h.  */
 
@@ -10,7 +10,7 @@
 
 enum
 {
-  SINGLE_SECONDS = 120 /* time budget of a single call */
+  SINGLE_CALL_BUDGET_S = 120
 };
 
 /* ---- Opening ---- */
@@ -51,7 +51,7 @@
   return MQ_ERR_NONE;
 }
 
-/* What a request for a new program says, in the form of its record.  */
+/* The record for a new program, filled from its request.  */
 struct opening
 {
   Mqlog__Opened opened;
@@ -136,7 +136,7 @@
   return fill_history (owner, opening, request, service, input);
 }
 
-/* A call of a model, plain service or tool by itself.  */
+/* Fills in a single call of a model, plain service or tool.  */
 static enum mq_error_type
 fill_single (struct mq_owner *owner, struct opening *opening,
              const struct mq_request_msg *request,
@@ -153,7 +153,7 @@
   opening->opened.priority = MQ_PRIORITY_INTERACTIVE;
   opening->budget.tokens = service->max_tokens;
   opening->budget.turns = 1;
-  opening->budget.seconds = SINGLE_SECONDS;
+  opening->budget.seconds = SINGLE_CALL_BUDGET_S;
   if (service->kind == MQ_SERVICE_MODEL)
     {
       if (input == NULL)
@@ -192,7 +192,7 @@
 }
 
 static void
-grant_first (struct mq_owner *owner, struct running *running)
+grant_first_call (struct mq_owner *owner, struct running *running)
 {
   const struct mq_service *service
       = mq_text_find_service (owner->text, running->program->service);
@@ -209,7 +209,7 @@
     budget_has_grant (owner, running, max_tokens);
 }
 
-/* A history that carries over has been computed before.  */
+/* A continued history was already computed by an engine.  */
 static void
 set_reusable_tokens (struct mq_owner *owner, struct running *running,
                      struct mq_id continues)
@@ -242,7 +242,7 @@
   running = chain_open (owner, partition, request->program, &opening.opened);
   set_reusable_tokens (owner, running, request->continues);
   events_add_waiter (running, peer, handle, request, 0);
-  grant_first (owner, running);
+  grant_first_call (owner, running);
   log_add_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
       = running->grant_wanted;
   if (running->program->mode != MQ_MODE_STEPS)
@@ -250,7 +250,7 @@
   log_flush (owner);
 }
 
-/* The caller's open came before: the same program answers.  */
+/* Attaches a caller that repeats its open request to the existing program.  */
 void
 open_attach_caller (struct mq_owner *owner, struct running *running,
                     uint32_t peer, uint64_t handle,
@@ -269,7 +269,7 @@
   events_add_waiter (running, peer, handle, request, 0);
   if (running->undurable > 0)
     {
-      /* What it waits for is durable soon; then it is told.  */
+      /* The caller is notified when the uncommitted records are durable.  */
       if (program->state != MQ_PROGRAM_RUNNING)
         log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
       return;
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -1,5 +1,5 @@
-/* owner_peers.c - which other entry hosts are there, and who may own
-   partitions.
+/* owner_peers.c - liveness of other entry hosts, and which hosts are eligible
+   to own partitions.
 
    Needs: owner_parts.h, id.h.  */
 
@@ -9,10 +9,10 @@
 
 enum
 {
-  ELIGIBLE_KEY = 7 /* rendezvous key of the hosts that may own */
+  ELIGIBLE_KEY = 7 /* rendezvous hashing key for eligibility */
 };
 
-/* ---- Who is there ---- */
+/* ---- Liveness ---- */
 
 bool
 peers_is_renewing (const struct mq_owner *owner, const struct sibling *sibling)
@@ -29,7 +29,7 @@
   return age <= lease_us;
 }
 
-/* May be given partitions.  */
+/* Whether SIBLING can receive partitions.  */
 static bool
 sibling_is_live (const struct mq_owner *owner, const struct sibling *sibling)
 {
@@ -37,9 +37,9 @@
          && peers_is_renewing (owner, sibling);
 }
 
-/* Failure: nobody removes the row of a host that died.  If it counted for
-   ever, hosts that are long gone would in time be all that may own, and the
-   living ones would refuse to.  A row that stands still counts no more.  */
+/* Excludes hosts whose row was not renewed for MQ_OWNER_FORGET_MS. Rows of
+   dead hosts are never removed and would otherwise fill the eligible set, so
+   that live hosts could not own partitions.  */
 static bool
 is_candidate (const struct mq_owner *owner, const struct sibling *sibling)
 {
@@ -53,15 +53,15 @@
 {
   if (eligible && !owner->eligible)
     {
-      /* Others must see the row move before they see us own.  */
+      /* The row must be renewed before this host claims partitions.  */
       owner->renewed = false;
       owner->next_renew_us = owner->now_us;
     }
   owner->eligible = eligible;
 }
 
-/* Only so many hosts may own partitions, so that the writes of all owners
-   fit the store however many entry hosts there are.  */
+/* Selects at most MQ_OWNERS_MAX eligible hosts by rendezvous hashing.  This
+   bounds the store's write rate regardless of the number of entry hosts.  */
 void
 peers_update_eligible (struct mq_owner *owner)
 {
@@ -119,7 +119,7 @@
   return (owner->partition_count + hosts - 1) / hosts;
 }
 
-/* Position of this host among the live ones for the partition, from 0.  */
+/* Returns this host's rank among the live hosts for the partition, from 0.  */
 uint32_t
 peers_own_rank (const struct mq_owner *owner,
                 const struct partition *partition)
@@ -134,8 +134,8 @@
   return rank;
 }
 
-/* The live host that holds the fewest partitions; NULL when none would be
-   better off than this one.  */
+/* Returns the live host with the fewest partitions, or NULL if no other host
+   is live.  */
 struct sibling *
 peers_find_successor (struct mq_owner *owner,
                       const struct partition *partition)
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -1,4 +1,4 @@
-/* owner_place.c - which worker a call goes to.
+/* owner_place.c - selects the worker for a call and dispatches it.
 
    Needs: owner_parts.h, place.h.  */
 
@@ -13,7 +13,7 @@
   BYTES_PER_TOKEN = 4
 };
 
-/* ---- Accounting at targets ---- */
+/* ---- Load accounting ---- */
 
 void
 place_adjust_load (struct mq_owner *owner, struct call *call, int change)
@@ -51,8 +51,8 @@
   call->reserved = 0;
 }
 
-/* Whether the attempt spent its tokens can't be known: it counts as if it
-   had spent all that it may.  */
+/* Gives up an attempt.  The tokens that it used are unknown, so its whole
+   reservation is charged.  */
 void
 place_abandon_attempt (struct mq_owner *owner, struct running *running)
 {
@@ -70,7 +70,7 @@
   running->call = NULL;
 }
 
-/* ---- Placing ---- */
+/* ---- Worker selection ---- */
 
 static int32_t
 sticky_view (const struct running *running, const struct pool *pool)
@@ -191,7 +191,7 @@
   owner->counters.calls_sent++;
 }
 
-/* Prompt tokens that the worker has to compute, as far as is known.  */
+/* Estimates the prompt tokens that the worker has to compute.  */
 static uint32_t
 expect_uncached (const struct running *running, const struct worker *worker)
 {
@@ -272,10 +272,11 @@
   owner_wake_at (owner, running, call->retry_us);
 }
 
-/* Failure: a call under our fence voids at its target what the earlier
-   owner's later attempts left there; we die before their charges are
-   durable, and the next owner finds no trace of them: the budget is spent
-   again.  So no call goes out before they are.  */
+/* Whether charges for discarded attempts are durable; no call is sent before.
+   A call under the new fence makes the target drop later attempts of the
+   previous owner.  If this owner then died before committing their charges,
+   the next owner would find no trace of them and the budget would be spent
+   twice.  */
 static bool
 charges_are_durable (struct mq_owner *owner, struct running *running)
 {
@@ -300,7 +301,8 @@
       call->state = CALL_GRANT;
       return;
     }
-  /* An earlier attempt may have been charged since the cap was set.  */
+  /* Charges of earlier attempts may have reduced the budget since max_tokens
+     was set.  */
   if (call->model && !chain_fit_call (running))
     {
       call->state = CALL_PLACE;
@@ -347,7 +349,7 @@
     place_call (owner, running);
 }
 
-/* The intent is durable: whoever owns the partition from now on knows that
+/* Sends the call once its intent is durable.  Any later owner then knows that
    the call may have been sent, and to which run of which process.  */
 void
 place_on_intent_durable (struct mq_owner *owner, struct running *running,
@@ -361,7 +363,7 @@
   if (call->target->peer == 0 || call->target->boot != call->boot
       || call->target->leaving)
     {
-      /* Never sent from here, and only this owner may send it.  */
+      /* The call was not sent, and only this owner may send it.  */
       place_detach_target (owner, running);
       place_schedule_retry (owner, running, 0);
       return;
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -1,4 +1,4 @@
-/* owner_read.c - the log of a partition that is taken over, read and replayed.
+/* owner_read.c - reads and replays the log of a partition during a takeover.
 
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
@@ -9,7 +9,7 @@
 
 enum
 {
-  LOG_PAGE_ROWS = 256 /* log rows read at a time */
+  LOG_PAGE_ROWS = 256
 };
 
 /* ---- Reading the log ---- */
@@ -119,7 +119,7 @@
   read_send_next (owner, partition);
 }
 
-/* Starts over: what was read does not fit together.  */
+/* Restarts the takeover after reading an inconsistent log.  */
 static void
 read_restart (struct mq_owner *owner, struct partition *partition)
 {
@@ -129,8 +129,8 @@
 }
 
 static bool
-read_checkpoint (struct mq_owner *owner, struct partition *partition,
-                 const struct mq_store_result *result)
+unpack_checkpoint (struct mq_owner *owner, struct partition *partition,
+                   const struct mq_store_result *result)
 {
   Mqlog__Checkpoint *checkpoint = mqlog__checkpoint__unpack (
       NULL, result->value.len, result->value.data);
@@ -149,23 +149,24 @@
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
-  struct read_batch *kept;
+  struct read_batch *batch_row;
 
   take->rows = talloc_realloc (take, take->rows, struct read_batch,
                                (unsigned int)take->row_count + 1);
   if (take->rows == NULL)
     abort ();
-  kept = &take->rows[take->row_count++];
-  memset (kept, 0, sizeof *kept);
+  batch_row = &take->rows[take->row_count++];
+  memset (batch_row, 0, sizeof *batch_row);
   talloc_free (take->after);
   take->after = talloc_strdup (take, row->key);
   if (batch == NULL)
     return;
-  kept->sequence = batch->sequence;
+  batch_row->sequence = batch->sequence;
   if (batch->object[0] != '\0')
-    kept->object = talloc_strdup (take, batch->object);
-  kept->bytes.data = talloc_memdup (take, row->value.data, row->value.len);
-  kept->bytes.len = row->value.len;
+    batch_row->object = talloc_strdup (take, batch->object);
+  batch_row->bytes.data
+      = talloc_memdup (take, row->value.data, row->value.len);
+  batch_row->bytes.len = row->value.len;
   mqlog__batch__free_unpacked (batch, NULL);
 }
 
@@ -188,15 +189,15 @@
               const struct mq_bytes *bytes)
 {
   Mqlog__Batch *batch = mqlog__batch__unpack (NULL, bytes->len, bytes->data);
-  bool whole = batch != NULL;
+  bool valid = batch != NULL;
 
-  for (size_t i = 0; whole && i < batch->n_records; i++)
+  for (size_t i = 0; valid && i < batch->n_records; i++)
     {
       Mqlog__Record *record = mqlog__record__unpack (
           NULL, batch->records[i].len, batch->records[i].data);
 
       if (record == NULL)
-        whole = false;
+        valid = false;
       else
         read_apply_record (owner, partition, record);
       partition->records_since_checkpoint++;
@@ -204,11 +205,11 @@
     }
   if (batch != NULL)
     mqlog__batch__free_unpacked (batch, NULL);
-  return whole;
+  return valid;
 }
 
-/* Every batch from the checkpoint to the row's sequence must be there:
-   a gap would lose a part of some program's history in silence.  */
+/* Requires every batch from the checkpoint up to the row's sequence.
+   Replaying a log with a gap would lose part of a program's history.  */
 static bool
 replay (struct mq_owner *owner, struct partition *partition)
 {
@@ -281,7 +282,7 @@
   switch (take->step)
     {
     case TAKE_CHECKPOINT:
-      if (!read_checkpoint (owner, partition, result))
+      if (!unpack_checkpoint (owner, partition, result))
         {
           read_restart (owner, partition);
           return;
@@ -318,7 +319,7 @@
   read_send_next (owner, partition);
 }
 
-/* ---- Asking targets' processes ---- */
+/* ---- Recovering attempts from targets ---- */
 
 static void
 send_recover (struct mq_owner *owner, struct partition *partition,
@@ -353,7 +354,8 @@
   partition->state = PARTITION_ACTIVE;
   partition->takeover = NULL;
   owner_state (owner, MQ_STATE_PARTITION_OWNED, partition->number, "");
-  /* The programs are listed first: going on may add sub-programs.  */
+  /* Collected first, since resuming a program may add sub-programs to the
+     map.  */
   all = talloc_array (owner->actions, struct running *, (unsigned int)count);
   for (size_t i = 0; i < count; i++)
     all[i] = mq_idmap_next (partition->programs, &position);
@@ -389,7 +391,7 @@
   partition = &owner->partitions[recovered->partition];
   if (recovered->fence > partition->fence)
     {
-      /* A newer owner was there before us; the row will say who.  */
+      /* A newer owner exists; the next scan shows which host it is.  */
       owner->next_scan_us = owner->now_us;
       return;
     }
@@ -406,8 +408,8 @@
     read_activate (owner, partition);
 }
 
-/* A target's process may keep outcomes that were meant for an earlier owner
-   or were lost with the connection: it is asked for them.  */
+/* Requests the outcomes that the target's process retained for a previous
+   owner or that were lost with the connection.  */
 void
 read_on_target_up (struct mq_owner *owner, struct target *target)
 {
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -1,8 +1,8 @@
-/* owner_request.c - callers' requests.
+/* owner_request.c - handles callers' requests.
 
-   A caller is known by the connection that forwarded its request and a
-   handle.  Its request may come again, through any entry host: the same
-   open finds the same program, the same call the same outcome.
+   A caller is identified by the connection that forwarded its request and a
+   handle.  Requests are idempotent: a repeated open finds the same program and
+   a repeated call the same outcome, through any entry host.
    Needs: owner_parts.h, id.h, jansson.  */
 
 #include "owner_parts.h"
@@ -13,9 +13,9 @@
 
 /* ---- Further requests ---- */
 
-/* Whoever waits for an answer that is there is told when it is durable.
-   Failure: all that is not yet durable is a charge after the answer; nothing
-   followed its commit, and the caller waited for ever.  */
+/* Sends an existing answer when it is durable.  Uses a hook of its own: the
+   only uncommitted record may be a charge after the answer, whose commit sends
+   nothing.  */
 static void
 answer_when_durable (struct mq_owner *owner, struct running *running)
 {
@@ -66,8 +66,8 @@
   log_append (owner, running, &record);
   json_decref (root);
   budget_start_clock (owner, running);
-  /* The answer waits for the turn's commit as for every record before it;
-     the model need not.  */
+  /* The call may start before the turn is durable; the answer is sent only
+     after the turn's commit.  */
   chain_advance (owner, running);
   log_flush (owner);
 }
@@ -123,8 +123,8 @@
   return MQ_ERR_NONE;
 }
 
-/* Without a sequence number a call is the next one, unless it repeats the
-   call before or the one that runs.  */
+/* Returns the sequence number of a call.  A request without one is the next
+   call, unless its key matches an earlier or the current call.  */
 static uint32_t
 find_sequence (const struct running *running,
                const struct mq_request_msg *request, uint64_t digest)
@@ -205,7 +205,7 @@
 
   if (running == NULL)
     return;
-  /* A later answer came meanwhile, and its commit is still to come.  */
+  /* A newer answer is not durable yet.  */
   if (owner->settled < running->answer_mark)
     {
       log_add_reply_hook (owner, running, hook->peer, hook->handle)->history
@@ -227,7 +227,7 @@
       answer_when_durable (owner, running);
       return;
     }
-  /* Nothing is shown that a takeover could still undo.  */
+  /* Uncommitted state could be lost in a takeover and is not shown.  */
   if (running->undurable > 0)
     {
       log_add_reply_hook (owner, running, peer, handle)->history = history;
@@ -262,7 +262,7 @@
     end_stop (owner, running, why);
   else
     {
-      /* The last answer stays the program's answer.  */
+      /* A closed program keeps its last answer.  */
       char *answer = talloc_strdup (
           owner->actions,
           running->program->answer == NULL ? "" : running->program->answer);
--- a/src/core/owner/owner_rows.c
+++ b/src/core/owner/owner_rows.c
@@ -1,4 +1,4 @@
-/* owner_rows.c - rows of partitions and hosts as the table has them.
+/* owner_rows.c - applies scanned rows of partitions and owners.
 
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
@@ -14,7 +14,7 @@
               const Mqlog__PartitionRow *row)
 {
   talloc_free (partition->senders);
-  /* Room for this run, which a claim adds.  */
+  /* One extra entry for this run, which a claim adds.  */
   partition->senders = talloc_zero_array (owner->partitions, char *,
                                           (unsigned int)row->n_senders + 1);
   if (partition->senders == NULL)
@@ -53,8 +53,9 @@
   return true;
 }
 
-/* A row of another owner, or of ours that shows that we lost it.  Rows older
-   than what we wrote ourselves are of a scan that began before.  */
+/* Applies a scanned row, which may show that this host lost the partition.
+   Rows older than the last known version come from an earlier scan and are
+   ignored.  */
 static void
 apply_partition_row (struct mq_owner *owner, struct partition *partition,
                      const struct mq_row *row)
@@ -70,8 +71,8 @@
     {
       if (!copy_row (owner, partition, row))
         return;
-      /* Our own claim whose answer was lost; or what was read before did not
-         fit together, then after a pause.  */
+      /* This host owns the partition: the result of its claim was lost, or a
+         takeover restarts after reading an inconsistent log.  */
       if (partition->owner_boot == owner->options.boot
           && owner->now_us >= partition->retry_us
           && strcmp (partition->owner, owner->options.host) == 0)
@@ -152,8 +153,8 @@
   peers_count_owned (owner);
 }
 
-/* While the store can't be read, nobody's counter can be seen to move;
-   the time of the outage must not count against them.  */
+/* Restarts the lease timers of other hosts: their renewals cannot be observed
+   while the store is unavailable.  */
 void
 rows_scan_failed (struct mq_owner *owner)
 {
@@ -162,7 +163,8 @@
   durable_store_failed (owner);
 }
 
-/* This process stood still until NOW_US.  */
+/* Restarts the lease timers of other hosts after this process was paused until
+   NOW_US.  */
 void
 rows_on_pause (struct mq_owner *owner, uint64_t now_us)
 {
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -1,5 +1,5 @@
-/* owner_settle.c - calls whose outcome is not known: seals, lost targets,
-   takeovers.
+/* owner_settle.c - resolves calls whose outcome is unknown: seals, unreachable
+   targets and takeovers.
 
    Needs: owner_parts.h.  */
 
@@ -43,8 +43,8 @@
   switch (sealed->answer)
     {
     case MQ_SEAL_DONE:
-      /* The outcome came before this on the same connection and was
-         accepted; if it was not, it is asked for again on a tick.  */
+      /* The outcome preceded this reply on the same connection.  If it was not
+         accepted, a later tick requests it again.  */
       break;
     case MQ_SEAL_RUNNING:
       running->call->state = CALL_SENT;
@@ -73,12 +73,13 @@
     return;
   if (target->boot == call->boot)
     {
-      /* The same attempt again: if its frame was lost it is taken now, else
-         the process answers from its table.  */
+      /* Resends the same attempt.  The target's process starts the call if it
+         never received it; otherwise it replies with the state that it has
+         recorded.  */
       if (call->state == CALL_SENT)
         {
           place_send_call (owner, running);
-          /* The lease was lost with it.  */
+          /* The cache lease may have been lost with the call.  */
           if (call->model)
             evict_send_lease (owner, running, target);
         }
@@ -95,8 +96,8 @@
   calls_retry_call (owner, running, 0);
 }
 
-/* Programs with a call at TARGET, listed first because going on with one
-   may change the map.  */
+/* Returns the programs that have a call at TARGET. They are collected first,
+   since resuming a program may change the map.  */
 static struct running **
 list_at_target (struct mq_owner *owner, const struct target *target,
                 size_t *count)
@@ -167,8 +168,8 @@
   if (call->service->timeout_ms == 0
       || owner->now_us - call->sent_us < limit_us)
     return;
-  /* Its process should have given up by itself.  Ask again for what
-     became of it; the answer is the outcome or the call's settlement.  */
+  /* The target's process should have timed out by now.  Requests the state of
+     the attempt: the reply is its outcome or a seal result.  */
   call->sent_us = owner->now_us;
   if (call->idempotent)
     {
@@ -191,7 +192,8 @@
   switch (call->state)
     {
     case CALL_PLACE:
-      /* An earlier wake of the program may have taken this one's place.  */
+      /* A program has a single timer; an earlier deadline may have replaced
+         this one.  */
       if (owner->now_us < call->retry_us)
         owner_wake_at (owner, running, call->retry_us);
       else
@@ -214,7 +216,7 @@
     owner_wake_at (owner, running, owner->now_us + 1000000);
 }
 
-/* True when nothing can be under way any more at once.  */
+/* Returns true if no attempt of the current call can still be running.  */
 bool
 settle_cancel (struct mq_owner *owner, struct running *running)
 {
@@ -227,22 +229,22 @@
     case CALL_SENT:
       if (!call->idempotent)
         {
-          /* To cut it short would leave its effect unknown.  If it has not
-             begun it is refused for good, else its end is awaited.  */
+          /* Interrupting the call would leave its effect unknown.  Sealing
+             prevents it from starting; if it has already started, its outcome
+             is awaited.  */
           call->state = CALL_SEALING;
           send_seal (owner, running);
           return false;
         }
       send_call_ref (owner, running, MQ_MSG_CANCEL);
       if (call->down_us == 0)
-        return false; /* the outcome tells what it spent */
+        return false; /* the outcome reports the tokens spent */
       place_abandon_attempt (owner, running);
       break;
     case CALL_SEALING:
     case CALL_CHILD:
       return false;
     case CALL_INTENT:
-      /* Not sent, and it won't be.  */
       place_detach_target (owner, running);
       break;
     case CALL_GRANT:
@@ -271,15 +273,15 @@
   if (partition->state != PARTITION_ACTIVE
       || (running != NULL && calls_matches (running, target, ref)))
     return;
-  /* Nobody waits for it.  */
+  /* No program needs this attempt.  */
   message.u.ref.ref = ref;
   message.u.ref.partition = partition_number;
   message.u.ref.fence = partition->fence;
   hosts_send (owner, target, &message);
 }
 
-/* The attempt that the intent names: its outcome, good or bad, is the only
-   knowledge of whether the call ran.  */
+/* Whether R is the attempt that the durable intent names.  Only its outcome,
+   success or failure, shows whether the call ran.  */
 static bool
 is_intended (const struct running *running, const struct recovered *r)
 {
@@ -312,8 +314,8 @@
   return best;
 }
 
-/* An attempt of the earlier owner that is of no use: its tokens are
-   charged, what still runs is cancelled.  */
+/* Discards a previous owner's attempt: charges the tokens of a completed one,
+   cancels a running one.  */
 static void
 discard_attempt (struct mq_owner *owner, struct running *running,
                  const struct recovered *r)
@@ -401,10 +403,10 @@
   owner_wake_at (owner, running, owner->now_us + 1000000);
 }
 
-/* Failure: an attempt of the earlier owner that we have no use for still runs;
-   we cancel it, our next call voids it, and what it spent by then is charged
-   by nobody.  Nobody can know that yet, so what was granted counts as spent,
-   to the programs that it is part of as well.  */
+/* Forfeits granted tokens if an unused attempt of the previous owner is still
+   running.  It is cancelled, and the next call supersedes it at the target, so
+   its tokens could go uncharged.  The amount is not known yet: the whole grant
+   counts as spent, also for the parent programs.  */
 static void
 forfeit_running (struct mq_owner *owner, struct running *running,
                  const struct recovered *used)
@@ -417,16 +419,17 @@
     budget_forfeit (owner, up);
 }
 
-/* Goes on with a program after a takeover, where it stood.  */
+/* Resumes a program after a takeover.  */
 void
 settle_resume_program (struct mq_owner *owner, struct running *running)
 {
   const struct recovered *best = choose_recovered (running);
   bool stepwise = running->program->mode == MQ_MODE_STEPS;
-  uint32_t attempts = 0; /* of the call that is due, by earlier owners */
+  uint32_t attempts = 0; /* attempts of the next call by previous owners */
 
-  /* A caller-driven call is known only by the request that the caller
-     repeats; then it is placed anew, or settled if it had an intent.  */
+  /* A caller-driven call is known only from its request, which the caller
+     repeats.  It is then dispatched again, or resolved if it had an
+     intent.  */
   if (running->program->state != MQ_PROGRAM_RUNNING || stepwise)
     best = NULL;
   for (const struct recovered *r = running->recovered; r != NULL; r = r->next)
@@ -459,15 +462,16 @@
             }
           else
             {
-              /* A number of its own, or its frame passes for a late copy.  */
+              /* Continues the attempt numbers.  A reused number would be
+                 treated as a duplicate by the target.  */
               running->call->attempt = attempts;
               place_call (owner, running);
             }
         }
     }
-  /* Failure: the program ended instead, its budget forfeited, and the one
-     outcome that it might have used stayed at the target's process, which
-     then held the program's cache for ever and could not drain.  */
+  /* The program ended without using the outcome, for example because its
+     budget was forfeited.  Without FORGET the target's process would retain
+     the outcome and the program's cache, and could not drain.  */
   if (best != NULL)
     discard_attempt (owner, running, best);
   running->recovered = NULL;
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -1,9 +1,9 @@
-/* owner_take.c - which partitions this host owns: takeover and hand-over.
+/* owner_take.c - partition ownership: takeover, loss and hand-over.
 
-   A host that seems to be gone is only a hint.  Whoever raises the fence in
-   the partition's row by compare-and-swap owns it; the old owner's commits
-   then fail on the row's version and its calls on the fence that targets'
-   processes have seen.
+   Liveness of another host is only a hint.  Ownership is decided by raising
+   the fence in the partition's row with a compare-and-swap.  After that,
+   commits of the previous owner fail on the row's version, and its calls are
+   rejected by target processes that have seen the new fence.
    Needs: owner_parts.h, id.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
@@ -70,7 +70,7 @@
 
   owner_state (owner, MQ_STATE_PARTITION_RELEASED, number,
                successor == NULL ? "" : successor->host);
-  /* Callers that are sent away are told where to ask next.  */
+  /* Redirects the program's callers to the successor.  */
   mq_text_set (owner->partitions, &partition->owner, "");
   mq_text_set (owner->partitions, &partition->address,
                successor == NULL ? "" : successor->address);
@@ -96,7 +96,8 @@
 
       if (number >= owner->partition_count)
         continue;
-      /* Its row must be read first: the claim is conditional on it.  */
+      /* The claim is conditional on the row's version, so scan the row
+         first.  */
       owner->partitions[number].unowned_us = 1;
     }
   owner->next_scan_us = owner->now_us;
@@ -104,8 +105,9 @@
 
 /* ---- Claiming ---- */
 
-/* Calls may go out under the new fence before its first batch: whoever takes
-   over next must ask the targets of this run too.  */
+/* Adds this run to the partition's senders.  Calls may be sent under the new
+   fence before the first batch commits, so the next owner must recover
+   attempts from this run's targets too.  */
 static void
 add_sender (struct mq_owner *owner, struct partition *partition)
 {
@@ -164,16 +166,16 @@
   if (!partition->row_known || partition->owner[0] == '\0')
     return true;
   if (strcmp (partition->owner, owner->options.host) == 0)
-    return true; /* an earlier run of this process */
+    return true; /* a previous run of this process */
   sibling = hosts_get_sibling (owner, partition->owner, false);
   if (sibling == NULL || !sibling->row_known)
     return true;
-  /* A new run of that process holds nothing of the earlier one.  */
+  /* A restarted process does not keep the partitions of its previous run.  */
   if (sibling->boot != partition->owner_boot)
     return true;
-  /* One that leaves, or may no longer own, gives its partitions up by
-     itself as long as it lives.  Failure: it dies before it has; its row
-     then stands still like any other dead owner's.  */
+  /* A host that is leaving or no longer eligible releases its partitions by
+     itself while it is alive.  If it dies first, it stops renewing its row and
+     the claim proceeds.  */
   return !peers_is_renewing (owner, sibling);
 }
 
@@ -227,7 +229,8 @@
     }
   if (result->status == MQ_STORE_DOWN || result->status == MQ_STORE_LOST)
     durable_store_failed (owner);
-  /* Lost or too late: the next scan shows who owns it, perhaps we.  */
+  /* The claim failed or its result is unknown; the next scan shows the owner,
+     which may be this host.  */
   owner->claiming--;
   partition->state = PARTITION_OTHER;
   partition->retry_us
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -1,4 +1,5 @@
-/* owner_tick.c - what an owner does as time passes: renewals, scans, balance.
+/* owner_tick.c - periodic work of an owner: lease renewals, scans,
+   confirmation reads and rebalancing.
 
    Needs: owner_parts.h, id.h.  */
 
@@ -8,8 +9,9 @@
 
 enum
 {
-  SCAN_HOSTS_PER_STEP = 20, /* more hosts scan less often each */
-  /* At least; a short lease leaves little time for a slow store.  */
+  /* The scan interval grows by MQ_OWNER_SCAN_MS for every so many hosts.  */
+  HOSTS_PER_SCAN_INTERVAL = 20,
+  /* Minimum rates, so that a slow store does not cost the lease.  */
   RENEWALS_PER_LEASE = 2,
   SCANS_PER_LEASE = 2
 };
@@ -41,10 +43,9 @@
   op->value.len = mqlog__owner_row__pack (&row, op->value.data);
 }
 
-/* Calls go only to runs of targets' processes that are in this row.  Failure:
-   a program spends its budget twice after a takeover, since the new owner
-   believed that it had heard from everyone.  With the row it knows whom it
-   must hear, and that a process that was restarted since can't tell.  */
+/* Writes the runs of targets' processes that calls may be sent to.  A new
+   owner must hear from every run in this row, or counts the grants as spent.
+   If a run were missing, its tokens could be spent twice after a takeover.  */
 static void
 send_targets (struct mq_owner *owner)
 {
@@ -117,14 +118,14 @@
   request->limit = MQ_PARTITIONS_MAX;
 }
 
-/* Whether others may wait for this host's row to stand still.  */
+/* Whether other hosts may rely on this host's row being renewed.  */
 static bool
 may_hold_partitions (const struct mq_owner *owner)
 {
   return owner->eligible || peers_count_own (owner) > 0;
 }
 
-/* The rows of those that may not own only say that they are there.  */
+/* Ineligible hosts only announce their presence, so they renew less often.  */
 static uint32_t
 renew_interval_ms (const struct mq_owner *owner)
 {
@@ -135,10 +136,10 @@
   return ms < MQ_OWNER_RENEW_MS ? ms : MQ_OWNER_RENEW_MS;
 }
 
-/* Failure: an owner that reads the rows less often than a lease lasts sees
-   every other one stand still in between, and takes partitions over from
-   the living.  So owners read at least twice in a lease, however many hosts
-   there are; those that may not own only look where to send callers.  */
+/* Hosts that may hold partitions scan at least SCANS_PER_LEASE times per
+   lease.  At a lower rate every other owner would seem to have stopped
+   renewing, and partitions of live owners would be claimed.  Ineligible hosts
+   scan only to redirect callers.  */
 static uint32_t
 scan_interval_ms (const struct mq_owner *owner)
 {
@@ -147,7 +148,7 @@
 
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     hosts++;
-  ms = MQ_OWNER_SCAN_MS * (1 + hosts / SCAN_HOSTS_PER_STEP);
+  ms = MQ_OWNER_SCAN_MS * (1 + hosts / HOSTS_PER_SCAN_INTERVAL);
   if (may_hold_partitions (owner)
       && ms > owner->text->lease_ms / SCANS_PER_LEASE)
     ms = owner->text->lease_ms / SCANS_PER_LEASE;
@@ -175,9 +176,9 @@
   request->limit = MQ_PARTITIONS_MAX;
 }
 
-/* Reads the partitions' rows for the answers that wait for it.  Owners take
-   turns by a pause that grows with their number, so that all of them
-   together leave the store's reads to others.  */
+/* Reads the partition rows to confirm ownership for queued replies.  The
+   interval grows with the number of owners to limit the total read rate of the
+   store.  */
 static void
 send_confirmation_read (struct mq_owner *owner)
 {
@@ -216,10 +217,10 @@
     send_confirmation_read (owner);
 }
 
-/* Gives up one partition a while when this host holds more than its share,
-   so that a host that comes back gets work again.  */
+/* Releases one partition per MQ_BALANCE_MS if this host holds more than its
+   share, so that hosts that joined or returned receive partitions.  */
 static void
-balance (struct mq_owner *owner)
+rebalance (struct mq_owner *owner)
 {
   if (owner->now_us < owner->release_us || !owner->scanned)
     return;
@@ -316,7 +317,7 @@
   if (owner->leaving)
     release_all (owner);
   else
-    balance (owner);
+    rebalance (owner);
 }
 
 static void
@@ -392,8 +393,8 @@
 void
 tick_set_partitions (struct mq_owner *owner, uint32_t count)
 {
-  /* The number is fixed for the life of a site: a text that changes it is
-     refused before it comes here.  */
+  /* The partition count is fixed for a site; configurations that change it are
+     rejected earlier.  */
   if (owner->partitions != NULL)
     return;
   owner->partitions = talloc_zero_array (owner, struct partition, count);
@@ -408,7 +409,7 @@
 }
 
 static uint64_t
-earlier (uint64_t a, uint64_t b)
+earlier_us (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
@@ -421,16 +422,16 @@
   if (owner->text == NULL)
     return next;
   if (owner->renew_id == 0)
-    next = earlier (next, owner->next_renew_us);
+    next = earlier_us (next, owner->next_renew_us);
   if (owner->owners_scan_id == 0 && owner->partitions_scan_id == 0)
-    next = earlier (next, owner->next_scan_us);
+    next = earlier_us (next, owner->next_scan_us);
   if (owner->replies != NULL && owner->confirm_id == 0)
-    next = earlier (next, owner->next_confirm_us);
+    next = earlier_us (next, owner->next_confirm_us);
   if (owner->claiming > 0 || owner->leaving)
-    next = earlier (next, owner->now_us + 20000);
+    next = earlier_us (next, owner->now_us + 20000);
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (owner->partitions[i].state == PARTITION_OTHER
         && owner->partitions[i].unowned_us != 0)
-      next = earlier (next, owner->now_us + 50000);
+      next = earlier_us (next, owner->now_us + 50000);
   return next;
 }
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -47,13 +47,11 @@
 #define OUTAGE_US (8 * SECOND)
 #define SLOW_STORE_DELAY_US (1500 * MS)
 #define LATE_US (1200 * MS)
-#define STOP_NOTICE_US (2 * MS) /* until a process hears that it is to stop   \
-                                 */
+#define STOP_NOTICE_US (2 * MS)
 #define CALLERS_START_US (1500 * MS)
 #define LONG_OUTAGE_US (30 * SECOND)
 #define LONG_OUTAGE_FROM_US (1900 * MS)
-#define OUTAGE_CALLER_INTERVAL_US (1200 * MS) /* between two further callers  \
-                                               */
+#define OUTAGE_CALLER_INTERVAL_US (1200 * MS)
 #define MEMORY_MAX (8ULL << 20) /* of one process of this small world */
 /* What survivors may ask of the store in a second: each host its scans, its
    configuration and its renewal, and the takeover of each partition.  */
