--- a/tests/fuzz/fuzz_log.c
+++ b/tests/fuzz/fuzz_log.c
@@ -1,7 +1,8 @@
-/* fuzz_log.c - what the partition log and its checkpoints hold.
+/* fuzz_log.c - fuzz target for batches and checkpoints of the partition log.
+
+   Input: 'B' and a packed Batch of records, or 'C' and a packed Checkpoint, as
+   stored in the table and the object store.
 
-   Input: 'B' and a Batch of records, or 'C' and a Checkpoint, as the table
-   and the object store give them back.
    Needs: fuzz.h, program.h, id.h, jansson.  */
 
 #include "core/id.h"
@@ -14,7 +15,7 @@
 
 enum
 {
-  PROGRAMS_MAX = 8 /* followed in one batch */
+  PROGRAMS_MAX = 8 /* tracked per batch */
 };
 
 struct replay
@@ -24,7 +25,7 @@
   size_t count;
 };
 
-/* The state that decides what comes next must be one that the code knows.  */
+/* Values that determine the next step must be within their ranges.  */
 static void
 check_state (const struct mq_program *program)
 {
@@ -35,7 +36,7 @@
   FUZZ_CHECK (program->priority < MQ_PRIORITY_COUNT);
   FUZZ_CHECK (program->error < MQ_ERR_COUNT);
   FUZZ_CHECK (program->ran <= MQ_RAN_UNKNOWN);
-  /* A program whose beginning is not known must not run on without it.  */
+  /* A program that could not be read must not continue.  */
   FUZZ_CHECK (!program->unreadable
               || (program->state == MQ_PROGRAM_ENDED
                   && program->error != MQ_ERR_NONE));
@@ -53,7 +54,7 @@
   FUZZ_CHECK (mq_program_model_body (ctx, program, "m", 1, "more") != NULL);
 }
 
-/* A checkpoint of what was replayed gives the same program back.  */
+/* Packing and unpacking a checkpoint must preserve the program.  */
 static void
 check_checkpoint (TALLOC_CTX *ctx, const struct mq_program *program)
 {
@@ -93,7 +94,7 @@
   return NULL;
 }
 
-/* As a takeover replays a record.  */
+/* Replays a record as a takeover does.  */
 static void
 replay_record (struct replay *replay, const Mqlog__Record *record)
 {
@@ -113,22 +114,22 @@
 {
   struct replay replay = { .ctx = ctx };
   Mqlog__Batch *batch = mqlog__batch__unpack (NULL, len, data);
-  bool whole = batch != NULL;
+  bool valid = batch != NULL;
 
-  for (size_t i = 0; whole && i < batch->n_records; i++)
+  for (size_t i = 0; valid && i < batch->n_records; i++)
     {
       Mqlog__Record *record = mqlog__record__unpack (
           NULL, batch->records[i].len, batch->records[i].data);
 
-      whole = record != NULL;
-      if (whole)
+      valid = record != NULL;
+      if (valid)
         replay_record (&replay, record);
       mqlog__record__free_unpacked (record, NULL);
     }
   mqlog__batch__free_unpacked (batch, NULL);
   for (size_t i = 0; i < replay.count; i++)
     check_program (ctx, replay.programs[i]);
-  return whole && replay.count > 0;
+  return valid && replay.count > 0;
 }
 
 static bool
--- a/tests/test_protocol_model.c
+++ b/tests/test_protocol_model.c
@@ -1,16 +1,19 @@
-/* test_protocol_model.c - model check of the calls that may not be repeated.
-
-   Two owners, one target's process that may be restarted, one worker behind
-   it and one table.  One call that may not be repeated, two attempts.  Every
-   interleaving is visited, breadth first with a visited set.  A message that
-   was sent stays deliverable for ever, any number of times and in any order,
-   so loss, delay, doubling and old connections are all covered; a write that
-   was given up may still take effect as long as its condition holds.
-
-   Three reductions keep the states few and lose no behaviour.  A message is
-   sent as soon as its sender may: it need not be delivered then.  An owner
-   whose row has moved on can only fail its next write, and is out.  The two
-   owners are alike, so their order does not count.
+/* test_protocol_model.c - model check of the protocol for non-idempotent
+   calls.
+
+   The model has two owners, a target process that may restart, one worker
+   behind it and one table.  It makes one non-idempotent call with up to two
+   attempts.  A breadth-first search visits every reachable state.  A sent
+   message can be delivered any number of times and in any order, which covers
+   loss, delay, duplication and outdated connections.  An abandoned write may
+   still be applied while its condition holds.
+
+   Three reductions limit the number of states without losing behaviour.  A
+   message is sent as soon as its sender may send it, since its delivery can be
+   delayed.  An owner whose row has a newer version is dropped, since its next
+   write can only fail.  The owners are interchangeable, so their order is
+   normalised.
+
    Needs: Criterion, xxhash.  */
 
 #include "core/types.h"
@@ -27,11 +30,11 @@
   FENCE_MAX = 3,
   BOOT_MAX = 2,
   STATES_MAX = 4000000,
-  SLOTS = 1 << 23,
+  HASH_SLOTS = 1 << 23,
   TRACE_MAX = 256
 };
 
-/* How the call ended, as the log and the caller see it.  */
+/* How the call ended according to the log and the caller.  */
 enum ending
 {
   OPEN,
@@ -44,12 +47,12 @@
 static const char *const ending_names[ENDINGS]
     = { "open", "done", "not_run", "unknown" };
 
-/* What the partition's row says of the call.  An earlier attempt than
-   ATTEMPT is known not to have run.  */
+/* The call's state in the partition's row.  Attempts before ATTEMPT did not
+   run.  */
 struct log
 {
-  uint8_t attempt; /* of the last intent, 0: none */
-  uint8_t boot;    /* that the intent names */
+  uint8_t attempt; /* of the last intent; 0: none */
+  uint8_t boot;    /* boot of the target that the intent names */
   uint8_t ending;
 };
 
@@ -63,13 +66,13 @@
 struct write
 {
   uint8_t kind;
-  struct log log; /* as it stands after the write */
+  struct log log; /* state after the write */
 };
 
 enum role
 {
-  OUT,     /* holds nothing */
-  FENCING, /* raises the fence by compare-and-swap */
+  OUT,     /* does not own the partition */
+  FENCING, /* raising the fence by compare-and-swap */
   OWNER
 };
 
@@ -77,9 +80,10 @@
 {
   uint8_t role;
   uint8_t fence;
-  uint8_t version; /* of the row, as last read or written by this owner */
-  uint8_t mine;    /* the last intent was committed by this run */
-  uint8_t applied; /* the pending write took effect, unheard as yet */
+  uint8_t version; /* row version last read or written by this owner */
+  uint8_t mine;    /* this run committed the last intent */
+  uint8_t
+      applied; /* the pending write was applied, the result is not yet known */
   struct log log;
   struct write pending;
 };
@@ -96,8 +100,8 @@
   ENTRY_NONE,
   ENTRY_RUNNING,
   ENTRY_DONE,
-  ENTRY_UNKNOWN, /* the target gave no answer in time */
-  ENTRY_REFUSED, /* sealed or refused, and refused from now on */
+  ENTRY_UNKNOWN, /* the worker did not reply in time */
+  ENTRY_REFUSED, /* sealed or refused; stays refused */
   ENTRY_TOMBSTONE
 };
 
@@ -106,7 +110,7 @@
   uint8_t boot;
   uint8_t fence;
   uint8_t entry[ATTEMPTS + 1];
-  uint8_t started[ATTEMPTS + 1]; /* at the worker, effect to come */
+  uint8_t started[ATTEMPTS + 1]; /* running at the worker, not yet effective */
   uint8_t effect[ATTEMPTS + 1];
 };
 
@@ -114,16 +118,18 @@
 {
   uint64_t messages;
   struct owner owner[OWNERS];
-  struct write former[OWNERS]; /* of a former run, may still take effect */
+  struct write
+      former[OWNERS]; /* writes of previous runs that may still be applied */
   struct row row;
   struct gate gate;
-  uint8_t told;       /* what the caller heard */
-  uint8_t told_again; /* and what it heard then, if that was another outcome */
-  uint8_t spare[6];   /* no padding: states are compared as bytes */
+  uint8_t told;       /* outcome reported to the caller */
+  uint8_t told_again; /* a later, different outcome; OPEN if none */
+  uint8_t spare[6];   /* avoids padding: states are compared as bytes */
 };
 _Static_assert(sizeof (struct state) == 64, "a state must have no padding");
 
-/* Bits of the set of messages.  K: attempt, F: fence, B: boot, from 1.  */
+/* Bit of each message in the set of sent messages.  K: attempt, F: fence, B:
+   boot, each from 1.  */
 #define CALL_BIT(k, f, b)                                                     \
   (0 + ((k)-1) * FENCE_MAX * BOOT_MAX + ((f)-1) * BOOT_MAX + (b)-1)
 #define SEAL_BIT(k, f) (12 + ((k)-1) * FENCE_MAX + (f)-1)
@@ -148,7 +154,8 @@
   s->messages |= 1ULL << bit;
 }
 
-/* Each mutant takes one guard out of the protocol and must be found.  */
+/* Each mutant removes one guard from the protocol; the search must find a
+   violation.  */
 enum mutant
 {
   MUTANT_NONE,
@@ -176,23 +183,24 @@
 };
 
 static const struct mutant_case mutant_cases[] = {
-  { NO_BOOT_CHECK, "a call for an earlier boot is let through" },
-  { NO_FENCE_CHECK, "a call with an old fence is let through" },
-  { NO_SEAL, "a new owner goes on without settling the open intent" },
-  { SEAL_FORGOTTEN, "a seal leaves nothing behind" },
-  { REFUSAL_FORGOTTEN, "a refused attempt may be let through later" },
-  { FORGET_WITHOUT_TOMBSTONE, "a forgotten call may be let through again" },
+  { NO_BOOT_CHECK, "a call for an earlier boot is accepted" },
+  { NO_FENCE_CHECK, "a call with an old fence is accepted" },
+  { NO_SEAL, "a new owner continues without sealing the open intent" },
+  { SEAL_FORGOTTEN, "a seal is not recorded" },
+  { REFUSAL_FORGOTTEN, "a refused attempt may be accepted later" },
+  { FORGET_WITHOUT_TOMBSTONE, "a forgotten call may be accepted again" },
   { SEND_BEFORE_COMMIT, "the call is sent before its intent is durable" },
-  { ANSWER_BEFORE_COMMIT, "the caller hears before the outcome is durable" },
-  { LOST_TAKEN_AS_APPLIED, "a lost answer to a write is taken as applied" },
+  { ANSWER_BEFORE_COMMIT,
+    "the caller is notified before the outcome is durable" },
+  { LOST_TAKEN_AS_APPLIED, "a lost reply to a write is taken as applied" },
   { NO_CONDITION, "writes apply whatever the row's version" },
-  { REBOOT_TAKEN_AS_NOT_RUN, "a restarted gate is taken as never asked" },
+  { REBOOT_TAKEN_AS_NOT_RUN,
+    "a restarted gate is taken as proof that the call did not run" },
   { SILENCE_TAKEN_AS_NOT_RUN, "a target's timeout is taken as not run" },
   { ABSENT_TRUSTED_FOR_OWN, "RECOVERED settles calls sent after RECOVER" },
   { RUNNING_TAKEN_AS_NOT_RUN, "a running call is reported as absent" },
 };
 
-/* The search.  */
 struct node
 {
   struct state state;
@@ -204,13 +212,14 @@
 {
   enum mutant mutant;
   struct node *nodes;
-  uint32_t *table; /* open addressing; 0: empty, else index + 1 */
+  uint32_t *table; /* hash table with open addressing; 0: empty, else node
+                      index + 1 */
   uint32_t count;
-  uint32_t at;               /* node whose successors are being made */
-  const char *violation;     /* first property that failed */
-  uint32_t violating;        /* node where it did */
-  bool witnessed[ENDINGS];   /* endings that a caller can hear */
-  bool witnessed_second_run; /* a second attempt took effect */
+  uint32_t current;          /* node that is being expanded */
+  const char *violation;     /* first property violated */
+  uint32_t violating;        /* node that violates it */
+  bool witnessed[ENDINGS];   /* endings reported to the caller */
+  bool witnessed_second_run; /* a second attempt ran */
 };
 
 static const char *
@@ -221,17 +230,17 @@
   if (effects > 1)
     return "the call took effect twice";
   if (s->row.log.attempt == 2 && s->gate.effect[1] > 0)
-    return "attempt 1 was settled as not run, and ran";
+    return "attempt 1 was recorded as not run, but ran";
   if (s->row.log.ending == NOT_RUN && effects > 0)
-    return "the log says not_run, and it ran";
+    return "the log says not_run, but the call ran";
   if (s->told_again != OPEN)
-    return "the caller heard two different outcomes";
+    return "the caller received two different outcomes";
   if (s->told == NOT_RUN && effects > 0)
-    return "the caller heard not_run, and it ran";
+    return "the caller received not_run, but the call ran";
   if (s->row.log.ending == DONE && effects == 0)
-    return "the log says done, and it did not run";
+    return "the log says done, but the call did not run";
   if (s->told != OPEN && s->row.log.ending != s->told)
-    return "the log holds another outcome than the caller heard";
+    return "the log and the caller have different outcomes";
   return NULL;
 }
 
@@ -242,7 +251,7 @@
 
   for (;; i++)
     {
-      *slot = &search->table[i & (SLOTS - 1)];
+      *slot = &search->table[i & (HASH_SLOTS - 1)];
       if (**slot == 0)
         return true;
       if (memcmp (&search->nodes[**slot - 1].state, s, sizeof *s) == 0)
@@ -250,8 +259,8 @@
     }
 }
 
-/* An owner whose row has moved on, and which has no write whose answer may
-   still say that it was applied, can only fail: it is out.  */
+/* Whether the owner's row has a newer version and no applied write of the
+   owner is outstanding.  Such an owner can only fail and is dropped.  */
 static bool
 is_behind (const struct search *search, const struct state *s,
            const struct owner *o)
@@ -283,7 +292,7 @@
     }
 }
 
-/* Takes the successor S of the node at hand into the search.  */
+/* Adds S, a successor of the current node, unless it was visited before.  */
 static void
 add_successor (struct search *search, struct state *s, const char *step)
 {
@@ -296,7 +305,7 @@
   cr_assert_lt (search->count, STATES_MAX, "the model is too large");
   node = &search->nodes[search->count++];
   memcpy (&node->state, s, sizeof *s);
-  node->parent = search->at;
+  node->parent = search->current;
   node->step = step;
   *slot = search->count;
   search->witnessed[s->told] = true;
@@ -308,8 +317,8 @@
   search->violating = search->count - 1;
 }
 
-/* The table: a write applies when the row still has the version that its
-   writer knew.  */
+/* A write is applied if the row still has the version that the writer
+   read.  */
 static bool
 write_applies (const struct search *search, const struct state *s,
                uint8_t version)
@@ -324,7 +333,7 @@
   if (write->kind == WRITE_FENCE)
     s->row.fence++;
   s->row.log = write->log;
-  /* What was conditional on the version before can't apply any more.  */
+  /* Writes conditional on the previous version can no longer be applied.  */
   memset (s->former, 0, sizeof s->former);
 }
 
@@ -348,14 +357,15 @@
         {
           s.owner[i].applied = 1;
           apply_write (&s, &o->pending);
-          add_successor (search, &s, "table: a write applies");
+          add_successor (search, &s, "table: applies a write");
         }
       if (from->former[i].kind != WRITE_NONE
           && fence_is_left (from, &from->former[i]))
         {
           s = *from;
           apply_write (&s, &from->former[i]);
-          add_successor (search, &s, "table: a write of a former run applies");
+          add_successor (search, &s,
+                         "table: applies a write of a previous run");
         }
     }
 }
@@ -367,7 +377,7 @@
   o->pending.log = log;
 }
 
-/* Whether the write at hand is an intent.  */
+/* Whether the pending write is an intent.  */
 static bool
 writes_intent (const struct owner *o)
 {
@@ -384,7 +394,7 @@
     s->told_again = ending;
 }
 
-/* Sends all that an owner with this log may send.  */
+/* Sends every message that an owner with this log may send.  */
 static void
 send_allowed (struct state *s, const struct owner *o)
 {
@@ -406,7 +416,7 @@
 }
 
 static void
-accept_applied (struct state *s, struct owner *o)
+owner_write_applied (struct state *s, struct owner *o)
 {
   if (o->pending.kind == WRITE_FENCE)
     {
@@ -423,11 +433,11 @@
   send_allowed (s, o);
 }
 
-/* The answer to a write comes; or it was lost and the owner reads its own
-   batch in the row.  The answer may come when the row has moved on.  A write
-   that has not applied goes again as it is: nothing changes.  */
+/* The owner learns that its write was applied, from the reply or by reading
+   the row; the row may have changed again by then.  Repeating an unapplied
+   write changes nothing and is not modelled.  */
 static void
-settle_step (struct search *search, const struct state *from, int i)
+write_applied_step (struct search *search, const struct state *from, int i)
 {
   struct state s = *from;
   struct owner *o = &s.owner[i];
@@ -436,8 +446,8 @@
 
   if (o->pending.kind == WRITE_NONE || (!o->applied && !taken))
     return;
-  accept_applied (&s, o);
-  add_successor (search, &s, "owner: hears that its write applied");
+  owner_write_applied (&s, o);
+  add_successor (search, &s, "owner: learns that its write was applied");
 }
 
 static void
@@ -456,7 +466,7 @@
   add_successor (search, &s, "owner: reads the row, raises the fence");
 }
 
-/* Dies and starts again, or reads that another has the partition.  */
+/* The owner crashes and restarts, or learns that it lost the partition.  */
 static void
 crash_step (struct search *search, const struct state *from, int i)
 {
@@ -469,14 +479,14 @@
       && o->version == s.row.version)
     {
       if (s.former[i].kind != WRITE_NONE)
-        return; /* two late writes of former runs at a time */
+        return; /* at most one outstanding write of a previous run per owner */
       s.former[i] = o->pending;
     }
   memset (o, 0, sizeof *o);
-  add_successor (search, &s, "owner: dies and restarts");
+  add_successor (search, &s, "owner: crashes and restarts");
 }
 
-/* Intents for the attempt after the last; the boot may be a stale guess.  */
+/* Writes the intent of the next attempt; the boot may be outdated.  */
 static void
 intent_steps (struct search *search, const struct state *from, int i,
               const char *step)
@@ -511,7 +521,7 @@
   add_successor (search, &s, step);
 }
 
-/* The attempt is known not to have run: another, or a typed refusal.  */
+/* The attempt did not run: retries it or refuses the call.  */
 static void
 not_run_steps (struct search *search, const struct state *from, int i)
 {
@@ -519,7 +529,7 @@
   ending_step (search, from, i, NOT_RUN, "owner: not run; commits not_run");
 }
 
-/* What the owner makes of answers about the open attempt.  */
+/* Handles replies about the open attempt.  */
 static void
 answer_steps (struct search *search, const struct state *from, int i)
 {
@@ -533,26 +543,27 @@
                     && (!o->mine || search->mutant == ABSENT_TRUSTED_FOR_OWN);
 
       if (sent (from, DONE_BIT (k, boot)))
-        ending_step (search, from, i, DONE, "owner: hears done");
+        ending_step (search, from, i, DONE, "owner: receives done");
       if (sent (from, UNKNOWN_BIT (k, boot)))
-        ending_step (search, from, i, UNKNOWN, "owner: hears unknown");
+        ending_step (search, from, i, UNKNOWN, "owner: receives unknown");
       if (!sent (from, REFUSED_BIT (k, boot)) && !absent)
         continue;
-      /* Another boot has no memory of what the intended one did.  */
+      /* A different boot does not know what the intended boot did.  */
       if (same || search->mutant == REBOOT_TAKEN_AS_NOT_RUN)
         not_run_steps (search, from, i);
       else
-        ending_step (search, from, i, UNKNOWN, "owner: another boot answers");
+        ending_step (search, from, i, UNKNOWN,
+                     "owner: a different boot replies");
     }
   if (sent (from, WRONG_BOOT_BIT (k)))
     {
       if (search->mutant == REBOOT_TAKEN_AS_NOT_RUN)
         not_run_steps (search, from, i);
       else
-        ending_step (search, from, i, UNKNOWN, "owner: hears wrong_boot");
+        ending_step (search, from, i, UNKNOWN, "owner: receives wrong_boot");
     }
   if (search->mutant == NO_SEAL && !o->mine)
-    intent_steps (search, from, i, "owner: goes on without a seal");
+    intent_steps (search, from, i, "owner: continues without a seal");
 }
 
 static void
@@ -562,7 +573,7 @@
 
   takeover_step (search, from, i);
   crash_step (search, from, i);
-  settle_step (search, from, i);
+  write_applied_step (search, from, i);
   if (o->role != OWNER || o->pending.kind != WRITE_NONE
       || o->log.ending != OPEN)
     return;
@@ -572,7 +583,7 @@
     answer_steps (search, from, i);
 }
 
-/* The gate.  Answers what it knows of attempt K.  */
+/* The gate reports the state of attempt K.  */
 static void
 gate_answer (struct state *s, int k)
 {
@@ -626,7 +637,7 @@
       add_successor (search, &s, "gate: CALL seen before");
       return;
     }
-  /* It may refuse: overloaded or leaving.  */
+  /* Refuses the call, for example when overloaded or leaving.  */
   send_bit (&s, REFUSED_BIT (k, g->boot));
   if (search->mutant != REFUSAL_FORGOTTEN)
     g->entry[k] = ENTRY_REFUSED;
@@ -636,7 +647,7 @@
     g->fence = (uint8_t)f;
   g->entry[k] = ENTRY_RUNNING;
   g->started[k]++;
-  add_successor (search, &s, "gate: lets CALL through");
+  add_successor (search, &s, "gate: accepts CALL");
 }
 
 static void
@@ -709,8 +720,8 @@
     }
 }
 
-/* The worker: takes effect and answers; or takes effect unheard; or the gate
-   gives up waiting.  */
+/* The worker runs the call, with or without its reply arriving, or the gate
+   times out.  */
 static void
 worker_steps (struct search *search, const struct state *from)
 {
@@ -737,8 +748,7 @@
                                 ? ENTRY_REFUSED
                                 : ENTRY_UNKNOWN;
           gate_answer (&s, k);
-          add_successor (search, &s,
-                         "gate: the worker is silent for too long");
+          add_successor (search, &s, "gate: the worker times out");
         }
     }
 }
@@ -753,7 +763,7 @@
   s.gate.boot++;
   s.gate.fence = 0;
   memset (s.gate.entry, 0, sizeof s.gate.entry);
-  add_successor (search, &s, "gate: restarts and remembers nothing");
+  add_successor (search, &s, "gate: restarts without its state");
 }
 
 static void
@@ -761,7 +771,7 @@
 {
   struct state s;
 
-  memcpy (&s, &search->nodes[search->at].state, sizeof s);
+  memcpy (&s, &search->nodes[search->current].state, sizeof s);
   store_steps (search, &s);
   for (int i = 0; i < OWNERS; i++)
     owner_steps (search, &s, i);
@@ -770,7 +780,7 @@
   reboot_step (search, &s);
 }
 
-/* Visits every state, or stops at the first that breaks a property.  */
+/* Visits every reachable state, or stops at the first violation.  */
 static void
 run_search (struct search *search, enum mutant mutant)
 {
@@ -778,15 +788,16 @@
 
   search->mutant = mutant;
   search->count = 0;
-  search->at = 0;
+  search->current = 0;
   search->violation = NULL;
-  memset (search->table, 0, SLOTS * sizeof *search->table);
+  memset (search->table, 0, HASH_SLOTS * sizeof *search->table);
   memset (search->witnessed, 0, sizeof search->witnessed);
   search->witnessed_second_run = false;
   memset (&first, 0, sizeof first);
   first.gate.boot = 1;
   add_successor (search, &first, "start");
-  for (; search->at < search->count && search->violation == NULL; search->at++)
+  for (; search->current < search->count && search->violation == NULL;
+       search->current++)
     expand (search);
 }
 
@@ -810,7 +821,7 @@
 
   cr_assert_not_null (search);
   search->nodes = malloc (STATES_MAX * sizeof *search->nodes);
-  search->table = malloc (SLOTS * sizeof *search->table);
+  search->table = malloc (HASH_SLOTS * sizeof *search->table);
   cr_assert (search->nodes != NULL && search->table != NULL);
   return search;
 }
@@ -823,11 +834,10 @@
   free (search);
 }
 
-/* Story: a notice goes out twice, or a clerk hears "not run" of a notice that
-   went out.  An owner dies or is paused between intent, call and outcome, the
-   target's process restarts, the store loses an answer, an old connection
-   delivers late: in any order.  Cause: a guard is missing.  With all of them
-   no order does it; without any one of them some order does.  */
+/* Guards against a non-idempotent call that runs twice, or that is reported as
+   not run although it ran, after any interleaving of owner crashes and pauses,
+   target restarts, lost store replies and late messages.  The full protocol
+   must hold in every state, and each mutant must be caught.  */
 Test (protocol_model, every_interleaving, .timeout = 600)
 {
   struct search *search = create_search ();
@@ -841,9 +851,9 @@
     print_trace (search);
   cr_expect_null (search->violation, "%s", search->violation);
   for (int e = DONE; e < ENDINGS; e++)
-    cr_expect (search->witnessed[e], "no caller ever hears %s",
+    cr_expect (search->witnessed[e], "%s was never reported to a caller",
                ending_names[e]);
-  cr_expect (search->witnessed_second_run, "no second attempt ever runs");
+  cr_expect (search->witnessed_second_run, "no second attempt ever ran");
   for (size_t i = 0; i < mutants; i++)
     {
       run_search (search, mutant_cases[i].mutant);
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,11 +1,12 @@
-/* world.h - the fault matrix's world: the pure machines of the core with
-   small fakes at their interfaces.
+/* world.h - deterministic simulation for the fault matrix.
+
+   The simulation runs the core's state machines with fakes at their
+   interfaces: entry hosts (owner, front, spread), target hosts (gate, spread
+   and three workers), one table, callers and operators.  Time is virtual, a
+   seed determines the order of delivery, and every exchange across an
+   interface is an event that a fault can affect.  Invariants are checked from
+   outside, by what callers, workers and the table observe.
 
-   Entry hosts (owner, front, spread), target hosts (gate, spread and three
-   workers), one table, callers and operators.  Time is virtual, the order
-   of delivery comes from a seed, and everything that crosses an interface
-   is an event that a fault can hit.  What must hold is judged from outside:
-   by what callers, workers and the table saw.
    Needs: the machines' headers, standins/table.h, jansson.  */
 
 #ifndef MQ_TEST_WORLD_H
@@ -60,16 +61,17 @@
       STEP_COUNT
 };
 
-/* What happens in a run besides the faults.  */
+/* Scenario of a run, in addition to the injected faults.  */
 enum world_script
 {
   SCRIPT_PLAIN,
-  SCRIPT_CHECKPOINT,   /* checkpoints after a few records */
-  SCRIPT_OUTAGE,       /* the store is down for long, and callers open more */
-  SCRIPT_TAKEOVER,     /* an owner dies while a call of its program runs */
-  SCRIPT_SETTLE,       /* it dies with its intent durable and nothing sent */
-  SCRIPT_DRAIN_ENTRY,  /* it is stopped as planned */
-  SCRIPT_DRAIN_TARGET, /* the target host that runs the call is */
+  SCRIPT_CHECKPOINT, /* small batches, frequent checkpoints */
+  SCRIPT_OUTAGE,     /* long store outage with additional callers */
+  SCRIPT_TAKEOVER,   /* an owner crashes while a call of its program runs */
+  SCRIPT_SETTLE, /* an owner crashes after its intent commits, before the call
+                    is sent */
+  SCRIPT_DRAIN_ENTRY,  /* planned stop of an entry host */
+  SCRIPT_DRAIN_TARGET, /* planned stop of the target host that runs the call */
   SCRIPT_COUNT
 };
 
@@ -104,35 +106,36 @@
 
 /* X (enumerator, name)  */
 #define WORLD_INVARIANT_LIST(X)                                               \
-  X (ORDER, "calls of a program ran in order")                                \
-  X (ONCE, "a call that may not be repeated took effect at most once")        \
+  X (ORDER, "calls of a program run in order")                                \
+  X (ONCE, "a non-idempotent call takes effect at most once")                 \
   X (BUDGET, "tokens spent stay within the budget")                           \
-  X (HISTORY, "each model call saw its program's own history, whole")         \
-  X (ONE_ANSWER, "each request got exactly one final answer or refusal")      \
-  X (OWN_ANSWER, "the answer is whole and the caller's own")                  \
-  X (LOGGED_ANSWER, "the answer is the one that the table's log holds")       \
-  X (STREAM, "what was streamed is the beginning of the answer")              \
-  X (NOT_RUN, "what was refused as not run had no effect")                    \
-  X (ENDS, "a request that its caller never gave up on ends")                 \
-  X (CACHE, "no engine holds cache of a program that has ended")              \
-  X (LEAVING, "a leaving target starts no call that came after its LEAVE")    \
-  X (PLANNED_STOP, "a planned stop cuts nothing in progress")                 \
-  X (CONFIG_RISES, "the version in force never falls")                        \
-  X (CONFIG_EQUAL, "the version in force is the table's everywhere")          \
-  X (APPLY_HOLDS, "an accepted apply stays")                                  \
-  X (SETTLES, "the machines come to rest")                                    \
-  X (REPLAYED, "a takeover at rest finds the same programs")                  \
-  X (STORED, "the store keeps a checkpoint and the log since, no more")       \
-  X (EVICTED, "cache of an ended program goes within its lease and 11 s")     \
-  X (RESUMED, "a partition has an owner again within its lease and 6 s")      \
-  X (TOLD, "an answer is in the log before it is told")                       \
-  X (INTENDED, "a call that may not be repeated starts after its intent")     \
-  X (FENCE, "a partition's fence in the table never falls")                   \
+  X (HISTORY, "each model call receives its program's complete history")      \
+  X (ONE_ANSWER, "each request gets exactly one final answer or refusal")     \
+  X (OWN_ANSWER, "the answer is complete and belongs to the caller")          \
+  X (LOGGED_ANSWER, "the answer equals the one in the table's log")           \
+  X (STREAM, "the streamed text is a prefix of the answer")                   \
+  X (NOT_RUN, "a request refused as not run had no effect")                   \
+  X (ENDS, "every request that its caller repeats ends")                      \
+  X (CACHE, "no engine keeps the cache of an ended program")                  \
+  X (LEAVING, "a leaving target starts no call received after its LEAVE")     \
+  X (PLANNED_STOP, "a planned stop interrupts no call or request")            \
+  X (CONFIG_RISES, "the configuration version in force never decreases")      \
+  X (CONFIG_EQUAL, "every host has the table's configuration version")        \
+  X (APPLY_HOLDS, "an accepted configuration is not lost")                    \
+  X (SETTLES, "the state machines become idle")                               \
+  X (REPLAYED, "a takeover while idle restores the same programs")            \
+  X (STORED, "the store keeps only a checkpoint and the log after it")        \
+  X (EVICTED,                                                                 \
+     "cache of an ended program is evicted within its lease and 11 s")        \
+  X (RESUMED, "a partition is taken over within its lease and 6 s")           \
+  X (TOLD, "an answer is in the log before the caller gets it")               \
+  X (INTENDED, "a non-idempotent call starts after its intent commits")       \
+  X (FENCE, "a partition's fence in the table never decreases")               \
   X (OUTAGE,                                                                  \
-     "an outage refuses batch work only; what may be repeated goes on")       \
-  X (TAKEN, "an outage takes no partition from an owner that lives")          \
+     "a store outage refuses batch work only; idempotent calls continue")     \
+  X (TAKEN, "a store outage causes no takeover from a live owner")            \
   X (MEMORY, "no process grows without bound")                                \
-  X (LOAD, "the survivors of a data centre keep to their share of the store")
+  X (LOAD, "hosts that survive a data centre stay within their store quota")
 
 enum world_invariant
 {
@@ -142,12 +145,12 @@
       INVARIANT_COUNT
 };
 
-/* Bugs planted in the world, so that each invariant is known to be able to
-   fail.  X (enumerator, name)  */
+/* Seeded bugs, which show that each invariant can fail.  X (enumerator,
+   name) */
 #define WORLD_MUTATION_LIST(X)                                                \
   X (NONE, "none")                                                            \
-  X (ANSWER_BEFORE_RUN, "a worker answers a call before it runs it")          \
-  X (START_CLONED, "a call reaches its worker twice")                         \
+  X (ANSWER_BEFORE_RUN, "a worker replies to a call before running it")       \
+  X (START_CLONED, "a call is delivered to its worker twice")                 \
   X (CAP_IGNORED, "engines ignore max_tokens")                                \
   X (HISTORY_MIXED, "a call carries another program's messages")              \
   X (HISTORY_CUT, "a call lacks a message of its history")                    \
@@ -155,24 +158,24 @@
   X (ANSWER_SWAPPED, "a caller gets another caller's answer")                 \
   X (COMMIT_DROPPED, "a commit is dropped and reported as applied")           \
   X (TOKEN_DOUBLED, "a caller gets a token twice")                            \
-  X (REFUSED_AND_RUN, "a request is refused as not run, and runs")            \
+  X (REFUSED_AND_RUN, "a request is refused as not run, but runs")            \
   X (FINAL_SWALLOWED, "a caller's final answer never comes")                  \
-  X (EVICT_SWALLOWED, "an eviction is confirmed and not done")                \
-  X (LEAVE_HIDDEN, "a leaving target does not know of it")                    \
-  X (STOP_CUTS, "a planned stop kills the process")                           \
-  X (CONFIG_REVERTED, "a process goes back to no configuration")              \
-  X (CONFIG_CUT_OFF, "a host hears of no configuration")                      \
-  X (APPLY_REVERTED, "the table goes back to an older configuration")         \
-  X (CONDITION_IGNORED, "an old owner's write passes its condition")          \
-  X (ECHO, "a process hears each message again and again")                    \
+  X (EVICT_SWALLOWED, "an eviction is confirmed but not done")                \
+  X (LEAVE_HIDDEN, "a leaving target does not receive LEAVE")                 \
+  X (STOP_CUTS, "a planned stop terminates the process at once")              \
+  X (CONFIG_REVERTED, "a process loses its configuration")                    \
+  X (CONFIG_CUT_OFF, "a host receives no configuration")                      \
+  X (APPLY_REVERTED, "the table reverts to an older configuration")           \
+  X (CONDITION_IGNORED, "an old owner's write ignores its condition")         \
+  X (ECHO, "each message is delivered repeatedly")                            \
   X (CHECKPOINT_CUT, "a checkpoint lacks a program")                          \
-  X (DROP_SWALLOWED, "an object's removal is confirmed and not done")         \
+  X (DROP_SWALLOWED, "an object's removal is confirmed but not done")         \
   X (EVICT_DELAYED, "evictions fail for 25 s")                                \
   X (CLAIM_HELD, "the table refuses claims for 12 s")                         \
-  X (URGENT_REFUSED, "urgent work is refused in an outage")                   \
+  X (URGENT_REFUSED, "interactive work is refused in an outage")              \
   X (RENEWALS_REFUSED, "the table refuses renewals after an outage")          \
-  X (MEMORY_LEAKED, "a process keeps a megabyte of each second")              \
-  X (READS_REPEATED, "each read of a survivor is made ten times")
+  X (MEMORY_LEAKED, "a process leaks a megabyte per second")                  \
+  X (READS_REPEATED, "each read of a surviving host is repeated ten times")
 
 enum world_plant
 {
@@ -183,14 +186,14 @@
 };
 
 /**
- * struct world_cell - one run of the world
+ * struct world_cell - parameters of one run
  * @step: where the fault is injected
- * @nth: at which occurrence of the step, from 1; 0: nowhere
+ * @nth: occurrence of the step, from 1; 0: no fault
  * @fault: what is injected
  * @second: a second fault, or FAULT_NONE
- * @gap: it is injected at this many steps of any kind after the first
- * @seed: of everything that is random in the run
- * @plant: bug planted in the world
+ * @gap: steps of any kind between the first and the second fault
+ * @seed: seed of the run's random generator
+ * @plant: seeded bug
  */
 struct world_cell
 {
@@ -216,25 +219,25 @@
 };
 
 /**
- * struct world_report - what a run showed
+ * struct world_report - results of a run
  * @injected: faults that were injected, at most 2
  * @steps: how often each step occurred
- * @end_us: virtual time at the end
+ * @end_us: virtual end time
  * @events: events handled
  * @broken: violations of each invariant
- * @violation_count: violations, also those that did not fit below
- * @violations: the first of them
- * @orphans: objects at the end that no row names
- * @held_us: longest that cache of an ended program was held
- * @unowned_us: longest that a partition was without its owner
- * @starts_in_outage: calls that workers began in the long outage
- * @batch_refused: refusals of batch work in it
- * @urgent_refused: refusals of other work in it
- * @taken_alive: partitions taken from an owner that lived
- * @memory_max: bytes of the largest process
+ * @violation_count: all violations; may exceed WORLD_VIOLATIONS_MAX
+ * @violations: the first WORLD_VIOLATIONS_MAX
+ * @orphans: objects that no row references at the end
+ * @held_us: longest time that cache of an ended program was kept
+ * @unowned_us: longest time that a partition had no owner
+ * @starts_in_outage: calls started during the long outage
+ * @batch_refused: batch requests refused during the outage
+ * @urgent_refused: other requests refused during the outage
+ * @taken_alive: partitions taken from a live owner
+ * @memory_max: memory of the largest process, bytes
  * @outage_done_us: from the end of the outage to the last answer
- * @centre_peak: most that a data centre's survivors asked of the store in one
- *               second; @commits: of programs' records, with their objects
+ * @centre_peak: highest store load of the hosts that survive a data centre in
+ * one second; @commits counts writes of records and their objects
  */
 struct world_report
 {
@@ -262,7 +265,8 @@
   } centre_peak;
 };
 
-/* Runs CELL to rest and judges it; TRACE: prints every event.  */
+/* Runs CELL until the world is idle and checks the invariants.  TRACE prints
+   every event.  */
 void world_run (const struct world_cell *cell, bool trace,
                 struct world_report *report);
 
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -1,12 +1,13 @@
-/* world_state.h - the world's tables, shared by the world_*.c files only.
+/* world_state.h - state of the simulated world, private to the world_*.c
+   files.
 
-   world.c         queue of events, hosts, machines and their actions
+   world.c         event queue, hosts, state machines and their actions
    world_wire.c    connections between hosts
    world_store.c   the table with its faults, operators
    world_worker.c  workers: engines, plain services, tools
    world_caller.c  callers
-   world_fault.c   steps and the injection of faults
-   world_check.c   what must hold at the end
+   world_fault.c   steps and fault injection
+   world_check.c   invariants checked at the end
    Needs: world.h, proto/log.pb-c.h, jansson.  */
 
 #ifndef MQ_TEST_WORLD_STATE_H
@@ -22,17 +23,17 @@
   HOSTS = ENTRIES + TARGETS,
   WORKERS = 3,
   CALLERS = 5,
-  CALLERS_MAX = 29, /* in an outage */
+  CALLERS_MAX = 29, /* including those of an outage */
   OPERATORS = 2,
   REQUESTS_PER_CALLER_MAX = 6,
-  PARTITIONS = 4, /* as the text of world_store.c says */
+  PARTITIONS = 4, /* as configured in world_store.c */
   NO_HOST = -1
 };
 
 #define MS 1000ULL
 #define SECOND 1000000ULL
 
-/* Times of the world.  */
+/* Virtual times, in microseconds.  */
 #define HEARTBEAT_INTERVAL_US (MQ_BEAT_MS * MS)
 #define PEER_TIMEOUT_US (MQ_SILENT_MS * MS)
 #define STORE_TIMEOUT_US (MQ_STORE_TIMEOUT_MS * MS)
@@ -52,9 +53,10 @@
 #define LONG_OUTAGE_US (30 * SECOND)
 #define LONG_OUTAGE_FROM_US (1900 * MS)
 #define OUTAGE_CALLER_INTERVAL_US (1200 * MS)
-#define MEMORY_MAX (8ULL << 20) /* of one process of this small world */
-/* What survivors may ask of the store in a second: each host its scans, its
-   configuration and its renewal, and the takeover of each partition.  */
+#define MEMORY_MAX (8ULL << 20) /* bytes per process */
+/* Store quota per second of the hosts that survive a data centre: scans,
+   configuration reads and renewals of each host, and the takeover of each
+   partition.  */
 #define LOAD_HOST_READS 6
 #define LOAD_PARTITION_READS 12
 #define LOAD_HOST_WRITES 3
@@ -62,50 +64,51 @@
 #define CALLER_TIMEOUT_US (9 * SECOND)
 #define SMALL_CHECKPOINT_RECORDS 8
 #define SMALL_INLINE_BYTES 400
-/* Cache of an ended program: its lease, and what a restarted process waits
-   for somebody to claim what it finds.  */
+/* Time to evict the cache of an ended program: its lease, and the grace period
+   in which a restarted process waits for a program to claim it.  */
 #define EVICTION_DEADLINE_US                                                  \
   (CACHE_LEASE_US + MQ_GATE_LEASE_GRACE_MS * MS + SECOND)
-#define CACHE_LEASE_US (4 * SECOND) /* as the text of world_store.c says */
-/* A partition whose owner is gone has another: its lease and this.  */
+#define CACHE_LEASE_US (4 * SECOND) /* as configured in world_store.c */
+/* Time to take over a partition whose owner is gone.  */
 #define TAKEOVER_DEADLINE_US (LEASE_US + 6 * SECOND)
 #define LEASE_US (2 * SECOND)
-#define REST_US (300 * SECOND)        /* the longest run */
-#define EVENTS_MAX 400000ULL          /* more: the machines never rest */
-#define IDLE_PERIOD_US (4 * SECOND)   /* looked at after all is done */
-#define CACHE_EXPIRY_US (90 * SECOND) /* caches gone by then */
+#define REST_US (300 * SECOND)
+#define EVENTS_MAX                                                            \
+  400000ULL /* exceeded only if the machines never become idle */
+#define IDLE_PERIOD_US (4 * SECOND)   /* after the last caller is done */
+#define CACHE_EXPIRY_US (90 * SECOND) /* all caches have expired */
 
 enum event_type
 {
-  EVENT_TICK,              /* index: machine */
-  EVENT_MESSAGE,           /* index: wire, end: who gets it */
-  EVENT_CONNECT,           /* index, end: the two hosts */
-  EVENT_WIRE_UP,           /* index: wire, end */
-  EVENT_WIRE_DOWN,         /* index: wire, end */
-  EVENT_HEARTBEAT,         /* index: wire */
-  EVENT_ACTIONS_RESUME,    /* the rest of a list of actions */
-  EVENT_FORWARD,           /* front to the owner of the same process */
-  EVENT_ANSWER,            /* owner to the front of the same process */
-  EVENT_TO_CALLER,         /* index: caller */
-  EVENT_CALLER_TIMER,      /* index: caller: its timer */
-  EVENT_REQUEST,           /* index: caller: its request reaches the front */
-  EVENT_CALLER_DISCONNECT, /* a caller closed its connection */
-  EVENT_STORE,             /* a request reaches the table */
-  EVENT_STORE_RESULT,      /* its result reaches the asker */
-  EVENT_OPERATOR,          /* index: operator */
-  EVENT_CALL_STAGE,        /* index: run: its next stage */
-  EVENT_EVICTED,           /* index: worker */
+  EVENT_TICK,           /* index: machine */
+  EVENT_MESSAGE,        /* index: wire; end: receiver */
+  EVENT_CONNECT,        /* index and end: the hosts */
+  EVENT_WIRE_UP,        /* index: wire, end */
+  EVENT_WIRE_DOWN,      /* index: wire, end */
+  EVENT_HEARTBEAT,      /* index: wire */
+  EVENT_ACTIONS_RESUME, /* continues a list of actions */
+  EVENT_FORWARD,        /* front to owner, same process */
+  EVENT_ANSWER,         /* owner to front, same process */
+  EVENT_TO_CALLER,      /* index: caller */
+  EVENT_CALLER_TIMER,   /* index: caller */
+  EVENT_REQUEST,        /* index: caller; reaches the front */
+  EVENT_CALLER_DISCONNECT,
+  EVENT_STORE,
+  EVENT_STORE_RESULT, /* reaches the requester */
+  EVENT_OPERATOR,     /* index: operator */
+  EVENT_CALL_STAGE,   /* index: run; starts its next stage */
+  EVENT_EVICTED,      /* index: worker */
   EVENT_ORDER_DONE,
-  EVENT_CACHE_READ,   /* index: worker: its cache is read */
-  EVENT_ENGINE,       /* index: worker; flag: it goes down, else up */
-  EVENT_HOST_LIST,    /* the platform's list is read */
-  EVENT_HOST_START,   /* the host starts again */
-  EVENT_HOST_WAKE,    /* the process goes on */
-  EVENT_PLANNED_STOP, /* planned stop */
-  EVENT_CRASH,        /* the process dies */
-  EVENT_CHECK_IDLE,   /* has everything come to rest */
+  EVENT_CACHE_READ, /* index: worker */
+  EVENT_ENGINE,     /* index: worker; flag: stops, else starts */
+  EVENT_HOST_LIST,  /* a host reads the host list */
+  EVENT_HOST_START,
+  EVENT_HOST_WAKE, /* a paused process continues */
+  EVENT_PLANNED_STOP,
+  EVENT_CRASH,
+  EVENT_CHECK_IDLE, /* checks whether the world is idle */
   EVENT_STORE_UP,
-  EVENT_OUTAGE /* the long one begins */
+  EVENT_OUTAGE /* the long outage begins */
 };
 
 enum asker
@@ -117,8 +120,8 @@
 
 /**
  * struct world_event - something that happens at a time
- * @host: whose process it is for, or NO_HOST; waits while that is paused
- * @run: run of that process that it is meant for, 0: any
+ * @host: receiving process, or NO_HOST; delayed while that is paused
+ * @run: run of the process that it is for; 0: any
  */
 struct world_event
 {
@@ -149,7 +152,7 @@
   bool flag;
 };
 
-/* What becomes of the next message or store request of a host.  */
+/* Fault applied to the next message or store request of a host.  */
 enum delivery_fault
 {
   DELIVERY_NORMAL,
@@ -163,13 +166,13 @@
 
 /**
  * struct wire - one connection between two hosts
- * @host: its ends
+ * @host: hosts at its ends
  * @run: runs of their processes
- * @handle: the peer handles that the ends know it by
- * @open: whether the ends hold it open
- * @silent: swallows everything both ways
- * @last_us: latest delivery to each end: the connection is FIFO
- * @heard_us: when each end heard something
+ * @handle: peer handle at each end
+ * @open: whether each end holds it open
+ * @silent: drops messages in both directions
+ * @last_us: latest delivery to each end, to keep the order
+ * @heard_us: when each end last received something
  */
 struct wire
 {
@@ -186,15 +189,16 @@
 {
   struct mq_id program;
   uint32_t tokens;
-  uint64_t held_us; /* last used */
+  uint64_t held_us; /* when it was last used */
 };
 
-/* A worker of a target host; outlives the gate's process.  */
+/* A worker of a target host; continues to run when the gate's process
+   restarts.  */
 struct worker
 {
   enum mq_service_kind kind;
   bool up;
-  bool hangs; /* the next call gets no answer */
+  bool hangs; /* does not reply to the next call */
   uint32_t boot;
   struct engine_cache_entry *cache;
   size_t cache_count;
@@ -207,11 +211,11 @@
   char name[16];
   char address[32];
   const char *data_centre;
-  uint32_t run; /* rises with every start */
+  uint32_t run; /* incremented at each start */
   uint64_t boot;
   bool alive;
-  bool held;      /* what it was about to do waits for it to wake */
-  bool rebooting; /* the gate's process alone; its host stays in the list */
+  bool held;      /* paused during an action, which continues on wake-up */
+  bool rebooting; /* only the gate's process restarts; the host stays listed */
   uint64_t paused_until_us;
   bool leaving;
   uint64_t leave_us;
@@ -233,7 +237,7 @@
   struct worker workers[WORKERS];
 };
 
-/* One call that a gate let through.  */
+/* A call that a gate started.  */
 struct run
 {
   int host;
@@ -242,7 +246,7 @@
   uint32_t worker_boot;
   struct mq_call_ref ref;
   uint32_t slot;
-  char *body; /* messages of a model, arguments of others */
+  char *body; /* messages (model) or arguments (others) */
   char *answer;
   char *content;
   uint32_t max_tokens;
@@ -256,7 +260,7 @@
   bool ended;
 };
 
-/* What targets saw of one call of one program.  */
+/* Observed execution of one call of a program.  */
 struct observed_call
 {
   struct mq_id program;
@@ -265,28 +269,28 @@
   uint32_t starts;
   uint32_t ends;
   uint32_t effects;
-  bool reported_not_run; /* the program was told so */
-  char *result;          /* of a plain service or tool */
+  bool reported_not_run; /* not_run was reported to the program */
+  char *result;          /* plain service or tool */
 };
 
-/* What engines saw of one program.  */
+/* Observed execution of one program.  */
 struct observed_program
 {
   struct mq_id program;
   uint32_t starts;
-  bool refused;      /* its caller was told not_run, and asks no more */
-  uint64_t ended_us; /* its end is durable, 0: not so */
+  bool refused;      /* not_run was reported to the caller, which stops */
+  uint64_t ended_us; /* when its end became durable; 0: not yet */
   char **finals;
   size_t final_count;
 };
 
 struct observed_spend
 {
-  uint64_t family; /* hi of the ids */
+  uint64_t family; /* high half of the program IDs */
   uint64_t tokens;
 };
 
-/* When a gate first got a call.  */
+/* First arrival of a call at a gate.  */
 struct arrival
 {
   int host;
@@ -295,26 +299,25 @@
   uint64_t at_us;
 };
 
-/* What a caller's request says.  */
+/* Content of a caller's request.  */
 enum request_text
 {
   TEXT_NONE,
-  TEXT_CHAIN,  /* model, tool, plain, sub-program, model: the answer */
-  TEXT_TALK,   /* model, plain, model: the answer; then a person's turn */
-  TEXT_FOLLOW, /* that turn: model, tool, model: the answer */
-  TEXT_LOOP,   /* model, tool, for ever */
-  TEXT_LETTER, /* model: the answer */
+  TEXT_CHAIN,  /* model, tool, plain, sub-program, model; then the answer */
+  TEXT_TALK,   /* model, plain, model; then the answer and a user turn */
+  TEXT_FOLLOW, /* that turn: model, tool, model; then the answer */
+  TEXT_LOOP,   /* model and tool, endlessly */
+  TEXT_LETTER, /* model; then the answer */
   TEXT_ASK,    /* caller-driven: one model call */
   TEXT_SUBMIT  /* caller-driven: one plain call */
 };
 
 /**
  * struct ask - one request of a caller's script
- * @type: what is asked
  * @service: OPEN, CREATE: agent; STEP: service
  * @route: STEP: route, else empty
  * @sequence: STEP: its number
- * @text: what it says
+ * @text: content
  */
 struct ask
 {
@@ -335,8 +338,8 @@
   char *organisation;
   char *key;
   char *bodies[REQUESTS_PER_CALLER_MAX];
-  const char
-      *texts[2 * REQUESTS_PER_CALLER_MAX]; /* that its histories may hold */
+  const char *texts[2 * REQUESTS_PER_CALLER_MAX]; /* user texts that its
+                                                     histories may contain */
   size_t text_count;
   enum
   {
@@ -348,17 +351,17 @@
   int host;
   uint32_t host_run;
   uint64_t handle;
-  uint64_t last_us; /* something was heard, or asked */
+  uint64_t last_us; /* last request or event */
   uint64_t timer_us;
   uint32_t tries;
   uint32_t refusals;
-  bool doubtful; /* an earlier try of this request may have run */
-  uint32_t ends; /* final events of this handle */
-  char *answers[REQUESTS_PER_CALLER_MAX]; /* final bodies, NULL: refused */
+  bool doubtful; /* an earlier attempt of this request may have run */
+  uint32_t ends; /* final events received for this handle */
+  char *answers[REQUESTS_PER_CALLER_MAX]; /* final bodies; NULL: refused */
   enum mq_error_type errors[REQUESTS_PER_CALLER_MAX];
   uint32_t stream_call;
   char *stream;
-  bool checks; /* asks at rest for the answer that it had */
+  bool checks; /* repeats its requests while the world is idle */
 };
 
 struct world_operator
@@ -401,29 +404,30 @@
   struct host hosts[HOSTS];
   struct wire *wires;
   size_t wire_count;
-  int current[HOSTS][HOSTS]; /* wire of two hosts, or NO_HOST */
+  int current[HOSTS][HOSTS]; /* wire between two hosts, or NO_HOST */
   bool connecting[HOSTS][HOSTS];
   struct mq_table *table;
-  bool low;                /* few records between checkpoints, small batches */
-  uint64_t outage_from_us; /* of the long outage, 0: none */
+  bool low;                /* frequent checkpoints, small batches */
+  uint64_t outage_from_us; /* start of the long outage; 0: none */
   uint64_t outage_until_us;
   int last_owner[PARTITIONS]; /* host, or NO_HOST */
   uint32_t last_run[PARTITIONS];
   uint64_t fences[PARTITIONS]; /* in the table */
-  uint64_t centre_dead_us;     /* when a data centre died, 0: never */
-  uint64_t load_second;        /* since then, that LOAD is of */
+  uint64_t centre_dead_us;     /* when a data centre failed; 0: never */
+  uint64_t load_second;        /* second since then that LOAD counts */
   struct world_load load;
-  bool replayed;            /* all owners were made anew at rest */
-  uint32_t ends;            /* processes that ended, as planned or not */
-  struct mq_bytes *removed; /* batches of log rows that were removed */
+  bool replayed;            /* all owners were restarted while idle */
+  uint32_t ends;            /* processes that ended, planned or not */
+  struct mq_bytes *removed; /* batches of removed log rows */
   size_t removed_count;
-  uint64_t checkpoints[PARTITIONS]; /* highest one that a row was to name */
-  uint64_t unowned_us[PARTITIONS];  /* since when it has no owner */
-  uint64_t no_entry_until_us;       /* until when no entry host ran */
+  uint64_t checkpoints[PARTITIONS]; /* highest checkpoint written to a row */
+  uint64_t unowned_us[PARTITIONS];  /* since when it has no owner; 0: owned */
+  uint64_t no_entry_until_us; /* end of the last time without a running entry
+                                 host */
   struct installed
   {
     uint64_t checkpoint;
-    uint64_t sequence; /* of the log when the row came to name it */
+    uint64_t sequence; /* log position when the row first referenced it */
   } installed[PARTITIONS];
   bool store_down;
   bool store_slow;
@@ -445,24 +449,24 @@
   size_t accepted_count;
   uint64_t next_store_id;
   enum delivery_fault operator_delivery;
-  int acting; /* host whose action is carried out, or NO_HOST */
+  int acting; /* host whose action is running, or NO_HOST */
   bool script_done;
   enum world_script script;
   bool first_injected;
   uint32_t steps_since;
   uint64_t faults_end_us;
-  uint64_t done_us; /* callers and operators were done */
+  uint64_t done_us; /* when callers and operators were done */
   bool over;
 };
 
-/* Where a step takes place.  */
+/* Hosts and program that a step concerns.  */
 struct site
 {
   enum world_step step;
-  int entry; /* the owner concerned, or NO_HOST */
+  int entry; /* owner, or NO_HOST */
   int target;
-  int actor;  /* whose message or request it is */
-  int worker; /* the worker concerned, or -1: any */
+  int actor;  /* sender of the message or request */
+  int worker; /* worker, or -1: any */
   struct mq_id program;
 };
 
