--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -37,7 +37,7 @@
          && peers_is_renewing (owner, sibling);
 }
 
-/* Excludes hosts whose row was not renewed for MQ_OWNER_FORGET_MS. Rows of
+/* Excludes hosts whose row was not renewed for MQ_OWNER_FORGET_MS.  Rows of
    dead hosts are never removed and would otherwise fill the eligible set, so
    that live hosts could not own partitions.  */
 static bool
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -96,7 +96,7 @@
   calls_retry_call (owner, running, 0);
 }
 
-/* Returns the programs that have a call at TARGET. They are collected first,
+/* Returns the programs that have a call at TARGET.  They are collected first,
    since resuming a program may change the map.  */
 static struct running **
 list_at_target (struct mq_owner *owner, const struct target *target,
--- a/tests/fuzz/fuzz_log.c
+++ b/tests/fuzz/fuzz_log.c
@@ -2,7 +2,6 @@
 
    Input: 'B' and a packed Batch of records, or 'C' and a packed Checkpoint, as
    stored in the table and the object store.
-
    Needs: fuzz.h, program.h, id.h, jansson.  */
 
 #include "core/id.h"
--- a/tests/test_protocol_model.c
+++ b/tests/test_protocol_model.c
@@ -13,7 +13,6 @@
    delayed.  An owner whose row has a newer version is dropped, since its next
    write can only fail.  The owners are interchangeable, so their order is
    normalised.
-
    Needs: Criterion, xxhash.  */
 
 #include "core/types.h"
--- a/tests/world.c
+++ b/tests/world.c
@@ -1,4 +1,4 @@
-/* world.c - the world's queue of events, its hosts, machines and actions.
+/* world.c - event queue, hosts, state machines and their actions.
 
    Needs: world_state.h.  */
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Names.  */
+/* ---- Names ---- */
 
 const char *
 world_step_name (enum world_step step)
@@ -60,7 +60,7 @@
   return names[plant];
 }
 
-/* What a run shows.  */
+/* ---- Results ---- */
 
 void
 world_trace (struct world *world, const char *format, ...)
@@ -96,7 +96,7 @@
                world_invariant_name (invariant), violation->text);
 }
 
-/* The queue: a binary heap by time, then by order of arrival.  */
+/* ---- Event queue: a binary heap ordered by time, then by insertion ---- */
 
 static bool
 is_before (const struct world_event *a, const struct world_event *b)
@@ -123,11 +123,12 @@
 {
   size_t place = world->heap_count++;
 
-  if (world->heap_count > world->heap_room)
+  if (world->heap_count > world->heap_capacity)
     {
-      world->heap_room = world->heap_room == 0 ? 256 : 2 * world->heap_room;
+      world->heap_capacity
+          = world->heap_capacity == 0 ? 256 : 2 * world->heap_capacity;
       world->heap = talloc_realloc (world, world->heap, struct world_event *,
-                                    (unsigned int)world->heap_room);
+                                    (unsigned int)world->heap_capacity);
     }
   event->at_us = at_us < world->now_us ? world->now_us : at_us;
   event->number = world->next_number++;
@@ -165,12 +166,12 @@
 }
 
 uint64_t
-world_delay (struct world *world, uint64_t least_us, uint64_t most_us)
+world_delay (struct world *world, uint64_t min_us, uint64_t max_us)
 {
-  return least_us + mq_random_next (&world->random) % (most_us - least_us + 1);
+  return min_us + mq_random_next (&world->random) % (max_us - min_us + 1);
 }
 
-/* A fault goes on until AT_US.  */
+/* Extends the time until which faults have effects.  */
 void
 world_extend_faults (struct world *world, uint64_t at_us)
 {
@@ -178,7 +179,7 @@
     world->faults_end_us = at_us;
 }
 
-/* Hosts.  */
+/* ---- Hosts ---- */
 
 bool
 world_is_current_run (const struct world *world, int host, uint32_t run)
@@ -201,7 +202,7 @@
   return NO_HOST;
 }
 
-/* Where the front of a host looks up owners.  */
+/* Owner lookup of a host's front.  */
 static const char *
 find_owner_address (const void *data, uint32_t partition)
 {
@@ -252,7 +253,6 @@
   host->gate = mq_gate_create (host->memory, &options);
 }
 
-/* Draws when HOST reads the platform's list next.  */
 static void
 schedule_host_list_read (struct world *world, int host)
 {
@@ -264,7 +264,7 @@
 }
 
 static void
-plan_cache_read (struct world *world, int host)
+schedule_cache_read (struct world *world, int host)
 {
   struct world_event *event
       = world_event_create (world, EVENT_CACHE_READ, host);
@@ -275,7 +275,7 @@
 }
 
 static void
-plan_tick (struct world *world, int index, enum machine machine)
+schedule_tick (struct world *world, int index, enum machine machine)
 {
   struct host *host = &world->hosts[index];
   struct world_event *event;
@@ -298,9 +298,9 @@
     case MACHINES:
       break;
     }
-  if (next_us >= REST_US)
-    next_us = REST_US;
-  /* Timers of a process are as fine as its event loop: a millisecond.  */
+  if (next_us >= RUN_TIMEOUT_US)
+    next_us = RUN_TIMEOUT_US;
+  /* The event loop's timers have millisecond resolution.  */
   if (next_us < world->now_us + MS)
     next_us = world->now_us + MS;
   if (host->tick_us[machine] >= world->now_us
@@ -312,8 +312,8 @@
   world_push (world, event, next_us);
 }
 
-/* An entry host starts or wakes; if it is the only one that stays, nobody
-   could take anything over until now.  */
+/* Records that an entry host started or woke.  If no other one is available,
+   no takeover was possible before.  */
 static void
 record_entry_start (struct world *world, int host)
 {
@@ -351,17 +351,17 @@
   if (host->role == MQ_HOST_ENTRY)
     {
       create_entry (world, host);
-      plan_tick (world, index, MACHINE_OWNER);
-      plan_tick (world, index, MACHINE_FRONT);
+      schedule_tick (world, index, MACHINE_OWNER);
+      schedule_tick (world, index, MACHINE_FRONT);
     }
   else
     {
       create_target (world, host);
-      plan_tick (world, index, MACHINE_GATE);
-      worker_plan_engine (world, index, 0, false, MS);
-      plan_cache_read (world, index);
+      schedule_tick (world, index, MACHINE_GATE);
+      worker_schedule_engine (world, index, 0, false, MS);
+      schedule_cache_read (world, index);
     }
-  plan_tick (world, index, MACHINE_SPREAD);
+  schedule_tick (world, index, MACHINE_SPREAD);
   schedule_host_list_read (world, index);
   for (int other = 0; other < HOSTS; other++)
     if (other != index)
@@ -398,7 +398,7 @@
 }
 
 static void
-plan_start (struct world *world, int index, uint64_t in_us)
+schedule_start (struct world *world, int index, uint64_t in_us)
 {
   struct world_event *event
       = world_event_create (world, EVENT_HOST_START, NO_HOST);
@@ -408,8 +408,9 @@
   world_extend_faults (world, world->now_us + in_us);
 }
 
-/* The host's partitions are without an owner from now on; whoever was to
-   take others over may have been this one, so for these it begins anew.  */
+/* Records that the host's partitions have no owner.  Time to take over other
+   unowned partitions restarts too, since this host may have been about to
+   claim them.  */
 static void
 record_unowned (struct world *world, const struct host *host)
 {
@@ -418,7 +419,7 @@
       world->unowned_us[p] = world->now_us;
 }
 
-/* The process dies, its connections break; it starts again later.  */
+/* Crashes the process, closes its connections and schedules its restart.  */
 void
 world_crash (struct world *world, int index, uint64_t restart_us)
 {
@@ -426,12 +427,12 @@
 
   if (!host->alive)
     return;
-  world_trace (world, "%s dies", host->name);
+  world_trace (world, "%s crashes", host->name);
   record_unowned (world, host);
   end_process (world, index);
   wire_host_crashed (world, index, false);
   caller_host_crashed (world, index);
-  plan_start (world, index, restart_us);
+  schedule_start (world, index, restart_us);
 }
 
 void
@@ -445,7 +446,7 @@
   world_trace (world, "%s is paused", host->name);
   record_unowned (world, host);
   host->paused_until_us = world->now_us + pause_us;
-  /* What it was about to do at this very step it does when it wakes.  */
+  /* Remaining actions of the current step run when the host wakes.  */
   host->held = world->acting == index;
   event = world_event_create (world, EVENT_HOST_WAKE, NO_HOST);
   event->index = index;
@@ -454,7 +455,7 @@
   world_extend_faults (world, host->paused_until_us);
 }
 
-/* A paused host wakes and nobody has taken its partitions.  */
+/* Records partitions that a paused host still owns when it wakes.  */
 static void
 record_still_owned (struct world *world, int host)
 {
@@ -471,7 +472,7 @@
 }
 
 static void
-wake (struct world *world, const struct world_event *event)
+wake_host (struct world *world, const struct world_event *event)
 {
   struct host *host = &world->hosts[event->index];
   size_t count = host->backlog_count;
@@ -508,7 +509,7 @@
          && callers_at (world, host->index) == 0;
 }
 
-/* The process ends by itself, as planned.  */
+/* Ends a drained process.  */
 static void
 stop_host (struct world *world, int index)
 {
@@ -526,7 +527,7 @@
     worker_host_crashed (world, index);
   wire_host_crashed (world, index, false);
   caller_host_crashed (world, index);
-  plan_start (world, index, RESTART_US);
+  schedule_start (world, index, RESTART_US);
 }
 
 static void
@@ -539,7 +540,7 @@
     stop_host (world, index);
 }
 
-/* Planned stop of a host.  */
+/* Requests a planned stop of a host.  */
 void
 world_stop (struct world *world, int index)
 {
@@ -547,7 +548,7 @@
 
   if (!host->alive || host->leaving)
     return;
-  world_trace (world, "%s is to leave", host->name);
+  world_trace (world, "%s is asked to stop", host->name);
   host->leaving = true;
   host->leave_us = world->now_us + STOP_NOTICE_US;
   world_push (world, world_event_create (world, EVENT_PLANNED_STOP, index),
@@ -555,7 +556,7 @@
 }
 
 static void
-give_leave (struct world *world, int index)
+deliver_stop (struct world *world, int index)
 {
   struct mq_owner_input owner
       = { .type = MQ_OWNER_LEAVE, .now_us = world->now_us };
@@ -570,7 +571,7 @@
     world_gate_input (world, index, &gate);
 }
 
-/* The list of hosts, as it stood a while ago.  */
+/* ---- Host list, updated with a delay ---- */
 
 static bool
 is_listed (const struct world *world, const struct host *host)
@@ -617,7 +618,7 @@
     world_owner_input (world, index, &owner);
 }
 
-/* Actions of the machines.  */
+/* ---- Actions of the state machines ---- */
 
 static void
 act_send (struct world *world, int host, enum machine machine,
@@ -652,7 +653,8 @@
       return;
     }
   event = world_event_create (
-      world, machine == MACHINE_FRONT ? EVENT_TO_CALLER : EVENT_ANSWER, host);
+      world, machine == MACHINE_FRONT ? EVENT_TO_CALLER : EVENT_OWNER_REPLY,
+      host);
   event->message = talloc_zero (event, struct mq_message);
   mq_message_copy (event->message, event->message, &message);
   world_push (world, event, world->now_us);
@@ -670,8 +672,8 @@
   return names[change];
 }
 
-/* How long it takes is judged where the store can be reached: else nobody
-   can take anything over.  */
+/* Whether the store is available throughout the run.  Otherwise takeover times
+   are not checked.  */
 static bool
 is_store_healthy (const struct world *world)
 {
@@ -687,7 +689,8 @@
   return true;
 }
 
-/* Whoever had the partition last and did not give it up still runs.  */
+/* Counts takeovers from an owner that is running and did not release the
+   partition.  */
 static void
 record_takeover (struct world *world, int host, uint64_t partition)
 {
@@ -698,7 +701,7 @@
       && world->hosts[last].paused_until_us <= world->now_us)
     {
       world->report->taken_alive++;
-      world_trace (world, "%s takes partition %llu from %s, which lives",
+      world_trace (world, "%s takes partition %llu from %s, which is alive",
                    world->hosts[host].name, (unsigned long long)partition,
                    world->hosts[last].name);
     }
@@ -707,7 +710,7 @@
 }
 
 static void
-note_owned (struct world *world, int host, uint64_t partition)
+record_owned (struct world *world, int host, uint64_t partition)
 {
   uint64_t since_us;
 
@@ -731,8 +734,8 @@
 }
 
 static void
-carry_out (struct world *world, int host, enum machine machine,
-           const struct mq_action *action)
+run_action (struct world *world, int host, enum machine machine,
+            const struct mq_action *action)
 {
   switch (action->type)
     {
@@ -762,7 +765,7 @@
       break;
     case MQ_ACT_STATE:
       if (action->u.state.change == MQ_STATE_PARTITION_OWNED)
-        note_owned (world, host, action->u.state.number);
+        record_owned (world, host, action->u.state.number);
       if (action->u.state.change == MQ_STATE_PARTITION_RELEASED)
         world->last_owner[action->u.state.number % PARTITIONS] = NO_HOST;
       world_trace (world, "%s: %s %llu %s", world->hosts[host].name,
@@ -776,8 +779,8 @@
     }
 }
 
-/* Carries the actions out one by one.  The process may die or be paused
-   between any two; what is left then is lost, or waits for it to wake.  */
+/* Runs the actions in order.  The process may crash or be paused between two
+   actions; the remaining ones are then lost or delayed until it wakes.  */
 static void
 run_actions_from (struct world *world, int index, enum machine machine,
                   struct mq_actions *actions, size_t next)
@@ -800,7 +803,7 @@
           return;
         }
       world->acting = index;
-      carry_out (world, index, machine, &actions->items[next]);
+      run_action (world, index, machine, &actions->items[next]);
       world->acting = NO_HOST;
       if (host->held)
         next--;
@@ -815,7 +818,7 @@
 {
   uint32_t run = world->hosts[index].run;
 
-  plan_tick (world, index, machine);
+  schedule_tick (world, index, machine);
   run_actions_from (world, index, machine, actions, 0);
   if (world_is_current_run (world, index, run))
     stop_if_drained (world, index);
@@ -851,9 +854,10 @@
   finish_input (world, index, MACHINE_GATE, actions);
 }
 
-/* A version rose: the owner gets the new text; the old one ends with it.  */
+/* Passes a new configuration to the owner, which then releases the previous
+   one.  */
 static void
-take_text (struct world *world, int index)
+apply_config_text (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
   const char *source = mq_spread_text (host->spread);
@@ -873,7 +877,7 @@
 }
 
 static void
-look_at_version (struct world *world, int index)
+update_version (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
   uint64_t version = mq_spread_version (host->spread);
@@ -881,15 +885,15 @@
   if (version == host->version)
     return;
   if (version < host->version)
-    world_report_violation (world, INVARIANT_CONFIG_RISES,
-                            "%s falls from version %llu to %llu", host->name,
-                            (unsigned long long)host->version,
-                            (unsigned long long)version);
-  world_trace (world, "%s: configuration %llu", host->name,
+    world_report_violation (
+        world, INVARIANT_CONFIG_RISES,
+        "%s: configuration version decreases from %llu to %llu", host->name,
+        (unsigned long long)host->version, (unsigned long long)version);
+  world_trace (world, "%s: configuration version %llu", host->name,
                (unsigned long long)version);
   host->version = version;
   if (version > 0)
-    take_text (world, index);
+    apply_config_text (world, index);
 }
 
 void
@@ -914,10 +918,10 @@
   mq_spread_handle (host->spread, input, actions);
   finish_input (world, index, MACHINE_SPREAD, actions);
   if (world_is_current_run (world, index, run))
-    look_at_version (world, index);
+    update_version (world, index);
 }
 
-/* Ticks.  */
+/* ---- Ticks ---- */
 
 static void
 tick (struct world *world, const struct world_event *event)
@@ -932,7 +936,7 @@
       = { .type = MQ_GATE_TICK, .now_us = world->now_us };
   struct host *host = &world->hosts[event->host];
 
-  /* A nearer tick took its place.  */
+  /* Replaced by an earlier tick.  */
   if (host->tick_us[event->machine] > event->at_us)
     return;
   host->tick_us[event->machine] = 0;
@@ -955,7 +959,7 @@
     }
 }
 
-/* Between the front and the owner of one process.  */
+/* ---- Front and owner of the same process ---- */
 
 static void
 forward_local (struct world *world, const struct world_event *event)
@@ -994,24 +998,24 @@
     world_front_input (world, event->host, &input);
 }
 
-/* The loop.  */
+/* ---- Event loop ---- */
 
 static void
 store_up (struct world *world)
 {
   if (world->now_us < world->outage_until_us)
-    return; /* a shorter outage within the long one */
-  world_trace (world, "the store is back");
+    return; /* end of a short outage during the long one */
+  world_trace (world, "the store is available again");
   world->store_down = false;
   world->store_slow = false;
 }
 
-/* Everything is at rest: every owner dies, and what the next ones read from
-   checkpoint and log must give each caller the answer that it had.  */
+/* Crashes every owner while the world is idle.  The next owners must restore
+   each caller's answer from checkpoints and logs.  */
 static void
 restart_all_owners (struct world *world)
 {
-  world_trace (world, "at rest; all owners die");
+  world_trace (world, "idle; all owners crash");
   world->replayed = true;
   world->done_us = 0;
   for (int i = 0; i < ENTRIES; i++)
@@ -1019,7 +1023,7 @@
   caller_repeat_all (world);
 }
 
-/* In the world's small runs a process needs some hundred kilobytes.  */
+/* Checks each process's memory, normally a few hundred kilobytes.  */
 static void
 check_memory (struct world *world)
 {
@@ -1035,13 +1039,14 @@
       if (bytes > world->report->memory_max)
         world->report->memory_max = bytes;
       if (bytes > MEMORY_MAX)
-        world_report_violation (world, INVARIANT_MEMORY, "%s holds %zu bytes",
+        world_report_violation (world, INVARIANT_MEMORY,
+                                "%s uses %zu bytes of memory",
                                 world->hosts[i].name, bytes);
     }
 }
 
 static void
-look (struct world *world)
+check_idle (struct world *world)
 {
   check_memory (world);
   if (!caller_all_done (world) || world->now_us < world->faults_end_us)
@@ -1049,10 +1054,10 @@
   else if (world->done_us == 0)
     world->done_us = world->now_us;
   if (world->done_us != 0 && world->now_us > world->done_us + IDLE_PERIOD_US
-      && (check_rest (world)
+      && (check_is_idle (world)
           || world->now_us > world->done_us + CACHE_EXPIRY_US))
     {
-      if (world->low && !world->replayed && check_rest (world))
+      if (world->low && !world->replayed && check_is_idle (world))
         restart_all_owners (world);
       else
         world->over = true;
@@ -1063,7 +1068,7 @@
 }
 
 static void
-plant_echo (struct world *world, const struct world_event *event)
+inject_echo (struct world *world, const struct world_event *event)
 {
   struct world_event *again;
 
@@ -1088,7 +1093,7 @@
       break;
     case EVENT_MESSAGE:
       wire_message (world, event);
-      plant_echo (world, event);
+      inject_echo (world, event);
       break;
     case EVENT_CONNECT:
       wire_connect (world, event);
@@ -1110,7 +1115,7 @@
     case EVENT_FORWARD:
       forward_local (world, event);
       break;
-    case EVENT_ANSWER:
+    case EVENT_OWNER_REPLY:
       answer_local (world, event);
       break;
     case EVENT_TO_CALLER:
@@ -1125,7 +1130,7 @@
     case EVENT_CALLER_DISCONNECT:
       caller_disconnected (world, event);
       break;
-    case EVENT_STORE:
+    case EVENT_STORE_REQUEST:
       store_serve (world, event);
       break;
     case EVENT_STORE_RESULT:
@@ -1145,7 +1150,7 @@
       break;
     case EVENT_CACHE_READ:
       worker_read_cache (world, event);
-      plan_cache_read (world, event->host);
+      schedule_cache_read (world, event->host);
       break;
     case EVENT_ENGINE:
       worker_engine (world, event);
@@ -1158,10 +1163,10 @@
         start_host (world, event->index);
       break;
     case EVENT_HOST_WAKE:
-      wake (world, event);
+      wake_host (world, event);
       break;
     case EVENT_PLANNED_STOP:
-      give_leave (world, event->host);
+      deliver_stop (world, event->host);
       break;
     case EVENT_CRASH:
       world_crash (world, event->host,
@@ -1169,7 +1174,7 @@
                                                        : RESTART_US);
       break;
     case EVENT_CHECK_IDLE:
-      look (world);
+      check_idle (world);
       break;
     case EVENT_STORE_UP:
       store_up (world);
@@ -1180,7 +1185,7 @@
     }
 }
 
-/* An event for a process that is paused waits in the order it came.  */
+/* Queues an event for a paused process, in order of arrival.  */
 static bool
 defer_if_paused (struct world *world, struct world_event *event)
 {
@@ -1282,14 +1287,14 @@
       struct world_event *event = pop (world);
 
       world->now_us = event->at_us;
-      if (world->now_us > REST_US || ++report->events > EVENTS_MAX)
+      if (world->now_us > RUN_TIMEOUT_US || ++report->events > EVENTS_MAX)
         break;
       handle (world, event);
     }
   report->end_us = world->now_us;
   if (report->events > EVENTS_MAX)
     world_report_violation (world, INVARIANT_SETTLES,
-                            "over %llu events by %llu ms",
+                            "not idle after %llu events, at %llu ms",
                             (unsigned long long)EVENTS_MAX,
                             (unsigned long long)(world->now_us / MS));
   check_end (world);
--- a/tests/world.h
+++ b/tests/world.h
@@ -6,7 +6,6 @@
    seed determines the order of delivery, and every exchange across an
    interface is an event that a fault can affect.  Invariants are checked from
    outside, by what callers, workers and the table observe.
-
    Needs: the machines' headers, standins/table.h, jansson.  */
 
 #ifndef MQ_TEST_WORLD_H
@@ -21,7 +20,7 @@
 #include "core/spread.h"
 #include "core/text/text.h"
 
-/* X (enumerator, name, script)  */
+/* X (enumerator, name, script) */
 #define WORLD_STEP_LIST(X)                                                    \
   X (OPEN, "open", PLAIN)                                                     \
   X (GRANT, "grant", PLAIN)                                                   \
@@ -75,7 +74,7 @@
   SCRIPT_COUNT
 };
 
-/* X (enumerator, name)  */
+/* X (enumerator, name) */
 #define WORLD_FAULT_LIST(X)                                                   \
   X (NONE, "none")                                                            \
   X (OWNER_DIES, "owner-dies")                                                \
@@ -104,7 +103,7 @@
       FAULT_COUNT
 };
 
-/* X (enumerator, name)  */
+/* X (enumerator, name) */
 #define WORLD_INVARIANT_LIST(X)                                               \
   X (ORDER, "calls of a program run in order")                                \
   X (ONCE, "a non-idempotent call takes effect at most once")                 \
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -1,8 +1,8 @@
-/* world_caller.c - the world's callers.
+/* world_caller.c - simulated callers.
 
-   Each has a script of requests, one under way at a time.  A request whose
-   connection broke, that was refused as not run for a while, or that got
-   no answer for long is made again with the same key at any entry host.
+   Each caller sends the requests of its script one after the other.  A request
+   that was refused as not run, received no reply in time or lost its
+   connection is repeated with the same key at any entry host.
    Needs: world_state.h.  */
 
 #include "world_state.h"
@@ -59,15 +59,16 @@
   { "zarqa", ASKS (letter_asks), 2000 },
 };
 
-/* Further callers, who come in an outage: clerks and a batch in turn.  */
-static const struct caller_script further[]
+/* Additional callers in an outage, interactive and batch in turn.  */
+static const struct caller_script outage_callers[]
     = { { "diagne", ASKS (desk_asks), 2000 },
         { "zarqa", ASKS (notice_asks), 2000 } };
 
 static const struct caller_script *
 script_of (int index)
 {
-  return index < CALLERS ? &scripts[index] : &further[(index - CALLERS) % 2];
+  return index < CALLERS ? &scripts[index]
+                         : &outage_callers[(index - CALLERS) % 2];
 }
 
 static bool
@@ -76,7 +77,7 @@
   return caller->asks == notice_asks;
 }
 
-/* What the requests say.  */
+/* ---- Request bodies ---- */
 
 static json_t *
 plan_call (const char *name, json_t *arguments, int tokens)
@@ -96,7 +97,7 @@
   return text;
 }
 
-/* The sub-program's input; its history begins with it.  */
+/* The sub-program's input, the first message of its history.  */
 static char *
 letter_text (struct world *world, struct caller *caller)
 {
@@ -140,7 +141,8 @@
 }
 
 static char *
-ask_input (struct world *world, struct caller *caller, const struct ask *ask)
+format_input (struct world *world, struct caller *caller,
+              const struct ask *ask)
 {
   switch (ask->text)
     {
@@ -168,10 +170,10 @@
 }
 
 static void
-compose (struct world *world, struct caller *caller, size_t index)
+format_request (struct world *world, struct caller *caller, size_t index)
 {
   const struct ask *ask = &caller->asks[index];
-  char *input = ask_input (world, caller, ask);
+  char *input = format_input (world, caller, ask);
   json_t *body = json_object ();
   char *dump;
 
@@ -200,7 +202,7 @@
   return NULL;
 }
 
-/* Whether a history of PROGRAM may hold TEXT as what a person said.  */
+/* Whether a history of PROGRAM may contain TEXT as a user message.  */
 bool
 caller_has_text (const struct world *world, struct mq_id program,
                  const char *text)
@@ -213,8 +215,8 @@
   return false;
 }
 
-/* How many calls of a history come before CALL.  The history of a program
-   that its caller drives holds its model calls only.  */
+/* Returns the number of calls in the history before CALL.  Histories of
+   caller-driven programs contain model calls only.  */
 uint32_t
 caller_calls_before (const struct world *world, struct mq_id program,
                      uint32_t call)
@@ -238,10 +240,10 @@
   return caller == NULL ? 0 : script_of (caller->index)->budget;
 }
 
-/* Asking.  */
+/* ---- Requests ---- */
 
 static void
-plan_timer (struct world *world, struct caller *caller, uint64_t in_us)
+schedule_timer (struct world *world, struct caller *caller, uint64_t in_us)
 {
   struct world_event *event
       = world_event_create (world, EVENT_CALLER_TIMER, NO_HOST);
@@ -268,15 +270,15 @@
                                      (unsigned long long)world->cell->seed);
       caller->program = mq_id_open (caller->organisation, caller->key);
       for (size_t a = 0; a < caller->ask_count; a++)
-        compose (world, caller, a);
-      plan_timer (world, caller,
-                  CALLERS_START_US + world_delay (world, 0, 200 * MS)
-                      + (i < CALLERS ? 0 : (uint64_t)(i - CALLERS))
-                            * OUTAGE_CALLER_INTERVAL_US);
+        format_request (world, caller, a);
+      schedule_timer (world, caller,
+                      CALLERS_START_US + world_delay (world, 0, 200 * MS)
+                          + (i < CALLERS ? 0 : (uint64_t)(i - CALLERS))
+                                * OUTAGE_CALLER_INTERVAL_US);
     }
 }
 
-/* The last request of CALLER that asked its program for an answer, or
+/* Returns the last request of CALLER that waits for its program's answer, or
    ask_count.  */
 static size_t
 last_answered_request (const struct caller *caller)
@@ -291,7 +293,7 @@
   return last;
 }
 
-/* Everyone who had an answer asks for it again.  */
+/* All callers that have an answer request it again.  */
 void
 caller_repeat_all (struct world *world)
 {
@@ -305,10 +307,10 @@
       caller->checks = true;
       caller->tries = 0;
       caller->refusals = 0;
-      caller->doubtful = true;
+      caller->may_have_run = true;
       caller->state = CALLER_BACKOFF;
-      plan_timer (world, caller,
-                  RESTART_US + world_delay (world, 0, AGAIN_US));
+      schedule_timer (world, caller,
+                      RESTART_US + world_delay (world, 0, AGAIN_US));
     }
 }
 
@@ -325,7 +327,7 @@
   return true;
 }
 
-/* The platform's balancer: some entry host that takes connections.  */
+/* Load balancer: selects an entry host that accepts connections.  */
 static int
 choose_host (struct world *world)
 {
@@ -341,10 +343,10 @@
 }
 
 static void
-ask_again (struct world *world, struct caller *caller, uint64_t in_us)
+schedule_request (struct world *world, struct caller *caller, uint64_t in_us)
 {
   caller->state = CALLER_BACKOFF;
-  plan_timer (world, caller, in_us + world_delay (world, 0, AGAIN_US));
+  schedule_timer (world, caller, in_us + world_delay (world, 0, AGAIN_US));
 }
 
 static struct mq_request_msg
@@ -371,14 +373,14 @@
 }
 
 static void
-ask_now (struct world *world, struct caller *caller)
+send_request (struct world *world, struct caller *caller)
 {
   int host = choose_host (world);
   struct world_event *event;
 
   if (host == NO_HOST)
     {
-      ask_again (world, caller, AGAIN_US);
+      schedule_request (world, caller, AGAIN_US);
       return;
     }
   worker_observed_program (world, caller->program)->refused = false;
@@ -391,17 +393,17 @@
   caller->ends = 0;
   caller->stream_call = 0;
   caller->stream = talloc_strdup (world, "");
-  world_trace (world, "caller %d asks %s: request %zu, try %u, handle %llu",
+  world_trace (world, "caller %d to %s: request %zu, try %u, handle %llu",
                caller->index, world->hosts[host].name, caller->ask,
                caller->tries, (unsigned long long)caller->handle);
   event = world_event_create (world, EVENT_REQUEST, host);
   event->index = caller->index;
   event->handle = caller->handle;
   world_push (world, event, world->now_us + world_delay (world, 1, MS));
-  plan_timer (world, caller, CALLER_TIMEOUT_US);
+  schedule_timer (world, caller, CALLER_TIMEOUT_US);
 }
 
-/* Refuses a request and runs it all the same.  */
+/* Refuses a request but runs it (seeded bug).  */
 static void
 inject_refusal (struct world *world, struct caller *caller)
 {
@@ -433,7 +435,7 @@
       = { .type = MQ_FRONT_REQUEST, .now_us = world->now_us };
 
   if (caller->handle != event->handle || caller->state != CALLER_WAITING)
-    return; /* it has closed the connection already */
+    return; /* the caller has disconnected */
   inject_refusal (world, caller);
   input.handle = event->handle;
   input.partition = mq_id_partition (
@@ -472,24 +474,24 @@
   if (caller->timer_us != event->at_us)
     return;
   if (caller->state == CALLER_IDLE || caller->state == CALLER_BACKOFF)
-    ask_now (world, caller);
+    send_request (world, caller);
   else if (caller->state == CALLER_WAITING)
     {
       if (world->now_us < caller->last_us + CALLER_TIMEOUT_US)
         {
-          plan_timer (world, caller,
-                      caller->last_us + CALLER_TIMEOUT_US - world->now_us);
+          schedule_timer (world, caller,
+                          caller->last_us + CALLER_TIMEOUT_US - world->now_us);
           return;
         }
-      world_trace (world, "caller %d hears nothing and asks elsewhere",
+      world_trace (world, "caller %d timed out and retries at another host",
                    caller->index);
       close_connection (world, caller);
-      caller->doubtful = true;
-      ask_again (world, caller, 0);
+      caller->may_have_run = true;
+      schedule_request (world, caller, 0);
     }
 }
 
-/* The connection broke with the process.  */
+/* The caller's connection closed because the process ended.  */
 void
 caller_host_crashed (struct world *world, int host)
 {
@@ -499,31 +501,31 @@
 
       if (caller->state != CALLER_WAITING || caller->host != host)
         continue;
-      caller->doubtful = true;
-      ask_again (world, caller, MS);
+      caller->may_have_run = true;
+      schedule_request (world, caller, MS);
     }
 }
 
-/* Answers.  */
+/* ---- Replies ---- */
 
 static void
-next_ask (struct world *world, struct caller *caller)
+next_request (struct world *world, struct caller *caller)
 {
   caller->ask++;
   caller->tries = 0;
   caller->refusals = 0;
-  caller->doubtful = false;
+  caller->may_have_run = false;
   if (caller->ask == caller->ask_count)
     {
       caller->state = CALLER_DONE;
       world_trace (world, "caller %d is done", caller->index);
       return;
     }
-  ask_again (world, caller, THINK_US);
+  schedule_request (world, caller, THINK_US);
 }
 
 static bool
-holds_final (struct world *world, struct mq_id program, const char *body)
+was_final_answer (struct world *world, struct mq_id program, const char *body)
 {
   const struct observed_program *fact
       = worker_observed_program (world, program);
@@ -569,13 +571,13 @@
     {
     case MQ_REQUEST_OPEN:
     case MQ_REQUEST_TURN:
-      return holds_final (world, caller->program, body);
+      return was_final_answer (world, caller->program, body);
     case MQ_REQUEST_GET:
       return caller->answers[0] == NULL
              || is_same_answer (caller->answers[0], body);
     case MQ_REQUEST_STEP:
       if (ask->text == TEXT_ASK)
-        return holds_final (world, caller->program, body);
+        return was_final_answer (world, caller->program, body);
       fact = worker_observed_call (world, caller->program, ask->sequence);
       return fact->result != NULL && answer_is (body, fact->result);
     case MQ_REQUEST_CREATE:
@@ -587,7 +589,8 @@
 }
 
 static void
-note_told (struct world *world, const struct caller *caller, const char *body)
+check_answer_is_logged (struct world *world, const struct caller *caller,
+                        const char *body)
 {
   enum mq_request_type type = caller->asks[caller->ask].type;
 
@@ -597,14 +600,14 @@
   if ((type == MQ_REQUEST_OPEN || type == MQ_REQUEST_TURN)
       && !check_is_logged (world, caller->program, body))
     world_report_violation (world, INVARIANT_TOLD,
-                            "caller %d, request %zu: no log holds %.120s",
+                            "caller %d, request %zu: in no log: %.120s",
                             caller->index, caller->ask, body);
 }
 
-/* In an outage only batch work is turned away.  */
+/* During an outage only batch work may be refused.  */
 static void
-note_refused (struct world *world, const struct caller *caller,
-              const struct mq_event_msg *event)
+check_outage_refusal (struct world *world, const struct caller *caller,
+                      const struct mq_event_msg *event)
 {
   if (world->now_us < world->outage_from_us
       || world->now_us > world->outage_until_us || caller->checks)
@@ -626,7 +629,7 @@
   caller->checks = false;
   caller->ask = caller->ask_count;
   caller->state = CALLER_DONE;
-  world_trace (world, "caller %d has checked its answer", caller->index);
+  world_trace (world, "caller %d received its answer again", caller->index);
 }
 
 static void
@@ -653,19 +656,19 @@
 }
 
 static void
-take_final (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+handle_final (struct world *world, struct caller *caller,
+              const struct mq_event_msg *event)
 {
   const char *body = event->body;
 
   if (++caller->ends > 1)
     {
       world_report_violation (world, INVARIANT_ONE_ANSWER,
-                              "caller %d got %u ends of request %zu",
+                              "caller %d got %u final events for request %zu",
                               caller->index, caller->ends, caller->ask);
       return;
     }
-  note_told (world, caller, body);
+  check_answer_is_logged (world, caller, body);
   if (caller->checks)
     {
       check_final (world, caller, body);
@@ -675,19 +678,20 @@
     world_report_violation (world, INVARIANT_OWN_ANSWER,
                             "caller %d, request %zu: %.160s", caller->index,
                             caller->ask, body);
-  /* The last call that was streamed whole or in part, if it is the answer.  */
+  /* Check the streamed text if it belongs to the call that produced the
+     answer.  */
   if (caller->stream_call == (event->number >> 16) - 1
       && strstr (body, caller->stream) == NULL)
     world_report_violation (world, INVARIANT_STREAM,
-                            "caller %d: \"%s\" is no beginning of the answer",
+                            "caller %d: \"%s\" is not a prefix of the answer",
                             caller->index, caller->stream);
   caller->answers[caller->ask] = talloc_strdup (world, body);
-  next_ask (world, caller);
+  next_request (world, caller);
 }
 
-/* Refusals that pass, so that the same request may be made again.  */
+/* Transient refusals, after which the same request may be repeated.  */
 static bool
-passes (enum mq_error_type error)
+is_transient_refusal (enum mq_error_type error)
 {
   switch (error)
     {
@@ -707,8 +711,8 @@
     }
 }
 
-/* Callers here ask only what is right, in order and of their own program,
-   so a refusal that says otherwise is false.  */
+/* Refusals that cannot apply: the callers send valid requests, in order and
+   for their own programs.  */
 static bool
 is_impossible_refusal (enum mq_error_type error)
 {
@@ -728,7 +732,7 @@
     }
 }
 
-/* After a refusal the rest of the script makes no sense, but its end.  */
+/* After a refusal, skips to the script's CLOSE.  */
 static void
 skip_to_close (struct caller *caller)
 {
@@ -739,8 +743,8 @@
     caller->ask++;
 }
 
-/* A request that was refused as not run, and never tried before, must not
-   have run, nor run before it is made again.  */
+/* Records that a request refused as not run, and never attempted before, must
+   not have run and must not run until it is repeated.  */
 static void
 expect_not_run (struct world *world, struct caller *caller)
 {
@@ -748,39 +752,39 @@
   struct observed_program *fact
       = worker_observed_program (world, caller->program);
 
-  if (caller->doubtful
+  if (caller->may_have_run
       || (ask->type != MQ_REQUEST_OPEN && ask->type != MQ_REQUEST_CREATE))
     return;
   if (fact->starts > 0)
     world_report_violation (
         world, INVARIANT_NOT_RUN,
-        "caller %d hears not_run of a program that started %u "
+        "caller %d received not_run for a program that started %u "
         "calls",
         caller->index, fact->starts);
   fact->refused = true;
 }
 
 static void
-take_refusal (struct world *world, struct caller *caller,
-              const struct mq_event_msg *event)
+handle_refusal (struct world *world, struct caller *caller,
+                const struct mq_event_msg *event)
 {
   world_trace (world, "caller %d is refused: %s, %s", caller->index,
                mq_error_name (event->error), mq_ran_name (event->ran));
-  note_refused (world, caller, event);
+  check_outage_refusal (world, caller, event);
   if (++caller->ends > 1)
     {
       world_report_violation (world, INVARIANT_ONE_ANSWER,
-                              "caller %d got %u ends of request %zu",
+                              "caller %d got %u final events for request %zu",
                               caller->index, caller->ends, caller->ask);
       return;
     }
   if (event->ran == MQ_RAN_NOT_RUN)
     expect_not_run (world, caller);
   else
-    caller->doubtful = true;
-  if (passes (event->error) && ++caller->refusals < REFUSALS_MAX)
+    caller->may_have_run = true;
+  if (is_transient_refusal (event->error) && ++caller->refusals < REFUSALS_MAX)
     {
-      ask_again (world, caller, event->retry_after_ms * MS);
+      schedule_request (world, caller, event->retry_after_ms * MS);
       return;
     }
   if (caller->checks)
@@ -791,12 +795,12 @@
   if (is_impossible_refusal (event->error))
     world_report_violation (
         world, INVARIANT_OWN_ANSWER,
-        "caller %d, request %zu: refused as %s, which is not so",
+        "caller %d, request %zu: refused with impossible error %s",
         caller->index, caller->ask, mq_error_name (event->error));
   caller->errors[caller->ask] = event->error;
   caller->ends = 1;
   skip_to_close (caller);
-  next_ask (world, caller);
+  next_request (world, caller);
 }
 
 static bool
@@ -816,8 +820,8 @@
 }
 
 static void
-take_token (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+handle_token (struct world *world, struct caller *caller,
+              const struct mq_event_msg *event)
 {
   if (event->type == MQ_EVENT_RESET || event->call != caller->stream_call)
     caller->stream = talloc_strdup (world, "");
@@ -830,9 +834,10 @@
     caller->stream
         = talloc_asprintf (world, "%s%s", caller->stream, event->body);
   if (!is_streamed (world, caller, caller->stream, event->call))
-    world_report_violation (world, INVARIANT_STREAM,
-                            "caller %d, call %u: \"%s\" was never said",
-                            caller->index, event->call, caller->stream);
+    world_report_violation (
+        world, INVARIANT_STREAM,
+        "caller %d, call %u: \"%s\" is not part of any answer", caller->index,
+        event->call, caller->stream);
 }
 
 static struct caller *
@@ -845,8 +850,8 @@
 }
 
 static struct caller *
-plant_swap (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+inject_swapped_answer (struct world *world, struct caller *caller,
+                       const struct mq_event_msg *event)
 {
   struct caller *other
       = &world->callers[(caller->index + 1) % world->caller_count];
@@ -865,28 +870,28 @@
 
   if (caller == NULL || caller->host != from->host
       || caller->host_run != from->run)
-    return; /* its connection is closed */
+    return; /* the connection is closed */
   if (caller->state != CALLER_WAITING && caller->ends == 0)
     return;
-  caller = plant_swap (world, caller, event);
+  caller = inject_swapped_answer (world, caller, event);
   caller->last_us = world->now_us;
   switch (event->type)
     {
     case MQ_EVENT_TOKEN:
     case MQ_EVENT_RESET:
-      take_token (world, caller, event);
+      handle_token (world, caller, event);
       break;
     case MQ_EVENT_FINAL:
       if (world->cell->plant == PLANT_FINAL_SWALLOWED && caller->index == 0)
         break;
       world_trace (world, "caller %d: final %.100s", caller->index,
                    event->body);
-      take_final (world, caller, event);
+      handle_final (world, caller, event);
       if (world->cell->plant == PLANT_FINAL_DOUBLED)
-        take_final (world, caller, event);
+        handle_final (world, caller, event);
       break;
     case MQ_EVENT_REFUSED:
-      take_refusal (world, caller, event);
+      handle_refusal (world, caller, event);
       break;
     case MQ_EVENT_ACCEPTED:
     case MQ_EVENT_STEP:
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -1,4 +1,4 @@
-/* world_check.c - what must hold when the world has come to rest.
+/* world_check.c - invariants that must hold when the world is idle.
 
    Needs: world_state.h, proto/log.pb-c.h.  */
 
@@ -11,10 +11,10 @@
 {
   VERSION_BYTES = 8,
   APPLY_ID_BYTES = 16,
-  ORPHAN_OBJECTS_PER_END_MAX = 4 /* objects that each fault or end may leave */
+  ORPHAN_OBJECTS_PER_END_MAX = 4
 };
 
-/* One program as the table's log has it.  */
+/* One program according to the table's log.  */
 struct logged
 {
   struct mq_id program;
@@ -171,10 +171,10 @@
   return log;
 }
 
-/* The store.  */
+/* ---- Store ---- */
 
-/* Whether a row names OBJECT: a partition its checkpoint, a log row its
-   batch.  */
+/* Whether a partition row (checkpoint) or a log row (batch) references
+   OBJECT.  */
 static bool
 is_referenced (const struct mq_table_snapshot *all, const char *object)
 {
@@ -189,9 +189,9 @@
   return false;
 }
 
-/* After a checkpoint is in force, the next one begins with the first batch
-   after so many records; what comes while that one is being written, or what
-   an owner that dies then leaves to the next one, is on top.  */
+/* Limits the log after a checkpoint.  The next checkpoint starts with the
+   first batch after checkpoint_records records; allows for batches written
+   meanwhile and for those of an owner that crashes then.  */
 static void
 check_growth (struct world *world, const Mqlog__PartitionRow *part,
               const char *key)
@@ -224,10 +224,11 @@
         continue;
       sequence = strtoull (key + strlen (prefix), NULL, 10);
       if (sequence <= part->checkpoint || sequence > part->sequence)
-        world_report_violation (world, INVARIANT_STORED,
-                                "%s is left: checkpoint %llu, sequence %llu",
-                                key, (unsigned long long)part->checkpoint,
-                                (unsigned long long)part->sequence);
+        world_report_violation (
+            world, INVARIANT_STORED,
+            "%s was not removed: checkpoint %llu, sequence %llu", key,
+            (unsigned long long)part->checkpoint,
+            (unsigned long long)part->sequence);
     }
   if (part == NULL)
     return;
@@ -235,14 +236,14 @@
   mqlog__partition_row__free_unpacked (part, NULL);
 }
 
-/* A process that ends between writing an object and naming it, or between
-   ceasing to name it and removing it, leaves a few behind.  */
+/* A process that ends between writing an object and referencing it, or between
+   dereferencing and removing it, leaves a few unreferenced objects.  */
 static void
 check_store (struct world *world)
 {
   struct mq_table_snapshot *all = mq_table_snapshot (world->table, world);
-  uint32_t doubts = world->ends + 2 * world->report->injected
-                    - (world->replayed ? ENTRIES : 0);
+  uint32_t uncertain = world->ends + 2 * world->report->injected
+                       - (world->replayed ? ENTRIES : 0);
 
   for (size_t i = 0; i < all->row_count; i++)
     if (strncmp (all->rows[i].key, "part/", 5) == 0)
@@ -251,15 +252,15 @@
     if (!is_referenced (all, all->objects[i].key))
       {
         world->report->orphans++;
-        world_trace (world, "%s is named by no row", all->objects[i].key);
+        world_trace (world, "no row references %s", all->objects[i].key);
       }
-  if (world->report->orphans > doubts * ORPHAN_OBJECTS_PER_END_MAX)
+  if (world->report->orphans > uncertain * ORPHAN_OBJECTS_PER_END_MAX)
     world_report_violation (world, INVARIANT_STORED,
-                            "%u objects that no row names",
+                            "%u objects that no row references",
                             world->report->orphans);
 }
 
-/* The configuration.  */
+/* ---- Configuration ---- */
 
 struct mq_row *
 check_config_row (struct world *world, TALLOC_CTX *ctx)
@@ -310,7 +311,7 @@
     }
 }
 
-/* Answers.  */
+/* ---- Answers ---- */
 
 static bool
 is_answer (const struct logged *logged, const char *body)
@@ -327,7 +328,7 @@
   return found;
 }
 
-/* Whether the log holds by now what a caller is told.  */
+/* Whether the log contains BODY, which is being sent to a caller.  */
 bool
 check_is_logged (struct world *world, struct mq_id program, const char *body)
 {
@@ -376,7 +377,7 @@
   const struct logged *logged = logged_find (log, caller->program);
 
   if (caller->answers[index] == NULL && caller->errors[index] == MQ_ERR_NONE)
-    return; /* not reached; its caller is still waiting */
+    return; /* not reached; the caller is still waiting */
   if (caller->answers[index] != NULL
       && (logged == NULL || !is_answer (logged, caller->answers[index])))
     world_report_violation (
@@ -419,13 +420,13 @@
       if (fact->reported_not_run && fact->effects > 0)
         world_report_violation (
             world, INVARIANT_NOT_RUN,
-            "program %016llx was told not_run of call %u, which "
+            "program %016llx received not_run for call %u, which "
             "took effect",
             (unsigned long long)fact->program.lo, fact->call);
     }
 }
 
-/* Without a fault nothing is refused and nothing runs twice.  */
+/* Without a fault no request is refused and no call runs twice.  */
 static void
 check_fault_free (struct world *world)
 {
@@ -451,7 +452,7 @@
           world->calls[i].starts);
 }
 
-/* Engines.  */
+/* ---- Engines ---- */
 
 static void
 check_caches (struct world *world, const struct log *log)
@@ -478,13 +479,13 @@
 {
   for (int i = 0; i < HOSTS; i++)
     if (world->hosts[i].alive && world->hosts[i].leaving)
-      world_report_violation (world, INVARIANT_PLANNED_STOP, "%s never drains",
-                              world->hosts[i].name);
+      world_report_violation (world, INVARIANT_PLANNED_STOP,
+                              "%s did not drain", world->hosts[i].name);
 }
 
-/* Nothing is left to be done or cleared away.  */
+/* Whether no work and no cleanup remains.  */
 bool
-check_rest (const struct world *world)
+check_is_idle (const struct world *world)
 {
   const struct mq_row *row
       = check_config_row ((struct world *)world, (struct world *)world);
@@ -501,8 +502,8 @@
   return true;
 }
 
-/* Work that may be repeated went on while the store was down; batch work was
-   refused; nothing was taken from an owner that lived.  */
+/* In an outage idempotent calls continue, batch work is refused and no
+   partition is taken from a live owner.  */
 static void
 check_outage (struct world *world)
 {
@@ -511,12 +512,14 @@
   if (world->script != SCRIPT_OUTAGE || world->cell->nth != 0)
     return;
   if (report->starts_in_outage == 0)
-    world_report_violation (world, INVARIANT_OUTAGE, "nothing went on");
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "no call started during the outage");
   if (report->batch_refused == 0)
     world_report_violation (world, INVARIANT_OUTAGE,
                             "batch work was not refused");
   if (report->taken_alive > 0)
-    world_report_violation (world, INVARIANT_TAKEN, "%u partitions",
+    world_report_violation (world, INVARIANT_TAKEN,
+                            "%u partitions were taken from live owners",
                             report->taken_alive);
 }
 
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -1,4 +1,4 @@
-/* world_fault.c - the steps of a program, and faults injected at them.
+/* world_fault.c - steps of a program and fault injection at them.
 
    Needs: world_state.h, proto/log.pb-c.h.  */
 
@@ -40,10 +40,10 @@
   return some_host (world, ENTRIES, TARGETS);
 }
 
-/* Faults.  */
+/* ---- Faults ---- */
 
 static void
-kill_after (struct world *world, int host)
+schedule_crash (struct world *world, int host)
 {
   struct world_event *event = world_event_create (world, EVENT_CRASH, host);
 
@@ -55,15 +55,15 @@
 {
   world->hosts[host].rebooting = true;
   if (mq_random_below (&world->random, 2) == 0)
-    kill_after (world, host);
+    schedule_crash (world, host);
   else
     world_crash (world, host, GATE_RESTART_US);
 }
 
 static void
-kill_centre (struct world *world, const char *centre)
+crash_data_centre (struct world *world, const char *centre)
 {
-  world_trace (world, "data centre %s dies", centre);
+  world_trace (world, "data centre %s fails", centre);
   world->centre_dead_us = world->now_us;
   world->load_second = 0;
   memset (&world->load, 0, sizeof world->load);
@@ -78,7 +78,7 @@
 }
 
 static void
-break_store (struct world *world, bool down)
+start_store_fault (struct world *world, bool down)
 {
   struct world_event *event
       = world_event_create (world, EVENT_STORE_UP, NO_HOST);
@@ -103,8 +103,8 @@
 }
 
 static void
-set_message_fate (struct world *world, const struct site *site,
-                  enum delivery_fault delivery_fault)
+set_message_fault (struct world *world, const struct site *site,
+                   enum delivery_fault delivery_fault)
 {
   int host = site->actor != NO_HOST ? site->actor : entry_of (world, site);
 
@@ -113,8 +113,8 @@
 }
 
 static void
-set_store_fate (struct world *world, const struct site *site,
-                enum delivery_fault delivery_fault)
+set_store_fault (struct world *world, const struct site *site,
+                 enum delivery_fault delivery_fault)
 {
   int host = entry_of (world, site);
 
@@ -144,35 +144,35 @@
       break;
     case FAULT_OWNER_DIES_AFTER:
       if (entry != NO_HOST)
-        kill_after (world, entry);
+        schedule_crash (world, entry);
       break;
     case FAULT_OWNER_PAUSED:
       if (entry != NO_HOST)
         world_pause (world, entry, PAUSE_US);
       break;
     case FAULT_WRITE_LOST:
-      set_store_fate (world, site, DELIVERY_REPLY_LOST);
+      set_store_fault (world, site, DELIVERY_REPLY_LOST);
       break;
     case FAULT_WRITE_LATE:
-      set_store_fate (world, site, DELIVERY_APPLIED_LATE);
+      set_store_fault (world, site, DELIVERY_APPLIED_LATE);
       break;
     case FAULT_STORE_DOWN:
-      break_store (world, true);
+      start_store_fault (world, true);
       break;
     case FAULT_STORE_SLOW:
-      break_store (world, false);
+      start_store_fault (world, false);
       break;
     case FAULT_SILENT:
-      set_message_fate (world, site, DELIVERY_BLACKHOLED);
+      set_message_fault (world, site, DELIVERY_BLACKHOLED);
       break;
     case FAULT_LATE:
-      set_message_fate (world, site, DELIVERY_DELAYED);
+      set_message_fault (world, site, DELIVERY_DELAYED);
       break;
     case FAULT_DOUBLED:
-      set_message_fate (world, site, DELIVERY_DUPLICATED);
+      set_message_fault (world, site, DELIVERY_DUPLICATED);
       break;
     case FAULT_CROSSED:
-      set_message_fate (world, site, DELIVERY_REORDERED);
+      set_message_fault (world, site, DELIVERY_REORDERED);
       break;
     case FAULT_GATE_REBOOTS:
       if (target != NO_HOST)
@@ -180,7 +180,7 @@
       break;
     case FAULT_ENGINE_REBOOTS:
       if (target != NO_HOST)
-        worker_plan_engine (world, target, 0, true, 0);
+        worker_schedule_engine (world, target, 0, true, 0);
       break;
     case FAULT_WORKER_HANGS:
       hang_worker (world, site);
@@ -190,8 +190,8 @@
         world_stop (world, target);
       break;
     case FAULT_CENTRE_DIES:
-      kill_centre (world,
-                   entry != NO_HOST ? world->hosts[entry].data_centre : "a");
+      crash_data_centre (
+          world, entry != NO_HOST ? world->hosts[entry].data_centre : "a");
       break;
     case FAULT_OPERATORS_RACE:
       operator_apply (world, 0);
@@ -200,7 +200,7 @@
     }
 }
 
-/* The long outage of its script begins.  */
+/* Starts the long outage of the outage script.  */
 void
 fault_outage (struct world *world)
 {
@@ -209,7 +209,7 @@
   site.target = NO_HOST;
   site.actor = NO_HOST;
   site.worker = ANY_WORKER;
-  world_trace (world, "the store is down for long");
+  world_trace (world, "long store outage starts");
   world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + LONG_OUTAGE_US;
   world->store_down = true;
@@ -219,8 +219,8 @@
   fault_step (world, &site);
 }
 
-/* The N-th occurrence of the cell's step gets the first fault; the second
-   comes so many steps later, of whatever kind.  */
+/* Injects the first fault at the N-th occurrence of the cell's step, and the
+   second one after cell->gap further steps of any kind.  */
 void
 fault_step (struct world *world, const struct site *site)
 {
@@ -244,8 +244,8 @@
     inject (world, cell->second, site);
 }
 
-/* What else happens in the run: once, while a plain call of the first
-   caller's program is let through.  */
+/* Runs the script's event once, when a plain call of the first caller's
+   program is started.  */
 void
 fault_script (struct world *world, const struct site *site)
 {
@@ -283,8 +283,8 @@
     }
 }
 
-/* The owner dies when it would send its first call that may not be
-   repeated: the intent is durable, the call never left.  */
+/* Crashes the owner before it sends its first non-idempotent call: the intent
+   is durable, the call was not sent.  */
 void
 fault_settle_script (struct world *world, int host,
                      const struct mq_message *message)
@@ -311,7 +311,7 @@
   return strncmp (text, prefix, strlen (prefix)) == 0;
 }
 
-/* Of its own row, which says that it lives, no write is worth a fault.  */
+/* Renewals of an owner's own row are not affected by faults.  */
 static bool
 is_owner_write (const struct mq_store_request *request)
 {
@@ -339,7 +339,7 @@
   return delivery_fault;
 }
 
-/* Steps that a message is.  */
+/* ---- Steps of messages ---- */
 
 static enum world_step
 request_step (const struct mq_request_msg *request)
@@ -361,7 +361,7 @@
   return STEP_COUNT;
 }
 
-/* STEP_COUNT: none.  */
+/* Returns STEP_COUNT if the message is no step.  */
 static enum world_step
 message_step (const struct mq_message *message, struct mq_id *program)
 {
@@ -431,7 +431,7 @@
   fault_step (world, &site);
 }
 
-/* Steps that a store request is.  */
+/* ---- Steps of store requests ---- */
 
 static void
 record_step (struct world *world, struct site *site,
@@ -497,7 +497,7 @@
   fault_step (world, site);
 }
 
-/* The row names a newer checkpoint than it did before.  */
+/* Detects a row that references a newer checkpoint than before.  */
 static void
 install_step (struct world *world, struct site *site,
               const struct mq_store_op *op)
@@ -561,18 +561,18 @@
 }
 
 void
-fault_store_step (struct world *world, int host, enum asker asker,
+fault_store_step (struct world *world, int host, enum requester requester,
                   const struct mq_store_request *request)
 {
   struct site site = { .actor = host, .target = NO_HOST, .entry = host };
 
   site.worker = ANY_WORKER;
-  if (asker == REQUESTER_OPERATOR && request->kind == MQ_STORE_TXN)
+  if (requester == REQUESTER_OPERATOR && request->kind == MQ_STORE_TXN)
     {
       site.step = STEP_APPLY_WRITE;
       fault_step (world, &site);
     }
-  if (asker != REQUESTER_OWNER)
+  if (requester != REQUESTER_OWNER)
     return;
   if (request->kind == MQ_STORE_TXN)
     transaction_steps (world, &site, request);
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -47,7 +47,7 @@
 #define PAUSE_US (7 * SECOND)
 #define OUTAGE_US (8 * SECOND)
 #define SLOW_STORE_DELAY_US (1500 * MS)
-#define LATE_US (1200 * MS)
+#define LATE_DELAY_US (1200 * MS)
 #define STOP_NOTICE_US (2 * MS)
 #define CALLERS_START_US (1500 * MS)
 #define LONG_OUTAGE_US (30 * SECOND)
@@ -72,7 +72,7 @@
 /* Time to take over a partition whose owner is gone.  */
 #define TAKEOVER_DEADLINE_US (LEASE_US + 6 * SECOND)
 #define LEASE_US (2 * SECOND)
-#define REST_US (300 * SECOND)
+#define RUN_TIMEOUT_US (300 * SECOND)
 #define EVENTS_MAX                                                            \
   400000ULL /* exceeded only if the machines never become idle */
 #define IDLE_PERIOD_US (4 * SECOND)   /* after the last caller is done */
@@ -88,12 +88,12 @@
   EVENT_HEARTBEAT,      /* index: wire */
   EVENT_ACTIONS_RESUME, /* continues a list of actions */
   EVENT_FORWARD,        /* front to owner, same process */
-  EVENT_ANSWER,         /* owner to front, same process */
+  EVENT_OWNER_REPLY,    /* owner to front, same process */
   EVENT_TO_CALLER,      /* index: caller */
   EVENT_CALLER_TIMER,   /* index: caller */
   EVENT_REQUEST,        /* index: caller; reaches the front */
   EVENT_CALLER_DISCONNECT,
-  EVENT_STORE,
+  EVENT_STORE_REQUEST,
   EVENT_STORE_RESULT, /* reaches the requester */
   EVENT_OPERATOR,     /* index: operator */
   EVENT_CALL_STAGE,   /* index: run; starts its next stage */
@@ -111,7 +111,7 @@
   EVENT_OUTAGE /* the long outage begins */
 };
 
-enum asker
+enum requester
 {
   REQUESTER_OWNER,
   REQUESTER_SPREAD,
@@ -132,7 +132,7 @@
   uint32_t run;
   int index;
   int end;
-  enum asker asker;
+  enum requester requester;
   uint64_t handle;
   struct mq_message *message;
   struct mq_event_msg *answer;
@@ -355,8 +355,8 @@
   uint64_t timer_us;
   uint32_t tries;
   uint32_t refusals;
-  bool doubtful; /* an earlier attempt of this request may have run */
-  uint32_t ends; /* final events received for this handle */
+  bool may_have_run; /* an earlier attempt of this request may have run */
+  uint32_t ends;     /* final events received for this handle */
   char *answers[REQUESTS_PER_CALLER_MAX]; /* final bodies; NULL: refused */
   enum mq_error_type errors[REQUESTS_PER_CALLER_MAX];
   uint32_t stream_call;
@@ -399,7 +399,7 @@
   uint64_t random;
   struct world_event **heap;
   size_t heap_count;
-  size_t heap_room;
+  size_t heap_capacity;
   uint64_t next_number;
   struct host hosts[HOSTS];
   struct wire *wires;
@@ -481,8 +481,7 @@
                                         enum event_type type, int host);
 void world_push (struct world *world, struct world_event *event,
                  uint64_t at_us);
-uint64_t world_delay (struct world *world, uint64_t least_us,
-                      uint64_t most_us);
+uint64_t world_delay (struct world *world, uint64_t min_us, uint64_t max_us);
 bool world_is_current_run (const struct world *world, int host, uint32_t run);
 void world_crash (struct world *world, int host, uint64_t restart_us);
 void world_pause (struct world *world, int host, uint64_t pause_us);
@@ -511,7 +510,7 @@
 void wire_silence (struct world *world, struct wire *wire);
 
 /* world_store.c */
-void store_send (struct world *world, int host, enum asker asker,
+void store_send (struct world *world, int host, enum requester requester,
                  const struct mq_store_request *request);
 void store_serve (struct world *world, const struct world_event *event);
 void store_done (struct world *world, const struct world_event *event);
@@ -532,8 +531,8 @@
 void worker_ordered (struct world *world, const struct world_event *event);
 void worker_read_cache (struct world *world, const struct world_event *event);
 void worker_engine (struct world *world, const struct world_event *event);
-void worker_plan_engine (struct world *world, int host, uint32_t index,
-                         bool down, uint64_t in_us);
+void worker_schedule_engine (struct world *world, int host, uint32_t index,
+                             bool down, uint64_t in_us);
 void worker_on_program_end (struct world *world, struct mq_id program);
 void worker_gate_crashed (struct world *world, int host);
 void worker_host_crashed (struct world *world, int host);
@@ -564,7 +563,7 @@
 void fault_outage (struct world *world);
 void fault_message_step (struct world *world, int host, struct wire *wire,
                          const struct mq_message *message);
-void fault_store_step (struct world *world, int host, enum asker asker,
+void fault_store_step (struct world *world, int host, enum requester requester,
                        const struct mq_store_request *request);
 void fault_step (struct world *world, const struct site *site);
 enum delivery_fault fault_next_message_delivery (struct world *world,
@@ -577,7 +576,7 @@
                           const struct mq_message *message);
 
 /* world_check.c */
-bool check_rest (const struct world *world);
+bool check_is_idle (const struct world *world);
 void check_end (struct world *world);
 bool check_is_logged (struct world *world, struct mq_id program,
                       const char *body);
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -1,5 +1,5 @@
-/* world_store.c - the world's table with its faults, and the operators who
-   apply by compare-and-swap.
+/* world_store.c - the simulated table with its faults, and operators that
+   apply configurations by compare-and-swap.
 
    Needs: world_state.h.  */
 
@@ -74,7 +74,7 @@
       "path = /submit\n"
       "idempotent = no\n";
 
-/* Requests.  */
+/* ---- Requests ---- */
 
 static struct mq_bytes
 copy_bytes (TALLOC_CTX *ctx, struct mq_bytes from)
@@ -114,7 +114,7 @@
 
   event->run = from->run;
   event->index = from->index;
-  event->asker = from->asker;
+  event->requester = from->requester;
   event->result = talloc_steal (event, result);
   world_push (world, event, world->now_us + in_us);
 }
@@ -137,8 +137,8 @@
          || request->kind == MQ_STORE_DROP;
 }
 
-/* Programs here write a few kilobytes; a write of a megabyte is a machine
-   that goes round in a circle and takes the more the longer it does.  */
+/* Stops the run at a write that is far larger than any expected one; the state
+   machine is looping and its writes would keep growing.  */
 static bool
 is_excessive_write (struct world *world, int host,
                     const struct mq_store_request *request)
@@ -150,7 +150,7 @@
   if (len < WRITE_MAX)
     return false;
   world_report_violation (
-      world, INVARIANT_SETTLES, "%s writes %zu bytes at once",
+      world, INVARIANT_SETTLES, "%s writes %zu bytes in one request",
       host == NO_HOST ? "operator" : world->hosts[host].name, len);
   world->over = true;
   return true;
@@ -176,7 +176,7 @@
 }
 
 static void
-judge_load (struct world *world)
+check_load (struct world *world)
 {
   struct world_load *peak = &world->report->centre_peak;
   const struct world_load *load = &world->load;
@@ -191,14 +191,14 @@
              > hosts * LOAD_HOST_WRITES + PARTITIONS * LOAD_PARTITION_WRITES)
     world_report_violation (
         world, INVARIANT_LOAD,
-        "%u hosts ask for %u reads and %u writes in a second", hosts,
+        "%u hosts make %u reads and %u writes in one second", hosts,
         load->reads, load->writes);
 }
 
-/* Seconds since a data centre died, until its hosts are back.  */
+/* Counts store requests per second while a data centre is down.  */
 static void
-note_load (struct world *world, int host,
-           const struct mq_store_request *request)
+record_load (struct world *world, int host,
+             const struct mq_store_request *request)
 {
   uint64_t since_us = world->now_us - world->centre_dead_us;
 
@@ -207,7 +207,7 @@
     return;
   if (since_us / SECOND != world->load_second)
     {
-      judge_load (world);
+      check_load (world);
       memset (&world->load, 0, sizeof world->load);
       world->load_second = since_us / SECOND;
     }
@@ -219,9 +219,9 @@
     world->load.writes++;
 }
 
-/* FLAG of the event: its answer is lost.  */
+/* Sends a request to the table.  The event's FLAG: the reply is lost.  */
 void
-store_send (struct world *world, int host, enum asker asker,
+store_send (struct world *world, int host, enum requester requester,
             const struct mq_store_request *request)
 {
   struct world_event *event;
@@ -231,19 +231,19 @@
 
   if (is_excessive_write (world, host, request))
     return;
-  note_load (world, host, request);
-  fault_store_step (world, host, asker, request);
+  record_load (world, host, request);
+  fault_store_step (world, host, requester, request);
   delivery_fault = fault_next_store_delivery (world, host, request);
   if (host != NO_HOST
       && (!world_is_current_run (world, host, run) || world->hosts[host].held))
     return;
-  /* On its way it belongs to nobody: it arrives though its sender died.  */
-  event = world_event_create (world, EVENT_STORE, NO_HOST);
+  /* Arrives even if its sender crashes meanwhile.  */
+  event = world_event_create (world, EVENT_STORE_REQUEST, NO_HOST);
   event->index = host;
   event->run = run;
-  event->asker = asker;
+  event->requester = requester;
   event->request = copy_request (event, request);
-  world_trace (world, "%s asks the table: %s %s",
+  world_trace (world, "%s to the table: %s %s",
                host == NO_HOST ? "operator" : world->hosts[host].name,
                is_write (request) ? "write" : "read",
                request->kind == MQ_STORE_TXN && request->op_count > 0
@@ -262,7 +262,7 @@
           = world_event_create (world, EVENT_STORE_RESULT, host);
 
       lost->index = host;
-      lost->asker = asker;
+      lost->requester = requester;
       lost->result = talloc_zero (lost, struct mq_store_result);
       lost->result->id = request->id;
       lost->result->status = MQ_STORE_LOST;
@@ -272,7 +272,7 @@
   world_push (world, event, world->now_us + delay_us);
 }
 
-/* Reports a commit as applied that was not.  */
+/* Reports a commit as applied but drops it (seeded bug).  */
 static bool
 inject_dropped_commit (struct world *world, const struct world_event *event)
 {
@@ -296,7 +296,8 @@
 }
 
 static void
-plant_passes (struct world *world, struct mq_store_request *request)
+inject_ignored_condition (struct world *world,
+                          struct mq_store_request *request)
 {
   if (world->cell->plant != PLANT_CONDITION_IGNORED || !is_commit (request))
     return;
@@ -304,7 +305,7 @@
     request->ops[i].if_version = MQ_VERSION_ANY;
 }
 
-/* Writes a checkpoint without its last program.  */
+/* Removes the last program of a checkpoint (seeded bug).  */
 static void
 inject_truncated_checkpoint (struct world *world,
                              struct mq_store_request *request)
@@ -329,7 +330,7 @@
   mqlog__checkpoint__free_unpacked (checkpoint, NULL);
 }
 
-/* Refuses claims for a while after the owner died.  */
+/* Refuses claims for a while after the owner crashed (seeded bug).  */
 static bool
 inject_claim_refusal (struct world *world, const struct world_event *event)
 {
@@ -344,7 +345,8 @@
   return true;
 }
 
-/* Owners seem dead after the outage, though they renew.  */
+/* Refuses renewals after the outage, so that live owners seem gone (seeded
+   bug).  */
 static bool
 inject_renewal_refusal (struct world *world, const struct world_event *event)
 {
@@ -361,7 +363,7 @@
 }
 
 static bool
-plant_keeps (struct world *world, const struct world_event *event)
+inject_ignored_removal (struct world *world, const struct world_event *event)
 {
   if (world->cell->plant != PLANT_DROP_SWALLOWED
       || event->request->kind != MQ_STORE_DROP)
@@ -370,7 +372,7 @@
   return true;
 }
 
-/* The batch of a log row, read from its object if it is there.  */
+/* Returns the batch of a log row, read from its object if it has one.  */
 static struct mq_bytes
 read_log_row (struct world *world, const char *key)
 {
@@ -391,8 +393,8 @@
   return value;
 }
 
-/* What the log held is known also after a checkpoint took its place.  Returns
-   how many batches were noted; they stay only if the request applies.  */
+/* Keeps the batches of log rows that a checkpoint replaces.  Returns their
+   number; they are kept only if the request applies.  */
 static size_t
 record_removed_batches (struct world *world,
                         const struct mq_store_request *request)
@@ -415,7 +417,7 @@
   return noted;
 }
 
-/* Programs whose end a batch holds.  */
+/* Records the programs that end in a batch.  */
 static void
 record_program_ends (struct world *world,
                      const struct mq_store_request *request)
@@ -451,18 +453,18 @@
 }
 
 static void
-note_fence (struct world *world, const char *key, uint64_t fence)
+record_fence (struct world *world, const char *key, uint64_t fence)
 {
   uint64_t *had = &world->fences[strtoul (key + 5, NULL, 10) % PARTITIONS];
 
   if (fence < *had)
     world_report_violation (
-        world, INVARIANT_FENCE, "%s falls from %llu to %llu", key,
+        world, INVARIANT_FENCE, "%s decreases from %llu to %llu", key,
         (unsigned long long)*had, (unsigned long long)fence);
   *had = fence;
 }
 
-/* How far the log was when a checkpoint came into force.  */
+/* Records the log position when a checkpoint was installed.  */
 static void
 record_checkpoint (struct world *world, const struct mq_store_request *request)
 {
@@ -478,7 +480,7 @@
       row = mqlog__partition_row__unpack (NULL, op->value.len, op->value.data);
       if (row == NULL)
         continue;
-      note_fence (world, op->key, row->fence);
+      record_fence (world, op->key, row->fence);
       if (row->checkpoint > at->checkpoint)
         {
           at->checkpoint = row->checkpoint;
@@ -488,7 +490,7 @@
     }
 }
 
-/* The request is at the table.  */
+/* Executes a request at the table.  */
 void
 store_serve (struct world *world, const struct world_event *event)
 {
@@ -502,11 +504,12 @@
         push_failure (world, event, MQ_STORE_DOWN, delay_us);
       return;
     }
-  if (inject_dropped_commit (world, event) || plant_keeps (world, event)
+  if (inject_dropped_commit (world, event)
+      || inject_ignored_removal (world, event)
       || inject_claim_refusal (world, event)
       || inject_renewal_refusal (world, event))
     return;
-  plant_passes (world, event->request);
+  inject_ignored_condition (world, event->request);
   inject_truncated_checkpoint (world, event->request);
   result = talloc_zero (world, struct mq_store_result);
   noted = record_removed_batches (world, event->request);
@@ -543,7 +546,7 @@
 
   owner.u.store = event->result;
   spread.u.store = event->result;
-  switch (event->asker)
+  switch (event->requester)
     {
     case REQUESTER_OWNER:
       world_owner_input (world, event->host, &owner);
@@ -559,7 +562,7 @@
     }
 }
 
-/* The configuration's row.  */
+/* ---- Configuration row ---- */
 
 static struct mq_bytes
 make_row (TALLOC_CTX *ctx, uint64_t version, const uint8_t *id,
@@ -598,10 +601,13 @@
   mq_table_transact (world->table, &op, 1, &version, NULL);
 }
 
-/* Operators: read, write on that base, settle a lost answer by the id.  */
+/* ---- Operators ---- */
 
+/* An operator reads the configuration and writes on that base.  After a lost
+   reply it checks by the ID whether its write was applied.  */
 static void
-operator_plan (struct world *world, struct world_operator *who, uint64_t in_us)
+operator_schedule (struct world *world, struct world_operator *who,
+                   uint64_t in_us)
 {
   struct world_event *event
       = world_event_create (world, EVENT_OPERATOR, NO_HOST);
@@ -620,7 +626,7 @@
   if (who->state == OPERATOR_DONE || who->state == OPERATOR_IDLE)
     {
       who->state = OPERATOR_READING;
-      operator_plan (world, who, world->now_us == 0 ? 2 * SECOND : 1);
+      operator_schedule (world, who, world->now_us == 0 ? 2 * SECOND : 1);
     }
 }
 
@@ -695,18 +701,18 @@
                (unsigned long long)who->version);
 }
 
-/* One apply has ended, as accepted, in conflict or unknown.  */
+/* Continues after an apply was accepted, conflicted or ended unknown.  */
 static void
 operator_next (struct world *world, struct world_operator *who)
 {
   who->applies_left--;
   who->state = who->applies_left > 0 ? OPERATOR_READING : OPERATOR_DONE;
   if (who->applies_left > 0)
-    operator_plan (world, who, OPERATOR_BACKOFF_US);
+    operator_schedule (world, who, OPERATOR_BACKOFF_US);
 }
 
 static void
-plant_reverts (struct world *world)
+inject_config_revert (struct world *world)
 {
   uint8_t id[APPLY_ID_BYTES] = { 0 };
   struct mq_store_op op = { .key = (char *)MQ_CONFIG_KEY };
@@ -727,21 +733,21 @@
     {
     case MQ_STORE_OK:
       operator_accepted (world, who);
-      plant_reverts (world);
+      inject_config_revert (world);
       operator_next (world, who);
       break;
     case MQ_STORE_CONFLICT:
-      /* The other won: looks at the difference and applies again.  */
+      /* The other operator's write won: read again and retry.  */
       who->state = OPERATOR_READING;
-      operator_plan (world, who, OPERATOR_BACKOFF_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_DOWN:
     case MQ_STORE_MISSING:
-      operator_plan (world, who, OPERATOR_BACKOFF_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_LOST:
       who->state = OPERATOR_VERIFYING;
-      operator_plan (world, who, OPERATOR_BACKOFF_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     }
 }
@@ -758,7 +764,7 @@
   else if (row->version == who->base_row)
     operator_write (world, who);
   else
-    operator_next (world, who); /* written over, if it was */
+    operator_next (world, who); /* it may have been overwritten */
 }
 
 static void
@@ -772,7 +778,7 @@
     }
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
-      operator_plan (world, who, OPERATOR_BACKOFF_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       return;
     }
   if (who->state == OPERATOR_VERIFYING)
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -1,9 +1,9 @@
-/* world_wire.c - connections between the world's hosts.
+/* world_wire.c - connections between the simulated hosts.
 
-   Each is FIFO.  Both ends find out by themselves that it is gone: at once
-   where a process died, by silence otherwise; so an end may hold an old
-   connection open, and take in what was on its way there, while a new one
-   is in use already.
+   Each connection is FIFO.  Its ends detect that it is gone independently: at
+   once if a process crashed, otherwise by timeout.  One end may thus keep an
+   old connection open, and receive messages in transit there, while a new one
+   is in use.
    Needs: world_state.h.  */
 
 #include "world_state.h"
@@ -12,7 +12,6 @@
 #define LINK_MOST_US 1200
 #define RECONNECT_US (MQ_CONNECT_RETRY_MS * MS)
 
-/* Target hosts do not talk to each other.  */
 static bool
 may_connect (const struct world *world, int a, int b)
 {
@@ -44,7 +43,7 @@
 }
 
 static bool
-answers (const struct world *world, int host)
+is_responsive (const struct world *world, int host)
 {
   return world->hosts[host].alive
          && world->hosts[host].paused_until_us <= world->now_us;
@@ -61,7 +60,7 @@
   event->run = w->run[end];
   event->index = wire;
   event->end = end;
-  /* Not before what is on its way.  */
+  /* Keep the order of earlier messages.  */
   if (at_us < w->last_us[end])
     at_us = w->last_us[end];
   w->last_us[end] = at_us;
@@ -69,7 +68,7 @@
 }
 
 static void
-plan_beat (struct world *world, int wire)
+schedule_heartbeat (struct world *world, int wire)
 {
   struct world_event *event
       = world_event_create (world, EVENT_HEARTBEAT, NO_HOST);
@@ -100,7 +99,7 @@
   for (int end = 0; end < 2; end++)
     push_wire_event (world, EVENT_WIRE_UP, index, end,
                      world_delay (world, LINK_LEAST_US, LINK_MOST_US));
-  plan_beat (world, index);
+  schedule_heartbeat (world, index);
 }
 
 void
@@ -112,8 +111,8 @@
   world->connecting[a][b] = false;
   if (world->current[a][b] != NO_HOST || !world->hosts[a].alive
       || !world->hosts[b].alive)
-    return; /* a host that starts connects anew */
-  if (answers (world, a) && answers (world, b))
+    return; /* a starting host connects by itself */
+  if (is_responsive (world, a) && is_responsive (world, b))
     create_wire (world, a, b);
   else
     wire_connect_later (world, a, b, RECONNECT_US);
@@ -167,8 +166,7 @@
 
   if (!wire.open[event->end])
     return;
-  /* The other end may have started again since: then it was not this run
-     that shook hands, and the connection breaks.  */
+  /* The other end restarted after the handshake: the connection closes.  */
   if (!world_is_current_run (world, wire.host[other_end (event->end)],
                              wire.run[other_end (event->end)]))
     return;
@@ -198,7 +196,8 @@
     world_front_input (world, host, &front);
 }
 
-/* One end closes: the other hears of it unless the connection is silent.  */
+/* Closes one end.  The other end is notified unless the connection is
+   silent.  */
 void
 wire_down (struct world *world, const struct world_event *event)
 {
@@ -235,7 +234,7 @@
     world_gate_input (world, event->host, &gate);
 }
 
-/* Beats carry the version in force at the other end.  */
+/* Heartbeats carry the other end's configuration version.  */
 static void
 receive_heartbeat (struct world *world, int index, int end)
 {
@@ -251,13 +250,14 @@
 }
 
 static bool
-end_beats (const struct world *world, const struct wire *wire, int end)
+send_heartbeat (const struct world *world, const struct wire *wire, int end)
 {
-  return wire->open[end] && answers (world, wire->host[end])
+  return wire->open[end] && is_responsive (world, wire->host[end])
          && world_is_current_run (world, wire->host[end], wire->run[end]);
 }
 
-/* An end that hears nothing closes the connection.  */
+/* Sends heartbeats; an end that receives none until the timeout closes the
+   connection.  */
 void
 wire_heartbeat (struct world *world, const struct world_event *event)
 {
@@ -268,13 +268,13 @@
     {
       struct wire *wire = &world->wires[index];
 
-      if (!end_beats (world, wire, end))
+      if (!send_heartbeat (world, wire, end))
         {
           any = any || wire->open[end];
           continue;
         }
       any = true;
-      if (!wire->silent && end_beats (world, wire, other_end (end))
+      if (!wire->silent && send_heartbeat (world, wire, other_end (end))
           && wire->last_us[end] <= world->now_us)
         {
           wire->heard_us[end] = world->now_us;
@@ -288,11 +288,11 @@
         }
     }
   if (any)
-    plan_beat (world, index);
+    schedule_heartbeat (world, index);
 }
 
-/* A process that dies takes its connections with it.  Its peers hear of it
-   at once, or by silence where the whole host is gone.  */
+/* Closes the connections of a crashed process.  Peers notice at once, or by
+   timeout if the whole host failed (SILENTLY).  */
 void
 wire_host_crashed (struct world *world, int host, bool silently)
 {
@@ -317,13 +317,13 @@
 void
 wire_silence (struct world *world, struct wire *wire)
 {
-  world_trace (world, "%s - %s: swallows everything from now on",
+  world_trace (world, "%s - %s: drops all messages from now on",
                world->hosts[wire->host[0]].name,
                world->hosts[wire->host[1]].name);
   wire->silent = true;
 }
 
-/* Sending and receiving.  */
+/* ---- Sending and receiving ---- */
 
 static int
 find_wire (const struct world *world, int host, uint32_t handle, int *end)
@@ -362,20 +362,21 @@
   world_push (world, event, at_us);
 }
 
-/* Holds a message back on a connection that its sender has given up; the
-   receiver, which has not, takes it in after what comes on the new one.  */
+/* Delays a message on a connection that its sender has closed.  The
+   receiver, which has not closed it, gets the message after those on the
+   new connection.  */
 static void
 deliver_reordered (struct world *world, int index, int end,
                    const struct mq_message *message)
 {
-  push_message (world, index, end, message, world->now_us + LATE_US);
+  push_message (world, index, end, message, world->now_us + LATE_DELAY_US);
   push_wire_event (world, EVENT_WIRE_DOWN, index, end, 50 * MS);
   push_wire_event (world, EVENT_WIRE_DOWN, index, other_end (end), 50 * MS);
   world->wires[index].silent = true;
 }
 
 static bool
-swallows (const struct wire *wire, int sender)
+drops_messages (const struct wire *wire, int sender)
 {
   return wire->silent || !wire->open[sender] || !wire->open[1 - sender];
 }
@@ -405,10 +406,10 @@
   world_trace (world, "%s -> %s (wire %d): %s%s", world->hosts[host].name,
                world->hosts[world->wires[index].host[other_end (end)]].name,
                index, mq_message_name (message->type),
-               swallows (&world->wires[index], end) ? ", swallowed" : "");
+               drops_messages (&world->wires[index], end) ? ", dropped" : "");
   if (delivery_fault == DELIVERY_BLACKHOLED)
     wire_silence (world, &world->wires[index]);
-  if (swallows (&world->wires[index], end))
+  if (drops_messages (&world->wires[index], end))
     return;
   if (delivery_fault == DELIVERY_REORDERED)
     {
@@ -416,14 +417,14 @@
       return;
     }
   if (delivery_fault == DELIVERY_DELAYED)
-    at_us += LATE_US;
+    at_us += LATE_DELAY_US;
   push_message (world, index, other_end (end), &copy, at_us);
   if (delivery_fault == DELIVERY_DUPLICATED)
     push_message (world, index, other_end (end), &copy, at_us + 2 * MS);
 }
 
 static void
-note_arrival (struct world *world, int host, const struct mq_call_ref *ref)
+record_arrival (struct world *world, int host, const struct mq_call_ref *ref)
 {
   struct arrival *arrival;
 
@@ -452,7 +453,7 @@
   input.peer = world->wires[event->index].handle[event->end];
   input.u.message = event->message;
   if (event->message->type == MQ_MSG_CALL)
-    note_arrival (world, event->host, &event->message->u.call.ref);
+    record_arrival (world, event->host, &event->message->u.call.ref);
   world_gate_input (world, event->host, &input);
 }
 
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -1,9 +1,9 @@
-/* world_worker.c - the world's workers: engines, a plain service whose calls
-   may not be repeated, and a tool; and what they saw.
+/* world_worker.c - simulated workers: engines, a plain service with
+   non-idempotent calls, and a tool; and what was observed of them.
 
-   An engine answers by a plan in the last user message, as docs/CONTRACTS.md
-   has it; its answer depends on the program and the messages alone, so that
-   a whole history can be checked from its first message on.
+   An engine replies according to a plan in the last user message, see
+   docs/CONTRACTS.md.  The reply depends only on the program and the messages,
+   so a whole history can be verified.
    Needs: world_state.h.  */
 
 #include "world_state.h"
@@ -29,7 +29,7 @@
   OVERSPENT = 400
 };
 
-/* What was seen.  */
+/* ---- Observations ---- */
 
 struct observed_call *
 worker_observed_call (struct world *world, struct mq_id program, uint32_t call)
@@ -95,7 +95,7 @@
                (unsigned long long)fact->tokens);
 }
 
-/* Plans and answers.  */
+/* ---- Plans and answers ---- */
 
 static const char *
 text_of (json_t *object, const char *key)
@@ -111,7 +111,8 @@
   return strcmp (text_of (message, "role"), role) == 0;
 }
 
-/* Place of the last user message among the first COUNT, or COUNT.  */
+/* Returns the index of the last user message among the first COUNT, or
+   COUNT.  */
 static size_t
 last_user (json_t *messages, size_t count)
 {
@@ -121,7 +122,7 @@
   return count;
 }
 
-/* The step that a plan has for a history of COUNT messages, NULL: none.  */
+/* Returns the plan's step for a history of COUNT messages, or NULL.  */
 static json_t *
 plan_step (json_t *messages, size_t count)
 {
@@ -208,7 +209,7 @@
   return tokens <= 0 ? DEFAULT_TOKENS : (uint32_t)tokens;
 }
 
-/* A history is whole when every message follows from those before it.  */
+/* ---- Histories: every message must follow from those before it ---- */
 
 static bool
 is_failure (json_t *result)
@@ -217,11 +218,11 @@
          && text_of (result, "ran")[0] != '\0';
 }
 
-/* What a program was told of a call that failed is held against what the
-   target saw, at the end.  */
+/* Records a failure that was reported to a program; at the end it is compared
+   with what the target observed.  */
 static void
-note_failure (struct world *world, struct mq_id program, uint32_t call,
-              json_t *result)
+record_failure (struct world *world, struct mq_id program, uint32_t call,
+                json_t *result)
 {
   if (strcmp (text_of (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
     worker_observed_call (world, program, call)->reported_not_run = true;
@@ -251,7 +252,7 @@
   bool holds = is_failure (result);
 
   if (holds)
-    note_failure (world, program, call, result);
+    record_failure (world, program, call, result);
   else if (fact->result != NULL)
     holds = strcmp (fact->result, content) == 0;
   else
@@ -278,8 +279,8 @@
   return holds;
 }
 
-/* Place of the first message that does not follow, COUNT when all do.  CALLS
-   is set to the calls that the history holds.  */
+/* Returns the index of the first invalid message, or COUNT.  Sets CALLS to the
+   number of calls in the history.  */
 static size_t
 first_invalid_message (struct world *world, struct mq_id program,
                        json_t *messages, uint32_t *calls)
@@ -336,7 +337,7 @@
         (unsigned long long)run->ref.program.lo, run->ref.call, calls);
 }
 
-/* Engines' caches.  */
+/* ---- Engine caches ---- */
 
 static struct engine_cache_entry *
 cache_find (struct worker *worker, struct mq_id program)
@@ -365,7 +366,7 @@
   row->held_us = world->now_us;
 }
 
-/* How long ROW has been held for a program that has ended.  */
+/* Returns how long ROW has been cached for an ended program.  */
 static uint64_t
 unneeded_cache_us (struct world *world, const struct engine_cache_entry *row)
 {
@@ -376,7 +377,7 @@
   return world->now_us - (ended_us > row->held_us ? ended_us : row->held_us);
 }
 
-/* WORKER gives up what it holds for a program, or for all.  */
+/* Records the cache time when WORKER evicts one program, or all.  */
 static void
 record_cache_held (struct world *world, const struct worker *worker,
                    const struct mq_id *program)
@@ -398,7 +399,7 @@
     }
 }
 
-/* The program's end is in the log.  */
+/* Called when the program's end is in the log.  */
 void
 worker_on_program_end (struct world *world, struct mq_id program)
 {
@@ -417,10 +418,10 @@
     *row = worker->cache[--worker->cache_count];
 }
 
-/* Starting.  */
+/* ---- Starting calls ---- */
 
 static void
-plan_stage (struct world *world, size_t index, uint64_t in_us)
+schedule_stage (struct world *world, size_t index, uint64_t in_us)
 {
   struct world_event *event
       = world_event_create (world, EVENT_CALL_STAGE, NO_HOST);
@@ -430,7 +431,7 @@
 }
 
 static json_t *
-plant_in_history (struct world *world, json_t *messages)
+inject_history_fault (struct world *world, json_t *messages)
 {
   size_t count = json_array_size (messages);
 
@@ -448,7 +449,7 @@
 {
   json_t *body = json_loads (run->body, 0, NULL);
   json_t *messages
-      = plant_in_history (world, json_object_get (body, "messages"));
+      = inject_history_fault (world, json_object_get (body, "messages"));
   size_t count = json_array_size (messages);
   json_t *step = plan_step (messages, count);
   json_t *calls = tool_calls_of (step, count);
@@ -564,7 +565,7 @@
 }
 
 static void
-begin (struct world *world, struct run *run, size_t index)
+begin_run (struct world *world, struct run *run, size_t index)
 {
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
   struct observed_call *fact;
@@ -579,11 +580,11 @@
   if (worker->kind == MQ_SERVICE_MODEL)
     {
       prepare_model (world, run);
-      plan_stage (world, index, ENGINE_FIRST_US);
+      schedule_stage (world, index, ENGINE_FIRST_US);
       return;
     }
   prepare_plain (world, run);
-  plan_stage (world, index, EFFECT_US);
+  schedule_stage (world, index, EFFECT_US);
 }
 
 void
@@ -607,16 +608,16 @@
       world->hosts[host].name, (unsigned long long)start->ref.program.lo,
       start->ref.call, start->ref.attempt, start->service, start->max_tokens);
   run = add_run (world, host, start);
-  begin (world, run, world->run_count - 1);
+  begin_run (world, run, world->run_count - 1);
   if (world->cell->plant != PLANT_START_CLONED
       || world->hosts[host].workers[start->worker].kind != MQ_SERVICE_PLAIN)
     return;
   run = add_run (world, host, start);
   run->slot = UINT32_MAX;
-  begin (world, run, world->run_count - 1);
+  begin_run (world, run, world->run_count - 1);
 }
 
-/* Ending.  */
+/* ---- Ending calls ---- */
 
 static bool
 is_heard (const struct world *world, const struct run *run)
@@ -633,7 +634,7 @@
 }
 
 static void
-give_done (struct world *world, const struct run *run,
+send_done (struct world *world, const struct run *run,
            enum mq_error_type error, enum mq_ran ran)
 {
   struct mq_gate_input input
@@ -651,8 +652,8 @@
   world_gate_input (world, run->host, &input);
 }
 
-/* A model call may be asked again; whether another took effect can't be
-   known when it does not answer.  */
+/* A model call is idempotent.  Whether another call took effect is unknown if
+   it gets no reply.  */
 static void
 fail_run (struct world *world, struct run *run, enum mq_error_type error)
 {
@@ -661,11 +662,11 @@
   if (run->ended)
     return;
   end_run (world, run);
-  give_done (world, run, error, model ? MQ_RAN_RAN : MQ_RAN_UNKNOWN);
+  send_done (world, run, error, model ? MQ_RAN_RAN : MQ_RAN_UNKNOWN);
 }
 
 static void
-give_token (struct world *world, const struct run *run, uint32_t chunk)
+send_token (struct world *world, const struct run *run, uint32_t chunk)
 {
   struct mq_gate_input input
       = { .type = MQ_GATE_TOKEN, .now_us = world->now_us };
@@ -682,7 +683,7 @@
 }
 
 static void
-note_final (struct world *world, const struct run *run)
+record_final_answer (struct world *world, const struct run *run)
 {
   struct observed_program *fact
       = worker_observed_program (world, run->ref.program);
@@ -706,13 +707,13 @@
       spend (world, run->ref.program, due - run->tokens_done);
       run->tokens_done = due;
       cache_hold (world, worker, run->ref.program, run->tokens_in + due);
-      give_token (world, run, run->stage++);
-      plan_stage (world, index, ENGINE_CHUNK_US);
+      send_token (world, run, run->stage++);
+      schedule_stage (world, index, ENGINE_CHUNK_US);
       return;
     }
-  note_final (world, run);
+  record_final_answer (world, run);
   end_run (world, run);
-  give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+  send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
 }
 
 static void
@@ -744,31 +745,31 @@
     {
     case 0:
       if (early)
-        give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+        send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
       else
         take_effect (world, run);
-      plan_stage (world, index, early ? ANSWER_HELD_US : ANSWER_US);
+      schedule_stage (world, index, early ? ANSWER_HELD_US : ANSWER_US);
       break;
     case 1:
       if (early)
         take_effect (world, run);
       end_run (world, run);
       if (!early)
-        give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+        send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
       break;
     }
 }
 
-/* A hanging service takes effect and never answers; the client at the gate
-   gives up.  */
+/* A hanging service takes effect but does not reply; the gate's client times
+   out.  */
 static void
-hang (struct world *world, struct run *run, size_t index)
+start_hang (struct world *world, struct run *run, size_t index)
 {
   if (run->worker != MODEL_WORKER)
     take_effect (world, run);
   run->hangs = false;
   run->stopped = true;
-  plan_stage (world, index, HANG_US);
+  schedule_stage (world, index, HANG_US);
 }
 
 void
@@ -782,7 +783,7 @@
   if (run->stopped)
     fail_run (world, run, MQ_ERR_TIMEOUT);
   else if (run->hangs)
-    hang (world, run, (size_t)event->index);
+    start_hang (world, run, (size_t)event->index);
   else if (run->worker == MODEL_WORKER)
     model_stage (world, run, (size_t)event->index);
   else
@@ -799,14 +800,15 @@
       if (run->ended || run->host != host || run->slot != slot
           || run->host_run != world->hosts[host].run)
         continue;
-      world_trace (world, "%s stops %016llx call %u", world->hosts[host].name,
+      world_trace (world, "%s cancels %016llx call %u",
+                   world->hosts[host].name,
                    (unsigned long long)run->ref.program.lo, run->ref.call);
       fail_run (world, run, MQ_ERR_CANCELLED);
       return;
     }
 }
 
-/* Evictions, orders, reads of the cache.  */
+/* ---- Evictions, orders, cache reports ---- */
 
 void
 worker_evict (struct world *world, int host, const struct mq_evict *evict)
@@ -891,13 +893,13 @@
       input.u.cache.used += entries[i].tokens;
     }
   input.u.cache.entry_count = worker->cache_count;
-  /* A bug planted in evictions hides behind what the engine says, too.  */
+  /* The seeded eviction bug also hides the engine's report.  */
   if (worker->up && world->cell->plant != PLANT_EVICT_SWALLOWED)
     world_gate_input (world, event->host, &input);
   talloc_free (entries);
 }
 
-/* Restarts.  */
+/* ---- Restarts ---- */
 
 static void
 abort_runs (struct world *world, int host, uint32_t index)
@@ -907,7 +909,7 @@
       fail_run (world, world->runs[i], MQ_ERR_TARGET_FAILED);
 }
 
-/* FLAG: it goes down, and up again a while later.  */
+/* Stops the engine (FLAG) and schedules its restart, or starts it.  */
 void
 worker_engine (struct world *world, const struct world_event *event)
 {
@@ -924,27 +926,27 @@
       record_cache_held (world, worker, NULL);
       worker->cache_count = 0;
       abort_runs (world, event->host, (uint32_t)event->index);
-      worker_plan_engine (world, event->host, (uint32_t)event->index, false,
-                          ENGINE_RESTART_US);
+      worker_schedule_engine (world, event->host, (uint32_t)event->index,
+                              false, ENGINE_RESTART_US);
     }
   if (host->alive)
     world_gate_input (world, event->host, &input);
 }
 
 void
-worker_plan_engine (struct world *world, int host, uint32_t index, bool down,
-                    uint64_t in_us)
+worker_schedule_engine (struct world *world, int host, uint32_t index,
+                        bool down, uint64_t in_us)
 {
   struct world_event *event = world_event_create (world, EVENT_ENGINE, host);
 
   event->index = (int)index;
-  event->run = 0; /* the engine's, not the gate's */
+  event->run = 0; /* not bound to a run of the gate */
   event->flag = down;
   world_push (world, event, world->now_us + in_us);
 }
 
-/* A call that hangs has had its effect, and only the gate's client waits for
-   the answer: it ends with that client.  */
+/* Ends hanging calls of a crashed gate: they have taken effect, and only the
+   gate's client was waiting.  */
 void
 worker_gate_crashed (struct world *world, int host)
 {
@@ -955,7 +957,7 @@
       end_run (world, world->runs[i]);
 }
 
-/* The whole host is gone, its workers with it.  */
+/* Stops the workers of a failed host.  */
 void
 worker_host_crashed (struct world *world, int host)
 {
