--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -79,27 +79,28 @@
               const struct mq_service *service, const char *input)
 {
   struct mq_program *scratch = talloc_zero (owner->actions, struct mq_program);
-  const struct running *before = NULL;
+  const struct running *previous = NULL;
 
   if (scratch == NULL)
     abort ();
   if (!mq_id_is_zero (request->continues))
     {
-      before = chain_find (owner, request->continues);
-      if (before == NULL
-          || strcmp (before->program->organisation, request->organisation)
+      previous = chain_find (owner, request->continues);
+      if (previous == NULL
+          || strcmp (previous->program->organisation, request->organisation)
                  != 0)
         return MQ_ERR_NOT_FOUND;
-      if (before->program->state == MQ_PROGRAM_RUNNING)
+      if (previous->program->state == MQ_PROGRAM_RUNNING)
         return MQ_ERR_OUT_OF_ORDER;
-      scratch->messages = before->program->messages;
-      scratch->messages = talloc_strndup (
-          scratch,
-          before->program->messages == NULL ? "" : before->program->messages,
-          before->program->messages_len);
-      scratch->messages_len = before->program->messages_len;
-      scratch->messages_room = before->program->messages_len + 1;
-      scratch->message_count = before->program->message_count;
+      scratch->messages = previous->program->messages;
+      scratch->messages = talloc_strndup (scratch,
+                                          previous->program->messages == NULL
+                                              ? ""
+                                              : previous->program->messages,
+                                          previous->program->messages_len);
+      scratch->messages_len = previous->program->messages_len;
+      scratch->messages_room = previous->program->messages_len + 1;
+      scratch->message_count = previous->program->message_count;
       opening->opened.follow_up = true;
     }
   else if (service->prompt != NULL && service->prompt[0] != '\0')
@@ -214,11 +215,11 @@
 set_reusable_tokens (struct mq_owner *owner, struct running *running,
                      struct mq_id continues)
 {
-  const struct running *before
+  const struct running *previous
       = mq_id_is_zero (continues) ? NULL : chain_find (owner, continues);
 
-  if (before != NULL)
-    running->known_tokens = before->known_tokens;
+  if (previous != NULL)
+    running->known_tokens = previous->known_tokens;
 }
 
 void
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -103,12 +103,12 @@
 uint32_t
 peers_count_own (const struct mq_owner *owner)
 {
-  uint32_t ours = 0;
+  uint32_t count = 0;
 
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (owner->partitions[i].state != PARTITION_OTHER)
-      ours++;
-  return ours;
+      count++;
+  return count;
 }
 
 uint32_t
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -148,14 +148,14 @@
 {
   const struct call *call = running->call;
   const struct mq_program *program = running->program;
-  uint64_t left = 0;
+  uint64_t remaining_ms = 0;
 
   if (program->budget.seconds > 0)
     {
       uint64_t budget_ms = 1000ULL * program->budget.seconds;
       uint64_t elapsed = budget_elapsed_ms (owner, running);
 
-      left = budget_ms > elapsed ? budget_ms - elapsed : 1;
+      remaining_ms = budget_ms > elapsed ? budget_ms - elapsed : 1;
     }
   message->ref.program = program->id;
   message->ref.call = call->number;
@@ -169,7 +169,8 @@
   message->worker = call->worker;
   message->idempotent = call->idempotent;
   message->priority = program->priority;
-  message->deadline_ms = left > UINT32_MAX ? UINT32_MAX : (uint32_t)left;
+  message->deadline_ms
+      = remaining_ms > UINT32_MAX ? UINT32_MAX : (uint32_t)remaining_ms;
   message->max_tokens = call->max_tokens;
   message->attained = program->spent;
   message->continuing = program->calls > 0;
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -54,9 +54,9 @@
 void
 read_send_next (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
 
-  switch (take->step)
+  switch (takeover->step)
     {
     case TAKE_CHECKPOINT:
       if (partition->checkpoint_key != NULL
@@ -65,43 +65,44 @@
           send_get (owner, partition, partition->checkpoint_key);
           return;
         }
-      take->step = TAKE_ROWS;
+      takeover->step = TAKE_ROWS;
       break;
     case TAKE_ROWS:
     case TAKE_OBJECTS:
     case TAKE_TARGETS:
       break;
     }
-  if (take->step == TAKE_ROWS)
+  if (takeover->step == TAKE_ROWS)
     {
       send_scan (
           owner, partition,
           talloc_asprintf (owner->actions, "log/%05u/", partition->number),
-          take->after, LOG_PAGE_ROWS);
+          takeover->after, LOG_PAGE_ROWS);
       return;
     }
-  if (take->step == TAKE_OBJECTS)
+  if (takeover->step == TAKE_OBJECTS)
     {
-      while (take->row_next < take->row_count
-             && take->rows[take->row_next].object == NULL)
-        take->row_next++;
-      if (take->row_next < take->row_count)
+      while (takeover->row_next < takeover->row_count
+             && takeover->rows[takeover->row_next].object == NULL)
+        takeover->row_next++;
+      if (takeover->row_next < takeover->row_count)
         {
-          send_get (owner, partition, take->rows[take->row_next].object);
+          send_get (owner, partition,
+                    takeover->rows[takeover->row_next].object);
           return;
         }
-      take->step = TAKE_TARGETS;
+      takeover->step = TAKE_TARGETS;
     }
   send_scan (owner, partition,
              talloc_asprintf (owner->actions, "targets/%s",
-                              partition->senders[take->sender_next]),
+                              partition->senders[takeover->sender_next]),
              "", 1);
 }
 
 void
 read_start (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take;
+  struct takeover *takeover;
 
   partition->state = PARTITION_READING;
   partition->retry_us = 0;
@@ -109,13 +110,14 @@
   partition->memory = talloc_new (owner);
   partition->programs = mq_idmap_create (partition->memory);
   partition->records_since_checkpoint = 0;
-  take = talloc_zero (partition->memory, struct takeover);
-  if (take == NULL)
+  takeover = talloc_zero (partition->memory, struct takeover);
+  if (takeover == NULL)
     abort ();
-  take->step = TAKE_CHECKPOINT;
-  take->after = talloc_asprintf (take, "log/%05u/%012llu", partition->number,
-                                 (unsigned long long)partition->checkpoint);
-  partition->takeover = take;
+  takeover->step = TAKE_CHECKPOINT;
+  takeover->after
+      = talloc_asprintf (takeover, "log/%05u/%012llu", partition->number,
+                         (unsigned long long)partition->checkpoint);
+  partition->takeover = takeover;
   read_send_next (owner, partition);
 }
 
@@ -145,27 +147,27 @@
 }
 
 static void
-add_log_row (struct takeover *take, const struct mq_row *row)
+add_log_row (struct takeover *takeover, const struct mq_row *row)
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
   struct read_batch *batch_row;
 
-  take->rows = talloc_realloc (take, take->rows, struct read_batch,
-                               (unsigned int)take->row_count + 1);
-  if (take->rows == NULL)
+  takeover->rows = talloc_realloc (takeover, takeover->rows, struct read_batch,
+                                   (unsigned int)takeover->row_count + 1);
+  if (takeover->rows == NULL)
     abort ();
-  batch_row = &take->rows[take->row_count++];
+  batch_row = &takeover->rows[takeover->row_count++];
   memset (batch_row, 0, sizeof *batch_row);
-  talloc_free (take->after);
-  take->after = talloc_strdup (take, row->key);
+  talloc_free (takeover->after);
+  takeover->after = talloc_strdup (takeover, row->key);
   if (batch == NULL)
     return;
   batch_row->sequence = batch->sequence;
   if (batch->object[0] != '\0')
-    batch_row->object = talloc_strdup (take, batch->object);
+    batch_row->object = talloc_strdup (takeover, batch->object);
   batch_row->bytes.data
-      = talloc_memdup (take, row->value.data, row->value.len);
+      = talloc_memdup (takeover, row->value.data, row->value.len);
   batch_row->bytes.len = row->value.len;
   mqlog__batch__free_unpacked (batch, NULL);
 }
@@ -213,31 +215,32 @@
 static bool
 replay (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
   uint64_t expected = partition->checkpoint;
 
-  for (size_t i = 0; i < take->row_count; i++)
+  for (size_t i = 0; i < takeover->row_count; i++)
     {
-      if (take->rows[i].sequence != ++expected)
+      if (takeover->rows[i].sequence != ++expected)
         return false;
-      if (!replay_batch (owner, partition, &take->rows[i].bytes))
+      if (!replay_batch (owner, partition, &takeover->rows[i].bytes))
         return false;
-      add_segment (partition, &take->rows[i]);
+      add_segment (partition, &takeover->rows[i]);
     }
   return expected == partition->sequence;
 }
 
 static void
-add_recovery_wait (struct takeover *take, const char *host, uint64_t boot)
+add_recovery_wait (struct takeover *takeover, const char *host, uint64_t boot)
 {
   struct recover_wait *wait;
 
-  take->waits = talloc_realloc (take, take->waits, struct recover_wait,
-                                (unsigned int)take->wait_count + 1);
-  if (take->waits == NULL)
+  takeover->waits
+      = talloc_realloc (takeover, takeover->waits, struct recover_wait,
+                        (unsigned int)takeover->wait_count + 1);
+  if (takeover->waits == NULL)
     abort ();
-  wait = &take->waits[take->wait_count++];
-  wait->host = talloc_strdup (take, host);
+  wait = &takeover->waits[takeover->wait_count++];
+  wait->host = talloc_strdup (takeover, host);
   wait->boot = boot;
   wait->answered = false;
 }
@@ -246,9 +249,9 @@
 add_recovery_targets (struct partition *partition,
                       const struct mq_store_result *result)
 {
-  struct takeover *take = partition->takeover;
-  char *key = talloc_asprintf (take, "targets/%s",
-                               partition->senders[take->sender_next]);
+  struct takeover *takeover = partition->takeover;
+  char *key = talloc_asprintf (takeover, "targets/%s",
+                               partition->senders[takeover->sender_next]);
 
   for (size_t i = 0; i < result->row_count; i++)
     {
@@ -261,7 +264,7 @@
       if (row == NULL)
         continue;
       for (size_t j = 0; j < row->n_hosts && j < row->n_boots; j++)
-        add_recovery_wait (take, row->hosts[j], row->boots[j]);
+        add_recovery_wait (takeover, row->hosts[j], row->boots[j]);
       mqlog__targets_row__free_unpacked (row, NULL);
     }
 }
@@ -270,7 +273,7 @@
 read_on_result (struct mq_owner *owner, struct partition *partition,
                 const struct mq_store_result *result)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
 
   partition->read_id = 0;
   if (result->status != MQ_STORE_OK)
@@ -279,7 +282,7 @@
       return;
     }
   durable_store_worked (owner);
-  switch (take->step)
+  switch (takeover->step)
     {
     case TAKE_CHECKPOINT:
       if (!unpack_checkpoint (owner, partition, result))
@@ -287,26 +290,26 @@
           read_restart (owner, partition);
           return;
         }
-      take->step = TAKE_ROWS;
+      takeover->step = TAKE_ROWS;
       break;
     case TAKE_ROWS:
       for (size_t i = 0; i < result->row_count; i++)
-        add_log_row (take, &result->rows[i]);
+        add_log_row (takeover, &result->rows[i]);
       if (!result->more)
-        take->step = TAKE_OBJECTS;
+        takeover->step = TAKE_OBJECTS;
       break;
     case TAKE_OBJECTS:
       {
-        struct read_batch *row = &take->rows[take->row_next++];
+        struct read_batch *row = &takeover->rows[takeover->row_next++];
 
         row->bytes.data
-            = talloc_memdup (take, result->value.data, result->value.len);
+            = talloc_memdup (takeover, result->value.data, result->value.len);
         row->bytes.len = result->value.len;
         break;
       }
     case TAKE_TARGETS:
       add_recovery_targets (partition, result);
-      if (++take->sender_next < partition->sender_count)
+      if (++takeover->sender_next < partition->sender_count)
         break;
       if (!replay (owner, partition))
         {
@@ -333,10 +336,10 @@
 }
 
 static bool
-all_recovered (const struct takeover *take)
+all_recovered (const struct takeover *takeover)
 {
-  for (size_t i = 0; i < take->wait_count; i++)
-    if (!take->waits[i].answered)
+  for (size_t i = 0; i < takeover->wait_count; i++)
+    if (!takeover->waits[i].answered)
       return false;
   return true;
 }
@@ -347,7 +350,7 @@
   struct running **all;
   size_t count = mq_idmap_count (partition->programs);
   size_t position = 0;
-  bool exact = all_recovered (partition->takeover);
+  bool all_answered = all_recovered (partition->takeover);
 
   owner->claiming--;
   owner->counters.takeovers++;
@@ -360,7 +363,7 @@
   for (size_t i = 0; i < count; i++)
     all[i] = mq_idmap_next (partition->programs, &position);
   for (size_t i = 0; i < count; i++)
-    if (!exact)
+    if (!all_answered)
       budget_forfeit (owner, all[i]);
   for (size_t i = 0; i < count; i++)
     settle_resume_program (owner, all[i]);
@@ -432,11 +435,12 @@
 
   if (record->body_case == MQLOG__RECORD__BODY_FORFEITED)
     return;
-  for (struct running *up = running->parent; up != NULL; up = up->parent)
+  for (struct running *ancestor = running->parent; ancestor != NULL;
+       ancestor = ancestor->parent)
     {
-      up->program->spent += record->charge;
+      ancestor->program->spent += record->charge;
       if (outcome)
-        up->program->turns++;
+        ancestor->program->turns++;
     }
 }
 
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -240,7 +240,7 @@
 handle_close (struct mq_owner *owner, struct running *running, uint32_t peer,
               uint64_t handle, const struct mq_request_msg *request)
 {
-  enum mq_error_type why
+  enum mq_error_type reason
       = request->type == MQ_REQUEST_CANCEL ? MQ_ERR_CANCELLED : MQ_ERR_NONE;
 
   if (running->program->state == MQ_PROGRAM_ENDED)
@@ -249,7 +249,7 @@
       answer_when_durable (owner, running);
       return;
     }
-  if (why == MQ_ERR_NONE
+  if (reason == MQ_ERR_NONE
       && (running->program->state == MQ_PROGRAM_RUNNING
           || running->call != NULL))
     {
@@ -258,8 +258,8 @@
       return;
     }
   events_add_waiter (running, peer, handle, request, 0);
-  if (why == MQ_ERR_CANCELLED)
-    end_stop (owner, running, why);
+  if (reason == MQ_ERR_CANCELLED)
+    end_stop (owner, running, reason);
   else
     {
       /* A closed program keeps its last answer.  */
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -411,12 +411,14 @@
 forfeit_running (struct mq_owner *owner, struct running *running,
                  const struct recovered *used)
 {
-  bool runs = false;
+  bool still_running = false;
 
   for (const struct recovered *r = running->recovered; r != NULL; r = r->next)
-    runs = runs || (r != used && r->running && !is_intended (running, r));
-  for (struct running *up = running; runs && up != NULL; up = up->parent)
-    budget_forfeit (owner, up);
+    still_running = still_running
+                    || (r != used && r->running && !is_intended (running, r));
+  for (struct running *ancestor = running; still_running && ancestor != NULL;
+       ancestor = ancestor->parent)
+    budget_forfeit (owner, ancestor);
 }
 
 /* Resumes a program after a takeover.  */
--- a/tests/world.c
+++ b/tests/world.c
@@ -224,8 +224,8 @@
     .address = host->address,
     .boot = host->boot,
     .seed = mq_random_next (&world->random),
-    .checkpoint_records = world->low ? SMALL_CHECKPOINT_RECORDS : 0,
-    .commit_inline_bytes = world->low ? SMALL_INLINE_BYTES : 0,
+    .checkpoint_records = world->small_batches ? SMALL_CHECKPOINT_RECORDS : 0,
+    .commit_inline_bytes = world->small_batches ? SMALL_INLINE_BYTES : 0,
   };
 
   host->owner = mq_owner_create (host->memory, &options);
@@ -337,7 +337,7 @@
   host->rebooting = false;
   host->leaving = false;
   host->paused_until_us = 0;
-  host->held = false;
+  host->actions_deferred = false;
   host->alive_us = world->now_us;
   host->version = 0;
   host->message_delivery = DELIVERY_NORMAL;
@@ -447,7 +447,7 @@
   record_unowned (world, host);
   host->paused_until_us = world->now_us + pause_us;
   /* Remaining actions of the current step run when the host wakes.  */
-  host->held = world->acting == index;
+  host->actions_deferred = world->acting == index;
   event = world_event_create (world, EVENT_HOST_WAKE, NO_HOST);
   event->index = index;
   event->run = host->run;
@@ -805,9 +805,9 @@
       world->acting = index;
       run_action (world, index, machine, &actions->items[next]);
       world->acting = NO_HOST;
-      if (host->held)
+      if (host->actions_deferred)
         next--;
-      host->held = false;
+      host->actions_deferred = false;
     }
   talloc_free (actions);
 }
@@ -1046,7 +1046,7 @@
 }
 
 static void
-check_idle (struct world *world)
+update_idle_state (struct world *world)
 {
   check_memory (world);
   if (!caller_all_done (world) || world->now_us < world->faults_end_us)
@@ -1057,12 +1057,12 @@
       && (check_is_idle (world)
           || world->now_us > world->done_us + CACHE_EXPIRY_US))
     {
-      if (world->low && !world->replayed && check_is_idle (world))
+      if (world->small_batches && !world->replayed && check_is_idle (world))
         restart_all_owners (world);
       else
-        world->over = true;
+        world->finished = true;
     }
-  if (!world->over)
+  if (!world->finished)
     world_push (world, world_event_create (world, EVENT_CHECK_IDLE, NO_HOST),
                 world->now_us + SECOND);
 }
@@ -1070,17 +1070,17 @@
 static void
 inject_echo (struct world *world, const struct world_event *event)
 {
-  struct world_event *again;
+  struct world_event *duplicate;
 
   if (world->cell->plant != PLANT_ECHO)
     return;
-  again = world_event_create (world, EVENT_MESSAGE, event->host);
-  again->run = event->run;
-  again->index = event->index;
-  again->end = event->end;
-  again->message = talloc_zero (again, struct mq_message);
-  mq_message_copy (again->message, again->message, event->message);
-  world_push (world, again, world->now_us + MS);
+  duplicate = world_event_create (world, EVENT_MESSAGE, event->host);
+  duplicate->run = event->run;
+  duplicate->index = event->index;
+  duplicate->end = event->end;
+  duplicate->message = talloc_zero (duplicate, struct mq_message);
+  mq_message_copy (duplicate->message, duplicate->message, event->message);
+  world_push (world, duplicate, world->now_us + MS);
 }
 
 static void
@@ -1174,7 +1174,7 @@
                                                        : RESTART_US);
       break;
     case EVENT_CHECK_IDLE:
-      check_idle (world);
+      update_idle_state (world);
       break;
     case EVENT_STORE_UP:
       store_up (world);
@@ -1257,7 +1257,8 @@
   world->random = cell->seed;
   world->acting = NO_HOST;
   world->script = world_step_script (cell->step);
-  world->low = world->script == SCRIPT_CHECKPOINT || cell->seed % 3 == 0;
+  world->small_batches
+      = world->script == SCRIPT_CHECKPOINT || cell->seed % 3 == 0;
   create_hosts (world);
   store_create (world);
   caller_create_all (world);
@@ -1282,7 +1283,7 @@
 
   memset (report, 0, sizeof *report);
   world = create_world (cell, trace, report);
-  while (!world->over && world->heap_count > 0)
+  while (!world->finished && world->heap_count > 0)
     {
       struct world_event *event = pop (world);
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -171,7 +171,7 @@
   X (DROP_SWALLOWED, "an object's removal is confirmed but not done")         \
   X (EVICT_DELAYED, "evictions fail for 25 s")                                \
   X (CLAIM_HELD, "the table refuses claims for 12 s")                         \
-  X (URGENT_REFUSED, "interactive work is refused in an outage")              \
+  X (URGENT_REFUSED, "urgent work is refused in an outage")                   \
   X (RENEWALS_REFUSED, "the table refuses renewals after an outage")          \
   X (MEMORY_LEAKED, "a process leaks a megabyte per second")                  \
   X (READS_REPEATED, "each read of a surviving host is repeated ten times")
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -13,56 +13,58 @@
 #define AGAIN_US (250 * MS)
 #define REFUSALS_MAX 40
 
-static const struct ask chain_asks[] = {
+static const struct scripted_request chain_requests[] = {
   { MQ_REQUEST_OPEN, "guide", "", 0, TEXT_CHAIN },
   { MQ_REQUEST_GET, "", "", 0, TEXT_NONE },
 };
-static const struct ask talk_asks[] = {
+static const struct scripted_request talk_requests[] = {
   { MQ_REQUEST_OPEN, "guide", "", 0, TEXT_TALK },
   { MQ_REQUEST_TURN, "", "", 0, TEXT_FOLLOW },
   { MQ_REQUEST_CLOSE, "", "", 0, TEXT_NONE },
 };
-static const struct ask step_asks[] = {
+static const struct scripted_request step_requests[] = {
   { MQ_REQUEST_CREATE, "guide", "", 0, TEXT_NONE },
   { MQ_REQUEST_STEP, "guide-models", "", 1, TEXT_ASK },
   { MQ_REQUEST_STEP, "records", "submit", 2, TEXT_SUBMIT },
   { MQ_REQUEST_STEP, "guide-models", "", 3, TEXT_ASK },
   { MQ_REQUEST_CLOSE, "", "", 0, TEXT_NONE },
 };
-static const struct ask loop_asks[] = {
+static const struct scripted_request loop_requests[] = {
   { MQ_REQUEST_OPEN, "looper", "", 0, TEXT_LOOP },
 };
-static const struct ask letter_asks[] = {
+static const struct scripted_request letter_requests[] = {
   { MQ_REQUEST_OPEN, "letters", "", 0, TEXT_LETTER },
 };
 
-static const struct ask desk_asks[] = {
+static const struct scripted_request desk_requests[] = {
   { MQ_REQUEST_OPEN, "desk", "", 0, TEXT_LETTER },
 };
-static const struct ask notice_asks[] = {
+static const struct scripted_request notice_requests[] = {
   { MQ_REQUEST_OPEN, "notices", "", 0, TEXT_LETTER },
 };
 
-#define ASKS(array) array, sizeof (array) / sizeof (array)[0]
+#define REQUESTS(array) array, sizeof (array) / sizeof (array)[0]
 
 struct caller_script
 {
   const char *organisation;
-  const struct ask *asks;
+  const struct scripted_request *requests;
   size_t count;
   uint64_t budget;
 };
 
 static const struct caller_script scripts[CALLERS] = {
-  { "diagne", ASKS (chain_asks), 4000 }, { "zarqa", ASKS (talk_asks), 4000 },
-  { "diagne", ASKS (step_asks), 4000 },  { "zarqa", ASKS (loop_asks), 150 },
-  { "zarqa", ASKS (letter_asks), 2000 },
+  { "diagne", REQUESTS (chain_requests), 4000 },
+  { "zarqa", REQUESTS (talk_requests), 4000 },
+  { "diagne", REQUESTS (step_requests), 4000 },
+  { "zarqa", REQUESTS (loop_requests), 150 },
+  { "zarqa", REQUESTS (letter_requests), 2000 },
 };
 
-/* Additional callers in an outage, interactive and batch in turn.  */
+/* Additional callers in an outage, urgent and batch in turn.  */
 static const struct caller_script outage_callers[]
-    = { { "diagne", ASKS (desk_asks), 2000 },
-        { "zarqa", ASKS (notice_asks), 2000 } };
+    = { { "diagne", REQUESTS (desk_requests), 2000 },
+        { "zarqa", REQUESTS (notice_requests), 2000 } };
 
 static const struct caller_script *
 script_of (int index)
@@ -74,7 +76,7 @@
 static bool
 is_batch (const struct caller *caller)
 {
-  return caller->asks == notice_asks;
+  return caller->requests == notice_requests;
 }
 
 /* ---- Request bodies ---- */
@@ -133,18 +135,18 @@
                const char *call)
 {
   json_t *arguments = json_pack ("{s:s}", "of", caller->key);
-  char *whole = talloc_asprintf (world, "%s%s", caller->key, title);
+  char *keyed_title = talloc_asprintf (world, "%s%s", caller->key, title);
 
   return plan_text (
-      world, whole,
+      world, keyed_title,
       json_pack ("[o,{s:i}]", plan_call (call, arguments, 8), "answer", 12));
 }
 
 static char *
 format_input (struct world *world, struct caller *caller,
-              const struct ask *ask)
+              const struct scripted_request *scripted)
 {
-  switch (ask->text)
+  switch (scripted->text)
     {
     case TEXT_CHAIN:
       return chain_text (world, caller);
@@ -161,7 +163,7 @@
                         json_pack ("[{s:i}]", "answer", 20));
     case TEXT_ASK:
       return talloc_asprintf (world, "%s, question %u", caller->key,
-                              ask->sequence);
+                              scripted->sequence);
     case TEXT_NONE:
     case TEXT_SUBMIT:
       break;
@@ -172,8 +174,8 @@
 static void
 format_request (struct world *world, struct caller *caller, size_t index)
 {
-  const struct ask *ask = &caller->asks[index];
-  char *input = format_input (world, caller, ask);
+  const struct scripted_request *scripted = &caller->requests[index];
+  char *input = format_input (world, caller, scripted);
   json_t *body = json_object ();
   char *dump;
 
@@ -182,10 +184,10 @@
       caller->texts[caller->text_count++] = input;
       json_object_set_new (body, "input", json_string (input));
     }
-  if (ask->text == TEXT_SUBMIT)
+  if (scripted->text == TEXT_SUBMIT)
     json_object_set_new (body, "arguments",
                          json_pack ("{s:s}", "of", caller->key));
-  if (ask->text == TEXT_TALK)
+  if (scripted->text == TEXT_TALK)
     json_object_set_new (body, "keep_open", json_true ());
   dump = json_dumps (body, JSON_COMPACT);
   caller->bodies[index] = talloc_strdup (world, dump);
@@ -224,10 +226,11 @@
   const struct caller *caller = find_family (world, program.hi);
   uint32_t before = 0;
 
-  if (caller == NULL || caller->asks[0].type != MQ_REQUEST_CREATE)
+  if (caller == NULL || caller->requests[0].type != MQ_REQUEST_CREATE)
     return call - 1;
-  for (size_t i = 0; i < caller->ask_count; i++)
-    if (caller->asks[i].text == TEXT_ASK && caller->asks[i].sequence < call)
+  for (size_t i = 0; i < caller->request_count; i++)
+    if (caller->requests[i].text == TEXT_ASK
+        && caller->requests[i].sequence < call)
       before++;
   return before;
 }
@@ -262,14 +265,14 @@
       struct caller *caller = &world->callers[i];
 
       caller->index = i;
-      caller->asks = script_of (i)->asks;
-      caller->ask_count = script_of (i)->count;
+      caller->requests = script_of (i)->requests;
+      caller->request_count = script_of (i)->count;
       caller->organisation
           = talloc_strdup (world, script_of (i)->organisation);
       caller->key = talloc_asprintf (world, "household %d of %llu", i,
                                      (unsigned long long)world->cell->seed);
       caller->program = mq_id_open (caller->organisation, caller->key);
-      for (size_t a = 0; a < caller->ask_count; a++)
+      for (size_t a = 0; a < caller->request_count; a++)
         format_request (world, caller, a);
       schedule_timer (world, caller,
                       CALLERS_START_US + world_delay (world, 0, 200 * MS)
@@ -279,15 +282,15 @@
 }
 
 /* Returns the last request of CALLER that waits for its program's answer, or
-   ask_count.  */
+   request_count.  */
 static size_t
 last_answered_request (const struct caller *caller)
 {
-  size_t last = caller->ask_count;
+  size_t last = caller->request_count;
 
-  for (size_t i = 0; i < caller->ask_count; i++)
-    if (caller->asks[i].type == MQ_REQUEST_OPEN
-        || caller->asks[i].type == MQ_REQUEST_TURN)
+  for (size_t i = 0; i < caller->request_count; i++)
+    if (caller->requests[i].type == MQ_REQUEST_OPEN
+        || caller->requests[i].type == MQ_REQUEST_TURN)
       if (caller->answers[i] != NULL || caller->errors[i] != MQ_ERR_NONE)
         last = i;
   return last;
@@ -301,8 +304,8 @@
     {
       struct caller *caller = &world->callers[i];
 
-      caller->ask = last_answered_request (caller);
-      if (caller->ask == caller->ask_count)
+      caller->request_index = last_answered_request (caller);
+      if (caller->request_index == caller->request_count)
         continue;
       caller->checks = true;
       caller->tries = 0;
@@ -352,18 +355,19 @@
 static struct mq_request_msg
 request_of (const struct caller *caller)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
-  struct mq_request_msg request = { .type = ask->type };
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
+  struct mq_request_msg request = { .type = scripted->type };
 
   request.program = caller->program;
   request.organisation = caller->organisation;
-  request.service = ask->service;
-  request.route = ask->route;
+  request.service = scripted->service;
+  request.route = scripted->route;
   request.key = caller->key;
-  request.sequence = ask->sequence;
-  request.stream = caller->asks == talk_asks;
+  request.sequence = scripted->sequence;
+  request.stream = caller->requests == talk_requests;
   request.traceparent = "";
-  request.body = caller->bodies[caller->ask];
+  request.body = caller->bodies[caller->request_index];
   if (caller->checks)
     {
       request.type = MQ_REQUEST_GET;
@@ -394,7 +398,7 @@
   caller->stream_call = 0;
   caller->stream = talloc_strdup (world, "");
   world_trace (world, "caller %d to %s: request %zu, try %u, handle %llu",
-               caller->index, world->hosts[host].name, caller->ask,
+               caller->index, world->hosts[host].name, caller->request_index,
                caller->tries, (unsigned long long)caller->handle);
   event = world_event_create (world, EVENT_REQUEST, host);
   event->index = caller->index;
@@ -413,7 +417,7 @@
 
   if (!(world->cell->plant == PLANT_REFUSED_AND_RUN && caller->tries == 1)
       && !(world->cell->plant == PLANT_URGENT_REFUSED
-           && caller->asks == desk_asks && caller->tries == 1))
+           && caller->requests == desk_requests && caller->tries == 1))
     return;
   refusal.handle = caller->handle;
   refusal.error = MQ_ERR_OVERLOADED;
@@ -511,11 +515,11 @@
 static void
 next_request (struct world *world, struct caller *caller)
 {
-  caller->ask++;
+  caller->request_index++;
   caller->tries = 0;
   caller->refusals = 0;
   caller->may_have_run = false;
-  if (caller->ask == caller->ask_count)
+  if (caller->request_index == caller->request_count)
     {
       caller->state = CALLER_DONE;
       world_trace (world, "caller %d is done", caller->index);
@@ -564,10 +568,11 @@
 answer_is_own (struct world *world, const struct caller *caller,
                const char *body)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
   const struct observed_call *fact;
 
-  switch (ask->type)
+  switch (scripted->type)
     {
     case MQ_REQUEST_OPEN:
     case MQ_REQUEST_TURN:
@@ -576,9 +581,9 @@
       return caller->answers[0] == NULL
              || is_same_answer (caller->answers[0], body);
     case MQ_REQUEST_STEP:
-      if (ask->text == TEXT_ASK)
+      if (scripted->text == TEXT_ASK)
         return was_final_answer (world, caller->program, body);
-      fact = worker_observed_call (world, caller->program, ask->sequence);
+      fact = worker_observed_call (world, caller->program, scripted->sequence);
       return fact->result != NULL && answer_is (body, fact->result);
     case MQ_REQUEST_CREATE:
     case MQ_REQUEST_CLOSE:
@@ -592,7 +597,7 @@
 check_answer_is_logged (struct world *world, const struct caller *caller,
                         const char *body)
 {
-  enum mq_request_type type = caller->asks[caller->ask].type;
+  enum mq_request_type type = caller->requests[caller->request_index].type;
 
   if (world->outage_until_us != 0 && world->now_us > world->outage_until_us
       && !world->replayed)
@@ -601,7 +606,7 @@
       && !check_is_logged (world, caller->program, body))
     world_report_violation (world, INVARIANT_TOLD,
                             "caller %d, request %zu: in no log: %.120s",
-                            caller->index, caller->ask, body);
+                            caller->index, caller->request_index, body);
 }
 
 /* During an outage only batch work may be refused.  */
@@ -616,7 +621,7 @@
     world->report->batch_refused++;
   else
     world->report->urgent_refused++;
-  if (world->cell->nth == 0 && caller->asks == desk_asks
+  if (world->cell->nth == 0 && caller->requests == desk_requests
       && event->ran == MQ_RAN_NOT_RUN)
     world_report_violation (world, INVARIANT_OUTAGE,
                             "caller %d is refused: %s", caller->index,
@@ -627,7 +632,7 @@
 end_check (struct world *world, struct caller *caller)
 {
   caller->checks = false;
-  caller->ask = caller->ask_count;
+  caller->request_index = caller->request_count;
   caller->state = CALLER_DONE;
   world_trace (world, "caller %d received its answer again", caller->index);
 }
@@ -635,7 +640,7 @@
 static void
 check_final (struct world *world, struct caller *caller, const char *body)
 {
-  const char *had = caller->answers[caller->ask];
+  const char *had = caller->answers[caller->request_index];
 
   if (had == NULL || !is_same_answer (had, body))
     world_report_violation (world, INVARIANT_REPLAYED,
@@ -648,10 +653,11 @@
 check_refusal (struct world *world, struct caller *caller,
                enum mq_error_type error)
 {
-  if (error != caller->errors[caller->ask])
+  if (error != caller->errors[caller->request_index])
     world_report_violation (
         world, INVARIANT_REPLAYED, "caller %d had %s, has %s", caller->index,
-        mq_error_name (caller->errors[caller->ask]), mq_error_name (error));
+        mq_error_name (caller->errors[caller->request_index]),
+        mq_error_name (error));
   end_check (world, caller);
 }
 
@@ -665,7 +671,8 @@
     {
       world_report_violation (world, INVARIANT_ONE_ANSWER,
                               "caller %d got %u final events for request %zu",
-                              caller->index, caller->ends, caller->ask);
+                              caller->index, caller->ends,
+                              caller->request_index);
       return;
     }
   check_answer_is_logged (world, caller, body);
@@ -677,7 +684,7 @@
   if (!answer_is_own (world, caller, body))
     world_report_violation (world, INVARIANT_OWN_ANSWER,
                             "caller %d, request %zu: %.160s", caller->index,
-                            caller->ask, body);
+                            caller->request_index, body);
   /* Check the streamed text if it belongs to the call that produced the
      answer.  */
   if (caller->stream_call == (event->number >> 16) - 1
@@ -685,7 +692,7 @@
     world_report_violation (world, INVARIANT_STREAM,
                             "caller %d: \"%s\" is not a prefix of the answer",
                             caller->index, caller->stream);
-  caller->answers[caller->ask] = talloc_strdup (world, body);
+  caller->answers[caller->request_index] = talloc_strdup (world, body);
   next_request (world, caller);
 }
 
@@ -736,11 +743,12 @@
 static void
 skip_to_close (struct caller *caller)
 {
-  if (caller->ask == 0)
-    caller->ask = caller->ask_count - 1;
-  while (caller->ask + 1 < caller->ask_count
-         && caller->asks[caller->ask + 1].type != MQ_REQUEST_CLOSE)
-    caller->ask++;
+  if (caller->request_index == 0)
+    caller->request_index = caller->request_count - 1;
+  while (caller->request_index + 1 < caller->request_count
+         && caller->requests[caller->request_index + 1].type
+                != MQ_REQUEST_CLOSE)
+    caller->request_index++;
 }
 
 /* Records that a request refused as not run, and never attempted before, must
@@ -748,12 +756,14 @@
 static void
 expect_not_run (struct world *world, struct caller *caller)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
   struct observed_program *fact
       = worker_observed_program (world, caller->program);
 
   if (caller->may_have_run
-      || (ask->type != MQ_REQUEST_OPEN && ask->type != MQ_REQUEST_CREATE))
+      || (scripted->type != MQ_REQUEST_OPEN
+          && scripted->type != MQ_REQUEST_CREATE))
     return;
   if (fact->starts > 0)
     world_report_violation (
@@ -775,7 +785,8 @@
     {
       world_report_violation (world, INVARIANT_ONE_ANSWER,
                               "caller %d got %u final events for request %zu",
-                              caller->index, caller->ends, caller->ask);
+                              caller->index, caller->ends,
+                              caller->request_index);
       return;
     }
   if (event->ran == MQ_RAN_NOT_RUN)
@@ -796,8 +807,8 @@
     world_report_violation (
         world, INVARIANT_OWN_ANSWER,
         "caller %d, request %zu: refused with impossible error %s",
-        caller->index, caller->ask, mq_error_name (event->error));
-  caller->errors[caller->ask] = event->error;
+        caller->index, caller->request_index, mq_error_name (event->error));
+  caller->errors[caller->request_index] = event->error;
   caller->ends = 1;
   skip_to_close (caller);
   next_request (world, caller);
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -201,7 +201,7 @@
   uint64_t most = (1 + world->report->injected + world->ends)
                   * (uint64_t)SMALL_CHECKPOINT_RECORDS;
 
-  if (world->low && since > most)
+  if (world->small_batches && since > most)
     world_report_violation (world, INVARIANT_STORED,
                             "%llu batches of %s since the last checkpoint",
                             (unsigned long long)since, key);
@@ -334,10 +334,10 @@
 {
   struct log *log = read_log (world);
   const struct logged *logged = logged_find (log, program);
-  bool told = logged != NULL && is_answer (logged, body);
+  bool is_logged = logged != NULL && is_answer (logged, body);
 
   talloc_free (log);
-  return told;
+  return is_logged;
 }
 
 bool
@@ -365,9 +365,10 @@
 }
 
 static bool
-is_program_answer (const struct ask *ask)
+is_program_answer (const struct scripted_request *scripted)
 {
-  return ask->type == MQ_REQUEST_OPEN || ask->type == MQ_REQUEST_TURN;
+  return scripted->type == MQ_REQUEST_OPEN
+         || scripted->type == MQ_REQUEST_TURN;
 }
 
 static void
@@ -403,9 +404,9 @@
         world_report_violation (
             world, INVARIANT_ENDS,
             "caller %d still waits for request %zu after %u tries", i,
-            caller->ask, caller->tries);
-      for (size_t a = 0; a < caller->ask_count; a++)
-        if (is_program_answer (&caller->asks[a]))
+            caller->request_index, caller->tries);
+      for (size_t a = 0; a < caller->request_count; a++)
+        if (is_program_answer (&caller->requests[a]))
           check_answer (world, log, caller, a);
     }
 }
@@ -434,7 +435,7 @@
       = world->script == SCRIPT_TAKEOVER || world->script == SCRIPT_SETTLE;
 
   for (int i = 0; i < world->caller_count; i++)
-    for (size_t a = 0; a < world->callers[i].ask_count; a++)
+    for (size_t a = 0; a < world->callers[i].request_count; a++)
       {
         enum mq_error_type error = world->callers[i].errors[a];
 
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -13,7 +13,7 @@
 };
 
 static int
-some_host (struct world *world, int first, int count)
+random_host (struct world *world, int first, int count)
 {
   int chosen = NO_HOST;
   uint32_t seen = 0;
@@ -29,7 +29,7 @@
 {
   if (site->entry != NO_HOST && world->hosts[site->entry].alive)
     return site->entry;
-  return some_host (world, 0, ENTRIES);
+  return random_host (world, 0, ENTRIES);
 }
 
 static int
@@ -37,7 +37,7 @@
 {
   if (site->target != NO_HOST && world->hosts[site->target].alive)
     return site->target;
-  return some_host (world, ENTRIES, TARGETS);
+  return random_host (world, ENTRIES, TARGETS);
 }
 
 /* ---- Faults ---- */
@@ -249,7 +249,7 @@
 void
 fault_script (struct world *world, const struct site *site)
 {
-  struct site here = *site;
+  struct site script_site = *site;
   int entry = world_owner_of (world, site->program);
 
   if (world->script == SCRIPT_PLAIN || world->script == SCRIPT_CHECKPOINT
@@ -258,7 +258,7 @@
       || site->program.hi != world->callers[0].program.hi)
     return;
   world->script_done = true;
-  here.entry = entry;
+  script_site.entry = entry;
   switch (world->script)
     {
     case SCRIPT_PLAIN:
@@ -271,14 +271,14 @@
       world_crash (world, entry, RESTART_US);
       break;
     case SCRIPT_DRAIN_ENTRY:
-      here.step = STEP_DRAIN_ENTRY;
+      script_site.step = STEP_DRAIN_ENTRY;
       world_stop (world, entry);
-      fault_step (world, &here);
+      fault_step (world, &script_site);
       break;
     case SCRIPT_DRAIN_TARGET:
-      here.step = STEP_DRAIN_TARGET;
+      script_site.step = STEP_DRAIN_TARGET;
       world_stop (world, site->target);
-      fault_step (world, &here);
+      fault_step (world, &script_site);
       break;
     }
 }
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -172,7 +172,7 @@
  * @open: whether each end holds it open
  * @silent: drops messages in both directions
  * @last_us: latest delivery to each end, to keep the order
- * @heard_us: when each end last received something
+ * @received_us: when each end last received something
  */
 struct wire
 {
@@ -182,14 +182,14 @@
   bool open[2];
   bool silent;
   uint64_t last_us[2];
-  uint64_t heard_us[2];
+  uint64_t received_us[2];
 };
 
 struct engine_cache_entry
 {
   struct mq_id program;
   uint32_t tokens;
-  uint64_t held_us; /* when it was last used */
+  uint64_t last_used_us;
 };
 
 /* A worker of a target host; continues to run when the gate's process
@@ -214,7 +214,8 @@
   uint32_t run; /* incremented at each start */
   uint64_t boot;
   bool alive;
-  bool held;      /* paused during an action, which continues on wake-up */
+  bool actions_deferred; /* paused during an action, which continues on wake-up
+                          */
   bool rebooting; /* only the gate's process restarts; the host stays listed */
   uint64_t paused_until_us;
   bool leaving;
@@ -313,13 +314,13 @@
 };
 
 /**
- * struct ask - one request of a caller's script
+ * struct scripted_request - one request of a caller's script
  * @service: OPEN, CREATE: agent; STEP: service
  * @route: STEP: route, else empty
  * @sequence: STEP: its number
  * @text: content
  */
-struct ask
+struct scripted_request
 {
   enum mq_request_type type;
   const char *service;
@@ -331,9 +332,9 @@
 struct caller
 {
   int index;
-  const struct ask *asks;
-  size_t ask_count;
-  size_t ask;
+  const struct scripted_request *requests;
+  size_t request_count;
+  size_t request_index;
   struct mq_id program;
   char *organisation;
   char *key;
@@ -407,7 +408,7 @@
   int current[HOSTS][HOSTS]; /* wire between two hosts, or NO_HOST */
   bool connecting[HOSTS][HOSTS];
   struct mq_table *table;
-  bool low;                /* frequent checkpoints, small batches */
+  bool small_batches;      /* frequent checkpoints, small batches */
   uint64_t outage_from_us; /* start of the long outage; 0: none */
   uint64_t outage_until_us;
   int last_owner[PARTITIONS]; /* host, or NO_HOST */
@@ -456,7 +457,7 @@
   uint32_t steps_since;
   uint64_t faults_end_us;
   uint64_t done_us; /* when callers and operators were done */
-  bool over;
+  bool finished;
 };
 
 /* Hosts and program that a step concerns.  */
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -152,7 +152,7 @@
   world_report_violation (
       world, INVARIANT_SETTLES, "%s writes %zu bytes in one request",
       host == NO_HOST ? "operator" : world->hosts[host].name, len);
-  world->over = true;
+  world->finished = true;
   return true;
 }
 
@@ -235,7 +235,8 @@
   fault_store_step (world, host, requester, request);
   delivery_fault = fault_next_store_delivery (world, host, request);
   if (host != NO_HOST
-      && (!world_is_current_run (world, host, run) || world->hosts[host].held))
+      && (!world_is_current_run (world, host, run)
+          || world->hosts[host].actions_deferred))
     return;
   /* Arrives even if its sender crashes meanwhile.  */
   event = world_event_create (world, EVENT_STORE_REQUEST, NO_HOST);
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -91,7 +91,7 @@
     {
       wire->run[end] = world->hosts[wire->host[end]].run;
       wire->handle[end] = ++world->hosts[wire->host[end]].next_peer;
-      wire->heard_us[end] = world->now_us;
+      wire->received_us[end] = world->now_us;
     }
   world->current[a][b] = index;
   world_trace (world, "wire %d: %s - %s", index, world->hosts[a].name,
@@ -277,12 +277,12 @@
       if (!wire->silent && send_heartbeat (world, wire, other_end (end))
           && wire->last_us[end] <= world->now_us)
         {
-          wire->heard_us[end] = world->now_us;
+          wire->received_us[end] = world->now_us;
           receive_heartbeat (world, index, end);
         }
-      else if (world->now_us > wire->heard_us[end] + PEER_TIMEOUT_US)
+      else if (world->now_us > wire->received_us[end] + PEER_TIMEOUT_US)
         {
-          wire->heard_us[end] = world->now_us;
+          wire->received_us[end] = world->now_us;
           push_wire_event (world, EVENT_WIRE_DOWN, index, end,
                            world_delay (world, 1, 300 * MS));
         }
@@ -401,7 +401,8 @@
     return;
   fault_message_step (world, host, &world->wires[index], message);
   delivery_fault = fault_next_message_delivery (world, host);
-  if (!world_is_current_run (world, host, run) || world->hosts[host].held)
+  if (!world_is_current_run (world, host, run)
+      || world->hosts[host].actions_deferred)
     return;
   world_trace (world, "%s -> %s (wire %d): %s%s", world->hosts[host].name,
                world->hosts[world->wires[index].host[other_end (end)]].name,
@@ -505,7 +506,7 @@
 
   if (!wire->open[event->end])
     return;
-  wire->heard_us[event->end] = world->now_us;
+  wire->received_us[event->end] = world->now_us;
   spread.peer = wire->handle[event->end];
   spread.u.message = event->message;
   world_spread_input (world, event->host, &spread);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -34,7 +34,7 @@
 struct observed_call *
 worker_observed_call (struct world *world, struct mq_id program, uint32_t call)
 {
-  struct observed_call *fact;
+  struct observed_call *observed;
 
   for (size_t i = 0; i < world->call_count; i++)
     if (world->calls[i].call == call
@@ -42,17 +42,17 @@
       return &world->calls[i];
   world->calls = talloc_realloc (world, world->calls, struct observed_call,
                                  (unsigned int)world->call_count + 1);
-  fact = &world->calls[world->call_count++];
-  memset (fact, 0, sizeof *fact);
-  fact->program = program;
-  fact->call = call;
-  return fact;
+  observed = &world->calls[world->call_count++];
+  memset (observed, 0, sizeof *observed);
+  observed->program = program;
+  observed->call = call;
+  return observed;
 }
 
 struct observed_program *
 worker_observed_program (struct world *world, struct mq_id program)
 {
-  struct observed_program *fact;
+  struct observed_program *observed;
 
   for (size_t i = 0; i < world->program_count; i++)
     if (mq_id_equal (world->programs[i].program, program))
@@ -60,39 +60,40 @@
   world->programs
       = talloc_realloc (world, world->programs, struct observed_program,
                         (unsigned int)world->program_count + 1);
-  fact = &world->programs[world->program_count++];
-  memset (fact, 0, sizeof *fact);
-  fact->program = program;
-  return fact;
+  observed = &world->programs[world->program_count++];
+  memset (observed, 0, sizeof *observed);
+  observed->program = program;
+  return observed;
 }
 
 static void
 spend (struct world *world, struct mq_id program, uint64_t tokens)
 {
-  struct observed_spend *fact = NULL;
+  struct observed_spend *observed = NULL;
   uint64_t budget = caller_budget_of (world, program.hi);
 
   for (size_t i = 0; i < world->spent_count; i++)
     if (world->spent[i].family == program.hi)
-      fact = &world->spent[i];
-  if (fact == NULL)
+      observed = &world->spent[i];
+  if (observed == NULL)
     {
       world->spent
           = talloc_realloc (world, world->spent, struct observed_spend,
                             (unsigned int)world->spent_count + 1);
-      fact = &world->spent[world->spent_count++];
-      fact->family = program.hi;
-      fact->tokens = 0;
+      observed = &world->spent[world->spent_count++];
+      observed->family = program.hi;
+      observed->tokens = 0;
     }
-  if (fact->tokens <= budget && fact->tokens + tokens > budget)
-    world_report_violation (
-        world, INVARIANT_BUDGET, "program %016llx spent %llu tokens of %llu",
-        (unsigned long long)program.hi,
-        (unsigned long long)fact->tokens + tokens, (unsigned long long)budget);
-  fact->tokens += tokens;
+  if (observed->tokens <= budget && observed->tokens + tokens > budget)
+    world_report_violation (world, INVARIANT_BUDGET,
+                            "program %016llx spent %llu tokens of %llu",
+                            (unsigned long long)program.hi,
+                            (unsigned long long)observed->tokens + tokens,
+                            (unsigned long long)budget);
+  observed->tokens += tokens;
   world_trace (world, "program %016llx has spent %llu tokens",
                (unsigned long long)program.hi,
-               (unsigned long long)fact->tokens);
+               (unsigned long long)observed->tokens);
 }
 
 /* ---- Plans and answers ---- */
@@ -233,10 +234,11 @@
                  const char *content)
 {
   struct mq_id child = mq_id_child (program, call);
-  const struct observed_program *fact = worker_observed_program (world, child);
+  const struct observed_program *observed
+      = worker_observed_program (world, child);
 
-  for (size_t i = 0; i < fact->final_count; i++)
-    if (strstr (content, fact->finals[i]) != NULL)
+  for (size_t i = 0; i < observed->final_count; i++)
+    if (strstr (content, observed->finals[i]) != NULL)
       return true;
   return false;
 }
@@ -246,15 +248,15 @@
                     json_t *message)
 {
   const char *content = text_of (message, "content");
-  const struct observed_call *fact
+  const struct observed_call *observed
       = worker_observed_call (world, program, call);
   json_t *result = json_loads (content, 0, NULL);
   bool holds = is_failure (result);
 
   if (holds)
     record_failure (world, program, call, result);
-  else if (fact->result != NULL)
-    holds = strcmp (fact->result, content) == 0;
+  else if (observed->result != NULL)
+    holds = strcmp (observed->result, content) == 0;
   else
     holds = is_child_answer (world, program, call, content);
   json_decref (result);
@@ -267,12 +269,12 @@
   json_t *message = json_array_get (messages, place);
   json_t *step = plan_step (messages, place);
   json_t *calls = tool_calls_of (step, place);
-  json_t *told = json_object_get (message, "tool_calls");
+  json_t *message_calls = json_object_get (message, "tool_calls");
   char *content = content_of (NULL, program, messages, place);
   bool holds = strcmp (content, text_of (message, "content")) == 0;
 
-  if (json_array_size (calls) > 0 || json_array_size (told) > 0)
-    holds = holds && json_equal (calls, told);
+  if (json_array_size (calls) > 0 || json_array_size (message_calls) > 0)
+    holds = holds && json_equal (calls, message_calls);
   talloc_free (content);
   json_decref (calls);
   json_decref (step);
@@ -352,29 +354,31 @@
 cache_hold (struct world *world, struct worker *worker, struct mq_id program,
             uint32_t tokens)
 {
-  struct engine_cache_entry *row = cache_find (worker, program);
+  struct engine_cache_entry *entry = cache_find (worker, program);
 
-  if (row == NULL)
+  if (entry == NULL)
     {
       worker->cache
           = talloc_realloc (world, worker->cache, struct engine_cache_entry,
                             (unsigned int)worker->cache_count + 1);
-      row = &worker->cache[worker->cache_count++];
-      row->program = program;
+      entry = &worker->cache[worker->cache_count++];
+      entry->program = program;
     }
-  row->tokens = tokens;
-  row->held_us = world->now_us;
+  entry->tokens = tokens;
+  entry->last_used_us = world->now_us;
 }
 
-/* Returns how long ROW has been cached for an ended program.  */
+/* Returns how long ENTRY has been cached for an ended program.  */
 static uint64_t
-unneeded_cache_us (struct world *world, const struct engine_cache_entry *row)
+unneeded_cache_us (struct world *world, const struct engine_cache_entry *entry)
 {
-  uint64_t ended_us = worker_observed_program (world, row->program)->ended_us;
+  uint64_t ended_us
+      = worker_observed_program (world, entry->program)->ended_us;
 
   if (ended_us == 0)
     return 0;
-  return world->now_us - (ended_us > row->held_us ? ended_us : row->held_us);
+  return world->now_us
+         - (ended_us > entry->last_used_us ? ended_us : entry->last_used_us);
 }
 
 /* Records the cache time when WORKER evicts one program, or all.  */
@@ -384,17 +388,17 @@
 {
   for (size_t i = 0; i < worker->cache_count; i++)
     {
-      const struct engine_cache_entry *row = &worker->cache[i];
-      uint64_t held_us = unneeded_cache_us (world, row);
+      const struct engine_cache_entry *entry = &worker->cache[i];
+      uint64_t held_us = unneeded_cache_us (world, entry);
 
-      if (program != NULL && !mq_id_equal (row->program, *program))
+      if (program != NULL && !mq_id_equal (entry->program, *program))
         continue;
       if (held_us > world->report->held_us)
         world->report->held_us = held_us;
       if (held_us > EVICTION_DEADLINE_US)
         world_report_violation (world, INVARIANT_EVICTED,
                                 "program %016llx ended %llu ms before",
-                                (unsigned long long)row->program.lo,
+                                (unsigned long long)entry->program.lo,
                                 (unsigned long long)(held_us / MS));
     }
 }
@@ -403,19 +407,19 @@
 void
 worker_on_program_end (struct world *world, struct mq_id program)
 {
-  struct observed_program *fact = worker_observed_program (world, program);
+  struct observed_program *observed = worker_observed_program (world, program);
 
-  if (fact->ended_us == 0)
-    fact->ended_us = world->now_us;
+  if (observed->ended_us == 0)
+    observed->ended_us = world->now_us;
 }
 
 static void
 cache_drop (struct worker *worker, struct mq_id program)
 {
-  struct engine_cache_entry *row = cache_find (worker, program);
+  struct engine_cache_entry *entry = cache_find (worker, program);
 
-  if (row != NULL)
-    *row = worker->cache[--worker->cache_count];
+  if (entry != NULL)
+    *entry = worker->cache[--worker->cache_count];
 }
 
 /* ---- Starting calls ---- */
@@ -455,7 +459,8 @@
   json_t *calls = tool_calls_of (step, count);
   json_t *answer = json_object ();
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  const struct engine_cache_entry *row = cache_find (worker, run->ref.program);
+  const struct engine_cache_entry *entry
+      = cache_find (worker, run->ref.program);
   char *text;
 
   check_history (world, run, messages);
@@ -466,7 +471,7 @@
   if (world->cell->plant == PLANT_CAP_IGNORED)
     run->tokens += OVERSPENT;
   run->tokens_in = (uint32_t)strlen (run->body) / BYTES_PER_TOKEN;
-  run->cached = row == NULL ? 0 : row->tokens;
+  run->cached = entry == NULL ? 0 : entry->tokens;
   if (run->cached > run->tokens_in)
     run->cached = run->tokens_in;
   json_object_set_new (answer, "content", json_string (run->content));
@@ -486,15 +491,15 @@
 static void
 prepare_plain (struct world *world, struct run *run)
 {
-  struct observed_call *fact
+  struct observed_call *observed
       = worker_observed_call (world, run->ref.program, run->ref.call);
 
   run->answer = talloc_asprintf (run, "{\"receipt\":\"%016llx%016llx/%u\"}",
                                  (unsigned long long)run->ref.program.hi,
                                  (unsigned long long)run->ref.program.lo,
                                  run->ref.call);
-  if (fact->result == NULL)
-    fact->result = talloc_strdup (world, run->answer);
+  if (observed->result == NULL)
+    observed->result = talloc_strdup (world, run->answer);
 }
 
 static void
@@ -568,12 +573,12 @@
 begin_run (struct world *world, struct run *run, size_t index)
 {
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  struct observed_call *fact;
+  struct observed_call *observed;
 
   check_start (world, run);
-  fact = worker_observed_call (world, run->ref.program, run->ref.call);
-  fact->starts++;
-  fact->idempotent = worker->kind != MQ_SERVICE_PLAIN;
+  observed = worker_observed_call (world, run->ref.program, run->ref.call);
+  observed->starts++;
+  observed->idempotent = worker->kind != MQ_SERVICE_PLAIN;
   worker_observed_program (world, run->ref.program)->starts++;
   run->hangs = worker->hangs;
   worker->hangs = false;
@@ -601,7 +606,7 @@
   if (world->hosts[host].workers[start->worker].kind == MQ_SERVICE_PLAIN)
     fault_script (world, &site);
   if (!world_is_current_run (world, host, run_number)
-      || world->hosts[host].held)
+      || world->hosts[host].actions_deferred)
     return;
   world_trace (
       world, "%s starts %016llx call %u attempt %u at %s, max_tokens %u",
@@ -685,14 +690,15 @@
 static void
 record_final_answer (struct world *world, const struct run *run)
 {
-  struct observed_program *fact
+  struct observed_program *observed
       = worker_observed_program (world, run->ref.program);
 
   if (strstr (run->answer, "\"finish\":\"stop\"") == NULL)
     return;
-  fact->finals = talloc_realloc (world, fact->finals, char *,
-                                 (unsigned int)fact->final_count + 1);
-  fact->finals[fact->final_count++] = talloc_strdup (world, run->content);
+  observed->finals = talloc_realloc (world, observed->finals, char *,
+                                     (unsigned int)observed->final_count + 1);
+  observed->finals[observed->final_count++]
+      = talloc_strdup (world, run->content);
 }
 
 static void
@@ -719,15 +725,15 @@
 static void
 take_effect (struct world *world, struct run *run)
 {
-  struct observed_call *fact
+  struct observed_call *observed
       = worker_observed_call (world, run->ref.program, run->ref.call);
 
-  fact->effects++;
+  observed->effects++;
   world_trace (world, "%s: effect of %016llx call %u attempt %u",
                world->hosts[run->host].name,
                (unsigned long long)run->ref.program.lo, run->ref.call,
                run->ref.attempt);
-  if (!fact->idempotent && fact->effects == 2)
+  if (!observed->idempotent && observed->effects == 2)
     world_report_violation (
         world, INVARIANT_ONCE,
         "program %016llx call %u took effect twice, now by "
