--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -9,8 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define THINK_US (300 * MS)
-#define AGAIN_US (250 * MS)
+#define NEXT_REQUEST_DELAY_US (300 * MS)
+#define RETRY_JITTER_US (250 * MS)
 #define REFUSALS_MAX 40
 
 static const struct scripted_request chain_requests[] = {
@@ -307,13 +307,13 @@
       caller->request_index = last_answered_request (caller);
       if (caller->request_index == caller->request_count)
         continue;
-      caller->checks = true;
+      caller->rechecking = true;
       caller->tries = 0;
       caller->refusals = 0;
       caller->may_have_run = true;
       caller->state = CALLER_BACKOFF;
       schedule_timer (world, caller,
-                      RESTART_US + world_delay (world, 0, AGAIN_US));
+                      RESTART_US + world_delay (world, 0, RETRY_JITTER_US));
     }
 }
 
@@ -349,7 +349,8 @@
 schedule_request (struct world *world, struct caller *caller, uint64_t in_us)
 {
   caller->state = CALLER_BACKOFF;
-  schedule_timer (world, caller, in_us + world_delay (world, 0, AGAIN_US));
+  schedule_timer (world, caller,
+                  in_us + world_delay (world, 0, RETRY_JITTER_US));
 }
 
 static struct mq_request_msg
@@ -368,7 +369,7 @@
   request.stream = caller->requests == talk_requests;
   request.traceparent = "";
   request.body = caller->bodies[caller->request_index];
-  if (caller->checks)
+  if (caller->rechecking)
     {
       request.type = MQ_REQUEST_GET;
       request.body = "{}";
@@ -384,7 +385,7 @@
 
   if (host == NO_HOST)
     {
-      schedule_request (world, caller, AGAIN_US);
+      schedule_request (world, caller, RETRY_JITTER_US);
       return;
     }
   worker_observed_program (world, caller->program)->refused = false;
@@ -525,17 +526,17 @@
       world_trace (world, "caller %d is done", caller->index);
       return;
     }
-  schedule_request (world, caller, THINK_US);
+  schedule_request (world, caller, NEXT_REQUEST_DELAY_US);
 }
 
 static bool
 was_final_answer (struct world *world, struct mq_id program, const char *body)
 {
-  const struct observed_program *fact
+  const struct observed_program *observed
       = worker_observed_program (world, program);
 
-  for (size_t i = 0; i < fact->final_count; i++)
-    if (strstr (body, fact->finals[i]) != NULL)
+  for (size_t i = 0; i < observed->final_count; i++)
+    if (strstr (body, observed->finals[i]) != NULL)
       return true;
   return false;
 }
@@ -570,7 +571,7 @@
 {
   const struct scripted_request *scripted
       = &caller->requests[caller->request_index];
-  const struct observed_call *fact;
+  const struct observed_call *observed;
 
   switch (scripted->type)
     {
@@ -583,8 +584,9 @@
     case MQ_REQUEST_STEP:
       if (scripted->text == TEXT_ASK)
         return was_final_answer (world, caller->program, body);
-      fact = worker_observed_call (world, caller->program, scripted->sequence);
-      return fact->result != NULL && answer_is (body, fact->result);
+      observed
+          = worker_observed_call (world, caller->program, scripted->sequence);
+      return observed->result != NULL && answer_is (body, observed->result);
     case MQ_REQUEST_CREATE:
     case MQ_REQUEST_CLOSE:
     case MQ_REQUEST_CANCEL:
@@ -615,7 +617,7 @@
                       const struct mq_event_msg *event)
 {
   if (world->now_us < world->outage_from_us
-      || world->now_us > world->outage_until_us || caller->checks)
+      || world->now_us > world->outage_until_us || caller->rechecking)
     return;
   if (is_batch (caller))
     world->report->batch_refused++;
@@ -631,7 +633,7 @@
 static void
 end_check (struct world *world, struct caller *caller)
 {
-  caller->checks = false;
+  caller->rechecking = false;
   caller->request_index = caller->request_count;
   caller->state = CALLER_DONE;
   world_trace (world, "caller %d received its answer again", caller->index);
@@ -640,12 +642,12 @@
 static void
 check_final (struct world *world, struct caller *caller, const char *body)
 {
-  const char *had = caller->answers[caller->request_index];
+  const char *previous = caller->answers[caller->request_index];
 
-  if (had == NULL || !is_same_answer (had, body))
+  if (previous == NULL || !is_same_answer (previous, body))
     world_report_violation (world, INVARIANT_REPLAYED,
-                            "caller %d had %.80s, has %.80s", caller->index,
-                            had == NULL ? "a refusal" : had, body);
+                            "caller %d got %.80s, then %.80s", caller->index,
+                            previous == NULL ? "a refusal" : previous, body);
   end_check (world, caller);
 }
 
@@ -655,7 +657,7 @@
 {
   if (error != caller->errors[caller->request_index])
     world_report_violation (
-        world, INVARIANT_REPLAYED, "caller %d had %s, has %s", caller->index,
+        world, INVARIANT_REPLAYED, "caller %d got %s, then %s", caller->index,
         mq_error_name (caller->errors[caller->request_index]),
         mq_error_name (error));
   end_check (world, caller);
@@ -676,7 +678,7 @@
       return;
     }
   check_answer_is_logged (world, caller, body);
-  if (caller->checks)
+  if (caller->rechecking)
     {
       check_final (world, caller, body);
       return;
@@ -758,20 +760,20 @@
 {
   const struct scripted_request *scripted
       = &caller->requests[caller->request_index];
-  struct observed_program *fact
+  struct observed_program *observed
       = worker_observed_program (world, caller->program);
 
   if (caller->may_have_run
       || (scripted->type != MQ_REQUEST_OPEN
           && scripted->type != MQ_REQUEST_CREATE))
     return;
-  if (fact->starts > 0)
+  if (observed->starts > 0)
     world_report_violation (
         world, INVARIANT_NOT_RUN,
         "caller %d received not_run for a program that started %u "
         "calls",
-        caller->index, fact->starts);
-  fact->refused = true;
+        caller->index, observed->starts);
+  observed->refused = true;
 }
 
 static void
@@ -798,7 +800,7 @@
       schedule_request (world, caller, event->retry_after_ms * MS);
       return;
     }
-  if (caller->checks)
+  if (caller->rechecking)
     {
       check_refusal (world, caller, event->error);
       return;
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -198,10 +198,10 @@
 {
   unsigned long number = strtoul (key + 5, NULL, 10) % PARTITIONS;
   uint64_t since = part->sequence - world->installed[number].sequence;
-  uint64_t most = (1 + world->report->injected + world->ends)
-                  * (uint64_t)SMALL_CHECKPOINT_RECORDS;
+  uint64_t max = (1 + world->report->injected + world->ends)
+                 * (uint64_t)SMALL_CHECKPOINT_RECORDS;
 
-  if (world->small_batches && since > most)
+  if (world->small_batches && since > max)
     world_report_violation (world, INVARIANT_STORED,
                             "%llu batches of %s since the last checkpoint",
                             (unsigned long long)since, key);
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -362,7 +362,7 @@
   enum mq_error_type errors[REQUESTS_PER_CALLER_MAX];
   uint32_t stream_call;
   char *stream;
-  bool checks; /* repeats its requests while the world is idle */
+  bool rechecking; /* repeats its requests while the world is idle */
 };
 
 struct world_operator
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE_LEAST_US (1 * MS)
-#define TABLE_MOST_US (3 * MS)
+#define TABLE_DELAY_MIN_US (1 * MS)
+#define TABLE_DELAY_MAX_US (3 * MS)
 #define OPERATOR_BACKOFF_US (400 * MS)
 
 enum
@@ -227,7 +227,8 @@
   struct world_event *event;
   uint32_t run = host == NO_HOST ? 0 : world->hosts[host].run;
   enum delivery_fault delivery_fault;
-  uint64_t delay_us = world_delay (world, TABLE_LEAST_US, TABLE_MOST_US);
+  uint64_t delay_us
+      = world_delay (world, TABLE_DELAY_MIN_US, TABLE_DELAY_MAX_US);
 
   if (is_excessive_write (world, host, request))
     return;
@@ -292,7 +293,7 @@
       result->rows[i].key = talloc_strdup (result, event->request->ops[i].key);
       result->rows[i].version = 1000000 + event->number;
     }
-  push_result (world, event, result, TABLE_LEAST_US);
+  push_result (world, event, result, TABLE_DELAY_MIN_US);
   return true;
 }
 
@@ -342,7 +343,7 @@
       || strncmp (request->ops[0].key, "part/", 5) != 0
       || world->now_us > 14 * SECOND)
     return false;
-  push_failure (world, event, MQ_STORE_DOWN, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_DOWN, TABLE_DELAY_MIN_US);
   return true;
 }
 
@@ -359,7 +360,7 @@
       || event->index != world->last_owner[0]
       || world->now_us > world->outage_until_us + 15 * SECOND)
     return false;
-  push_failure (world, event, MQ_STORE_DOWN, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_DOWN, TABLE_DELAY_MIN_US);
   return true;
 }
 
@@ -369,7 +370,7 @@
   if (world->cell->plant != PLANT_DROP_SWALLOWED
       || event->request->kind != MQ_STORE_DROP)
     return false;
-  push_failure (world, event, MQ_STORE_OK, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_OK, TABLE_DELAY_MIN_US);
   return true;
 }
 
@@ -496,7 +497,8 @@
 store_serve (struct world *world, const struct world_event *event)
 {
   struct mq_store_result *result;
-  uint64_t delay_us = world_delay (world, TABLE_LEAST_US, TABLE_MOST_US);
+  uint64_t delay_us
+      = world_delay (world, TABLE_DELAY_MIN_US, TABLE_DELAY_MAX_US);
   size_t noted;
 
   if (world->store_down)
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -8,8 +8,8 @@
 
 #include "world_state.h"
 
-#define LINK_LEAST_US 300
-#define LINK_MOST_US 1200
+#define LINK_DELAY_MIN_US 300
+#define LINK_DELAY_MAX_US 1200
 #define RECONNECT_US (MQ_CONNECT_RETRY_MS * MS)
 
 static bool
@@ -97,8 +97,9 @@
   world_trace (world, "wire %d: %s - %s", index, world->hosts[a].name,
                world->hosts[b].name);
   for (int end = 0; end < 2; end++)
-    push_wire_event (world, EVENT_WIRE_UP, index, end,
-                     world_delay (world, LINK_LEAST_US, LINK_MOST_US));
+    push_wire_event (
+        world, EVENT_WIRE_UP, index, end,
+        world_delay (world, LINK_DELAY_MIN_US, LINK_DELAY_MAX_US));
   schedule_heartbeat (world, index);
 }
 
@@ -222,7 +223,7 @@
     }
   if (wire->open[other_end (event->end)] && !wire->silent)
     push_wire_event (world, EVENT_WIRE_DOWN, event->index,
-                     other_end (event->end), LINK_LEAST_US);
+                     other_end (event->end), LINK_DELAY_MIN_US);
   spread.peer = handle;
   gate.peer = handle;
   world_spread_input (world, event->host, &spread);
@@ -250,13 +251,13 @@
 }
 
 static bool
-send_heartbeat (const struct world *world, const struct wire *wire, int end)
+sends_heartbeats (const struct world *world, const struct wire *wire, int end)
 {
   return wire->open[end] && is_responsive (world, wire->host[end])
          && world_is_current_run (world, wire->host[end], wire->run[end]);
 }
 
-/* Sends heartbeats; an end that receives none until the timeout closes the
+/* Exchanges heartbeats; an end that receives none until the timeout closes the
    connection.  */
 void
 wire_heartbeat (struct world *world, const struct world_event *event)
@@ -268,13 +269,13 @@
     {
       struct wire *wire = &world->wires[index];
 
-      if (!send_heartbeat (world, wire, end))
+      if (!sends_heartbeats (world, wire, end))
         {
           any = any || wire->open[end];
           continue;
         }
       any = true;
-      if (!wire->silent && send_heartbeat (world, wire, other_end (end))
+      if (!wire->silent && sends_heartbeats (world, wire, other_end (end))
           && wire->last_us[end] <= world->now_us)
         {
           wire->received_us[end] = world->now_us;
@@ -308,7 +309,7 @@
         wire->silent = true;
       else if (wire->open[other_end (end)])
         push_wire_event (world, EVENT_WIRE_DOWN, (int)i, other_end (end),
-                         LINK_LEAST_US);
+                         LINK_DELAY_MIN_US);
       if (world->current[wire->host[0]][wire->host[1]] == (int)i)
         world->current[wire->host[0]][wire->host[1]] = NO_HOST;
     }
@@ -388,8 +389,8 @@
   int end = 0;
   int index = find_wire (world, host, handle, &end);
   uint32_t run = world->hosts[host].run;
-  uint64_t at_us
-      = world->now_us + world_delay (world, LINK_LEAST_US, LINK_MOST_US);
+  uint64_t at_us = world->now_us
+                   + world_delay (world, LINK_DELAY_MIN_US, LINK_DELAY_MAX_US);
   struct mq_message copy = *message;
   enum delivery_fault delivery_fault;
 
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -26,7 +26,7 @@
   MODEL_WORKER = 0,
   BYTES_PER_TOKEN = 4,
   DEFAULT_TOKENS = 12,
-  OVERSPENT = 400
+  OVERSPENT_TOKENS = 400
 };
 
 /* ---- Observations ---- */
@@ -244,41 +244,42 @@
 }
 
 static bool
-tool_message_holds (struct world *world, struct mq_id program, uint32_t call,
-                    json_t *message)
+tool_message_is_valid (struct world *world, struct mq_id program,
+                       uint32_t call, json_t *message)
 {
   const char *content = text_of (message, "content");
   const struct observed_call *observed
       = worker_observed_call (world, program, call);
   json_t *result = json_loads (content, 0, NULL);
-  bool holds = is_failure (result);
+  bool valid = is_failure (result);
 
-  if (holds)
+  if (valid)
     record_failure (world, program, call, result);
   else if (observed->result != NULL)
-    holds = strcmp (observed->result, content) == 0;
+    valid = strcmp (observed->result, content) == 0;
   else
-    holds = is_child_answer (world, program, call, content);
+    valid = is_child_answer (world, program, call, content);
   json_decref (result);
-  return holds;
+  return valid;
 }
 
 static bool
-assistant_message_holds (struct mq_id program, json_t *messages, size_t place)
+assistant_message_is_valid (struct mq_id program, json_t *messages,
+                            size_t index)
 {
-  json_t *message = json_array_get (messages, place);
-  json_t *step = plan_step (messages, place);
-  json_t *calls = tool_calls_of (step, place);
+  json_t *message = json_array_get (messages, index);
+  json_t *step = plan_step (messages, index);
+  json_t *calls = tool_calls_of (step, index);
   json_t *message_calls = json_object_get (message, "tool_calls");
-  char *content = content_of (NULL, program, messages, place);
-  bool holds = strcmp (content, text_of (message, "content")) == 0;
+  char *content = content_of (NULL, program, messages, index);
+  bool valid = strcmp (content, text_of (message, "content")) == 0;
 
   if (json_array_size (calls) > 0 || json_array_size (message_calls) > 0)
-    holds = holds && json_equal (calls, message_calls);
+    valid = valid && json_equal (calls, message_calls);
   talloc_free (content);
   json_decref (calls);
   json_decref (step);
-  return holds;
+  return valid;
 }
 
 /* Returns the index of the first invalid message, or COUNT.  Sets CALLS to the
@@ -292,20 +293,20 @@
   for (size_t i = 0; i < count; i++)
     {
       json_t *message = json_array_get (messages, i);
-      bool holds = true;
+      bool valid = true;
 
       if (has_role (message, "assistant"))
         {
           ++*calls;
-          holds = assistant_message_holds (program, messages, i);
+          valid = assistant_message_is_valid (program, messages, i);
         }
       else if (has_role (message, "tool"))
-        holds = tool_message_holds (world, program, ++*calls, message);
+        valid = tool_message_is_valid (world, program, ++*calls, message);
       else if (has_role (message, "user"))
-        holds = caller_has_text (world, program, text_of (message, "content"));
+        valid = caller_has_text (world, program, text_of (message, "content"));
       else
-        holds = has_role (message, "system") && i == 0;
-      if (!holds)
+        valid = has_role (message, "system") && i == 0;
+      if (!valid)
         return i;
     }
   return count;
@@ -323,19 +324,18 @@
   if (wrong < count)
     {
       text = json_dumps (json_array_get (messages, wrong), JSON_COMPACT);
-      world_report_violation (
-          world, INVARIANT_HISTORY,
-          "program %016llx call %u: message %zu of %zu does not "
-          "follow: %.120s",
-          (unsigned long long)run->ref.program.lo, run->ref.call, wrong, count,
-          text);
+      world_report_violation (world, INVARIANT_HISTORY,
+                              "program %016llx call %u: message %zu of %zu is "
+                              "invalid: %.120s",
+                              (unsigned long long)run->ref.program.lo,
+                              run->ref.call, wrong, count, text);
       free (text);
     }
   else if (calls
            != caller_calls_before (world, run->ref.program, run->ref.call))
     world_report_violation (
         world, INVARIANT_HISTORY,
-        "program %016llx call %u: the history holds %u calls",
+        "program %016llx call %u: the history contains %u calls",
         (unsigned long long)run->ref.program.lo, run->ref.call, calls);
 }
 
@@ -389,17 +389,17 @@
   for (size_t i = 0; i < worker->cache_count; i++)
     {
       const struct engine_cache_entry *entry = &worker->cache[i];
-      uint64_t held_us = unneeded_cache_us (world, entry);
+      uint64_t unneeded_us = unneeded_cache_us (world, entry);
 
       if (program != NULL && !mq_id_equal (entry->program, *program))
         continue;
-      if (held_us > world->report->held_us)
-        world->report->held_us = held_us;
-      if (held_us > EVICTION_DEADLINE_US)
+      if (unneeded_us > world->report->held_us)
+        world->report->held_us = unneeded_us;
+      if (unneeded_us > EVICTION_DEADLINE_US)
         world_report_violation (world, INVARIANT_EVICTED,
                                 "program %016llx ended %llu ms before",
                                 (unsigned long long)entry->program.lo,
-                                (unsigned long long)(held_us / MS));
+                                (unsigned long long)(unneeded_us / MS));
     }
 }
 
@@ -469,7 +469,7 @@
   if (run->tokens > run->max_tokens && run->max_tokens > 0)
     run->tokens = run->max_tokens;
   if (world->cell->plant == PLANT_CAP_IGNORED)
-    run->tokens += OVERSPENT;
+    run->tokens += OVERSPENT_TOKENS;
   run->tokens_in = (uint32_t)strlen (run->body) / BYTES_PER_TOKEN;
   run->cached = entry == NULL ? 0 : entry->tokens;
   if (run->cached > run->tokens_in)
@@ -509,7 +509,7 @@
   const struct observed_program *program
       = worker_observed_program (world, ref->program);
   const struct host *host = &world->hosts[run->host];
-  struct observed_call *before;
+  struct observed_call *previous;
 
   if (program->refused)
     world_report_violation (world, INVARIANT_NOT_RUN,
@@ -525,11 +525,11 @@
         (unsigned long long)ref->program.lo, ref->call, ref->attempt);
   if (ref->call > 1)
     {
-      before = worker_observed_call (world, ref->program, ref->call - 1);
-      if (before->starts > 0 && before->ends == 0)
+      previous = worker_observed_call (world, ref->program, ref->call - 1);
+      if (previous->starts > 0 && previous->ends == 0)
         world_report_violation (
             world, INVARIANT_ORDER,
-            "program %016llx call %u starts, call %u never ended",
+            "program %016llx call %u starts, call %u has not ended",
             (unsigned long long)ref->program.lo, ref->call, ref->call - 1);
     }
   if (!host->leaving)
