--- a/tests/world.c
+++ b/tests/world.c
@@ -563,11 +563,11 @@
   struct mq_gate_input gate
       = { .type = MQ_GATE_LEAVE, .now_us = world->now_us };
 
-  if (world->cell->plant == PLANT_STOP_CUTS)
+  if (world->cell->plant == PLANT_STOP_TERMINATES)
     stop_host (world, index);
   else if (world->hosts[index].role == MQ_HOST_ENTRY)
     world_owner_input (world, index, &owner);
-  else if (world->cell->plant != PLANT_LEAVE_HIDDEN)
+  else if (world->cell->plant != PLANT_LEAVE_DROPPED)
     world_gate_input (world, index, &gate);
 }
 
@@ -729,7 +729,7 @@
     world->report->unowned_us = since_us;
   if (since_us > TAKEOVER_DEADLINE_US)
     world_report_violation (
-        world, INVARIANT_RESUMED, "partition %llu had no owner for %llu ms",
+        world, INVARIANT_TAKEN_OVER, "partition %llu had no owner for %llu ms",
         (unsigned long long)partition, (unsigned long long)(since_us / MS));
 }
 
@@ -886,7 +886,7 @@
     return;
   if (version < host->version)
     world_report_violation (
-        world, INVARIANT_CONFIG_RISES,
+        world, INVARIANT_CONFIG_MONOTONIC,
         "%s: configuration version decreases from %llu to %llu", host->name,
         (unsigned long long)host->version, (unsigned long long)version);
   world_trace (world, "%s: configuration version %llu", host->name,
@@ -904,7 +904,7 @@
   struct mq_actions *actions;
   uint32_t run = host->run;
 
-  if (world->cell->plant == PLANT_CONFIG_CUT_OFF && index == HOSTS - 1
+  if (world->cell->plant == PLANT_CONFIG_UNREACHABLE && index == HOSTS - 1
       && host->version > 0 && input->type != MQ_SPREAD_TICK)
     return;
   if (world->cell->plant == PLANT_CONFIG_REVERTED && index == HOSTS - 1
@@ -1294,7 +1294,7 @@
     }
   report->end_us = world->now_us;
   if (report->events > EVENTS_MAX)
-    world_report_violation (world, INVARIANT_SETTLES,
+    world_report_violation (world, INVARIANT_BECOMES_IDLE,
                             "not idle after %llu events, at %llu ms",
                             (unsigned long long)EVENTS_MAX,
                             (unsigned long long)(world->now_us / MS));
--- a/tests/world.h
+++ b/tests/world.h
@@ -86,8 +86,8 @@
   X (STORE_SLOW, "store-slow")                                                \
   X (SILENT, "connection-silent")                                             \
   X (LATE, "message-late")                                                    \
-  X (DOUBLED, "message-doubled")                                              \
-  X (CROSSED, "message-crossed")                                              \
+  X (DUPLICATED, "message-doubled")                                           \
+  X (REORDERED, "message-crossed")                                            \
   X (GATE_REBOOTS, "gate-reboots")                                            \
   X (ENGINE_REBOOTS, "engine-reboots")                                        \
   X (WORKER_HANGS, "worker-hangs")                                            \
@@ -118,21 +118,22 @@
   X (CACHE, "no engine keeps the cache of an ended program")                  \
   X (LEAVING, "a leaving target starts no call received after its LEAVE")     \
   X (PLANNED_STOP, "a planned stop interrupts no call or request")            \
-  X (CONFIG_RISES, "the configuration version in force never decreases")      \
+  X (CONFIG_MONOTONIC, "the configuration version in force never decreases")  \
   X (CONFIG_EQUAL, "every host has the table's configuration version")        \
-  X (APPLY_HOLDS, "an accepted configuration is not lost")                    \
-  X (SETTLES, "the state machines become idle")                               \
-  X (REPLAYED, "a takeover while idle restores the same programs")            \
+  X (APPLY_DURABLE, "an accepted configuration is not lost")                  \
+  X (BECOMES_IDLE, "the state machines become idle")                          \
+  X (REPLAY_EQUAL, "a takeover while idle restores the same programs")        \
   X (STORED, "the store keeps only a checkpoint and the log after it")        \
   X (EVICTED,                                                                 \
      "cache of an ended program is evicted within its lease and 11 s")        \
-  X (RESUMED, "a partition is taken over within its lease and 6 s")           \
+  X (TAKEN_OVER, "a partition is taken over within its lease and 6 s")        \
   X (TOLD, "an answer is in the log before the caller gets it")               \
-  X (INTENDED, "a non-idempotent call starts after its intent commits")       \
+  X (INTENT_COMMITTED,                                                        \
+     "a non-idempotent call starts after its intent commits")                 \
   X (FENCE, "a partition's fence in the table never decreases")               \
   X (OUTAGE,                                                                  \
      "a store outage refuses batch work only; idempotent calls continue")     \
-  X (TAKEN, "a store outage causes no takeover from a live owner")            \
+  X (NO_LIVE_TAKEOVER, "a store outage causes no takeover from a live owner") \
   X (MEMORY, "no process grows without bound")                                \
   X (LOAD, "hosts that survive a data centre stay within their store quota")
 
@@ -149,7 +150,7 @@
 #define WORLD_MUTATION_LIST(X)                                                \
   X (NONE, "none")                                                            \
   X (ANSWER_BEFORE_RUN, "a worker replies to a call before running it")       \
-  X (START_CLONED, "a call is delivered to its worker twice")                 \
+  X (START_DUPLICATED, "a call is delivered to its worker twice")             \
   X (CAP_IGNORED, "engines ignore max_tokens")                                \
   X (HISTORY_MIXED, "a call carries another program's messages")              \
   X (HISTORY_CUT, "a call lacks a message of its history")                    \
@@ -158,19 +159,19 @@
   X (COMMIT_DROPPED, "a commit is dropped and reported as applied")           \
   X (TOKEN_DOUBLED, "a caller gets a token twice")                            \
   X (REFUSED_AND_RUN, "a request is refused as not run, but runs")            \
-  X (FINAL_SWALLOWED, "a caller's final answer never comes")                  \
-  X (EVICT_SWALLOWED, "an eviction is confirmed but not done")                \
-  X (LEAVE_HIDDEN, "a leaving target does not receive LEAVE")                 \
-  X (STOP_CUTS, "a planned stop terminates the process at once")              \
+  X (FINAL_DROPPED, "a caller's final answer never comes")                    \
+  X (EVICT_SKIPPED, "an eviction is confirmed but not done")                  \
+  X (LEAVE_DROPPED, "a leaving target does not receive LEAVE")                \
+  X (STOP_TERMINATES, "a planned stop terminates the process at once")        \
   X (CONFIG_REVERTED, "a process loses its configuration")                    \
-  X (CONFIG_CUT_OFF, "a host receives no configuration")                      \
+  X (CONFIG_UNREACHABLE, "a host receives no configuration")                  \
   X (APPLY_REVERTED, "the table reverts to an older configuration")           \
   X (CONDITION_IGNORED, "an old owner's write ignores its condition")         \
   X (ECHO, "each message is delivered repeatedly")                            \
   X (CHECKPOINT_CUT, "a checkpoint lacks a program")                          \
-  X (DROP_SWALLOWED, "an object's removal is confirmed but not done")         \
+  X (REMOVAL_SKIPPED, "an object's removal is confirmed but not done")        \
   X (EVICT_DELAYED, "evictions fail for 25 s")                                \
-  X (CLAIM_HELD, "the table refuses claims for 12 s")                         \
+  X (CLAIM_REFUSED, "the table refuses claims for 12 s")                      \
   X (URGENT_REFUSED, "urgent work is refused in an outage")                   \
   X (RENEWALS_REFUSED, "the table refuses renewals after an outage")          \
   X (MEMORY_LEAKED, "a process leaks a megabyte per second")                  \
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -645,7 +645,7 @@
   const char *previous = caller->answers[caller->request_index];
 
   if (previous == NULL || !is_same_answer (previous, body))
-    world_report_violation (world, INVARIANT_REPLAYED,
+    world_report_violation (world, INVARIANT_REPLAY_EQUAL,
                             "caller %d got %.80s, then %.80s", caller->index,
                             previous == NULL ? "a refusal" : previous, body);
   end_check (world, caller);
@@ -657,8 +657,8 @@
 {
   if (error != caller->errors[caller->request_index])
     world_report_violation (
-        world, INVARIANT_REPLAYED, "caller %d got %s, then %s", caller->index,
-        mq_error_name (caller->errors[caller->request_index]),
+        world, INVARIANT_REPLAY_EQUAL, "caller %d got %s, then %s",
+        caller->index, mq_error_name (caller->errors[caller->request_index]),
         mq_error_name (error));
   end_check (world, caller);
 }
@@ -895,7 +895,7 @@
       handle_token (world, caller, event);
       break;
     case MQ_EVENT_FINAL:
-      if (world->cell->plant == PLANT_FINAL_SWALLOWED && caller->index == 0)
+      if (world->cell->plant == PLANT_FINAL_DROPPED && caller->index == 0)
         break;
       world_trace (world, "caller %d: final %.100s", caller->index,
                    event->body);
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -304,7 +304,7 @@
                          APPLY_ID_BYTES)
                      != 0))
         world_report_violation (
-            world, INVARIANT_APPLY_HOLDS,
+            world, INVARIANT_APPLY_DURABLE,
             "version %llu was accepted, the table has %llu",
             (unsigned long long)accepted->version,
             (unsigned long long)version);
@@ -519,7 +519,7 @@
     world_report_violation (world, INVARIANT_OUTAGE,
                             "batch work was not refused");
   if (report->taken_alive > 0)
-    world_report_violation (world, INVARIANT_TAKEN,
+    world_report_violation (world, INVARIANT_NO_LIVE_TAKEOVER,
                             "%u partitions were taken from live owners",
                             report->taken_alive);
 }
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -168,10 +168,10 @@
     case FAULT_LATE:
       set_message_fault (world, site, DELIVERY_DELAYED);
       break;
-    case FAULT_DOUBLED:
+    case FAULT_DUPLICATED:
       set_message_fault (world, site, DELIVERY_DUPLICATED);
       break;
-    case FAULT_CROSSED:
+    case FAULT_REORDERED:
       set_message_fault (world, site, DELIVERY_REORDERED);
       break;
     case FAULT_GATE_REBOOTS:
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -150,7 +150,7 @@
   if (len < WRITE_MAX)
     return false;
   world_report_violation (
-      world, INVARIANT_SETTLES, "%s writes %zu bytes in one request",
+      world, INVARIANT_BECOMES_IDLE, "%s writes %zu bytes in one request",
       host == NO_HOST ? "operator" : world->hosts[host].name, len);
   world->finished = true;
   return true;
@@ -338,7 +338,7 @@
 {
   const struct mq_store_request *request = event->request;
 
-  if (world->cell->plant != PLANT_CLAIM_HELD || !world->script_done
+  if (world->cell->plant != PLANT_CLAIM_REFUSED || !world->script_done
       || request->kind != MQ_STORE_TXN || is_commit (request)
       || strncmp (request->ops[0].key, "part/", 5) != 0
       || world->now_us > 14 * SECOND)
@@ -367,7 +367,7 @@
 static bool
 inject_ignored_removal (struct world *world, const struct world_event *event)
 {
-  if (world->cell->plant != PLANT_DROP_SWALLOWED
+  if (world->cell->plant != PLANT_REMOVAL_SKIPPED
       || event->request->kind != MQ_STORE_DROP)
     return false;
   push_failure (world, event, MQ_STORE_OK, TABLE_DELAY_MIN_US);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -520,9 +520,10 @@
     world->report->starts_in_outage++;
   if (host->workers[run->worker].kind == MQ_SERVICE_PLAIN
       && !check_is_intended (world, ref))
-    world_report_violation (
-        world, INVARIANT_INTENDED, "program %016llx call %u attempt %u starts",
-        (unsigned long long)ref->program.lo, ref->call, ref->attempt);
+    world_report_violation (world, INVARIANT_INTENT_COMMITTED,
+                            "program %016llx call %u attempt %u starts",
+                            (unsigned long long)ref->program.lo, ref->call,
+                            ref->attempt);
   if (ref->call > 1)
     {
       previous = worker_observed_call (world, ref->program, ref->call - 1);
@@ -614,7 +615,7 @@
       start->ref.call, start->ref.attempt, start->service, start->max_tokens);
   run = add_run (world, host, start);
   begin_run (world, run, world->run_count - 1);
-  if (world->cell->plant != PLANT_START_CLONED
+  if (world->cell->plant != PLANT_START_DUPLICATED
       || world->hosts[host].workers[start->worker].kind != MQ_SERVICE_PLAIN)
     return;
   run = add_run (world, host, start);
@@ -837,7 +838,7 @@
   event->flag = world->hosts[host].workers[evict->worker].up
                 && (world->cell->plant != PLANT_EVICT_DELAYED
                     || world->now_us > PLANT_EVICT_FROM_US);
-  if (event->flag && world->cell->plant != PLANT_EVICT_SWALLOWED)
+  if (event->flag && world->cell->plant != PLANT_EVICT_SKIPPED)
     {
       record_cache_held (world, &world->hosts[host].workers[evict->worker],
                          &evict->program);
@@ -900,7 +901,7 @@
     }
   input.u.cache.entry_count = worker->cache_count;
   /* The seeded eviction bug also hides the engine's report.  */
-  if (worker->up && world->cell->plant != PLANT_EVICT_SWALLOWED)
+  if (worker->up && world->cell->plant != PLANT_EVICT_SKIPPED)
     world_gate_input (world, event->host, &input);
   talloc_free (entries);
 }
