--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -229,7 +229,7 @@
 }
 
 static void
-list_target (struct mq_owner *owner, const struct mq_host *host)
+apply_listed_target (struct mq_owner *owner, const struct mq_host *host)
 {
   struct target *target = hosts_get_target (owner, host->name);
 
@@ -243,7 +243,7 @@
 }
 
 static void
-list_sibling (struct mq_owner *owner, const struct mq_host *host)
+apply_listed_sibling (struct mq_owner *owner, const struct mq_host *host)
 {
   struct sibling *sibling;
 
@@ -268,10 +268,10 @@
     switch (hosts->items[i].role)
       {
       case MQ_HOST_TARGET:
-        list_target (owner, &hosts->items[i]);
+        apply_listed_target (owner, &hosts->items[i]);
         break;
       case MQ_HOST_ENTRY:
-        list_sibling (owner, &hosts->items[i]);
+        apply_listed_sibling (owner, &hosts->items[i]);
         break;
       }
 }
@@ -424,7 +424,7 @@
 /* ---- Load ---- */
 
 static bool
-same_workers (const struct target *target, const struct mq_load_msg *load)
+has_same_workers (const struct target *target, const struct mq_load_msg *load)
 {
   if (target->worker_count != load->worker_count)
     return false;
@@ -463,7 +463,7 @@
 hosts_on_load (struct mq_owner *owner, struct target *target,
                const struct mq_load_msg *load)
 {
-  if (!same_workers (target, load))
+  if (!has_same_workers (target, load))
     rebuild_workers (owner, target, load);
   target->leaving = load->leaving;
   for (uint32_t i = 0; i < load->worker_count; i++)
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -141,10 +141,10 @@
 static bool
 row_is_stale (const struct partition *partition)
 {
-  /* Writes the row once after a takeover, even without new records.  Otherwise
-     an idle partition's row would keep naming the previous owner as a sender.
-     That owner could then not remove former runs from its targets row, and its
-     partitions would forfeit their grants on every takeover.  */
+  /* The row is written once after a takeover, even without new records.
+     Otherwise an idle partition's row would keep naming the previous owner as
+     a sender.  That owner could then not remove former runs from its targets
+     row, and its partitions would forfeit their grants on every takeover.  */
   return partition->snapshot_written || partition->sender_count > 1
          || partition->first <= partition->checkpoint;
 }
@@ -220,7 +220,7 @@
 }
 
 static void
-move_records (struct mq_owner *owner, struct partition *partition)
+move_records_to_commit (struct mq_owner *owner, struct partition *partition)
 {
   struct record *last = partition->pending_last;
 
@@ -261,7 +261,7 @@
                                   part->sequence);
       pack_batch (owner, part);
     }
-  move_records (owner, partition);
+  move_records_to_commit (owner, partition);
   if (partition->snapshot_sequence == 0 && part->log_key != NULL
       && partition->records_since_checkpoint
              >= owner->options.checkpoint_records)
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -59,7 +59,8 @@
 };
 
 static void
-fill_common (struct opening *opening, const struct mq_request_msg *request)
+fill_common_fields (struct opening *opening,
+                    const struct mq_request_msg *request)
 {
   Mqlog__Opened *opened = &opening->opened;
 
@@ -78,10 +79,10 @@
               const struct mq_request_msg *request,
               const struct mq_service *service, const char *input)
 {
-  struct mq_program *scratch = talloc_zero (owner->actions, struct mq_program);
+  struct mq_program *builder = talloc_zero (owner->actions, struct mq_program);
   const struct running *previous = NULL;
 
-  if (scratch == NULL)
+  if (builder == NULL)
     abort ();
   if (!mq_id_is_zero (request->continues))
     {
@@ -92,24 +93,24 @@
         return MQ_ERR_NOT_FOUND;
       if (previous->program->state == MQ_PROGRAM_RUNNING)
         return MQ_ERR_OUT_OF_ORDER;
-      scratch->messages = previous->program->messages;
-      scratch->messages = talloc_strndup (scratch,
+      builder->messages = previous->program->messages;
+      builder->messages = talloc_strndup (builder,
                                           previous->program->messages == NULL
                                               ? ""
                                               : previous->program->messages,
                                           previous->program->messages_len);
-      scratch->messages_len = previous->program->messages_len;
-      scratch->messages_room = previous->program->messages_len + 1;
-      scratch->message_count = previous->program->message_count;
+      builder->messages_len = previous->program->messages_len;
+      builder->messages_room = previous->program->messages_len + 1;
+      builder->message_count = previous->program->message_count;
       opening->opened.follow_up = true;
     }
   else if (service->prompt != NULL && service->prompt[0] != '\0')
-    mq_program_add_message (scratch, "system", NULL, NULL, service->prompt);
+    mq_program_add_message (builder, "system", NULL, NULL, service->prompt);
   if (input != NULL)
-    mq_program_add_message (scratch, "user", NULL, NULL, input);
-  if (scratch->messages != NULL)
-    opening->opened.messages = scratch->messages;
-  opening->opened.message_count = scratch->message_count;
+    mq_program_add_message (builder, "user", NULL, NULL, input);
+  if (builder->messages != NULL)
+    opening->opened.messages = builder->messages;
+  opening->opened.message_count = builder->message_count;
   return MQ_ERR_NONE;
 }
 
@@ -139,9 +140,9 @@
 
 /* Fills in a single call of a model, plain service or tool.  */
 static enum mq_error_type
-fill_single (struct mq_owner *owner, struct opening *opening,
-             const struct mq_request_msg *request,
-             const struct mq_service *service, json_t *root)
+fill_single_call (struct mq_owner *owner, struct opening *opening,
+                  const struct mq_request_msg *request,
+                  const struct mq_service *service, json_t *root)
 {
   json_t *arguments = json_object_get (root, "arguments");
   const char *input = json_string_value (json_object_get (root, "input"));
@@ -179,7 +180,7 @@
   json_t *root = json_loads (request->body, 0, NULL);
   enum mq_error_type error;
 
-  fill_common (opening, request);
+  fill_common_fields (opening, request);
   if (service == NULL)
     error = MQ_ERR_NOT_FOUND;
   else if (!json_is_object (root))
@@ -187,7 +188,7 @@
   else if (service->kind == MQ_SERVICE_AGENT)
     error = fill_agent (owner, opening, request, service, root);
   else
-    error = fill_single (owner, opening, request, service, root);
+    error = fill_single_call (owner, opening, request, service, root);
   json_decref (root);
   return error;
 }
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -143,8 +143,8 @@
 }
 
 static void
-fill_call (struct mq_owner *owner, const struct running *running,
-           struct mq_call_msg *message)
+fill_call_message (struct mq_owner *owner, const struct running *running,
+                   struct mq_call_msg *message)
 {
   const struct call *call = running->call;
   const struct mq_program *program = running->program;
@@ -187,14 +187,15 @@
   struct call *call = running->call;
   struct mq_message message = { .type = MQ_MSG_CALL };
 
-  fill_call (owner, running, &message.u.call);
+  fill_call_message (owner, running, &message.u.call);
   hosts_send (owner, call->target, &message);
   owner->counters.calls_sent++;
 }
 
 /* Estimates the prompt tokens that the worker has to compute.  */
 static uint32_t
-expect_uncached (const struct running *running, const struct worker *worker)
+estimate_uncached_tokens (const struct running *running,
+                          const struct worker *worker)
 {
   uint32_t prompt = running->call->prompt_tokens;
   uint32_t cached = 0;
@@ -218,7 +219,7 @@
   call->worker = worker->index;
   call->boot = worker->target->boot;
   call->sent_us = owner->now_us;
-  call->uncached_tokens = expect_uncached (running, worker);
+  call->uncached_tokens = estimate_uncached_tokens (running, worker);
   place_adjust_load (owner, call, 1);
   if (call->model)
     {
@@ -273,11 +274,11 @@
   owner_wake_at (owner, running, call->retry_us);
 }
 
-/* Whether charges for discarded attempts are durable; no call is sent before.
-   A call under the new fence makes the target drop later attempts of the
-   previous owner.  If this owner then died before committing their charges,
-   the next owner would find no trace of them and the budget would be spent
-   twice.  */
+/* Whether the charges for discarded attempts are durable.  No call is sent
+   until they are: a call under the new fence makes the target drop later
+   attempts of the previous owner.  If this owner then crashed before the
+   charges commit, the next owner would find no trace of them and the budget
+   would be spent twice.  */
 static bool
 charges_are_durable (struct mq_owner *owner, struct running *running)
 {
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -17,7 +17,7 @@
    only uncommitted record may be a charge after the answer, whose commit sends
    nothing.  */
 static void
-answer_when_durable (struct mq_owner *owner, struct running *running)
+send_answer_when_durable (struct mq_owner *owner, struct running *running)
 {
   if (running->program->state == MQ_PROGRAM_RUNNING)
     return;
@@ -41,7 +41,7 @@
   if (running->program->turn_digest == digest)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       json_decref (root);
       return;
     }
@@ -126,8 +126,8 @@
 /* Returns the sequence number of a call.  A request without one is the next
    call, unless its key matches an earlier or the current call.  */
 static uint32_t
-find_sequence (const struct running *running,
-               const struct mq_request_msg *request, uint64_t digest)
+resolve_sequence (const struct running *running,
+                  const struct mq_request_msg *request, uint64_t digest)
 {
   const struct mq_program *program = running->program;
 
@@ -149,7 +149,7 @@
              uint64_t handle, const struct mq_request_msg *request)
 {
   uint64_t digest = drive_digest (request);
-  uint32_t sequence = find_sequence (running, request, digest);
+  uint32_t sequence = resolve_sequence (running, request, digest);
   enum mq_error_type error = check_step (running, sequence, digest);
 
   if (error == MQ_ERR_NONE && owner->leaving)
@@ -180,8 +180,8 @@
 }
 
 static void
-answer_get (struct mq_owner *owner, struct running *running, uint32_t peer,
-            uint64_t handle, bool history)
+queue_get_reply (struct mq_owner *owner, struct running *running,
+                 uint32_t peer, uint64_t handle, bool history)
 {
   struct mq_event_msg event
       = { .handle = handle, .type = MQ_EVENT_FINAL, .ran = MQ_RAN_RAN };
@@ -212,7 +212,7 @@
           = hook->history;
       return;
     }
-  answer_get (owner, running, hook->peer, hook->handle, hook->history);
+  queue_get_reply (owner, running, hook->peer, hook->handle, hook->history);
 }
 
 static void
@@ -224,7 +224,7 @@
   if (request->stream && !history)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       return;
     }
   /* Uncommitted state could be lost in a takeover and is not shown.  */
@@ -233,7 +233,7 @@
       log_add_reply_hook (owner, running, peer, handle)->history = history;
       return;
     }
-  answer_get (owner, running, peer, handle, history);
+  queue_get_reply (owner, running, peer, handle, history);
 }
 
 static void
@@ -246,7 +246,7 @@
   if (running->program->state == MQ_PROGRAM_ENDED)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       return;
     }
   if (reason == MQ_ERR_NONE
@@ -274,8 +274,9 @@
 }
 
 static void
-handle_known (struct mq_owner *owner, struct running *running, uint32_t peer,
-              uint64_t handle, const struct mq_request_msg *request)
+handle_existing_program (struct mq_owner *owner, struct running *running,
+                         uint32_t peer, uint64_t handle,
+                         const struct mq_request_msg *request)
 {
   switch (request->type)
     {
@@ -325,7 +326,7 @@
     running = NULL;
   if (running != NULL)
     {
-      handle_known (owner, running, peer, handle, request);
+      handle_existing_program (owner, running, peer, handle, request);
       return;
     }
   if (request->type == MQ_REQUEST_OPEN || request->type == MQ_REQUEST_CREATE)
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -99,8 +99,8 @@
 /* Returns the programs that have a call at TARGET.  They are collected first,
    since resuming a program may change the map.  */
 static struct running **
-list_at_target (struct mq_owner *owner, const struct target *target,
-                size_t *count)
+find_programs_at_target (struct mq_owner *owner, const struct target *target,
+                         size_t *count)
 {
   struct running **list
       = talloc_array (owner->actions, struct running *,
@@ -119,7 +119,7 @@
 settle_on_target_up (struct mq_owner *owner, struct target *target)
 {
   size_t count;
-  struct running **list = list_at_target (owner, target, &count);
+  struct running **list = find_programs_at_target (owner, target, &count);
 
   for (size_t i = 0; i < count; i++)
     if (list[i]->partition->state == PARTITION_ACTIVE)
@@ -130,7 +130,7 @@
 settle_on_target_down (struct mq_owner *owner, struct target *target)
 {
   size_t count;
-  struct running **list = list_at_target (owner, target, &count);
+  struct running **list = find_programs_at_target (owner, target, &count);
 
   for (size_t i = 0; i < count; i++)
     {
@@ -168,8 +168,8 @@
   if (call->service->timeout_ms == 0
       || owner->now_us - call->sent_us < limit_us)
     return;
-  /* The target's process should have timed out by now.  Requests the state of
-     the attempt: the reply is its outcome or a seal result.  */
+  /* The target's process should have timed out by now; requests the state of
+     the attempt.  The reply is its outcome or a seal result.  */
   call->sent_us = owner->now_us;
   if (call->idempotent)
     {
@@ -339,8 +339,8 @@
 }
 
 static void
-discard_recovered (struct mq_owner *owner, struct running *running,
-                   const struct recovered *used)
+discard_recovered_attempts (struct mq_owner *owner, struct running *running,
+                            const struct recovered *used)
 {
   for (struct recovered *r = running->recovered; r != NULL; r = r->next)
     if (r != used)
@@ -408,8 +408,8 @@
    its tokens could go uncharged.  The amount is not known yet: the whole grant
    counts as spent, also for the parent programs.  */
 static void
-forfeit_running (struct mq_owner *owner, struct running *running,
-                 const struct recovered *used)
+forfeit_unused_attempts (struct mq_owner *owner, struct running *running,
+                         const struct recovered *used)
 {
   bool still_running = false;
 
@@ -438,8 +438,8 @@
     if (r->ref.call == running->program->calls + 1
         && r->ref.attempt > attempts)
       attempts = r->ref.attempt;
-  forfeit_running (owner, running, best);
-  discard_recovered (owner, running, best);
+  forfeit_unused_attempts (owner, running, best);
+  discard_recovered_attempts (owner, running, best);
   if (running->program->state == MQ_PROGRAM_RUNNING && !stepwise)
     {
       budget_start_clock (owner, running);
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -1,10 +1,10 @@
 /* owner_take.c - partition ownership: takeover, loss and hand-over.
 
    Liveness of another host is only a hint.  Ownership is decided by raising
-   the fence in the partition's row with a compare-and-swap.  After that,
-   commits of the previous owner fail on the row's version, and its calls are
-   rejected by target processes that have seen the new fence.
-   Needs: owner_parts.h, id.h, proto/log.pb-c.h.  */
+   the fence (fencing token) in the partition's row by compare-and-swap.  After
+   that, commits of the previous owner fail on the row's version, and its calls
+   are rejected by target processes that have seen the new fence. Needs:
+   owner_parts.h, id.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
 #include "../id.h"
@@ -15,7 +15,7 @@
 /* ---- Losing and releasing ---- */
 
 static void
-drop_programs (struct mq_owner *owner, struct partition *partition)
+unload_programs (struct mq_owner *owner, struct partition *partition)
 {
   struct running *running;
   size_t position = 0;
@@ -45,7 +45,7 @@
   partition->state = PARTITION_OTHER;
   partition->read_id = 0;
   partition->takeover = NULL;
-  drop_programs (owner, partition);
+  unload_programs (owner, partition);
 }
 
 void
@@ -159,7 +159,8 @@
 }
 
 static bool
-owner_seems_gone (struct mq_owner *owner, const struct partition *partition)
+owner_is_presumed_dead (struct mq_owner *owner,
+                        const struct partition *partition)
 {
   struct sibling *sibling;
 
@@ -188,7 +189,7 @@
   if (partition->state != PARTITION_OTHER
       || owner->now_us < partition->retry_us)
     return;
-  if (!owner_seems_gone (owner, partition))
+  if (!owner_is_presumed_dead (owner, partition))
     {
       partition->unowned_us = 0;
       return;
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -11,7 +11,7 @@
 {
   /* The scan interval grows by MQ_OWNER_SCAN_MS for every so many hosts.  */
   HOSTS_PER_SCAN_INTERVAL = 20,
-  /* Minimum rates, so that a slow store does not cost the lease.  */
+  /* Minimum rates; they leave time for a slow store within a lease.  */
   RENEWALS_PER_LEASE = 2,
   SCANS_PER_LEASE = 2
 };
@@ -89,7 +89,7 @@
 }
 
 static void
-targets_result (struct mq_owner *owner, enum mq_store_status status)
+on_targets_written (struct mq_owner *owner, enum mq_store_status status)
 {
   owner->targets_id = 0;
   if (status != MQ_STORE_OK)
@@ -248,7 +248,7 @@
 }
 
 static void
-release_all (struct mq_owner *owner)
+release_all_partitions (struct mq_owner *owner)
 {
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (owner->partitions[i].state == PARTITION_ACTIVE)
@@ -315,14 +315,14 @@
   for (uint32_t i = 0; i < owner->partition_count; i++)
     partition_tick (owner, &owner->partitions[i]);
   if (owner->leaving)
-    release_all (owner);
+    release_all_partitions (owner);
   else
     rebalance (owner);
 }
 
 static void
-scan_result (struct mq_owner *owner, const struct mq_store_result *result,
-             bool owners)
+on_scan_result (struct mq_owner *owner, const struct mq_store_result *result,
+                bool owners)
 {
   if (owners)
     owner->owners_scan_id = 0;
@@ -358,7 +358,7 @@
   if (result->id == owner->owners_scan_id
       || result->id == owner->partitions_scan_id)
     {
-      scan_result (owner, result, result->id == owner->owners_scan_id);
+      on_scan_result (owner, result, result->id == owner->owners_scan_id);
       return true;
     }
   if (result->id == owner->renew_id)
@@ -372,7 +372,7 @@
     }
   if (result->id == owner->targets_id)
     {
-      targets_result (owner, result->status);
+      on_targets_written (owner, result->status);
       return true;
     }
   for (uint32_t i = 0; i < owner->partition_count; i++)
--- a/tests/world.c
+++ b/tests/world.c
@@ -141,7 +141,7 @@
 }
 
 static struct world_event *
-pop (struct world *world)
+pop_event (struct world *world)
 {
   struct world_event *first = world->heap[0];
   struct world_event *last = world->heap[--world->heap_count];
@@ -621,8 +621,8 @@
 /* ---- Actions of the state machines ---- */
 
 static void
-act_send (struct world *world, int host, enum machine machine,
-          const struct mq_action *action)
+run_send_action (struct world *world, int host, enum machine machine,
+                 const struct mq_action *action)
 {
   struct world_event *event;
 
@@ -640,8 +640,8 @@
 }
 
 static void
-act_event (struct world *world, int host, enum machine machine,
-           const struct mq_action *action)
+run_event_action (struct world *world, int host, enum machine machine,
+                  const struct mq_action *action)
 {
   struct mq_message message = { .type = MQ_MSG_FORWARD_EVENT };
   struct world_event *event;
@@ -740,7 +740,7 @@
   switch (action->type)
     {
     case MQ_ACT_SEND:
-      act_send (world, host, machine, action);
+      run_send_action (world, host, machine, action);
       break;
     case MQ_ACT_STORE:
       store_send (world, host,
@@ -749,7 +749,7 @@
                   &action->u.store);
       break;
     case MQ_ACT_EVENT:
-      act_event (world, host, machine, action);
+      run_event_action (world, host, machine, action);
       break;
     case MQ_ACT_START:
       worker_start (world, host, &action->u.start);
@@ -986,7 +986,7 @@
 }
 
 static void
-answer_local (struct world *world, const struct world_event *event)
+deliver_local_reply (struct world *world, const struct world_event *event)
 {
   struct mq_front_input input
       = { .type = MQ_FRONT_EVENT, .now_us = world->now_us };
@@ -1001,7 +1001,7 @@
 /* ---- Event loop ---- */
 
 static void
-store_up (struct world *world)
+restore_store (struct world *world)
 {
   if (world->now_us < world->outage_until_us)
     return; /* end of a short outage during the long one */
@@ -1116,7 +1116,7 @@
       forward_local (world, event);
       break;
     case EVENT_OWNER_REPLY:
-      answer_local (world, event);
+      deliver_local_reply (world, event);
       break;
     case EVENT_TO_CALLER:
       caller_event (world, event);
@@ -1177,7 +1177,7 @@
       update_idle_state (world);
       break;
     case EVENT_STORE_UP:
-      store_up (world);
+      restore_store (world);
       break;
     case EVENT_OUTAGE:
       fault_outage (world);
@@ -1203,7 +1203,7 @@
 }
 
 static void
-handle (struct world *world, struct world_event *event)
+handle_event (struct world *world, struct world_event *event)
 {
   if (event->host != NO_HOST && event->run != 0
       && !world_is_current_run (world, event->host, event->run))
@@ -1285,12 +1285,12 @@
   world = create_world (cell, trace, report);
   while (!world->finished && world->heap_count > 0)
     {
-      struct world_event *event = pop (world);
+      struct world_event *event = pop_event (world);
 
       world->now_us = event->at_us;
       if (world->now_us > RUN_TIMEOUT_US || ++report->events > EVENTS_MAX)
         break;
-      handle (world, event);
+      handle_event (world, event);
     }
   report->end_us = world->now_us;
   if (report->events > EVENTS_MAX)
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -555,7 +555,7 @@
 }
 
 static bool
-answer_is (const char *body, const char *answer)
+has_answer (const char *body, const char *answer)
 {
   json_t *root = json_loads (body, 0, NULL);
   const char *text = json_string_value (json_object_get (root, "answer"));
@@ -566,7 +566,7 @@
 }
 
 static bool
-answer_is_own (struct world *world, const struct caller *caller,
+is_own_answer (struct world *world, const struct caller *caller,
                const char *body)
 {
   const struct scripted_request *scripted
@@ -586,7 +586,7 @@
         return was_final_answer (world, caller->program, body);
       observed
           = worker_observed_call (world, caller->program, scripted->sequence);
-      return observed->result != NULL && answer_is (body, observed->result);
+      return observed->result != NULL && has_answer (body, observed->result);
     case MQ_REQUEST_CREATE:
     case MQ_REQUEST_CLOSE:
     case MQ_REQUEST_CANCEL:
@@ -683,7 +683,7 @@
       check_final (world, caller, body);
       return;
     }
-  if (!answer_is_own (world, caller, body))
+  if (!is_own_answer (world, caller, body))
     world_report_violation (world, INVARIANT_OWN_ANSWER,
                             "caller %d, request %zu: %.160s", caller->index,
                             caller->request_index, body);
--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -15,7 +15,7 @@
 };
 
 /* One program according to the table's log.  */
-struct logged
+struct logged_program
 {
   struct mq_id program;
   bool ended;
@@ -28,12 +28,12 @@
 
 struct log
 {
-  struct logged *programs;
+  struct logged_program *programs;
   size_t count;
 };
 
-static struct logged *
-logged_find (const struct log *log, struct mq_id program)
+static struct logged_program *
+find_logged_program (const struct log *log, struct mq_id program)
 {
   for (size_t i = 0; i < log->count; i++)
     if (mq_id_equal (log->programs[i].program, program))
@@ -41,14 +41,14 @@
   return NULL;
 }
 
-static struct logged *
-logged_get (struct log *log, struct mq_id program)
+static struct logged_program *
+get_logged_program (struct log *log, struct mq_id program)
 {
-  struct logged *logged = logged_find (log, program);
+  struct logged_program *logged = find_logged_program (log, program);
 
   if (logged != NULL)
     return logged;
-  log->programs = talloc_realloc (log, log->programs, struct logged,
+  log->programs = talloc_realloc (log, log->programs, struct logged_program,
                                   (unsigned int)log->count + 1);
   logged = &log->programs[log->count++];
   memset (logged, 0, sizeof *logged);
@@ -60,7 +60,7 @@
 add_answer (struct log *log, struct mq_id program,
             const Mqlog__Answered *answered)
 {
-  struct logged *logged = logged_get (log, program);
+  struct logged_program *logged = get_logged_program (log, program);
   size_t n = logged->answer_count++;
 
   logged->ended = answered->ended;
@@ -75,7 +75,7 @@
 static void
 add_intent (struct log *log, struct mq_id program, const Mqlog__Intent *intent)
 {
-  struct logged *logged = logged_get (log, program);
+  struct logged_program *logged = get_logged_program (log, program);
   size_t n = logged->intent_count++;
 
   logged->intents = talloc_realloc (log, logged->intents, struct mq_call_ref,
@@ -96,7 +96,7 @@
     return;
   program.hi = record->hi;
   program.lo = record->lo;
-  logged_get (log, program);
+  get_logged_program (log, program);
   if (record->body_case == MQLOG__RECORD__BODY_ANSWERED)
     add_answer (log, program, record->answered);
   if (record->body_case == MQLOG__RECORD__BODY_INTENT)
@@ -134,7 +134,7 @@
       const Mqlog__Program *packed = checkpoint->programs[i];
       struct mq_id program = { packed->hi, packed->lo };
 
-      logged_get (log, program);
+      get_logged_program (log, program);
       if (packed->answered != NULL)
         add_answer (log, program, packed->answered);
     }
@@ -314,7 +314,7 @@
 /* ---- Answers ---- */
 
 static bool
-is_answer (const struct logged *logged, const char *body)
+is_answer (const struct logged_program *logged, const char *body)
 {
   json_t *root = json_loads (body, 0, NULL);
   const char *answer = json_string_value (json_object_get (root, "answer"));
@@ -333,7 +333,7 @@
 check_is_logged (struct world *world, struct mq_id program, const char *body)
 {
   struct log *log = read_log (world);
-  const struct logged *logged = logged_find (log, program);
+  const struct logged_program *logged = find_logged_program (log, program);
   bool is_logged = logged != NULL && is_answer (logged, body);
 
   talloc_free (log);
@@ -344,7 +344,8 @@
 check_is_intended (struct world *world, const struct mq_call_ref *ref)
 {
   struct log *log = read_log (world);
-  const struct logged *logged = logged_find (log, ref->program);
+  const struct logged_program *logged
+      = find_logged_program (log, ref->program);
   bool intended = false;
 
   for (size_t i = 0; logged != NULL && i < logged->intent_count; i++)
@@ -356,7 +357,7 @@
 }
 
 static bool
-has_error (const struct logged *logged, enum mq_error_type error)
+has_error (const struct logged_program *logged, enum mq_error_type error)
 {
   for (size_t i = 0; i < logged->answer_count; i++)
     if (logged->errors[i] == (uint32_t)error)
@@ -375,7 +376,8 @@
 check_answer (struct world *world, const struct log *log,
               const struct caller *caller, size_t index)
 {
-  const struct logged *logged = logged_find (log, caller->program);
+  const struct logged_program *logged
+      = find_logged_program (log, caller->program);
 
   if (caller->answers[index] == NULL && caller->errors[index] == MQ_ERR_NONE)
     return; /* not reached; the caller is still waiting */
@@ -463,7 +465,8 @@
       {
         const struct engine_cache_entry *row
             = &world->hosts[i].workers[0].cache[c];
-        const struct logged *logged = logged_find (log, row->program);
+        const struct logged_program *logged
+            = find_logged_program (log, row->program);
 
         if (logged == NULL || logged->ended)
           world_report_violation (
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -73,8 +73,8 @@
 #define TAKEOVER_DEADLINE_US (LEASE_US + 6 * SECOND)
 #define LEASE_US (2 * SECOND)
 #define RUN_TIMEOUT_US (300 * SECOND)
-#define EVENTS_MAX                                                            \
-  400000ULL /* exceeded only if the machines never become idle */
+/* Exceeded only if the state machines never become idle.  */
+#define EVENTS_MAX 400000ULL
 #define IDLE_PERIOD_US (4 * SECOND)   /* after the last caller is done */
 #define CACHE_EXPIRY_US (90 * SECOND) /* all caches have expired */
 
@@ -214,8 +214,8 @@
   uint32_t run; /* incremented at each start */
   uint64_t boot;
   bool alive;
-  bool actions_deferred; /* paused during an action, which continues on wake-up
-                          */
+  /* Paused during an action; the rest runs on wake-up.  */
+  bool actions_deferred;
   bool rebooting; /* only the gate's process restarts; the host stays listed */
   uint64_t paused_until_us;
   bool leaving;
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -126,7 +126,7 @@
 }
 
 static void
-entry_up (struct world *world, const struct wire *wire, int end)
+notify_entry_connected (struct world *world, const struct wire *wire, int end)
 {
   const struct host *peer = peer_host (world, wire, end);
   struct mq_owner_input owner
@@ -149,7 +149,7 @@
 }
 
 static void
-target_up (struct world *world, const struct wire *wire, int end)
+notify_target_connected (struct world *world, const struct wire *wire, int end)
 {
   struct mq_gate_input input
       = { .type = MQ_GATE_PEER_UP, .now_us = world->now_us };
@@ -176,13 +176,13 @@
   if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
-    entry_up (world, &wire, event->end);
+    notify_entry_connected (world, &wire, event->end);
   else
-    target_up (world, &wire, event->end);
+    notify_target_connected (world, &wire, event->end);
 }
 
 static void
-entry_down (struct world *world, int host, uint32_t handle)
+notify_entry_disconnected (struct world *world, int host, uint32_t handle)
 {
   struct mq_owner_input owner
       = { .type = MQ_OWNER_PEER_DOWN, .now_us = world->now_us };
@@ -230,7 +230,7 @@
   if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
-    entry_down (world, event->host, handle);
+    notify_entry_disconnected (world, event->host, handle);
   else
     world_gate_input (world, event->host, &gate);
 }
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -99,7 +99,7 @@
 /* ---- Plans and answers ---- */
 
 static const char *
-text_of (json_t *object, const char *key)
+json_text (json_t *object, const char *key)
 {
   const char *text = json_string_value (json_object_get (object, key));
 
@@ -109,7 +109,7 @@
 static bool
 has_role (json_t *message, const char *role)
 {
-  return strcmp (text_of (message, "role"), role) == 0;
+  return strcmp (json_text (message, "role"), role) == 0;
 }
 
 /* Returns the index of the last user message among the first COUNT, or
@@ -135,8 +135,8 @@
 
   if (user == count)
     return NULL;
-  plan
-      = strstr (text_of (json_array_get (messages, user), "content"), "plan=");
+  plan = strstr (json_text (json_array_get (messages, user), "content"),
+                 "plan=");
   if (plan == NULL)
     return NULL;
   steps = json_loads (plan + strlen ("plan="), JSON_DISABLE_EOF_CHECK, NULL);
@@ -178,14 +178,14 @@
 static json_t *
 tool_calls_of (json_t *step, size_t count)
 {
-  const char *name = text_of (step, "call");
+  const char *name = json_text (step, "call");
   json_t *calls = json_array ();
   json_t *call;
   char *arguments;
   char id[16];
 
   if (name[0] == '\0')
-    name = text_of (step, "loop");
+    name = json_text (step, "loop");
   if (name[0] == '\0')
     return calls;
   arguments = json_dumps (json_object_get (step, "arguments"),
@@ -215,8 +215,8 @@
 static bool
 is_failure (json_t *result)
 {
-  return text_of (result, "error")[0] != '\0'
-         && text_of (result, "ran")[0] != '\0';
+  return json_text (result, "error")[0] != '\0'
+         && json_text (result, "ran")[0] != '\0';
 }
 
 /* Records a failure that was reported to a program; at the end it is compared
@@ -225,7 +225,7 @@
 record_failure (struct world *world, struct mq_id program, uint32_t call,
                 json_t *result)
 {
-  if (strcmp (text_of (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
+  if (strcmp (json_text (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
     worker_observed_call (world, program, call)->reported_not_run = true;
 }
 
@@ -247,7 +247,7 @@
 tool_message_is_valid (struct world *world, struct mq_id program,
                        uint32_t call, json_t *message)
 {
-  const char *content = text_of (message, "content");
+  const char *content = json_text (message, "content");
   const struct observed_call *observed
       = worker_observed_call (world, program, call);
   json_t *result = json_loads (content, 0, NULL);
@@ -272,7 +272,7 @@
   json_t *calls = tool_calls_of (step, index);
   json_t *message_calls = json_object_get (message, "tool_calls");
   char *content = content_of (NULL, program, messages, index);
-  bool valid = strcmp (content, text_of (message, "content")) == 0;
+  bool valid = strcmp (content, json_text (message, "content")) == 0;
 
   if (json_array_size (calls) > 0 || json_array_size (message_calls) > 0)
     valid = valid && json_equal (calls, message_calls);
@@ -303,7 +303,8 @@
       else if (has_role (message, "tool"))
         valid = tool_message_is_valid (world, program, ++*calls, message);
       else if (has_role (message, "user"))
-        valid = caller_has_text (world, program, text_of (message, "content"));
+        valid
+            = caller_has_text (world, program, json_text (message, "content"));
       else
         valid = has_role (message, "system") && i == 0;
       if (!valid)
@@ -317,18 +318,18 @@
 {
   uint32_t calls = 0;
   size_t count = json_array_size (messages);
-  size_t wrong
+  size_t invalid
       = first_invalid_message (world, run->ref.program, messages, &calls);
   char *text;
 
-  if (wrong < count)
+  if (invalid < count)
     {
-      text = json_dumps (json_array_get (messages, wrong), JSON_COMPACT);
+      text = json_dumps (json_array_get (messages, invalid), JSON_COMPACT);
       world_report_violation (world, INVARIANT_HISTORY,
                               "program %016llx call %u: message %zu of %zu is "
                               "invalid: %.120s",
                               (unsigned long long)run->ref.program.lo,
-                              run->ref.call, wrong, count, text);
+                              run->ref.call, invalid, count, text);
       free (text);
     }
   else if (calls
@@ -351,8 +352,8 @@
 }
 
 static void
-cache_hold (struct world *world, struct worker *worker, struct mq_id program,
-            uint32_t tokens)
+cache_put (struct world *world, struct worker *worker, struct mq_id program,
+           uint32_t tokens)
 {
   struct engine_cache_entry *entry = cache_find (worker, program);
 
@@ -626,7 +627,7 @@
 /* ---- Ending calls ---- */
 
 static bool
-is_heard (const struct world *world, const struct run *run)
+is_gate_waiting (const struct world *world, const struct run *run)
 {
   return world_is_current_run (world, run->host, run->host_run)
          && run->slot != UINT32_MAX;
@@ -646,7 +647,7 @@
   struct mq_gate_input input
       = { .type = MQ_GATE_DONE, .now_us = world->now_us };
 
-  if (!is_heard (world, run))
+  if (!is_gate_waiting (world, run))
     return;
   input.u.done.slot = run->slot;
   input.u.done.error = error;
@@ -683,7 +684,7 @@
 
   input.u.token.slot = run->slot;
   input.u.token.text = text;
-  if (is_heard (world, run))
+  if (is_gate_waiting (world, run))
     world_gate_input (world, run->host, &input);
   talloc_free (text);
 }
@@ -713,7 +714,7 @@
       due = run->tokens * (run->stage + 1) / CHUNKS;
       spend (world, run->ref.program, due - run->tokens_done);
       run->tokens_done = due;
-      cache_hold (world, worker, run->ref.program, run->tokens_in + due);
+      cache_put (world, worker, run->ref.program, run->tokens_in + due);
       send_token (world, run, run->stage++);
       schedule_stage (world, index, ENGINE_CHUNK_US);
       return;
@@ -724,7 +725,7 @@
 }
 
 static void
-take_effect (struct world *world, struct run *run)
+apply_effect (struct world *world, struct run *run)
 {
   struct observed_call *observed
       = worker_observed_call (world, run->ref.program, run->ref.call);
@@ -754,12 +755,12 @@
       if (early)
         send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
       else
-        take_effect (world, run);
+        apply_effect (world, run);
       schedule_stage (world, index, early ? ANSWER_HELD_US : ANSWER_US);
       break;
     case 1:
       if (early)
-        take_effect (world, run);
+        apply_effect (world, run);
       end_run (world, run);
       if (!early)
         send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
@@ -773,7 +774,7 @@
 start_hang (struct world *world, struct run *run, size_t index)
 {
   if (run->worker != MODEL_WORKER)
-    take_effect (world, run);
+    apply_effect (world, run);
   run->hangs = false;
   run->stopped = true;
   schedule_stage (world, index, HANG_US);
