--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  /* The scan interval grows by MQ_OWNER_SCAN_MS for every so many hosts.  */
+  /* Each group of this many hosts adds MQ_OWNER_SCAN_MS to the interval.  */
   HOSTS_PER_SCAN_INTERVAL = 20,
   /* Minimum rates; they leave time for a slow store within a lease.  */
   RENEWALS_PER_LEASE = 2,
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -219,7 +219,8 @@
     world->load.writes++;
 }
 
-/* Sends a request to the table.  The event's FLAG: the reply is lost.  */
+/* Sends a request to the table.  Sets the event's FLAG if the reply is to
+   be lost.  */
 void
 store_send (struct world *world, int host, enum requester requester,
             const struct mq_store_request *request)
@@ -347,7 +348,7 @@
   return true;
 }
 
-/* Refuses renewals after the outage, so that live owners seem gone (seeded
+/* Refuses renewals after the outage, so that live owners seem dead (seeded
    bug).  */
 static bool
 inject_renewal_refusal (struct world *world, const struct world_event *event)
