--- a/src/core/owner/owner_budget.c
+++ b/src/core/owner/owner_budget.c
@@ -169,7 +169,7 @@
           && grant_size (r, max_tokens) > r->grant_pending)
         {
           append_grant (owner, r, grant_size (r, max_tokens));
-          log_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
+          log_add_hook (owner, r, HOOK_GRANTED, 0, 0, NULL)->tokens
               = r->grant_pending;
         }
     }
@@ -177,7 +177,7 @@
   if (!covered && !running->grant_requested)
     {
       running->grant_requested = true;
-      log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
+      log_add_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return covered;
 }
--- a/src/core/owner/owner_calls.c
+++ b/src/core/owner/owner_calls.c
@@ -17,7 +17,7 @@
 static bool
 use_retry_credit (struct mq_owner *owner, const struct call *call)
 {
-  struct pool *pool = hosts_pool (owner, call->service->name);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
 
   if (pool->retry_credit < 1)
     return false;
@@ -28,7 +28,7 @@
 static void
 add_retry_credit (struct mq_owner *owner, const struct call *call)
 {
-  struct pool *pool = hosts_pool (owner, call->service->name);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
   double most = 10;
 
   pool->retry_credit += call->service->retry_percent / 100.0;
@@ -49,11 +49,11 @@
   if (call->tokens_seen > 0)
     {
       /* Callers must drop the tokens of the failed attempt.  */
-      events_tell (owner, running, MQ_EVENT_RESET, call->number << 16,
-                   call->number, "{}");
+      events_notify_waiters (owner, running, MQ_EVENT_RESET,
+                             call->number << 16, call->number, "{}");
       call->tokens_seen = 0;
     }
-  place_later (owner, running, wait_ms > backoff ? wait_ms : backoff);
+  place_schedule_retry (owner, running, wait_ms > backoff ? wait_ms : backoff);
 }
 
 static void
@@ -84,7 +84,7 @@
 calls_fail_unknown (struct mq_owner *owner, struct running *running)
 {
   record_unknown_call (owner, running);
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   end_call (owner, running, MQ_ERR_TARGET_UNKNOWN, MQ_RAN_UNKNOWN, "", NULL);
 }
 
@@ -126,8 +126,7 @@
                    uint64_t fence, const char *host)
 {
   struct mq_message message = { .type = MQ_MSG_FORGET };
-  struct target *target
-      = host == NULL ? NULL : hosts_target_named (owner, host);
+  struct target *target = host == NULL ? NULL : hosts_get_target (owner, host);
 
   if (target == NULL)
     return;
@@ -146,7 +145,7 @@
 calls_forget_when_durable (struct mq_owner *owner, struct running *running,
                            uint32_t number, uint32_t attempt, const char *host)
 {
-  log_hook (owner, running, HOOK_FORGET_OUTCOME, number, attempt, host);
+  log_add_hook (owner, running, HOOK_FORGET_OUTCOME, number, attempt, host);
 }
 
 static void
@@ -189,7 +188,7 @@
 count_prompt_tokens (struct mq_owner *owner, const struct running *running,
                      const struct mq_outcome_msg *outcome)
 {
-  struct shared_prompt shared = place_find_shared (owner, running);
+  struct shared_prompt shared = place_shared_prompt (owner, running);
   uint32_t known = running->reusable_tokens;
 
   if (!running->call->model || outcome->error != MQ_ERR_NONE)
@@ -222,7 +221,7 @@
                      outcome->error);
   count_prompt_tokens (owner, running, outcome);
   record_sticky_worker (running, outcome);
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   if (!call->already_charged)
     running->pending_charge += outcome->tokens_out;
   if (outcome->error == MQ_ERR_NONE)
@@ -347,7 +346,7 @@
   running->call->tokens_seen++;
   if (running->waiters == NULL)
     return;
-  events_tell (owner, running, MQ_EVENT_TOKEN,
-               token->ref.call << 16 | ((token->index + 1) & 0xffff),
-               token->ref.call, token->text);
+  events_notify_waiters (owner, running, MQ_EVENT_TOKEN,
+                         token->ref.call << 16 | ((token->index + 1) & 0xffff),
+                         token->ref.call, token->text);
 }
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -119,7 +119,7 @@
   if (part->snapshot.len > 0)
     start_snapshot (owner, part);
   if (part->release)
-    take_released (owner, partition);
+    take_on_released (owner, partition);
 }
 
 static void
@@ -344,7 +344,7 @@
          the batch id.  Continuing from the version just read, the next commit
          would pass its condition and restore the old fence.  */
       if (!row_status[i].present || !row_status[i].ours)
-        take_lose (owner, partition);
+        take_on_lost (owner, partition);
       else if (row_status[i].applied)
         on_part_applied (owner, &pending_commit->parts[i],
                          row_status[i].version);
--- a/src/core/owner/owner_evict.c
+++ b/src/core/owner/owner_evict.c
@@ -1,4 +1,5 @@
-/* owner_evict.c - engine memory of programs that have ended is given back.
+/* owner_evict.c - cache leases of programs, and eviction from the engines when
+   programs end.
 
    Needs: owner_parts.h.  */
 
@@ -6,8 +7,8 @@
 
 enum
 {
-  EVICT_AGAIN_MS = 2000,
-  LEASE_DIVISOR = 3 /* renewals in a lease */
+  EVICT_RETRY_MS = 2000,
+  LEASE_DIVISOR = 3 /* renewals per lease */
 };
 
 /* ---- Eviction ---- */
@@ -27,8 +28,8 @@
 }
 
 void
-evict_lease (struct mq_owner *owner, struct running *running,
-             struct target *target)
+evict_send_lease (struct mq_owner *owner, struct running *running,
+                  struct target *target)
 {
   send_lease (owner, running, target, MQ_LEASE_ACTIVE);
   if (running->lease_us == 0)
@@ -40,8 +41,8 @@
     }
 }
 
-/* Asks again until each process confirms.  A process that was started anew
-   holds no leases; it evicts what its engine holds without one.  */
+/* Requests eviction until each target's process confirms.  A restarted process
+   holds no leases and evicts unleased cache by itself.  */
 void
 evict_send (struct mq_owner *owner, struct running *running)
 {
@@ -66,7 +67,7 @@
       running->evicting = false;
       return;
     }
-  running->evict_us = owner->now_us + 1000ULL * EVICT_AGAIN_MS;
+  running->evict_us = owner->now_us + 1000ULL * EVICT_RETRY_MS;
   owner_set_timer (owner, running, running->evict_us);
 }
 
@@ -81,8 +82,8 @@
 }
 
 void
-evict_done (struct mq_owner *owner, struct target *target,
-            struct mq_id program)
+evict_on_confirmed (struct mq_owner *owner, struct target *target,
+                    struct mq_id program)
 {
   struct running *running = chain_find (owner, program);
 
--- a/src/core/owner/owner_hosts.c
+++ b/src/core/owner/owner_hosts.c
@@ -1,6 +1,7 @@
-/* owner_hosts.c - hosts, connections to them, and pools of workers.
+/* owner_hosts.c - known hosts, connections to them and worker pools.
 
-   Hints only: a wrong entry costs latency, never a promise.
+   The data is advisory: an outdated entry adds latency but does not affect
+   correctness.
    Needs: owner_parts.h, id.h.  */
 
 #include "owner_parts.h"
@@ -12,7 +13,7 @@
 /* ---- Pools ---- */
 
 struct pool *
-hosts_pool (struct mq_owner *owner, const char *service)
+hosts_get_pool (struct mq_owner *owner, const char *service)
 {
   struct pool *pool;
 
@@ -62,7 +63,8 @@
 }
 
 struct mq_worker_view *
-hosts_view (struct mq_owner *owner, struct target *target, uint32_t worker)
+hosts_worker_view (struct mq_owner *owner, struct target *target,
+                   uint32_t worker)
 {
   (void)owner;
   if (worker >= target->worker_count)
@@ -70,20 +72,19 @@
   return &target->workers[worker]->pool->views[target->workers[worker]->view];
 }
 
-/* ---- The row of targets ---- */
+/* ---- Targets row ---- */
 
-/* Failure: a target's process is restarted and our row names its new run
-   only.  Whoever takes over a partition that we had hears the new run, which
-   knows of no call, believes that it has heard everyone, and the program
-   spends the same budget again.  So the former run stays in the row: nobody
-   can hear it, and what was granted counts as spent.  */
+/* Keeps a target's former run in the targets row.  If only the new run were
+   listed, a new owner of the partition would hear from it, assume that it
+   knows every attempt, and let the program spend the same budget again.  A
+   former run cannot reply, so the grants count as spent.  */
 static void
-keep_former (struct mq_owner *owner, struct target *target)
+add_former_run (struct mq_owner *owner, struct target *target)
 {
   struct former_run *former;
 
   if (target->sent_boot == 0)
-    return; /* no row ever named it, so no call went there */
+    return; /* no calls are sent to a run that is not in the row */
   former = talloc_zero (owner, struct former_run);
   if (former == NULL)
     abort ();
@@ -96,8 +97,8 @@
   owner->targets_dirty = true;
 }
 
-/* Whether a takeover of a partition that another host has, or that nobody
-   has, would read our row.  */
+/* Whether a takeover of a partition that is not active here would read this
+   run's targets row.  */
 static bool
 is_row_needed (const struct mq_owner *owner)
 {
@@ -113,11 +114,11 @@
   return false;
 }
 
-/* Former runs leave the row when all that is known of attempts there is in
-   the log, and every partition that we gave up or lost is with an owner that
-   has accounted for ours.  */
+/* Removes former runs from the targets row once all records about their
+   attempts are durable and every partition that was released or lost has an
+   owner that has accounted for this run.  */
 void
-hosts_formers_tick (struct mq_owner *owner)
+hosts_expire_former_runs (struct mq_owner *owner)
 {
   if (owner->former_runs == NULL)
     return;
@@ -128,7 +129,7 @@
     }
   if (owner->former_runs_needed)
     {
-      /* Taking a partition back may have charged for them just now.  */
+      /* Reclaiming a partition may have appended charges for these runs.  */
       owner->former_runs_needed = false;
       owner->former_runs_position = owner->appended_position;
     }
@@ -145,11 +146,11 @@
 }
 
 void
-hosts_target_usable (struct mq_owner *owner, struct target *target)
+hosts_on_target_usable (struct mq_owner *owner, struct target *target)
 {
   for (uint32_t i = 0; i < target->worker_count; i++)
     {
-      struct mq_worker_view *view = hosts_view (owner, target, i);
+      struct mq_worker_view *view = hosts_worker_view (owner, target, i);
 
       view->peer = target->peer;
       view->avoid = target->peer == 0 || target->leaving
@@ -178,7 +179,7 @@
 }
 
 struct target *
-hosts_target_named (struct mq_owner *owner, const char *host)
+hosts_get_target (struct mq_owner *owner, const char *host)
 {
   return mq_idmap_find (owner->targets_by_name, name_key (host), 0);
 }
@@ -206,7 +207,7 @@
 }
 
 struct sibling *
-hosts_sibling_named (struct mq_owner *owner, const char *host, bool create)
+hosts_get_sibling (struct mq_owner *owner, const char *host, bool create)
 {
   struct sibling *sibling;
 
@@ -228,27 +229,27 @@
 }
 
 static void
-list_target (struct mq_owner *owner, const struct mq_host *host)
+apply_listed_target (struct mq_owner *owner, const struct mq_host *host)
 {
-  struct target *target = hosts_target_named (owner, host->name);
+  struct target *target = hosts_get_target (owner, host->name);
 
   if (target == NULL)
     target = add_target (owner, host->name, host->data_centre);
   target->listed = true;
-  /* A target that said itself that it leaves is believed until it is new.  */
+  /* A target that announced that it is leaving stays so until it restarts.  */
   if (host->leaving)
     target->leaving = true;
-  hosts_target_usable (owner, target);
+  hosts_on_target_usable (owner, target);
 }
 
 static void
-list_sibling (struct mq_owner *owner, const struct mq_host *host)
+apply_listed_sibling (struct mq_owner *owner, const struct mq_host *host)
 {
   struct sibling *sibling;
 
   if (strcmp (host->name, owner->options.host) == 0)
     return;
-  sibling = hosts_sibling_named (owner, host->name, true);
+  sibling = hosts_get_sibling (owner, host->name, true);
   sibling->listed = true;
 }
 
@@ -267,10 +268,10 @@
     switch (hosts->items[i].role)
       {
       case MQ_HOST_TARGET:
-        list_target (owner, &hosts->items[i]);
+        apply_listed_target (owner, &hosts->items[i]);
         break;
       case MQ_HOST_ENTRY:
-        list_sibling (owner, &hosts->items[i]);
+        apply_listed_sibling (owner, &hosts->items[i]);
         break;
       }
 }
@@ -295,14 +296,13 @@
     }
 }
 
-/* Failure: a target host has died and is still listed; minutes later a
-   partition is handed over as planned, and its new owner waits for an answer
-   of the dead process, then counts every grant of its programs as spent:
-   they end with budget_tokens.  What the attempts there may have spent was
-   charged when they were given up, so the dead run is a former one.  It is
-   not used before a row with it is durable again.  */
+/* Makes the run of a dead target host a former run.  Tokens of its attempts
+   were charged when they were abandoned.  Otherwise the next owner would wait
+   for the dead process and count all grants as spent, ending programs with
+   budget_tokens.  The target is not used again until a row that lists it is
+   durable.  */
 static void
-settle_gone (struct mq_owner *owner, struct target *target)
+retire_dead_run (struct mq_owner *owner, struct target *target)
 {
   if (target->settled || target->peer != 0 || target->boot == 0
       || target->calls > 0
@@ -310,18 +310,18 @@
     return;
   target->settled = true;
   target->durable_boot = 0;
-  keep_former (owner, target);
+  add_former_run (owner, target);
 }
 
-/* Forgets targets that the list dropped long ago and where nothing of ours
-   is under way.  */
+/* Removes targets that left the host list more than MQ_TARGET_KEEP_MS ago and
+   have no calls of this owner.  */
 void
 hosts_tick (struct mq_owner *owner)
 {
   struct target **at = &owner->targets;
 
   for (struct target *t = owner->targets; t != NULL; t = t->next)
-    settle_gone (owner, t);
+    retire_dead_run (owner, t);
   while (*at != NULL)
     {
       struct target *target = *at;
@@ -337,7 +337,7 @@
         pool_remove (target->workers[i]);
       drop_references (owner, target);
       mq_idmap_remove (owner->targets_by_name, name_key (target->host), 0);
-      keep_former (owner, target);
+      add_former_run (owner, target);
       talloc_free (target);
     }
 }
@@ -348,7 +348,7 @@
 target_up (struct mq_owner *owner, uint32_t peer, const char *host,
            uint64_t boot)
 {
-  struct target *target = hosts_target_named (owner, host);
+  struct target *target = hosts_get_target (owner, host);
 
   if (target == NULL)
     target = add_target (owner, host, "");
@@ -361,18 +361,18 @@
   target->peer = peer;
   target->down_us = 0;
   target->settled = false;
-  hosts_target_usable (owner, target);
-  read_target_up (owner, target);
-  settle_target_up (owner, target);
+  hosts_on_target_usable (owner, target);
+  read_on_target_up (owner, target);
+  settle_on_target_up (owner, target);
   if (target->sent_boot != boot)
-    keep_former (owner, target);
+    add_former_run (owner, target);
   if (target->durable_boot != boot)
     owner->targets_dirty = true;
 }
 
 void
-hosts_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
-               enum mq_host_role role, uint64_t boot)
+hosts_on_peer_up (struct mq_owner *owner, uint32_t peer, const char *host,
+                  enum mq_host_role role, uint64_t boot)
 {
   struct sibling *sibling;
 
@@ -383,7 +383,7 @@
       target_up (owner, peer, host, boot);
       break;
     case MQ_HOST_ENTRY:
-      sibling = hosts_sibling_named (owner, host, true);
+      sibling = hosts_get_sibling (owner, host, true);
       sibling->peer = peer;
       sibling->peer_down_us = 0;
       break;
@@ -391,11 +391,11 @@
 }
 
 void
-hosts_peer_down (struct mq_owner *owner, uint32_t peer)
+hosts_on_peer_down (struct mq_owner *owner, uint32_t peer)
 {
   struct target *target = hosts_find_target (owner, peer);
 
-  events_peer_gone (owner, peer);
+  events_on_peer_gone (owner, peer);
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     if (s->peer == peer)
       {
@@ -409,8 +409,8 @@
   mq_idmap_remove (owner->targets_by_peer, peer_key (peer), 0);
   target->peer = 0;
   target->down_us = owner->now_us;
-  hosts_target_usable (owner, target);
-  settle_target_down (owner, target);
+  hosts_on_target_usable (owner, target);
+  settle_on_target_down (owner, target);
 }
 
 void
@@ -424,7 +424,7 @@
 /* ---- Load ---- */
 
 static bool
-same_workers (const struct target *target, const struct mq_load_msg *load)
+has_same_workers (const struct target *target, const struct mq_load_msg *load)
 {
   if (target->worker_count != load->worker_count)
     return false;
@@ -454,21 +454,22 @@
       worker->target = target;
       worker->index = (uint32_t)i;
       target->workers[i] = worker;
-      pool_add (owner, hosts_pool (owner, load->workers[i].service), worker);
+      pool_add (owner, hosts_get_pool (owner, load->workers[i].service),
+                worker);
     }
 }
 
 void
-hosts_load (struct mq_owner *owner, struct target *target,
-            const struct mq_load_msg *load)
+hosts_on_load (struct mq_owner *owner, struct target *target,
+               const struct mq_load_msg *load)
 {
-  if (!same_workers (target, load))
+  if (!has_same_workers (target, load))
     rebuild_workers (owner, target, load);
   target->leaving = load->leaving;
   for (uint32_t i = 0; i < load->worker_count; i++)
     {
       const struct mq_worker_load *from = &load->workers[i];
-      struct mq_worker_view *view = hosts_view (owner, target, i);
+      struct mq_worker_view *view = hosts_worker_view (owner, target, i);
 
       view->slots = from->slots;
       view->reported_busy = from->running + from->queued;
@@ -479,5 +480,5 @@
       view->prefill_rate = from->prefill_rate;
       view->decode_us = from->decode_us;
     }
-  hosts_target_usable (owner, target);
+  hosts_on_target_usable (owner, target);
 }
--- a/src/core/owner/owner_log.c
+++ b/src/core/owner/owner_log.c
@@ -1,9 +1,9 @@
 /* owner_log.c - group commit of the partition log.
 
-   Records of all partitions of this owner gather while one transaction is
-   under way; the next one takes them all.  Each partition's row is written
-   on condition of its version, so a commit applies only while no other
-   owner has raised the fence, and at most once.
+   While a transaction is in progress, records of all partitions of this owner
+   accumulate; the next transaction commits them together.  Each partition's
+   row is written conditionally on its version, so a batch is applied at most
+   once, and only if no other owner has raised the fence.
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
@@ -13,7 +13,7 @@
 
 enum
 {
-  REMOVE_ROWS_MAX = 64 /* old log rows removed by one transaction */
+  TRUNCATE_ROWS_MAX = 64 /* log rows removed per transaction */
 };
 
 static char *
@@ -28,7 +28,7 @@
   return key;
 }
 
-/* ---- Gathering ---- */
+/* ---- Appending ---- */
 
 void
 log_append (struct mq_owner *owner, struct running *running,
@@ -63,7 +63,7 @@
   owner->batch_records++;
   owner->batch_bytes += item->len;
   running->uncommitted_records++;
-  read_apply (owner, partition, record);
+  read_apply_record (owner, partition, record);
 }
 
 static struct hook *
@@ -86,8 +86,9 @@
 }
 
 struct hook *
-log_hook (struct mq_owner *owner, struct running *running, enum hook_type type,
-          uint32_t call, uint32_t attempt, const char *host)
+log_add_hook (struct mq_owner *owner, struct running *running,
+              enum hook_type type, uint32_t call, uint32_t attempt,
+              const char *host)
 {
   struct hook *hook = add_hook (owner, running, type);
 
@@ -99,8 +100,8 @@
 }
 
 struct hook *
-log_hook_reply (struct mq_owner *owner, struct running *running, uint32_t peer,
-                uint64_t handle)
+log_add_reply_hook (struct mq_owner *owner, struct running *running,
+                    uint32_t peer, uint64_t handle)
 {
   struct hook *hook = add_hook (owner, running, HOOK_REPLY);
 
@@ -109,12 +110,11 @@
   return hook;
 }
 
-/* What was to follow the commit of records that another owner's fence has
-   made void must not follow the commit of the others' in the same
-   pending_commit. Failure: FORGET, under the new owner's fence that we have
-   read by then, for outcomes that no log holds.  */
+/* Cancels the hooks of a partition that another owner has fenced; its records
+   will not commit, although the rest of the batch may.  Otherwise FORGET would
+   be sent, under the new owner's fence, for outcomes that are in no log.  */
 void
-log_drop_hooks (struct mq_owner *owner, const struct partition *partition)
+log_cancel_hooks (struct mq_owner *owner, const struct partition *partition)
 {
   struct hook **lists[]
       = { &owner->pending_commit.hooks, &owner->hooks_first };
@@ -137,27 +137,26 @@
     owner->hooks_last = owner->hooks_last->next;
 }
 
-/* ---- Sealing a batch ---- */
+/* ---- Preparing a batch ---- */
 
 static bool
-row_is_behind (const struct partition *partition)
+row_is_stale (const struct partition *partition)
 {
-  /* Failure: a partition without work is taken over and its row goes on
-     naming the earlier owner, for days; that owner must keep every former
-     run of a target's process in its row of targets, and each of its own
-     partitions that moves waits for them and forfeits its grants.  So the
-     row is written once after each takeover.  */
+  /* The row is written once after a takeover, even without new records.
+     Otherwise an idle partition's row would keep naming the previous owner as
+     a sender.  That owner could then not remove former runs from its targets
+     row, and its partitions would forfeit their grants on every takeover.  */
   return partition->snapshot_written || partition->sender_count > 1
          || partition->first <= partition->checkpoint;
 }
 
 static bool
-wants_commit (const struct partition *partition)
+needs_commit (const struct partition *partition)
 {
   if (partition->state != PARTITION_ACTIVE
       && partition->state != PARTITION_RELEASING)
     return false;
-  return partition->pending_first != NULL || row_is_behind (partition)
+  return partition->pending_first != NULL || row_is_stale (partition)
          || partition->state == PARTITION_RELEASING;
 }
 
@@ -194,8 +193,8 @@
         (unsigned long long)owner->pending_commit.batch);
 }
 
-/* A checkpoint as of the batch that is being sealed: memory holds just the
-   records up to its end.  */
+/* Packs a checkpoint of the partition as of this batch.  The programs in
+   memory reflect exactly the records up to the end of the batch.  */
 static void
 pack_snapshot (struct mq_owner *owner, struct commit_part *part)
 {
@@ -222,7 +221,7 @@
 }
 
 static void
-move_records (struct mq_owner *owner, struct partition *partition)
+move_records_to_commit (struct mq_owner *owner, struct partition *partition)
 {
   struct record *last = partition->pending_last;
 
@@ -239,7 +238,7 @@
 }
 
 static void
-seal_partition (struct mq_owner *owner, struct partition *partition)
+prepare_partition (struct mq_owner *owner, struct partition *partition)
 {
   struct pending_commit *pending_commit = &owner->pending_commit;
   struct commit_part *part = &pending_commit->parts[pending_commit->count++];
@@ -263,7 +262,7 @@
                                   partition->number, part->sequence);
       pack_batch (owner, part);
     }
-  move_records (owner, partition);
+  move_records_to_commit (owner, partition);
   if (partition->snapshot_sequence == 0 && part->log_key != NULL
       && partition->records_since_checkpoint
              >= owner->options.checkpoint_records)
@@ -284,7 +283,7 @@
   row.owner = part->release ? (char *)"" : (char *)owner->options.host;
   row.owner_boot = owner->options.boot;
   row.address = (char *)owner->options.address;
-  /* From this batch on, what earlier owners spent is accounted for.  */
+  /* This batch accounts for the tokens that earlier senders spent.  */
   row.n_senders = 1;
   row.senders = &owner->run;
   row.sequence = part->sequence;
@@ -295,7 +294,7 @@
                            : (char *)part->checkpoint_key;
   part->first = partition->first;
   while (part->first <= part->checkpoint
-         && part->first < partition->first + REMOVE_ROWS_MAX)
+         && part->first < partition->first + TRUNCATE_ROWS_MAX)
     part->first++;
   row.first = part->first;
   part->row_op = request->op_count++;
@@ -348,7 +347,7 @@
                                      pending_commit->request_id);
   request->ops = talloc_zero_array (
       owner->actions, struct mq_store_op,
-      (unsigned int)(pending_commit->count * (2 + REMOVE_ROWS_MAX)));
+      (unsigned int)(pending_commit->count * (2 + TRUNCATE_ROWS_MAX)));
   if (request->ops == NULL)
     abort ();
   for (size_t i = 0; i < pending_commit->count; i++)
@@ -356,8 +355,8 @@
       add_row_ops (owner, request, &pending_commit->parts[i]);
 }
 
-/* Writes the next large batch to its object, or goes on to the
-   transaction.  The key holds the batch's random id, so writing it twice
+/* Writes the next large batch to the object store, or starts the transaction
+   if none is left.  The object's key holds the random batch ID, so a retry
    writes the same bytes.  */
 void
 log_send_objects (struct mq_owner *owner)
@@ -388,7 +387,7 @@
   request->value.len = part->bytes.len;
 }
 
-/* Nothing is under way or gathers: what was to follow a commit follows now. */
+/* Runs hooks at once if no records are uncommitted.  */
 static void
 run_hooks (struct mq_owner *owner)
 {
@@ -413,7 +412,7 @@
   if (pending_commit->state != COMMIT_IDLE)
     return;
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (wants_commit (&owner->partitions[i]))
+    if (needs_commit (&owner->partitions[i]))
       count++;
   if (count == 0)
     {
@@ -430,8 +429,8 @@
   if (pending_commit->parts == NULL)
     abort ();
   for (uint32_t i = 0; i < owner->partition_count; i++)
-    if (wants_commit (&owner->partitions[i]))
-      seal_partition (owner, &owner->partitions[i]);
+    if (needs_commit (&owner->partitions[i]))
+      prepare_partition (owner, &owner->partitions[i]);
   pending_commit->hooks = owner->hooks_first;
   owner->hooks_first = NULL;
   owner->hooks_last = NULL;
--- a/src/core/owner/owner_open.c
+++ b/src/core/owner/owner_open.c
@@ -1,4 +1,4 @@
-/* owner_open.c - new programs, and new calls by themselves.
+/* owner_open.c - opens programs and single calls.
 
    Needs: owner_parts.h.  */
 
@@ -10,7 +10,7 @@
 
 enum
 {
-  SINGLE_SECONDS = 120 /* time budget of a single call */
+  SINGLE_CALL_BUDGET_S = 120
 };
 
 /* ---- Opening ---- */
@@ -26,8 +26,8 @@
 }
 
 static enum mq_error_type
-check_room (struct mq_owner *owner, const struct mq_request_msg *request,
-            enum mq_priority priority, uint32_t *retry_after_ms)
+check_capacity (struct mq_owner *owner, const struct mq_request_msg *request,
+                enum mq_priority priority, uint32_t *retry_after_ms)
 {
   const struct mq_organisation *organisation
       = mq_text_find_organisation (owner->text, request->organisation);
@@ -51,7 +51,7 @@
   return MQ_ERR_NONE;
 }
 
-/* What a request for a new program says, in the form of its record.  */
+/* The record for a new program, filled from its request.  */
 struct opening
 {
   Mqlog__Opened opened;
@@ -59,7 +59,8 @@
 };
 
 static void
-fill_common (struct opening *opening, const struct mq_request_msg *request)
+fill_common_fields (struct opening *opening,
+                    const struct mq_request_msg *request)
 {
   Mqlog__Opened *opened = &opening->opened;
 
@@ -78,37 +79,38 @@
               const struct mq_request_msg *request,
               const struct mq_service *service, const char *input)
 {
-  struct mq_program *scratch = talloc_zero (owner->actions, struct mq_program);
-  const struct running *before = NULL;
+  struct mq_program *builder = talloc_zero (owner->actions, struct mq_program);
+  const struct running *previous = NULL;
 
-  if (scratch == NULL)
+  if (builder == NULL)
     abort ();
   if (!mq_id_is_zero (request->continues))
     {
-      before = chain_find (owner, request->continues);
-      if (before == NULL
-          || strcmp (before->program->organisation, request->organisation)
+      previous = chain_find (owner, request->continues);
+      if (previous == NULL
+          || strcmp (previous->program->organisation, request->organisation)
                  != 0)
         return MQ_ERR_NOT_FOUND;
-      if (before->program->state == MQ_PROGRAM_RUNNING)
+      if (previous->program->state == MQ_PROGRAM_RUNNING)
         return MQ_ERR_OUT_OF_ORDER;
-      scratch->messages = before->program->messages;
-      scratch->messages = talloc_strndup (
-          scratch,
-          before->program->messages == NULL ? "" : before->program->messages,
-          before->program->messages_len);
-      scratch->messages_len = before->program->messages_len;
-      scratch->messages_capacity = before->program->messages_len + 1;
-      scratch->message_count = before->program->message_count;
+      builder->messages = previous->program->messages;
+      builder->messages = talloc_strndup (builder,
+                                          previous->program->messages == NULL
+                                              ? ""
+                                              : previous->program->messages,
+                                          previous->program->messages_len);
+      builder->messages_len = previous->program->messages_len;
+      builder->messages_capacity = previous->program->messages_len + 1;
+      builder->message_count = previous->program->message_count;
       opening->opened.follow_up = true;
     }
   else if (service->prompt != NULL && service->prompt[0] != '\0')
-    mq_program_add_message (scratch, "system", NULL, NULL, service->prompt);
+    mq_program_add_message (builder, "system", NULL, NULL, service->prompt);
   if (input != NULL)
-    mq_program_add_message (scratch, "user", NULL, NULL, input);
-  if (scratch->messages != NULL)
-    opening->opened.messages = scratch->messages;
-  opening->opened.message_count = scratch->message_count;
+    mq_program_add_message (builder, "user", NULL, NULL, input);
+  if (builder->messages != NULL)
+    opening->opened.messages = builder->messages;
+  opening->opened.message_count = builder->message_count;
   return MQ_ERR_NONE;
 }
 
@@ -136,11 +138,11 @@
   return fill_history (owner, opening, request, service, input);
 }
 
-/* A call of a model, plain service or tool by itself.  */
+/* Fills in a single call of a model, plain service or tool.  */
 static enum mq_error_type
-fill_single (struct mq_owner *owner, struct opening *opening,
-             const struct mq_request_msg *request,
-             const struct mq_service *service, json_t *root)
+fill_single_call (struct mq_owner *owner, struct opening *opening,
+                  const struct mq_request_msg *request,
+                  const struct mq_service *service, json_t *root)
 {
   json_t *arguments = json_object_get (root, "arguments");
   const char *input = json_string_value (json_object_get (root, "input"));
@@ -153,7 +155,7 @@
   opening->opened.priority = MQ_PRIORITY_INTERACTIVE;
   opening->budget.tokens = service->max_tokens;
   opening->budget.turns = 1;
-  opening->budget.seconds = SINGLE_SECONDS;
+  opening->budget.seconds = SINGLE_CALL_BUDGET_S;
   if (service->kind == MQ_SERVICE_MODEL)
     {
       if (input == NULL)
@@ -178,7 +180,7 @@
   json_t *root = json_loads (request->body, 0, NULL);
   enum mq_error_type error;
 
-  fill_common (opening, request);
+  fill_common_fields (opening, request);
   if (service == NULL)
     error = MQ_ERR_NOT_FOUND;
   else if (!json_is_object (root))
@@ -186,13 +188,13 @@
   else if (service->kind == MQ_SERVICE_AGENT)
     error = fill_agent (owner, opening, request, service, root);
   else
-    error = fill_single (owner, opening, request, service, root);
+    error = fill_single_call (owner, opening, request, service, root);
   json_decref (root);
   return error;
 }
 
 static void
-grant_first (struct mq_owner *owner, struct running *running)
+grant_first_call (struct mq_owner *owner, struct running *running)
 {
   const struct mq_service *service
       = mq_text_find_service (owner->text, running->program->service);
@@ -209,16 +211,16 @@
     budget_ensure_grant (owner, running, max_tokens);
 }
 
-/* A history that carries over has been computed before.  */
+/* A continued history was already computed by an engine.  */
 static void
-note_known_tokens (struct mq_owner *owner, struct running *running,
-                   struct mq_id continues)
+set_reusable_tokens (struct mq_owner *owner, struct running *running,
+                     struct mq_id continues)
 {
-  const struct running *before
+  const struct running *previous
       = mq_id_is_zero (continues) ? NULL : chain_find (owner, continues);
 
-  if (before != NULL)
-    running->reusable_tokens = before->reusable_tokens;
+  if (previous != NULL)
+    running->reusable_tokens = previous->reusable_tokens;
 }
 
 void
@@ -231,30 +233,30 @@
   enum mq_error_type error = fill_opening (owner, &opening, request);
 
   if (error == MQ_ERR_NONE)
-    error = check_room (owner, request,
-                        (enum mq_priority)opening.opened.priority,
-                        &retry_after_ms);
+    error = check_capacity (owner, request,
+                            (enum mq_priority)opening.opened.priority,
+                            &retry_after_ms);
   if (error != MQ_ERR_NONE)
     {
       events_refuse (owner, partition, peer, handle, error, retry_after_ms);
       return;
     }
   running = chain_open (owner, partition, request->program, &opening.opened);
-  note_known_tokens (owner, running, request->continues);
+  set_reusable_tokens (owner, running, request->continues);
   events_add_waiter (running, peer, handle, request, 0);
-  grant_first (owner, running);
-  log_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
+  grant_first_call (owner, running);
+  log_add_hook (owner, running, HOOK_ACCEPTED, 0, 0, NULL)->tokens
       = running->grant_pending;
   if (running->program->mode != MQ_MODE_STEPS)
     budget_start_clock (owner, running);
   log_flush (owner);
 }
 
-/* The caller's open came before: the same program answers.  */
+/* Attaches a caller that repeats its open request to the existing program.  */
 void
-open_join_program (struct mq_owner *owner, struct running *running,
-                   uint32_t peer, uint64_t handle,
-                   const struct mq_request_msg *request)
+open_attach_caller (struct mq_owner *owner, struct running *running,
+                    uint32_t peer, uint64_t handle,
+                    const struct mq_request_msg *request)
 {
   const struct mq_program *program = running->program;
   struct mq_event_msg event = { .handle = handle, .type = MQ_EVENT_ACCEPTED };
@@ -269,9 +271,9 @@
   events_add_waiter (running, peer, handle, request, 0);
   if (running->uncommitted_records > 0)
     {
-      /* What it waits for is durable soon; then it is told.  */
+      /* The caller is notified when the uncommitted records are durable.  */
       if (program->state != MQ_PROGRAM_RUNNING)
-        log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
+        log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
       return;
     }
   mq_id_format (program->id, id);
--- a/src/core/owner/owner_place.c
+++ b/src/core/owner/owner_place.c
@@ -1,4 +1,4 @@
-/* owner_place.c - which worker a call goes to.
+/* owner_place.c - selects the worker for a call and dispatches it.
 
    Needs: owner_parts.h, place.h.  */
 
@@ -13,17 +13,17 @@
   BYTES_PER_TOKEN = 4
 };
 
-/* ---- Accounting at targets ---- */
+/* ---- Load accounting ---- */
 
 void
-place_count (struct mq_owner *owner, struct call *call, int change)
+place_adjust_load (struct mq_owner *owner, struct call *call, int change)
 {
   struct mq_worker_view *view;
 
   if (call->target == NULL)
     return;
   call->target->calls += (uint32_t)change;
-  view = hosts_view (owner, call->target, call->worker);
+  view = hosts_worker_view (owner, call->target, call->worker);
   if (view == NULL)
     return;
   if (change > 0)
@@ -40,37 +40,37 @@
 }
 
 void
-place_leave_target (struct mq_owner *owner, struct running *running)
+place_detach_target (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
-  place_count (owner, call, -1);
+  place_adjust_load (owner, call, -1);
   call->target = NULL;
   call->down_us = 0;
   budget_release (running, call->reserved);
   call->reserved = 0;
 }
 
-/* Whether the attempt spent its tokens can't be known: it counts as if it
-   had spent all that it may.  */
+/* Gives up an attempt.  The tokens that it used are unknown, so its whole
+   reservation is charged.  */
 void
-place_abandon (struct mq_owner *owner, struct running *running)
+place_abandon_attempt (struct mq_owner *owner, struct running *running)
 {
   uint64_t reserved = running->call->reserved;
 
-  place_leave_target (owner, running);
+  place_detach_target (owner, running);
   budget_charge (owner, running, reserved);
 }
 
 void
-place_drop (struct mq_owner *owner, struct running *running)
+place_discard_call (struct mq_owner *owner, struct running *running)
 {
   if (running->call != NULL && running->call->target != NULL)
-    place_count (owner, running->call, -1);
+    place_adjust_load (owner, running->call, -1);
   running->call = NULL;
 }
 
-/* ---- Placing ---- */
+/* ---- Worker selection ---- */
 
 static int32_t
 sticky_view (const struct running *running, const struct pool *pool)
@@ -84,7 +84,8 @@
 }
 
 struct shared_prompt
-place_find_shared (const struct mq_owner *owner, const struct running *running)
+place_shared_prompt (const struct mq_owner *owner,
+                     const struct running *running)
 {
   const struct mq_service *agent
       = mq_text_find_service (owner->text, running->program->service);
@@ -103,8 +104,8 @@
 choose_worker (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
-  struct pool *pool = hosts_pool (owner, call->service->name);
-  struct shared_prompt shared = place_find_shared (owner, running);
+  struct pool *pool = hosts_get_pool (owner, call->service->name);
+  struct shared_prompt shared = place_shared_prompt (owner, running);
   struct mq_place_call place = { 0 };
   int32_t chosen;
 
@@ -123,8 +124,8 @@
 }
 
 void
-place_remember_cache (struct mq_owner *owner, struct running *running,
-                      struct target *target)
+place_record_cache (struct mq_owner *owner, struct running *running,
+                    struct target *target)
 {
   struct cache_location *place;
 
@@ -138,23 +139,23 @@
   place->boot = target->boot;
   place->next = running->caches;
   running->caches = place;
-  evict_lease (owner, running, target);
+  evict_send_lease (owner, running, target);
 }
 
 static void
-fill_call (struct mq_owner *owner, const struct running *running,
-           struct mq_call_msg *message)
+fill_call_message (struct mq_owner *owner, const struct running *running,
+                   struct mq_call_msg *message)
 {
   const struct call *call = running->call;
   const struct mq_program *program = running->program;
-  uint64_t left = 0;
+  uint64_t remaining_ms = 0;
 
   if (program->budget.seconds > 0)
     {
       uint64_t budget_ms = 1000ULL * program->budget.seconds;
       uint64_t elapsed = budget_elapsed_ms (owner, running);
 
-      left = budget_ms > elapsed ? budget_ms - elapsed : 1;
+      remaining_ms = budget_ms > elapsed ? budget_ms - elapsed : 1;
     }
   message->ref.program = program->id;
   message->ref.call = call->number;
@@ -168,7 +169,8 @@
   message->worker = call->worker;
   message->idempotent = call->idempotent;
   message->priority = program->priority;
-  message->deadline_ms = left > UINT32_MAX ? UINT32_MAX : (uint32_t)left;
+  message->deadline_ms
+      = remaining_ms > UINT32_MAX ? UINT32_MAX : (uint32_t)remaining_ms;
   message->max_tokens = call->max_tokens;
   message->attained = program->spent;
   message->continuing = program->calls > 0;
@@ -185,14 +187,15 @@
   struct call *call = running->call;
   struct mq_message message = { .type = MQ_MSG_CALL };
 
-  fill_call (owner, running, &message.u.call);
+  fill_call_message (owner, running, &message.u.call);
   hosts_send (owner, call->target, &message);
   owner->counters.calls_sent++;
 }
 
-/* Prompt tokens that the worker has to compute, as far as is known.  */
+/* Estimates the prompt tokens that the worker has to compute.  */
 static uint32_t
-expect_uncached (const struct running *running, const struct worker *worker)
+estimate_uncached_tokens (const struct running *running,
+                          const struct worker *worker)
 {
   uint32_t prompt = running->call->prompt_tokens;
   uint32_t cached = 0;
@@ -204,7 +207,8 @@
 }
 
 static void
-go_to (struct mq_owner *owner, struct running *running, struct worker *worker)
+assign_worker (struct mq_owner *owner, struct running *running,
+               struct worker *worker)
 {
   struct call *call = running->call;
 
@@ -215,8 +219,8 @@
   call->worker = worker->index;
   call->boot = worker->target->boot;
   call->sent_us = owner->now_us;
-  call->uncached_tokens = expect_uncached (running, worker);
-  place_count (owner, call, 1);
+  call->uncached_tokens = estimate_uncached_tokens (running, worker);
+  place_adjust_load (owner, call, 1);
   if (call->model)
     {
       call->reserved = call->max_tokens;
@@ -225,7 +229,7 @@
 }
 
 static void
-send_first (struct mq_owner *owner, struct running *running)
+dispatch_call (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
@@ -233,7 +237,7 @@
   call->sent_us = owner->now_us;
   place_send_call (owner, running);
   if (call->model)
-    place_remember_cache (owner, running, call->target);
+    place_record_cache (owner, running, call->target);
   owner_set_timer (owner, running,
                    owner->now_us + 1000ULL * call->service->timeout_ms
                        + 1000ULL * OUTCOME_GRACE_MS);
@@ -255,11 +259,13 @@
   record.intent = &intent;
   call->state = CALL_AWAITING_INTENT;
   log_append (owner, running, &record);
-  log_hook (owner, running, HOOK_INTENT, call->number, call->attempt, NULL);
+  log_add_hook (owner, running, HOOK_INTENT, call->number, call->attempt,
+                NULL);
 }
 
 void
-place_later (struct mq_owner *owner, struct running *running, uint32_t wait_ms)
+place_schedule_retry (struct mq_owner *owner, struct running *running,
+                      uint32_t wait_ms)
 {
   struct call *call = running->call;
 
@@ -268,19 +274,20 @@
   owner_set_timer (owner, running, call->retry_us);
 }
 
-/* Failure: a call under our fence voids at its target what the earlier
-   owner's later attempts left there; we die before their charges are
-   durable, and the next owner finds no trace of them: the budget is spent
-   again.  So no call goes out before they are.  */
+/* Whether the charges for discarded attempts are durable.  No call is sent
+   until they are: a call under the new fence makes the target drop later
+   attempts of the previous owner.  If this owner then crashed before the
+   charges commit, the next owner would find no trace of them and the budget
+   would be spent twice.  */
 static bool
-discards_are_durable (struct mq_owner *owner, struct running *running)
+charges_are_durable (struct mq_owner *owner, struct running *running)
 {
   if (owner->settled_position >= running->charge_position)
     return true;
   if (!running->grant_requested)
     {
       running->grant_requested = true;
-      log_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
+      log_add_hook (owner, running, HOOK_GRANTED, 0, 0, NULL)->tokens = 0;
     }
   return false;
 }
@@ -291,12 +298,13 @@
   struct call *call = running->call;
   struct worker *worker;
 
-  if (!discards_are_durable (owner, running))
+  if (!charges_are_durable (owner, running))
     {
       call->state = CALL_AWAITING_GRANT;
       return;
     }
-  /* An earlier attempt may have been charged since the cap was set.  */
+  /* Charges of earlier attempts may have reduced the budget since max_tokens
+     was set.  */
   if (call->model && !chain_limit_call (running))
     {
       call->state = CALL_AWAITING_WORKER;
@@ -311,12 +319,12 @@
   worker = choose_worker (owner, running);
   if (worker == NULL)
     {
-      place_later (owner, running, PLACE_RETRY_MS);
+      place_schedule_retry (owner, running, PLACE_RETRY_MS);
       return;
     }
-  go_to (owner, running, worker);
+  assign_worker (owner, running, worker);
   if (call->idempotent)
-    send_first (owner, running);
+    dispatch_call (owner, running);
   else
     append_intent (owner, running);
 }
@@ -332,7 +340,7 @@
 }
 
 void
-place_continue (struct mq_owner *owner, struct running *running)
+place_retry (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
 
@@ -344,11 +352,11 @@
     place_call (owner, running);
 }
 
-/* The intent is durable: whoever owns the partition from now on knows that
+/* Sends the call once its intent is durable.  Any later owner then knows that
    the call may have been sent, and to which run of which process.  */
 void
-place_intent_durable (struct mq_owner *owner, struct running *running,
-                      uint32_t number, uint32_t attempt)
+place_on_intent_durable (struct mq_owner *owner, struct running *running,
+                         uint32_t number, uint32_t attempt)
 {
   struct call *call = running->call;
 
@@ -358,10 +366,10 @@
   if (call->target->peer == 0 || call->target->boot != call->boot
       || call->target->leaving)
     {
-      /* Never sent from here, and only this owner may send it.  */
-      place_leave_target (owner, running);
-      place_later (owner, running, 0);
+      /* The call was not sent, and only this owner may send it.  */
+      place_detach_target (owner, running);
+      place_schedule_retry (owner, running, 0);
       return;
     }
-  send_first (owner, running);
+  dispatch_call (owner, running);
 }
--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -1,4 +1,4 @@
-/* owner_read.c - the log of a partition that is taken over, read and replayed.
+/* owner_read.c - reads and replays the log of a partition during a takeover.
 
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
@@ -9,13 +9,13 @@
 
 enum
 {
-  LOG_PAGE = 256 /* log rows read at a time */
+  LOG_PAGE_ROWS = 256
 };
 
 /* ---- Reading the log ---- */
 
 static void
-read_again_later (struct mq_owner *owner, struct partition *partition)
+read_schedule_retry (struct mq_owner *owner, struct partition *partition)
 {
   durable_store_unavailable (owner);
   partition->retry_us
@@ -52,11 +52,11 @@
                            struct partition *partition);
 
 void
-read_next (struct mq_owner *owner, struct partition *partition)
+read_send_next (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
 
-  switch (take->step)
+  switch (takeover->step)
     {
     case TAKEOVER_READ_CHECKPOINT:
       if (partition->checkpoint_key != NULL
@@ -65,43 +65,44 @@
           send_get (owner, partition, partition->checkpoint_key);
           return;
         }
-      take->step = TAKEOVER_READ_LOG;
+      takeover->step = TAKEOVER_READ_LOG;
       break;
     case TAKEOVER_READ_LOG:
     case TAKEOVER_READ_OBJECTS:
     case TAKEOVER_READ_TARGETS:
       break;
     }
-  if (take->step == TAKEOVER_READ_LOG)
+  if (takeover->step == TAKEOVER_READ_LOG)
     {
       send_scan (
           owner, partition,
           talloc_asprintf (owner->actions, "log/%05u/", partition->number),
-          take->after, LOG_PAGE);
+          takeover->after, LOG_PAGE_ROWS);
       return;
     }
-  if (take->step == TAKEOVER_READ_OBJECTS)
+  if (takeover->step == TAKEOVER_READ_OBJECTS)
     {
-      while (take->row_next < take->row_count
-             && take->rows[take->row_next].object == NULL)
-        take->row_next++;
-      if (take->row_next < take->row_count)
+      while (takeover->row_next < takeover->row_count
+             && takeover->rows[takeover->row_next].object == NULL)
+        takeover->row_next++;
+      if (takeover->row_next < takeover->row_count)
         {
-          send_get (owner, partition, take->rows[take->row_next].object);
+          send_get (owner, partition,
+                    takeover->rows[takeover->row_next].object);
           return;
         }
-      take->step = TAKEOVER_READ_TARGETS;
+      takeover->step = TAKEOVER_READ_TARGETS;
     }
   send_scan (owner, partition,
              talloc_asprintf (owner->actions, "targets/%s",
-                              partition->senders[take->sender_next]),
+                              partition->senders[takeover->sender_next]),
              "", 1);
 }
 
 void
 read_start (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take;
+  struct takeover *takeover;
 
   partition->state = PARTITION_READING;
   partition->retry_us = 0;
@@ -109,28 +110,29 @@
   partition->memory = talloc_new (owner);
   partition->programs = mq_idmap_create (partition->memory);
   partition->records_since_checkpoint = 0;
-  take = talloc_zero (partition->memory, struct takeover);
-  if (take == NULL)
+  takeover = talloc_zero (partition->memory, struct takeover);
+  if (takeover == NULL)
     abort ();
-  take->step = TAKEOVER_READ_CHECKPOINT;
-  take->after = talloc_asprintf (take, "log/%05u/%012llu", partition->number,
-                                 (unsigned long long)partition->checkpoint);
-  partition->takeover = take;
-  read_next (owner, partition);
+  takeover->step = TAKEOVER_READ_CHECKPOINT;
+  takeover->after
+      = talloc_asprintf (takeover, "log/%05u/%012llu", partition->number,
+                         (unsigned long long)partition->checkpoint);
+  partition->takeover = takeover;
+  read_send_next (owner, partition);
 }
 
-/* Starts over: what was read does not fit together.  */
+/* Restarts the takeover after reading an inconsistent log.  */
 static void
-read_afresh (struct mq_owner *owner, struct partition *partition)
+read_restart (struct mq_owner *owner, struct partition *partition)
 {
-  take_forget_partition (owner, partition);
+  take_unload_partition (owner, partition);
   partition->retry_us = owner->now_us + 1000ULL * MQ_STORE_RETRY_MAX_MS;
   owner->next_scan_us = owner->now_us;
 }
 
 static bool
-read_checkpoint (struct mq_owner *owner, struct partition *partition,
-                 const struct mq_store_result *result)
+unpack_checkpoint (struct mq_owner *owner, struct partition *partition,
+                   const struct mq_store_result *result)
 {
   Mqlog__Checkpoint *checkpoint = mqlog__checkpoint__unpack (
       NULL, result->value.len, result->value.data);
@@ -145,32 +147,33 @@
 }
 
 static void
-keep_log_row (struct takeover *take, const struct mq_row *row)
+add_log_row (struct takeover *takeover, const struct mq_row *row)
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
-  struct logged_batch *kept;
+  struct read_batch *batch_row;
 
-  take->rows = talloc_realloc (take, take->rows, struct logged_batch,
-                               (unsigned int)take->row_count + 1);
-  if (take->rows == NULL)
+  takeover->rows = talloc_realloc (takeover, takeover->rows, struct read_batch,
+                                   (unsigned int)takeover->row_count + 1);
+  if (takeover->rows == NULL)
     abort ();
-  kept = &take->rows[take->row_count++];
-  memset (kept, 0, sizeof *kept);
-  talloc_free (take->after);
-  take->after = talloc_strdup (take, row->key);
+  batch_row = &takeover->rows[takeover->row_count++];
+  memset (batch_row, 0, sizeof *batch_row);
+  talloc_free (takeover->after);
+  takeover->after = talloc_strdup (takeover, row->key);
   if (batch == NULL)
     return;
-  kept->sequence = batch->sequence;
+  batch_row->sequence = batch->sequence;
   if (batch->object[0] != '\0')
-    kept->object = talloc_strdup (take, batch->object);
-  kept->bytes.data = talloc_memdup (take, row->value.data, row->value.len);
-  kept->bytes.len = row->value.len;
+    batch_row->object = talloc_strdup (takeover, batch->object);
+  batch_row->bytes.data
+      = talloc_memdup (takeover, row->value.data, row->value.len);
+  batch_row->bytes.len = row->value.len;
   mqlog__batch__free_unpacked (batch, NULL);
 }
 
 static void
-keep_segment (struct partition *partition, const struct logged_batch *row)
+add_segment (struct partition *partition, const struct logged_batch *row)
 {
   struct segment *segment;
 
@@ -188,66 +191,67 @@
               const struct mq_bytes *bytes)
 {
   Mqlog__Batch *batch = mqlog__batch__unpack (NULL, bytes->len, bytes->data);
-  bool whole = batch != NULL;
+  bool valid = batch != NULL;
 
-  for (size_t i = 0; whole && i < batch->n_records; i++)
+  for (size_t i = 0; valid && i < batch->n_records; i++)
     {
       Mqlog__Record *record = mqlog__record__unpack (
           NULL, batch->records[i].len, batch->records[i].data);
 
       if (record == NULL)
-        whole = false;
+        valid = false;
       else
-        read_apply (owner, partition, record);
+        read_apply_record (owner, partition, record);
       partition->records_since_checkpoint++;
       mqlog__record__free_unpacked (record, NULL);
     }
   if (batch != NULL)
     mqlog__batch__free_unpacked (batch, NULL);
-  return whole;
+  return valid;
 }
 
-/* Every batch from the checkpoint to the row's sequence must be there:
-   a gap would lose a part of some program's history in silence.  */
+/* Requires every batch from the checkpoint up to the row's sequence.
+   Replaying a log with a gap would lose part of a program's history.  */
 static bool
 replay (struct mq_owner *owner, struct partition *partition)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
   uint64_t expected = partition->checkpoint;
 
-  for (size_t i = 0; i < take->row_count; i++)
+  for (size_t i = 0; i < takeover->row_count; i++)
     {
-      if (take->rows[i].sequence != ++expected)
+      if (takeover->rows[i].sequence != ++expected)
         return false;
-      if (!replay_batch (owner, partition, &take->rows[i].bytes))
+      if (!replay_batch (owner, partition, &takeover->rows[i].bytes))
         return false;
-      keep_segment (partition, &take->rows[i]);
+      add_segment (partition, &takeover->rows[i]);
     }
   return expected == partition->sequence;
 }
 
 static void
-add_wait (struct takeover *take, const char *host, uint64_t boot)
+add_recovery_wait (struct takeover *takeover, const char *host, uint64_t boot)
 {
   struct recovery_wait *wait;
 
-  take->waits = talloc_realloc (take, take->waits, struct recovery_wait,
-                                (unsigned int)take->wait_count + 1);
-  if (take->waits == NULL)
+  takeover->waits
+      = talloc_realloc (takeover, takeover->waits, struct recovery_wait,
+                        (unsigned int)takeover->wait_count + 1);
+  if (takeover->waits == NULL)
     abort ();
-  wait = &take->waits[take->wait_count++];
-  wait->host = talloc_strdup (take, host);
+  wait = &takeover->waits[takeover->wait_count++];
+  wait->host = talloc_strdup (takeover, host);
   wait->boot = boot;
   wait->answered = false;
 }
 
 static void
-keep_targets (struct partition *partition,
-              const struct mq_store_result *result)
+add_recovery_targets (struct partition *partition,
+                      const struct mq_store_result *result)
 {
-  struct takeover *take = partition->takeover;
-  char *key = talloc_asprintf (take, "targets/%s",
-                               partition->senders[take->sender_next]);
+  struct takeover *takeover = partition->takeover;
+  char *key = talloc_asprintf (takeover, "targets/%s",
+                               partition->senders[takeover->sender_next]);
 
   for (size_t i = 0; i < result->row_count; i++)
     {
@@ -260,65 +264,65 @@
       if (row == NULL)
         continue;
       for (size_t j = 0; j < row->n_hosts && j < row->n_boots; j++)
-        add_wait (take, row->hosts[j], row->boots[j]);
+        add_recovery_wait (takeover, row->hosts[j], row->boots[j]);
       mqlog__targets_row__free_unpacked (row, NULL);
     }
 }
 
 void
-read_result (struct mq_owner *owner, struct partition *partition,
-             const struct mq_store_result *result)
+read_on_result (struct mq_owner *owner, struct partition *partition,
+                const struct mq_store_result *result)
 {
-  struct takeover *take = partition->takeover;
+  struct takeover *takeover = partition->takeover;
 
   partition->read_id = 0;
   if (result->status != MQ_STORE_OK)
     {
-      read_again_later (owner, partition);
+      read_schedule_retry (owner, partition);
       return;
     }
   durable_store_up (owner);
-  switch (take->step)
+  switch (takeover->step)
     {
     case TAKEOVER_READ_CHECKPOINT:
-      if (!read_checkpoint (owner, partition, result))
+      if (!unpack_checkpoint (owner, partition, result))
         {
-          read_afresh (owner, partition);
+          read_restart (owner, partition);
           return;
         }
-      take->step = TAKEOVER_READ_LOG;
+      takeover->step = TAKEOVER_READ_LOG;
       break;
     case TAKEOVER_READ_LOG:
       for (size_t i = 0; i < result->row_count; i++)
-        keep_log_row (take, &result->rows[i]);
+        add_log_row (takeover, &result->rows[i]);
       if (!result->more)
-        take->step = TAKEOVER_READ_OBJECTS;
+        takeover->step = TAKEOVER_READ_OBJECTS;
       break;
     case TAKEOVER_READ_OBJECTS:
       {
-        struct logged_batch *row = &take->rows[take->row_next++];
+        struct read_batch *row = &takeover->rows[takeover->row_next++];
 
         row->bytes.data
-            = talloc_memdup (take, result->value.data, result->value.len);
+            = talloc_memdup (takeover, result->value.data, result->value.len);
         row->bytes.len = result->value.len;
         break;
       }
     case TAKEOVER_READ_TARGETS:
-      keep_targets (partition, result);
-      if (++take->sender_next < partition->sender_count)
+      add_recovery_targets (partition, result);
+      if (++takeover->sender_next < partition->sender_count)
         break;
       if (!replay (owner, partition))
         {
-          read_afresh (owner, partition);
+          read_restart (owner, partition);
           return;
         }
       start_recover (owner, partition);
       return;
     }
-  read_next (owner, partition);
+  read_send_next (owner, partition);
 }
 
-/* ---- Asking targets' processes ---- */
+/* ---- Recovering attempts from targets ---- */
 
 static void
 send_recover (struct mq_owner *owner, struct partition *partition,
@@ -332,10 +336,10 @@
 }
 
 static bool
-all_recovered (const struct takeover *take)
+all_recovered (const struct takeover *takeover)
 {
-  for (size_t i = 0; i < take->wait_count; i++)
-    if (!take->waits[i].answered)
+  for (size_t i = 0; i < takeover->wait_count; i++)
+    if (!takeover->waits[i].answered)
       return false;
   return true;
 }
@@ -346,22 +350,23 @@
   struct running **all;
   size_t count = mq_idmap_count (partition->programs);
   size_t position = 0;
-  bool exact = all_recovered (partition->takeover);
+  bool all_answered = all_recovered (partition->takeover);
 
   owner->claiming--;
   owner->counters.takeovers++;
   partition->state = PARTITION_ACTIVE;
   partition->takeover = NULL;
   owner_state (owner, MQ_STATE_PARTITION_OWNED, partition->number, "");
-  /* The programs are listed first: going on may add sub-programs.  */
+  /* Collected first, since resuming a program may add sub-programs to the
+     map.  */
   all = talloc_array (owner->actions, struct running *, (unsigned int)count);
   for (size_t i = 0; i < count; i++)
     all[i] = mq_idmap_next (partition->programs, &position);
   for (size_t i = 0; i < count; i++)
-    if (!exact)
+    if (!all_answered)
       budget_forfeit (owner, all[i]);
   for (size_t i = 0; i < count; i++)
-    settle_resume (owner, all[i]);
+    settle_resume_program (owner, all[i]);
   log_flush (owner);
 }
 
@@ -389,12 +394,13 @@
   partition = &owner->partitions[recovered->partition];
   if (recovered->fence > partition->fence)
     {
-      /* A newer owner was there before us; the row will say who.  */
+      /* A newer owner exists; the next scan shows which host it is.  */
       owner->next_scan_us = owner->now_us;
       return;
     }
   for (size_t i = 0; i < recovered->running_count; i++)
-    settle_adopt (owner, target, recovered->running[i], partition->number);
+    settle_reported_attempt (owner, target, recovered->running[i],
+                             partition->number);
   if (partition->state != PARTITION_RECOVERING)
     return;
   for (size_t i = 0; i < partition->takeover->wait_count; i++)
@@ -405,10 +411,10 @@
     read_activate (owner, partition);
 }
 
-/* A target's process may keep outcomes that were meant for an earlier owner
-   or were lost with the connection: it is asked for them.  */
+/* Requests the outcomes that the target's process retained for a previous
+   owner or that were lost with the connection.  */
 void
-read_target_up (struct mq_owner *owner, struct target *target)
+read_on_target_up (struct mq_owner *owner, struct target *target)
 {
   for (uint32_t i = 0; i < owner->partition_count; i++)
     {
@@ -429,17 +435,18 @@
 
   if (record->body_case == MQLOG__RECORD__BODY_FORFEITED)
     return;
-  for (struct running *up = running->parent; up != NULL; up = up->parent)
+  for (struct running *ancestor = running->parent; ancestor != NULL;
+       ancestor = ancestor->parent)
     {
-      up->program->spent += record->charge;
+      ancestor->program->spent += record->charge;
       if (outcome)
-        up->program->turns++;
+        ancestor->program->turns++;
     }
 }
 
 void
-read_apply (struct mq_owner *owner, struct partition *partition,
-            const Mqlog__Record *record)
+read_apply_record (struct mq_owner *owner, struct partition *partition,
+                   const Mqlog__Record *record)
 {
   struct mq_id id = { record->hi, record->lo };
   struct running *running = mq_idmap_find (partition->programs, id, 0);
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -1,8 +1,8 @@
-/* owner_request.c - callers' requests.
+/* owner_request.c - handles callers' requests.
 
-   A caller is known by the connection that forwarded its request and a
-   handle.  Its request may come again, through any entry host: the same
-   open finds the same program, the same call the same outcome.
+   A caller is identified by the connection that forwarded its request and a
+   handle.  Requests are idempotent: a repeated open finds the same program and
+   a repeated call the same outcome, through any entry host.
    Needs: owner_parts.h, id.h, jansson.  */
 
 #include "owner_parts.h"
@@ -13,18 +13,18 @@
 
 /* ---- Further requests ---- */
 
-/* Whoever waits for an answer that is there is told when it is durable.
-   Failure: all that is not yet durable is a charge after the answer; nothing
-   followed its commit, and the caller waited for ever.  */
+/* Sends an existing answer when it is durable.  Uses a hook of its own: the
+   only uncommitted record may be a charge after the answer, whose commit sends
+   nothing.  */
 static void
-answer_when_durable (struct mq_owner *owner, struct running *running)
+send_answer_when_durable (struct mq_owner *owner, struct running *running)
 {
   if (running->program->state == MQ_PROGRAM_RUNNING)
     return;
   if (running->uncommitted_records == 0)
     events_final (owner, running);
   else
-    log_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
+    log_add_hook (owner, running, HOOK_ANSWERED, 0, 0, NULL);
 }
 
 static void
@@ -41,7 +41,7 @@
   if (running->program->turn_digest == digest)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       json_decref (root);
       return;
     }
@@ -66,8 +66,8 @@
   log_append (owner, running, &record);
   json_decref (root);
   budget_start_clock (owner, running);
-  /* The answer waits for the turn's commit as for every record before it;
-     the model need not.  */
+  /* The call may start before the turn is durable; the answer is sent only
+     after the turn's commit.  */
   chain_advance (owner, running);
   log_flush (owner);
 }
@@ -123,11 +123,11 @@
   return MQ_ERR_NONE;
 }
 
-/* Without a sequence number a call is the next one, unless it repeats the
-   call before or the one that runs.  */
+/* Returns the sequence number of a call.  A request without one is the next
+   call, unless its key matches an earlier or the current call.  */
 static uint32_t
-find_sequence (const struct running *running,
-               const struct mq_request_msg *request, uint64_t digest)
+resolve_sequence (const struct running *running,
+                  const struct mq_request_msg *request, uint64_t digest)
 {
   const struct mq_program *program = running->program;
 
@@ -149,7 +149,7 @@
              uint64_t handle, const struct mq_request_msg *request)
 {
   uint64_t digest = drive_digest (request);
-  uint32_t sequence = find_sequence (running, request, digest);
+  uint32_t sequence = resolve_sequence (running, request, digest);
   enum mq_error_type error = check_step (running, sequence, digest);
 
   if (error == MQ_ERR_NONE && owner->leaving)
@@ -163,7 +163,7 @@
   if (sequence <= running->program->calls)
     {
       if (running->uncommitted_records == 0)
-        events_step_done (owner, running, sequence);
+        events_send_step_result (owner, running, sequence);
       return;
     }
   if (running->call != NULL || sequence > running->program->calls + 1)
@@ -180,8 +180,8 @@
 }
 
 static void
-answer_get (struct mq_owner *owner, struct running *running, uint32_t peer,
-            uint64_t handle, bool history)
+queue_get_reply (struct mq_owner *owner, struct running *running,
+                 uint32_t peer, uint64_t handle, bool history)
 {
   struct mq_event_msg event
       = { .handle = handle, .type = MQ_EVENT_FINAL, .ran = MQ_RAN_RAN };
@@ -195,24 +195,24 @@
     }
   else
     event.body = events_final_body (owner->actions, running);
-  events_answer_later (owner, running->partition->number, peer, &event);
+  events_queue_reply (owner, running->partition->number, peer, &event);
 }
 
 void
-request_reply (struct mq_owner *owner, struct hook *hook)
+request_send_reply (struct mq_owner *owner, struct hook *hook)
 {
   struct running *running = chain_find (owner, hook->program);
 
   if (running == NULL)
     return;
-  /* A later answer came meanwhile, and its commit is still to come.  */
-  if (owner->settled_position < running->answer_position)
+  /* A newer answer is not durable yet.  */
+  if (owner->settled < running->answer_position)
     {
-      log_hook_reply (owner, running, hook->peer, hook->handle)->history
+      log_add_reply_hook (owner, running, hook->peer, hook->handle)->history
           = hook->history;
       return;
     }
-  answer_get (owner, running, hook->peer, hook->handle, hook->history);
+  queue_get_reply (owner, running, hook->peer, hook->handle, hook->history);
 }
 
 static void
@@ -224,32 +224,32 @@
   if (request->stream && !history)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       return;
     }
-  /* Nothing is shown that a takeover could still undo.  */
+  /* Uncommitted state could be lost in a takeover and is not shown.  */
   if (running->uncommitted_records > 0)
     {
-      log_hook_reply (owner, running, peer, handle)->history = history;
+      log_add_reply_hook (owner, running, peer, handle)->history = history;
       return;
     }
-  answer_get (owner, running, peer, handle, history);
+  queue_get_reply (owner, running, peer, handle, history);
 }
 
 static void
 handle_close (struct mq_owner *owner, struct running *running, uint32_t peer,
               uint64_t handle, const struct mq_request_msg *request)
 {
-  enum mq_error_type why
+  enum mq_error_type reason
       = request->type == MQ_REQUEST_CANCEL ? MQ_ERR_CANCELLED : MQ_ERR_NONE;
 
   if (running->program->state == MQ_PROGRAM_ENDED)
     {
       events_add_waiter (running, peer, handle, request, 0);
-      answer_when_durable (owner, running);
+      send_answer_when_durable (owner, running);
       return;
     }
-  if (why == MQ_ERR_NONE
+  if (reason == MQ_ERR_NONE
       && (running->program->state == MQ_PROGRAM_RUNNING
           || running->call != NULL))
     {
@@ -258,11 +258,11 @@
       return;
     }
   events_add_waiter (running, peer, handle, request, 0);
-  if (why == MQ_ERR_CANCELLED)
-    end_begin_stop (owner, running, why);
+  if (reason == MQ_ERR_CANCELLED)
+    end_begin_stop (owner, running, reason);
   else
     {
-      /* The last answer stays the program's answer.  */
+      /* A closed program keeps its last answer.  */
       char *answer = talloc_strdup (
           owner->actions,
           running->program->answer == NULL ? "" : running->program->answer);
@@ -274,14 +274,15 @@
 }
 
 static void
-handle_known (struct mq_owner *owner, struct running *running, uint32_t peer,
-              uint64_t handle, const struct mq_request_msg *request)
+handle_existing_program (struct mq_owner *owner, struct running *running,
+                         uint32_t peer, uint64_t handle,
+                         const struct mq_request_msg *request)
 {
   switch (request->type)
     {
     case MQ_REQUEST_OPEN:
     case MQ_REQUEST_CREATE:
-      open_join_program (owner, running, peer, handle, request);
+      open_attach_caller (owner, running, peer, handle, request);
       break;
     case MQ_REQUEST_STEP:
       handle_step (owner, running, peer, handle, request);
@@ -308,15 +309,15 @@
 
   if (owner->partition_count == 0)
     {
-      events_send_away (owner, peer, handle, MQ_ERR_NOT_READY, "");
+      events_redirect_caller (owner, peer, handle, MQ_ERR_NOT_READY, "");
       return;
     }
   partition = &owner->partitions[mq_id_partition (request->program,
                                                   owner->partition_count)];
   if (partition->state != PARTITION_ACTIVE)
     {
-      events_send_away (owner, peer, handle, MQ_ERR_NOT_READY,
-                        events_redirect_for (owner, partition));
+      events_redirect_caller (owner, peer, handle, MQ_ERR_NOT_READY,
+                              events_redirect_for (owner, partition));
       return;
     }
   running = chain_find (owner, request->program);
@@ -325,7 +326,7 @@
     running = NULL;
   if (running != NULL)
     {
-      handle_known (owner, running, peer, handle, request);
+      handle_existing_program (owner, running, peer, handle, request);
       return;
     }
   if (request->type == MQ_REQUEST_OPEN || request->type == MQ_REQUEST_CREATE)
--- a/src/core/owner/owner_rows.c
+++ b/src/core/owner/owner_rows.c
@@ -1,4 +1,4 @@
-/* owner_rows.c - rows of partitions and hosts as the table has them.
+/* owner_rows.c - applies scanned rows of partitions and owners.
 
    Needs: owner_parts.h, proto/log.pb-c.h.  */
 
@@ -14,7 +14,7 @@
               const Mqlog__PartitionRow *row)
 {
   talloc_free (partition->senders);
-  /* Room for this run, which a claim adds.  */
+  /* One extra entry for this run, which a claim adds.  */
   partition->senders = talloc_zero_array (owner->partitions, char *,
                                           (unsigned int)row->n_senders + 1);
   if (partition->senders == NULL)
@@ -53,11 +53,12 @@
   return true;
 }
 
-/* A row of another owner, or of ours that shows that we lost it.  Rows older
-   than what we wrote ourselves are of a scan that began before.  */
+/* Applies a scanned row, which may show that this host lost the partition.
+   Rows older than the last known version come from an earlier scan and are
+   ignored.  */
 static void
-read_partition_row (struct mq_owner *owner, struct partition *partition,
-                    const struct mq_row *row)
+apply_partition_row (struct mq_owner *owner, struct partition *partition,
+                     const struct mq_row *row)
 {
   Mqlog__PartitionRow *value;
   bool lost;
@@ -70,8 +71,8 @@
     {
       if (!copy_row (owner, partition, row))
         return;
-      /* Our own claim whose answer was lost; or what was read before did not
-         fit together, then after a pause.  */
+      /* This host owns the partition: the result of its claim was lost, or a
+         takeover restarts after reading an inconsistent log.  */
       if (partition->owner_boot == owner->options.boot
           && owner->now_us >= partition->retry_us
           && strcmp (partition->owner, owner->options.host) == 0)
@@ -85,13 +86,13 @@
   mqlog__partition_row__free_unpacked (value, NULL);
   if (!lost)
     return;
-  take_lose (owner, partition);
+  take_on_lost (owner, partition);
   copy_row (owner, partition, row);
 }
 
 static void
-read_owner_row (struct mq_owner *owner, const char *host,
-                const struct mq_row *row)
+apply_owner_row (struct mq_owner *owner, const char *host,
+                 const struct mq_row *row)
 {
   struct sibling *sibling;
   Mqlog__OwnerRow *value;
@@ -101,7 +102,7 @@
   value = mqlog__owner_row__unpack (NULL, row->value.len, row->value.data);
   if (value == NULL)
     return;
-  sibling = hosts_sibling_named (owner, host, true);
+  sibling = hosts_get_sibling (owner, host, true);
   sibling->seen = true;
   if (!sibling->row_known || sibling->counter != value->counter
       || sibling->boot != value->boot)
@@ -115,13 +116,14 @@
 }
 
 void
-rows_read_owners (struct mq_owner *owner, const struct mq_store_result *result)
+rows_apply_owners (struct mq_owner *owner,
+                   const struct mq_store_result *result)
 {
   static const char prefix[] = "owner/";
 
   for (size_t i = 0; i < result->row_count; i++)
-    read_owner_row (owner, result->rows[i].key + sizeof prefix - 1,
-                    &result->rows[i]);
+    apply_owner_row (owner, result->rows[i].key + sizeof prefix - 1,
+                     &result->rows[i]);
   if (result->more && result->row_count > 0)
     {
       mq_text_set (owner, &owner->owners_after,
@@ -132,12 +134,12 @@
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     if (!s->seen)
       s->row_known = false;
-  peers_find_eligible (owner);
+  peers_update_eligible (owner);
 }
 
 void
-rows_read_partitions (struct mq_owner *owner,
-                      const struct mq_store_result *result)
+rows_apply_partitions (struct mq_owner *owner,
+                       const struct mq_store_result *result)
 {
   for (size_t i = 0; i < result->row_count; i++)
     {
@@ -145,14 +147,14 @@
           = strtoul (result->rows[i].key + strlen ("part/"), NULL, 10);
 
       if (number < owner->partition_count)
-        read_partition_row (owner, &owner->partitions[number],
-                            &result->rows[i]);
+        apply_partition_row (owner, &owner->partitions[number],
+                             &result->rows[i]);
     }
   peers_count_owned (owner);
 }
 
-/* While the store can't be read, nobody's counter can be seen to move;
-   the time of the outage must not count against them.  */
+/* Restarts the lease timers of other hosts: their renewals cannot be observed
+   while the store is unavailable.  */
 void
 rows_scan_failed (struct mq_owner *owner)
 {
@@ -161,9 +163,10 @@
   durable_store_unavailable (owner);
 }
 
-/* This process stood still until NOW_US.  */
+/* Restarts the lease timers of other hosts after this process was paused until
+   NOW_US.  */
 void
-rows_paused (struct mq_owner *owner, uint64_t now_us)
+rows_on_pause (struct mq_owner *owner, uint64_t now_us)
 {
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     s->counter_us = now_us;
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -1,5 +1,5 @@
-/* owner_settle.c - calls whose outcome is not known: seals, lost targets,
-   takeovers.
+/* owner_settle.c - resolves calls whose outcome is unknown: seals, unreachable
+   targets and takeovers.
 
    Needs: owner_parts.h.  */
 
@@ -10,8 +10,8 @@
 /* ---- Settling ---- */
 
 static void
-send_ref (struct mq_owner *owner, struct running *running,
-          enum mq_message_type type)
+send_call_ref (struct mq_owner *owner, struct running *running,
+               enum mq_message_type type)
 {
   struct call *call = running->call;
   struct mq_message message = { .type = type };
@@ -28,12 +28,12 @@
 send_seal (struct mq_owner *owner, struct running *running)
 {
   owner->counters.seals_sent++;
-  send_ref (owner, running, MQ_MSG_SEAL);
+  send_call_ref (owner, running, MQ_MSG_SEAL);
 }
 
 void
-settle_sealed (struct mq_owner *owner, struct target *target,
-               const struct mq_sealed_msg *sealed)
+settle_on_seal_reply (struct mq_owner *owner, struct target *target,
+                      const struct mq_sealed_msg *sealed)
 {
   struct running *running = chain_find (owner, sealed->ref.program);
 
@@ -43,14 +43,14 @@
   switch (sealed->answer)
     {
     case MQ_SEAL_DONE:
-      /* The outcome came before this on the same connection and was
-         accepted; if it was not, it is asked for again on a tick.  */
+      /* The outcome preceded this reply on the same connection.  If it was not
+         accepted, a later tick requests it again.  */
       break;
     case MQ_SEAL_RUNNING:
       running->call->state = CALL_SENT;
       break;
     case MQ_SEAL_SEALED:
-      place_leave_target (owner, running);
+      place_detach_target (owner, running);
       calls_fail_or_retry (owner, running, MQ_ERR_SEALED, MQ_RAN_NOT_RUN, 0,
                            NULL);
       break;
@@ -63,8 +63,8 @@
 /* ---- Connections ---- */
 
 static void
-target_is_back (struct mq_owner *owner, struct running *running,
-                struct target *target)
+resume_at_target (struct mq_owner *owner, struct running *running,
+                  struct target *target)
 {
   struct call *call = running->call;
 
@@ -73,14 +73,15 @@
     return;
   if (target->boot == call->boot)
     {
-      /* The same attempt again: if its frame was lost it is taken now, else
-         the process answers from its table.  */
+      /* Resends the same attempt.  The target's process starts the call if it
+         never received it; otherwise it replies with the state that it has
+         recorded.  */
       if (call->state == CALL_SENT)
         {
           place_send_call (owner, running);
-          /* The lease was lost with it.  */
+          /* The cache lease may have been lost with the call.  */
           if (call->model)
-            evict_lease (owner, running, target);
+            evict_send_lease (owner, running, target);
         }
       else
         send_seal (owner, running);
@@ -91,15 +92,15 @@
       calls_fail_unknown (owner, running);
       return;
     }
-  place_abandon (owner, running);
+  place_abandon_attempt (owner, running);
   calls_retry_call (owner, running, 0);
 }
 
-/* Programs with a call at TARGET, listed first because going on with one
-   may change the map.  */
+/* Returns the programs that have a call at TARGET.  They are collected first,
+   since resuming a program may change the map.  */
 static struct running **
-list_at_target (struct mq_owner *owner, const struct target *target,
-                size_t *count)
+find_programs_at_target (struct mq_owner *owner, const struct target *target,
+                         size_t *count)
 {
   struct running **list
       = talloc_array (owner->actions, struct running *,
@@ -115,21 +116,21 @@
 }
 
 void
-settle_target_up (struct mq_owner *owner, struct target *target)
+settle_on_target_up (struct mq_owner *owner, struct target *target)
 {
   size_t count;
-  struct running **list = list_at_target (owner, target, &count);
+  struct running **list = find_programs_at_target (owner, target, &count);
 
   for (size_t i = 0; i < count; i++)
     if (list[i]->partition->state == PARTITION_ACTIVE)
-      target_is_back (owner, list[i], target);
+      resume_at_target (owner, list[i], target);
 }
 
 void
-settle_target_down (struct mq_owner *owner, struct target *target)
+settle_on_target_down (struct mq_owner *owner, struct target *target)
 {
   size_t count;
-  struct running **list = list_at_target (owner, target, &count);
+  struct running **list = find_programs_at_target (owner, target, &count);
 
   for (size_t i = 0; i < count; i++)
     {
@@ -140,7 +141,7 @@
 }
 
 static void
-tick_down (struct mq_owner *owner, struct running *running)
+check_unreachable (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
   uint64_t down_ms = (owner->now_us - call->down_us) / 1000;
@@ -150,7 +151,7 @@
     {
       if (down_ms < MQ_ATTEMPT_RESEND_MS)
         return;
-      place_abandon (owner, running);
+      place_abandon_attempt (owner, running);
       calls_retry_call (owner, running, 0);
       return;
     }
@@ -159,7 +160,7 @@
 }
 
 static void
-tick_overdue (struct mq_owner *owner, struct running *running)
+check_timeout (struct mq_owner *owner, struct running *running)
 {
   struct call *call = running->call;
   uint64_t limit_us
@@ -168,13 +169,13 @@
   if (call->service->timeout_ms == 0
       || owner->now_us - call->sent_us < limit_us)
     return;
-  /* Its process should have given up by itself.  Ask again for what
-     became of it; the answer is the outcome or the call's settlement.  */
+  /* The target's process should have timed out by now; requests the state of
+     the attempt.  The reply is its outcome or a seal result.  */
   call->sent_us = owner->now_us;
   if (call->idempotent)
     {
-      send_ref (owner, running, MQ_MSG_CANCEL);
-      place_abandon (owner, running);
+      send_call_ref (owner, running, MQ_MSG_CANCEL);
+      place_abandon_attempt (owner, running);
       calls_retry_call (owner, running, 0);
       return;
     }
@@ -192,18 +193,19 @@
   switch (call->state)
     {
     case CALL_AWAITING_WORKER:
-      /* An earlier wake of the program may have taken this one's place.  */
+      /* A program has a single timer; an earlier deadline may have replaced
+         this one.  */
       if (owner->now_us < call->retry_us)
         owner_set_timer (owner, running, call->retry_us);
       else
-        place_continue (owner, running);
+        place_retry (owner, running);
       break;
     case CALL_SENT:
     case CALL_SEALING:
       if (call->down_us != 0)
-        tick_down (owner, running);
+        check_unreachable (owner, running);
       else
-        tick_overdue (owner, running);
+        check_timeout (owner, running);
       break;
     case CALL_AWAITING_GRANT:
     case CALL_AWAITING_INTENT:
@@ -215,7 +217,7 @@
     owner_set_timer (owner, running, owner->now_us + 1000000);
 }
 
-/* True when nothing can be under way any more at once.  */
+/* Returns true if no attempt of the current call can still be running.  */
 bool
 settle_cancel (struct mq_owner *owner, struct running *running)
 {
@@ -228,23 +230,23 @@
     case CALL_SENT:
       if (!call->idempotent)
         {
-          /* To cut it short would leave its effect unknown.  If it has not
-             begun it is refused for good, else its end is awaited.  */
+          /* Interrupting the call would leave its effect unknown.  Sealing
+             prevents it from starting; if it has already started, its outcome
+             is awaited.  */
           call->state = CALL_SEALING;
           send_seal (owner, running);
           return false;
         }
-      send_ref (owner, running, MQ_MSG_CANCEL);
+      send_call_ref (owner, running, MQ_MSG_CANCEL);
       if (call->down_us == 0)
-        return false; /* the outcome tells what it spent */
-      place_abandon (owner, running);
+        return false; /* the outcome reports the tokens spent */
+      place_abandon_attempt (owner, running);
       break;
     case CALL_SEALING:
     case CALL_IN_SUBPROGRAM:
       return false;
     case CALL_AWAITING_INTENT:
-      /* Not sent, and it won't be.  */
-      place_leave_target (owner, running);
+      place_detach_target (owner, running);
       break;
     case CALL_AWAITING_GRANT:
     case CALL_AWAITING_WORKER:
@@ -257,8 +259,8 @@
 /* ---- Takeover ---- */
 
 void
-settle_adopt (struct mq_owner *owner, struct target *target,
-              struct mq_call_ref ref, uint32_t partition_number)
+settle_reported_attempt (struct mq_owner *owner, struct target *target,
+                         struct mq_call_ref ref, uint32_t partition_number)
 {
   struct running *running = chain_find (owner, ref.program);
   struct partition *partition = &owner->partitions[partition_number];
@@ -272,15 +274,15 @@
   if (partition->state != PARTITION_ACTIVE
       || (running != NULL && calls_matches (running, target, ref)))
     return;
-  /* Nobody waits for it.  */
+  /* No program needs this attempt.  */
   message.u.ref.ref = ref;
   message.u.ref.partition = partition_number;
   message.u.ref.fence = partition->fence;
   hosts_send (owner, target, &message);
 }
 
-/* The attempt that the intent names: its outcome, good or bad, is the only
-   knowledge of whether the call ran.  */
+/* Whether R is the attempt that the durable intent names.  Only its outcome,
+   success or failure, shows whether the call ran.  */
 static bool
 is_intended (const struct running *running, const struct recovered *r)
 {
@@ -302,7 +304,7 @@
 }
 
 static const struct recovered *
-best_recovered (const struct running *running)
+choose_recovered (const struct running *running)
 {
   const struct recovered *best = NULL;
 
@@ -313,17 +315,18 @@
   return best;
 }
 
-/* An attempt of the earlier owner that is of no use: its tokens are
-   charged, what still runs is cancelled.  */
+/* Discards a previous owner's attempt: charges the tokens of a completed one,
+   cancels a running one.  */
 static void
-discard_one (struct mq_owner *owner, struct running *running,
-             const struct recovered *r)
+discard_attempt (struct mq_owner *owner, struct running *running,
+                 const struct recovered *r)
 {
   if (is_intended (running, r))
     return;
   if (r->running)
     {
-      settle_adopt (owner, r->target, r->ref, running->partition->number);
+      settle_reported_attempt (owner, r->target, r->ref,
+                               running->partition->number);
       return;
     }
   if (!running->forfeited && r->ref.call > running->program->calls
@@ -337,20 +340,20 @@
 }
 
 static void
-discard_recovered (struct mq_owner *owner, struct running *running,
-                   const struct recovered *used)
+discard_recovered_attempts (struct mq_owner *owner, struct running *running,
+                            const struct recovered *used)
 {
   for (struct recovered *r = running->recovered; r != NULL; r = r->next)
     if (r != used)
-      discard_one (owner, running, r);
+      discard_attempt (owner, running, r);
 }
 
 void
-settle_intent (struct mq_owner *owner, struct running *running)
+settle_logged_intent (struct mq_owner *owner, struct running *running)
 {
   const struct mq_intent *intent = &running->program->intent;
   struct call *call = running->call;
-  struct target *target = hosts_target_named (owner, intent->host);
+  struct target *target = hosts_get_target (owner, intent->host);
 
   call->attempt = intent->attempt;
   call->boot = intent->boot;
@@ -363,7 +366,7 @@
       return;
     }
   call->target = target;
-  place_count (owner, call, 1);
+  place_adjust_load (owner, call, 1);
   if (target->peer == 0)
     {
       call->down_us = owner->now_us;
@@ -380,8 +383,8 @@
 }
 
 static void
-take_up_running (struct mq_owner *owner, struct running *running,
-                 const struct recovered *best)
+attach_running_attempt (struct mq_owner *owner, struct running *running,
+                        const struct recovered *best)
 {
   struct call *call = running->call;
 
@@ -391,50 +394,53 @@
   call->state = CALL_SENT;
   call->sent_us = owner->now_us;
   call->already_charged = running->forfeited;
-  place_count (owner, call, 1);
+  place_adjust_load (owner, call, 1);
   if (call->model)
     {
       call->reserved = call->already_charged ? 0 : call->max_tokens;
       budget_reserve (running, call->reserved);
-      place_remember_cache (owner, running, call->target);
+      place_record_cache (owner, running, call->target);
     }
   owner_set_timer (owner, running, owner->now_us + 1000000);
 }
 
-/* Failure: an attempt of the earlier owner that we have no use for still runs;
-   we cancel it, our next call voids it, and what it spent by then is charged
-   by nobody.  Nobody can know that yet, so what was granted counts as spent,
-   to the programs that it is part of as well.  */
+/* Forfeits granted tokens if an unused attempt of the previous owner is still
+   running.  It is cancelled, and the next call supersedes it at the target, so
+   its tokens could go uncharged.  The amount is not known yet: the whole grant
+   counts as spent, also for the parent programs.  */
 static void
-forfeit_running (struct mq_owner *owner, struct running *running,
-                 const struct recovered *used)
+forfeit_unused_attempts (struct mq_owner *owner, struct running *running,
+                         const struct recovered *used)
 {
-  bool runs = false;
+  bool still_running = false;
 
   for (const struct recovered *r = running->recovered; r != NULL; r = r->next)
-    runs = runs || (r != used && r->running && !is_intended (running, r));
-  for (struct running *up = running; runs && up != NULL; up = up->parent)
-    budget_forfeit (owner, up);
+    still_running = still_running
+                    || (r != used && r->running && !is_intended (running, r));
+  for (struct running *ancestor = running; still_running && ancestor != NULL;
+       ancestor = ancestor->parent)
+    budget_forfeit (owner, ancestor);
 }
 
-/* Goes on with a program after a takeover, where it stood.  */
+/* Resumes a program after a takeover.  */
 void
-settle_resume (struct mq_owner *owner, struct running *running)
+settle_resume_program (struct mq_owner *owner, struct running *running)
 {
-  const struct recovered *best = best_recovered (running);
+  const struct recovered *best = choose_recovered (running);
   bool stepwise = running->program->mode == MQ_MODE_STEPS;
-  uint32_t attempts = 0; /* of the call that is due, by earlier owners */
+  uint32_t attempts = 0; /* attempts of the next call by previous owners */
 
-  /* A caller-driven call is known only by the request that the caller
-     repeats; then it is placed anew, or settled if it had an intent.  */
+  /* A caller-driven call is known only from its request, which the caller
+     repeats.  It is then dispatched again, or resolved if it had an
+     intent.  */
   if (running->program->state != MQ_PROGRAM_RUNNING || stepwise)
     best = NULL;
   for (const struct recovered *r = running->recovered; r != NULL; r = r->next)
     if (r->ref.call == running->program->calls + 1
         && r->ref.attempt > attempts)
       attempts = r->ref.attempt;
-  forfeit_running (owner, running, best);
-  discard_recovered (owner, running, best);
+  forfeit_unused_attempts (owner, running, best);
+  discard_recovered_attempts (owner, running, best);
   if (running->program->state == MQ_PROGRAM_RUNNING && !stepwise)
     {
       budget_start_clock (owner, running);
@@ -446,29 +452,30 @@
               running->call->target = best->target;
               running->call->attempt = best->ref.attempt;
               running->call->already_charged = running->forfeited;
-              place_count (owner, running->call, 1);
+              place_adjust_load (owner, running->call, 1);
               calls_accept_outcome (owner, running, &best->outcome);
               best = NULL;
             }
           else if (running->program->intent.call == running->call->number)
-            settle_intent (owner, running);
+            settle_logged_intent (owner, running);
           else if (best != NULL)
             {
-              take_up_running (owner, running, best);
+              attach_running_attempt (owner, running, best);
               best = NULL;
             }
           else
             {
-              /* A number of its own, or its frame passes for a late copy.  */
+              /* Continues the attempt numbers.  A reused number would be
+                 treated as a duplicate by the target.  */
               running->call->attempt = attempts;
               place_call (owner, running);
             }
         }
     }
-  /* Failure: the program ended instead, its budget forfeited, and the one
-     outcome that it might have used stayed at the target's process, which
-     then held the program's cache for ever and could not drain.  */
+  /* The program ended without using the outcome, for example because its
+     budget was forfeited.  Without FORGET the target's process would retain
+     the outcome and the program's cache, and could not drain.  */
   if (best != NULL)
-    discard_one (owner, running, best);
+    discard_attempt (owner, running, best);
   running->recovered = NULL;
 }
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -1,10 +1,10 @@
-/* owner_take.c - which partitions this host owns: takeover and hand-over.
+/* owner_take.c - partition ownership: takeover, loss and hand-over.
 
-   A host that seems to be gone is only a hint.  Whoever raises the fence in
-   the partition's row by compare-and-swap owns it; the old owner's commits
-   then fail on the row's version and its calls on the fence that targets'
-   processes have seen.
-   Needs: owner_parts.h, id.h, proto/log.pb-c.h.  */
+   Liveness of another host is only a hint.  Ownership is decided by raising
+   the fence (fencing token) in the partition's row by compare-and-swap.  After
+   that, commits of the previous owner fail on the row's version, and its calls
+   are rejected by target processes that have seen the new fence. Needs:
+   owner_parts.h, id.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
 #include "../id.h"
@@ -15,7 +15,7 @@
 /* ---- Losing and releasing ---- */
 
 static void
-drop_programs (struct mq_owner *owner, struct partition *partition)
+unload_programs (struct mq_owner *owner, struct partition *partition)
 {
   struct running *running;
   size_t position = 0;
@@ -25,7 +25,7 @@
   while ((running = mq_idmap_next (partition->programs, &position)) != NULL)
     {
       events_detach (owner, running);
-      place_drop (owner, running);
+      place_discard_call (owner, running);
       if (running->program->state != MQ_PROGRAM_ENDED)
         chain_count_live (owner, running, -1);
       mq_idmap_remove (owner->running, running->program->id, 0);
@@ -35,7 +35,7 @@
 }
 
 void
-take_forget_partition (struct mq_owner *owner, struct partition *partition)
+take_unload_partition (struct mq_owner *owner, struct partition *partition)
 {
   if (partition->state == PARTITION_CLAIMING
       || partition->state == PARTITION_READING
@@ -45,16 +45,16 @@
   partition->state = PARTITION_NOT_OWNED;
   partition->read_id = 0;
   partition->takeover = NULL;
-  drop_programs (owner, partition);
+  unload_programs (owner, partition);
 }
 
 void
-take_lose (struct mq_owner *owner, struct partition *partition)
+take_on_lost (struct mq_owner *owner, struct partition *partition)
 {
   owner->counters.partitions_lost++;
   owner_state (owner, MQ_STATE_PARTITION_LOST, partition->number, "");
-  log_drop_hooks (owner, partition);
-  take_forget_partition (owner, partition);
+  log_cancel_hooks (owner, partition);
+  take_unload_partition (owner, partition);
   partition->row_known = false;
   partition->row_version = 0;
   mq_text_set (owner->partitions, &partition->owner, "");
@@ -62,7 +62,7 @@
 }
 
 void
-take_released (struct mq_owner *owner, struct partition *partition)
+take_on_released (struct mq_owner *owner, struct partition *partition)
 {
   struct sibling *successor = peers_find_successor (owner, partition);
   struct mq_message message = { .type = MQ_MSG_HANDOVER };
@@ -70,11 +70,11 @@
 
   owner_state (owner, MQ_STATE_PARTITION_RELEASED, number,
                successor == NULL ? "" : successor->host);
-  /* Callers that are sent away are told where to ask next.  */
+  /* Redirects the program's callers to the successor.  */
   mq_text_set (owner->partitions, &partition->owner, "");
   mq_text_set (owner->partitions, &partition->address,
                successor == NULL ? "" : successor->address);
-  take_forget_partition (owner, partition);
+  take_unload_partition (owner, partition);
   partition->unowned_us = owner->now_us;
   if (successor == NULL)
     return;
@@ -87,7 +87,8 @@
 }
 
 void
-take_handover (struct mq_owner *owner, const struct mq_handover_msg *handover)
+take_on_handover (struct mq_owner *owner,
+                  const struct mq_handover_msg *handover)
 {
   for (size_t i = 0; i < handover->partition_count; i++)
     {
@@ -95,7 +96,8 @@
 
       if (number >= owner->partition_count)
         continue;
-      /* Its row must be read first: the claim is conditional on it.  */
+      /* The claim is conditional on the row's version, so scan the row
+         first.  */
       owner->partitions[number].unowned_us = 1;
     }
   owner->next_scan_us = owner->now_us;
@@ -103,8 +105,9 @@
 
 /* ---- Claiming ---- */
 
-/* Calls may go out under the new fence before its first batch: whoever takes
-   over next must ask the targets of this run too.  */
+/* Adds this run to the partition's senders.  Calls may be sent under the new
+   fence before the first batch commits, so the next owner must recover
+   attempts from this run's targets too.  */
 static void
 add_sender (struct mq_owner *owner, struct partition *partition)
 {
@@ -156,28 +159,29 @@
 }
 
 static bool
-owner_seems_gone (struct mq_owner *owner, const struct partition *partition)
+owner_is_presumed_dead (struct mq_owner *owner,
+                        const struct partition *partition)
 {
   struct sibling *sibling;
 
   if (!partition->row_known || partition->owner[0] == '\0')
     return true;
   if (strcmp (partition->owner, owner->options.host) == 0)
-    return true; /* an earlier run of this process */
-  sibling = hosts_sibling_named (owner, partition->owner, false);
+    return true; /* a previous run of this process */
+  sibling = hosts_get_sibling (owner, partition->owner, false);
   if (sibling == NULL || !sibling->row_known)
     return true;
-  /* A new run of that process holds nothing of the earlier one.  */
+  /* A restarted process does not keep the partitions of its previous run.  */
   if (sibling->boot != partition->owner_boot)
     return true;
-  /* One that leaves, or may no longer own, gives its partitions up by
-     itself as long as it lives.  Failure: it dies before it has; its row
-     then stands still like any other dead owner's.  */
-  return !peers_renews (owner, sibling);
+  /* A host that is leaving or no longer eligible releases its partitions by
+     itself while it is alive.  If it dies first, it stops renewing its row and
+     the claim proceeds.  */
+  return !peers_is_renewing (owner, sibling);
 }
 
 void
-take_consider_claim (struct mq_owner *owner, struct partition *partition)
+take_claim_if_due (struct mq_owner *owner, struct partition *partition)
 {
   uint32_t rank;
   uint64_t wait_us;
@@ -185,7 +189,7 @@
   if (partition->state != PARTITION_NOT_OWNED
       || owner->now_us < partition->retry_us)
     return;
-  if (!owner_seems_gone (owner, partition))
+  if (!owner_is_presumed_dead (owner, partition))
     {
       partition->unowned_us = 0;
       return;
@@ -195,7 +199,7 @@
   if (owner->claiming >= MQ_TAKEOVERS_MAX)
     return;
   rank = peers_own_rank (owner, partition);
-  if (peers_count_ours (owner) >= peers_fair_share (owner))
+  if (peers_count_own (owner) >= peers_fair_share (owner))
     rank += owner->live_hosts;
   wait_us = 1000ULL * MQ_OWNER_RANK_MS * rank;
   if (owner->now_us - partition->unowned_us < wait_us)
@@ -204,8 +208,8 @@
 }
 
 void
-take_claim_result (struct mq_owner *owner, struct partition *partition,
-                   const struct mq_store_result *result)
+take_on_claim_result (struct mq_owner *owner, struct partition *partition,
+                      const struct mq_store_result *result)
 {
   partition->read_id = 0;
   if (result->status == MQ_STORE_OK && result->row_count == 1)
@@ -226,7 +230,8 @@
     }
   if (result->status == MQ_STORE_DOWN || result->status == MQ_STORE_LOST)
     durable_store_unavailable (owner);
-  /* Lost or too late: the next scan shows who owns it, perhaps we.  */
+  /* The claim failed or its result is unknown; the next scan shows the owner,
+     which may be this host.  */
   owner->claiming--;
   partition->state = PARTITION_NOT_OWNED;
   partition->retry_us
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -1,4 +1,5 @@
-/* owner_tick.c - what an owner does as time passes: renewals, scans, balance.
+/* owner_tick.c - periodic work of an owner: lease renewals, scans,
+   confirmation reads and rebalancing.
 
    Needs: owner_parts.h, id.h.  */
 
@@ -8,8 +9,9 @@
 
 enum
 {
-  SCAN_HOSTS_PER_STEP = 20, /* more hosts scan less often each */
-  /* At least; a short lease leaves little time for a slow store.  */
+  /* Each group of this many hosts adds MQ_OWNER_SCAN_MS to the interval.  */
+  HOSTS_PER_SCAN_INTERVAL = 20,
+  /* Minimum rates; they leave time for a slow store within a lease.  */
   RENEWALS_PER_LEASE = 2,
   SCANS_PER_LEASE = 2
 };
@@ -41,10 +43,9 @@
   op->value.len = mqlog__owner_row__pack (&row, op->value.data);
 }
 
-/* Calls go only to runs of targets' processes that are in this row.  Failure:
-   a program spends its budget twice after a takeover, since the new owner
-   believed that it had heard from everyone.  With the row it knows whom it
-   must hear, and that a process that was restarted since can't tell.  */
+/* Writes the runs of targets' processes that calls may be sent to.  A new
+   owner must hear from every run in this row, or counts the grants as spent.
+   If a run were missing, its tokens could be spent twice after a takeover.  */
 static void
 send_targets (struct mq_owner *owner)
 {
@@ -88,7 +89,7 @@
 }
 
 static void
-targets_result (struct mq_owner *owner, enum mq_store_status status)
+on_targets_written (struct mq_owner *owner, enum mq_store_status status)
 {
   owner->targets_id = 0;
   if (status != MQ_STORE_OK)
@@ -100,7 +101,7 @@
   for (struct target *t = owner->targets; t != NULL; t = t->next)
     {
       t->durable_boot = t->sent_boot;
-      hosts_target_usable (owner, t);
+      hosts_on_target_usable (owner, t);
     }
 }
 
@@ -118,38 +119,39 @@
   request->limit = MQ_PARTITIONS_MAX;
 }
 
-/* Whether others may wait for this host's row to stand still.  */
+/* Whether other hosts may rely on this host's row being renewed.  */
 static bool
-is_owner (const struct mq_owner *owner)
+may_hold_partitions (const struct mq_owner *owner)
 {
-  return owner->eligible || peers_count_ours (owner) > 0;
+  return owner->eligible || peers_count_own (owner) > 0;
 }
 
-/* The rows of those that may not own only say that they are there.  */
+/* Ineligible hosts only announce their presence, so they renew less often.  */
 static uint32_t
-renew_ms (const struct mq_owner *owner)
+renew_interval_ms (const struct mq_owner *owner)
 {
   uint32_t ms = owner->text->lease_ms / RENEWALS_PER_LEASE;
 
-  if (!owner->leaving && !is_owner (owner))
+  if (!owner->leaving && !may_hold_partitions (owner))
     return MQ_OWNER_STANDBY_MS;
   return ms < MQ_OWNER_RENEW_MS ? ms : MQ_OWNER_RENEW_MS;
 }
 
-/* Failure: an owner that reads the rows less often than a lease lasts sees
-   every other one stand still in between, and takes partitions over from
-   the living.  So owners read at least twice in a lease, however many hosts
-   there are; those that may not own only look where to send callers.  */
+/* Hosts that may hold partitions scan at least SCANS_PER_LEASE times per
+   lease.  At a lower rate every other owner would seem to have stopped
+   renewing, and partitions of live owners would be claimed.  Ineligible hosts
+   scan only to redirect callers.  */
 static uint32_t
-scan_ms (const struct mq_owner *owner)
+scan_interval_ms (const struct mq_owner *owner)
 {
   uint32_t hosts = 1;
   uint32_t ms;
 
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
     hosts++;
-  ms = MQ_OWNER_SCAN_MS * (1 + hosts / SCAN_HOSTS_PER_STEP);
-  if (is_owner (owner) && ms > owner->text->lease_ms / SCANS_PER_LEASE)
+  ms = MQ_OWNER_SCAN_MS * (1 + hosts / HOSTS_PER_SCAN_INTERVAL);
+  if (may_hold_partitions (owner)
+      && ms > owner->text->lease_ms / SCANS_PER_LEASE)
     ms = owner->text->lease_ms / SCANS_PER_LEASE;
   return ms;
 }
@@ -161,7 +163,9 @@
 
   owner->next_scan_us
       = owner->now_us
-        + 1000ULL * owner_jitter_ms (owner, scan_ms (owner), 0, UINT32_MAX);
+        + 1000ULL
+              * owner_jitter_ms (owner, scan_interval_ms (owner), 0,
+                                 UINT32_MAX);
   owner->counters.store_reads += 2;
   TALLOC_FREE (owner->owners_after);
   for (struct sibling *s = owner->siblings; s != NULL; s = s->next)
@@ -174,11 +178,11 @@
   request->limit = MQ_PARTITIONS_MAX;
 }
 
-/* Reads the partitions' rows for the answers that wait for it.  Owners take
-   turns by a pause that grows with their number, so that all of them
-   together leave the store's reads to others.  */
+/* Reads the partition rows to confirm ownership for queued replies.  The
+   interval grows with the number of owners to limit the total read rate of the
+   store.  */
 static void
-send_confirm (struct mq_owner *owner)
+send_confirmation_read (struct mq_owner *owner)
 {
   struct mq_store_request *request;
 
@@ -193,7 +197,8 @@
 }
 
 static void
-confirm_result (struct mq_owner *owner, const struct mq_store_result *result)
+on_confirmation_read (struct mq_owner *owner,
+                      const struct mq_store_result *result)
 {
   owner->confirm_id = 0;
   if (result->status != MQ_STORE_OK)
@@ -202,22 +207,22 @@
       return;
     }
   durable_store_up (owner);
-  rows_read_partitions (owner, result);
-  events_confirmed (owner, owner->confirm_sent_us);
+  rows_apply_partitions (owner, result);
+  events_on_confirmed (owner, owner->confirm_sent_us);
 }
 
 void
-tick_confirm (struct mq_owner *owner)
+tick_start_confirmation (struct mq_owner *owner)
 {
   if (owner->replies != NULL && owner->confirm_id == 0
       && owner->now_us >= owner->next_confirm_us)
-    send_confirm (owner);
+    send_confirmation_read (owner);
 }
 
-/* Gives up one partition a while when this host holds more than its share,
-   so that a host that comes back gets work again.  */
+/* Releases one partition per MQ_BALANCE_MS if this host holds more than its
+   share, so that hosts that joined or returned receive partitions.  */
 static void
-balance (struct mq_owner *owner)
+rebalance (struct mq_owner *owner)
 {
   if (owner->now_us < owner->release_us || !owner->scanned)
     return;
@@ -225,7 +230,7 @@
   if (!owner->leaving
       && (owner->claiming > 0
           || (owner->eligible
-              && peers_count_ours (owner) <= peers_fair_share (owner))))
+              && peers_count_own (owner) <= peers_fair_share (owner))))
     return;
   for (uint32_t i = 0; i < owner->partition_count; i++)
     {
@@ -245,7 +250,7 @@
 }
 
 static void
-release_all (struct mq_owner *owner)
+release_all_partitions (struct mq_owner *owner)
 {
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (owner->partitions[i].state == PARTITION_ACTIVE)
@@ -271,11 +276,11 @@
     case PARTITION_NOT_OWNED:
       if (!owner->leaving && owner->eligible && owner->renewed
           && owner->scanned)
-        take_consider_claim (owner, partition);
+        take_claim_if_due (owner, partition);
       break;
     case PARTITION_READING:
       if (partition->read_id == 0 && owner->now_us >= partition->retry_us)
-        read_next (owner, partition);
+        read_send_next (owner, partition);
       break;
     case PARTITION_RECOVERING:
       if (owner->now_us >= partition->takeover->recovery_deadline_us)
@@ -295,30 +300,31 @@
     return;
   if (owner->renew_id == 0 && owner->now_us >= owner->next_renew_us)
     {
-      owner->next_renew_us = owner->now_us + 1000ULL * renew_ms (owner);
+      owner->next_renew_us
+          = owner->now_us + 1000ULL * renew_interval_ms (owner);
       send_renewal (owner);
     }
-  hosts_formers_tick (owner);
+  hosts_expire_former_runs (owner);
   if (owner->targets_dirty && owner->targets_id == 0
       && owner->now_us >= owner->targets_retry_us)
     send_targets (owner);
   if (owner->owners_scan_id == 0 && owner->partitions_scan_id == 0
       && owner->now_us >= owner->next_scan_us)
     send_scans (owner);
-  tick_confirm (owner);
-  events_unconfirmed (owner);
+  tick_start_confirmation (owner);
+  events_fail_overdue_replies (owner);
   peers_count_owned (owner);
   for (uint32_t i = 0; i < owner->partition_count; i++)
     partition_tick (owner, &owner->partitions[i]);
   if (owner->leaving)
-    release_all (owner);
+    release_all_partitions (owner);
   else
-    balance (owner);
+    rebalance (owner);
 }
 
 static void
-scan_result (struct mq_owner *owner, const struct mq_store_result *result,
-             bool owners)
+on_scan_result (struct mq_owner *owner, const struct mq_store_result *result,
+                bool owners)
 {
   if (owners)
     owner->owners_scan_id = 0;
@@ -332,12 +338,12 @@
   durable_store_up (owner);
   if (owners)
     {
-      rows_read_owners (owner, result);
+      rows_apply_owners (owner, result);
       if (owner->owners_scan_id == 0)
         owner->owners_scanned_us = owner->now_us;
       return;
     }
-  rows_read_partitions (owner, result);
+  rows_apply_partitions (owner, result);
   if (owner->owners_scanned_us != 0)
     owner->scanned = true;
 }
@@ -348,13 +354,13 @@
 {
   if (result->id == owner->confirm_id)
     {
-      confirm_result (owner, result);
+      on_confirmation_read (owner, result);
       return true;
     }
   if (result->id == owner->owners_scan_id
       || result->id == owner->partitions_scan_id)
     {
-      scan_result (owner, result, result->id == owner->owners_scan_id);
+      on_scan_result (owner, result, result->id == owner->owners_scan_id);
       return true;
     }
   if (result->id == owner->renew_id)
@@ -368,7 +374,7 @@
     }
   if (result->id == owner->targets_id)
     {
-      targets_result (owner, result->status);
+      on_targets_written (owner, result->status);
       return true;
     }
   for (uint32_t i = 0; i < owner->partition_count; i++)
@@ -378,9 +384,9 @@
       if (partition->read_id != result->id)
         continue;
       if (partition->state == PARTITION_CLAIMING)
-        take_claim_result (owner, partition, result);
+        take_on_claim_result (owner, partition, result);
       else if (partition->state == PARTITION_READING)
-        read_result (owner, partition, result);
+        read_on_result (owner, partition, result);
       return true;
     }
   return false;
@@ -389,8 +395,8 @@
 void
 tick_set_partitions (struct mq_owner *owner, uint32_t count)
 {
-  /* The number is fixed for the life of a site: a text that changes it is
-     refused before it comes here.  */
+  /* The partition count is fixed for a site; configurations that change it are
+     rejected earlier.  */
   if (owner->partitions != NULL)
     return;
   owner->partitions = talloc_zero_array (owner, struct partition, count);
@@ -405,29 +411,29 @@
 }
 
 static uint64_t
-earlier (uint64_t a, uint64_t b)
+earlier_us (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
 
 uint64_t
-tick_next (const struct mq_owner *owner)
+tick_next_us (const struct mq_owner *owner)
 {
   uint64_t next = owner->now_us + 250000;
 
   if (owner->text == NULL)
     return next;
   if (owner->renew_id == 0)
-    next = earlier (next, owner->next_renew_us);
+    next = earlier_us (next, owner->next_renew_us);
   if (owner->owners_scan_id == 0 && owner->partitions_scan_id == 0)
-    next = earlier (next, owner->next_scan_us);
+    next = earlier_us (next, owner->next_scan_us);
   if (owner->replies != NULL && owner->confirm_id == 0)
-    next = earlier (next, owner->next_confirm_us);
+    next = earlier_us (next, owner->next_confirm_us);
   if (owner->claiming > 0 || owner->leaving)
-    next = earlier (next, owner->now_us + 20000);
+    next = earlier_us (next, owner->now_us + 20000);
   for (uint32_t i = 0; i < owner->partition_count; i++)
     if (owner->partitions[i].state == PARTITION_NOT_OWNED
         && owner->partitions[i].unowned_us != 0)
-      next = earlier (next, owner->now_us + 50000);
+      next = earlier_us (next, owner->now_us + 50000);
   return next;
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -1,4 +1,4 @@
-/* world.c - the world's queue of events, its hosts, machines and actions.
+/* world.c - event queue, hosts, state machines and their actions.
 
    Needs: world_state.h.  */
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Names.  */
+/* ---- Names ---- */
 
 const char *
 world_step_name (enum world_step step)
@@ -54,13 +54,13 @@
 world_plant_name (enum world_plant plant)
 {
 #define PLANT_NAME(id, name) name,
-  static const char *const names[] = { WORLD_PLANT_LIST (PLANT_NAME) };
+  static const char *const names[] = { WORLD_MUTATION_LIST (PLANT_NAME) };
 #undef PLANT_NAME
 
   return names[plant];
 }
 
-/* What a run shows.  */
+/* ---- Results ---- */
 
 void
 world_trace (struct world *world, const char *format, ...)
@@ -77,8 +77,8 @@
 }
 
 void
-world_violate (struct world *world, enum world_invariant invariant,
-               const char *format, ...)
+world_report_violation (struct world *world, enum world_invariant invariant,
+                        const char *format, ...)
 {
   struct world_report *report = world->report;
   struct world_violation *violation;
@@ -96,7 +96,7 @@
                world_invariant_name (invariant), violation->text);
 }
 
-/* The queue: a binary heap by time, then by order of arrival.  */
+/* ---- Event queue: a binary heap ordered by time, then by insertion ---- */
 
 static bool
 is_before (const struct world_event *a, const struct world_event *b)
@@ -113,7 +113,7 @@
 
   event->type = type;
   event->host = host;
-  if (host != NOBODY)
+  if (host != NO_HOST)
     event->run = world->hosts[host].run;
   return event;
 }
@@ -123,11 +123,12 @@
 {
   size_t place = world->heap_count++;
 
-  if (world->heap_count > world->heap_room)
+  if (world->heap_count > world->heap_capacity)
     {
-      world->heap_room = world->heap_room == 0 ? 256 : 2 * world->heap_room;
+      world->heap_capacity
+          = world->heap_capacity == 0 ? 256 : 2 * world->heap_capacity;
       world->heap = talloc_realloc (world, world->heap, struct world_event *,
-                                    (unsigned int)world->heap_room);
+                                    (unsigned int)world->heap_capacity);
     }
   event->at_us = at_us < world->now_us ? world->now_us : at_us;
   event->number = world->next_number++;
@@ -140,7 +141,7 @@
 }
 
 static struct world_event *
-pop (struct world *world)
+pop_event (struct world *world)
 {
   struct world_event *first = world->heap[0];
   struct world_event *last = world->heap[--world->heap_count];
@@ -165,23 +166,23 @@
 }
 
 uint64_t
-world_delay (struct world *world, uint64_t least_us, uint64_t most_us)
+world_delay (struct world *world, uint64_t min_us, uint64_t max_us)
 {
-  return least_us + mq_random_next (&world->random) % (most_us - least_us + 1);
+  return min_us + mq_random_next (&world->random) % (max_us - min_us + 1);
 }
 
-/* A fault goes on until AT_US.  */
+/* Extends the time until which faults have effects.  */
 void
-world_until (struct world *world, uint64_t at_us)
+world_extend_faults (struct world *world, uint64_t at_us)
 {
-  if (at_us > world->faults_over_us)
-    world->faults_over_us = at_us;
+  if (at_us > world->faults_end_us)
+    world->faults_end_us = at_us;
 }
 
-/* Hosts.  */
+/* ---- Hosts ---- */
 
 bool
-world_runs (const struct world *world, int host, uint32_t run)
+world_is_current_run (const struct world *world, int host, uint32_t run)
 {
   return world->hosts[host].alive && world->hosts[host].run == run;
 }
@@ -198,12 +199,12 @@
               host->owner, mq_id_partition (program, host->text->partitions)))
         return i;
     }
-  return NOBODY;
+  return NO_HOST;
 }
 
-/* Where the front of a host looks up owners.  */
+/* Owner lookup of a host's front.  */
 static const char *
-look_up_owner (const void *data, uint32_t partition)
+find_owner_address (const void *data, uint32_t partition)
 {
   const struct host *host = data;
   const char *address = mq_owner_address (host->owner, partition);
@@ -216,15 +217,15 @@
 static void
 create_entry (struct world *world, struct host *host)
 {
-  struct mq_front_lookup lookup = { look_up_owner, host };
+  struct mq_front_lookup lookup = { find_owner_address, host };
   struct mq_owner_options options = {
     .host = host->name,
     .data_centre = host->data_centre,
     .address = host->address,
     .boot = host->boot,
     .seed = mq_random_next (&world->random),
-    .checkpoint_records = world->low ? LOW_CHECKPOINT_RECORDS : 0,
-    .commit_inline_bytes = world->low ? LOW_INLINE_BYTES : 0,
+    .checkpoint_records = world->small_batches ? SMALL_CHECKPOINT_RECORDS : 0,
+    .commit_inline_bytes = world->small_batches ? SMALL_INLINE_BYTES : 0,
   };
 
   host->owner = mq_owner_create (host->memory, &options);
@@ -252,20 +253,21 @@
   host->gate = mq_gate_create (host->memory, &options);
 }
 
-/* Draws when HOST reads the platform's list next.  */
 static void
-plan_hosts_read (struct world *world, int host)
+schedule_host_list_read (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_HOSTS, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_HOST_LIST, host);
 
   world_push (world, event,
               world->now_us + world_delay (world, 1, HOSTS_READ_US));
 }
 
 static void
-plan_cache_read (struct world *world, int host)
+schedule_cache_read (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_CACHE, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_CACHE_READ, host);
 
   event->index = 0;
   world_push (world, event,
@@ -273,7 +275,7 @@
 }
 
 static void
-plan_tick (struct world *world, int index, enum machine machine)
+schedule_tick (struct world *world, int index, enum machine machine)
 {
   struct host *host = &world->hosts[index];
   struct world_event *event;
@@ -296,9 +298,9 @@
     case MACHINES:
       break;
     }
-  if (next_us >= REST_US)
-    next_us = REST_US;
-  /* Timers of a process are as fine as its event loop: a millisecond.  */
+  if (next_us >= RUN_TIMEOUT_US)
+    next_us = RUN_TIMEOUT_US;
+  /* The event loop's timers have millisecond resolution.  */
   if (next_us < world->now_us + MS)
     next_us = world->now_us + MS;
   if (host->tick_us[machine] >= world->now_us
@@ -310,10 +312,10 @@
   world_push (world, event, next_us);
 }
 
-/* An entry host starts or wakes; if it is the only one that stays, nobody
-   could take anything over until now.  */
+/* Records that an entry host started or woke.  If no other one is available,
+   no takeover was possible before.  */
 static void
-note_somebody (struct world *world, int host)
+record_entry_start (struct world *world, int host)
 {
   int others = 0;
 
@@ -321,7 +323,7 @@
     others += i != host && world->hosts[i].alive && !world->hosts[i].leaving
               && world->hosts[i].paused_until_us <= world->now_us;
   if (host < ENTRIES && others == 0)
-    world->nobody_us = world->now_us;
+    world->no_entry_until_us = world->now_us;
 }
 
 static void
@@ -335,32 +337,32 @@
   host->rebooting = false;
   host->leaving = false;
   host->paused_until_us = 0;
-  host->held = false;
+  host->actions_deferred = false;
   host->alive_us = world->now_us;
   host->version = 0;
-  host->message_fate = FATE_NORMAL;
-  host->store_fate = FATE_NORMAL;
+  host->message_delivery = DELIVERY_NORMAL;
+  host->store_delivery = DELIVERY_NORMAL;
   memset (host->tick_us, 0, sizeof host->tick_us);
   host->memory = talloc_new (world);
   host->spread = mq_spread_create (host->memory, host->name, host->data_centre,
                                    mq_random_next (&world->random));
   world_trace (world, "%s starts", host->name);
-  note_somebody (world, index);
+  record_entry_start (world, index);
   if (host->role == MQ_HOST_ENTRY)
     {
       create_entry (world, host);
-      plan_tick (world, index, MACHINE_OWNER);
-      plan_tick (world, index, MACHINE_FRONT);
+      schedule_tick (world, index, MACHINE_OWNER);
+      schedule_tick (world, index, MACHINE_FRONT);
     }
   else
     {
       create_target (world, host);
-      plan_tick (world, index, MACHINE_GATE);
-      worker_plan_engine (world, index, 0, false, MS);
-      plan_cache_read (world, index);
+      schedule_tick (world, index, MACHINE_GATE);
+      worker_schedule_engine (world, index, 0, false, MS);
+      schedule_cache_read (world, index);
     }
-  plan_tick (world, index, MACHINE_SPREAD);
-  plan_hosts_read (world, index);
+  schedule_tick (world, index, MACHINE_SPREAD);
+  schedule_host_list_read (world, index);
   for (int other = 0; other < HOSTS; other++)
     if (other != index)
       wire_connect_later (world, index, other, world_delay (world, 1, 5 * MS));
@@ -381,7 +383,7 @@
 
   world->ends++;
   if (host->role == MQ_HOST_TARGET)
-    worker_gate_died (world, index);
+    worker_gate_crashed (world, index);
   host->alive = false;
   host->dead_us = world->now_us;
   drop_backlog (host);
@@ -396,39 +398,41 @@
 }
 
 static void
-plan_start (struct world *world, int index, uint64_t in_us)
+schedule_start (struct world *world, int index, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_START, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_HOST_START, NO_HOST);
 
   event->index = index;
   world_push (world, event, world->now_us + in_us);
-  world_until (world, world->now_us + in_us);
+  world_extend_faults (world, world->now_us + in_us);
 }
 
-/* The host's partitions are without an owner from now on; whoever was to
-   take others over may have been this one, so for these it begins anew.  */
+/* Records that the host's partitions have no owner.  Time to take over other
+   unowned partitions restarts too, since this host may have been about to
+   claim them.  */
 static void
-note_unowned (struct world *world, const struct host *host)
+record_unowned (struct world *world, const struct host *host)
 {
   for (uint32_t p = 0; host->owner != NULL && p < PARTITIONS; p++)
     if (mq_owner_owns_partition (host->owner, p) || world->unowned_us[p] != 0)
       world->unowned_us[p] = world->now_us;
 }
 
-/* The process dies, its connections break; it starts again later.  */
+/* Crashes the process, closes its connections and schedules its restart.  */
 void
-world_kill (struct world *world, int index, uint64_t restart_us)
+world_crash (struct world *world, int index, uint64_t restart_us)
 {
   struct host *host = &world->hosts[index];
 
   if (!host->alive)
     return;
-  world_trace (world, "%s dies", host->name);
-  note_unowned (world, host);
+  world_trace (world, "%s crashes", host->name);
+  record_unowned (world, host);
   end_process (world, index);
-  wire_host_died (world, index, false);
-  caller_host_died (world, index);
-  plan_start (world, index, restart_us);
+  wire_host_crashed (world, index, false);
+  caller_host_crashed (world, index);
+  schedule_start (world, index, restart_us);
 }
 
 void
@@ -440,20 +444,20 @@
   if (!host->alive || host->paused_until_us > world->now_us)
     return;
   world_trace (world, "%s is paused", host->name);
-  note_unowned (world, host);
+  record_unowned (world, host);
   host->paused_until_us = world->now_us + pause_us;
-  /* What it was about to do at this very step it does when it wakes.  */
-  host->held = world->acting == index;
-  event = world_event_create (world, EVENT_WAKE, NOBODY);
+  /* Remaining actions of the current step run when the host wakes.  */
+  host->actions_deferred = world->acting == index;
+  event = world_event_create (world, EVENT_HOST_WAKE, NO_HOST);
   event->index = index;
   event->run = host->run;
   world_push (world, event, host->paused_until_us);
-  world_until (world, host->paused_until_us);
+  world_extend_faults (world, host->paused_until_us);
 }
 
-/* A paused host wakes and nobody has taken its partitions.  */
+/* Records partitions that a paused host still owns when it wakes.  */
 static void
-note_still_owned (struct world *world, int host)
+record_still_owned (struct world *world, int host)
 {
   for (uint32_t p = 0; p < PARTITIONS; p++)
     {
@@ -468,16 +472,16 @@
 }
 
 static void
-wake (struct world *world, const struct world_event *event)
+wake_host (struct world *world, const struct world_event *event)
 {
   struct host *host = &world->hosts[event->index];
   size_t count = host->backlog_count;
 
-  if (!world_runs (world, event->index, event->run))
+  if (!world_is_current_run (world, event->index, event->run))
     return;
   world_trace (world, "%s wakes with %zu events", host->name, count);
-  note_still_owned (world, event->index);
-  note_somebody (world, event->index);
+  record_still_owned (world, event->index);
+  record_entry_start (world, event->index);
   host->paused_until_us = 0;
   host->backlog_count = 0;
   for (size_t i = 0; i < count; i++)
@@ -490,9 +494,9 @@
   uint32_t count = 0;
 
   for (int i = 0; i < world->caller_count; i++)
-    count += world->callers[i].state == CALLER_WAITS
+    count += world->callers[i].state == CALLER_WAITING
              && world->callers[i].host == host
-             && world_runs (world, host, world->callers[i].host_run);
+             && world_is_current_run (world, host, world->callers[i].host_run);
   return count;
 }
 
@@ -505,7 +509,7 @@
          && callers_at (world, host->index) == 0;
 }
 
-/* The process ends by itself, as planned.  */
+/* Ends a drained process.  */
 static void
 stop_host (struct world *world, int index)
 {
@@ -515,15 +519,15 @@
 
   world_trace (world, "%s stops", host->name);
   if (calls > 0 || callers > 0)
-    world_violate (world, INVARIANT_PLANNED_STOP,
-                   "%s stops with %u calls and %u callers", host->name, calls,
-                   callers);
+    world_report_violation (world, INVARIANT_PLANNED_STOP,
+                            "%s stops with %u calls and %u callers",
+                            host->name, calls, callers);
   end_process (world, index);
   if (host->role == MQ_HOST_TARGET)
-    worker_host_died (world, index);
-  wire_host_died (world, index, false);
-  caller_host_died (world, index);
-  plan_start (world, index, RESTART_US);
+    worker_host_crashed (world, index);
+  wire_host_crashed (world, index, false);
+  caller_host_crashed (world, index);
+  schedule_start (world, index, RESTART_US);
 }
 
 static void
@@ -536,38 +540,38 @@
     stop_host (world, index);
 }
 
-/* Planned stop of a host.  */
+/* Requests a planned stop of a host.  */
 void
-world_leave (struct world *world, int index)
+world_stop (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
 
   if (!host->alive || host->leaving)
     return;
-  world_trace (world, "%s is to leave", host->name);
+  world_trace (world, "%s is asked to stop", host->name);
   host->leaving = true;
-  host->leave_us = world->now_us + LEAVE_US;
-  world_push (world, world_event_create (world, EVENT_LEAVE, index),
+  host->leave_us = world->now_us + STOP_NOTICE_US;
+  world_push (world, world_event_create (world, EVENT_PLANNED_STOP, index),
               host->leave_us);
 }
 
 static void
-give_leave (struct world *world, int index)
+deliver_stop (struct world *world, int index)
 {
   struct mq_owner_input owner
       = { .type = MQ_OWNER_LEAVE, .now_us = world->now_us };
   struct mq_gate_input gate
       = { .type = MQ_GATE_LEAVE, .now_us = world->now_us };
 
-  if (world->cell->plant == PLANT_STOP_CUTS)
+  if (world->cell->plant == PLANT_STOP_TERMINATES)
     stop_host (world, index);
   else if (world->hosts[index].role == MQ_HOST_ENTRY)
     world_owner_input (world, index, &owner);
-  else if (world->cell->plant != PLANT_LEAVE_HIDDEN)
+  else if (world->cell->plant != PLANT_LEAVE_DROPPED)
     world_gate_input (world, index, &gate);
 }
 
-/* The list of hosts, as it stood a while ago.  */
+/* ---- Host list, updated with a delay ---- */
 
 static bool
 is_listed (const struct world *world, const struct host *host)
@@ -607,17 +611,18 @@
     }
   spread.u.hosts = &list;
   owner.u.hosts = &list;
-  plan_hosts_read (world, index);
+  schedule_host_list_read (world, index);
   world_spread_input (world, index, &spread);
-  if (world_runs (world, index, run) && world->hosts[index].owner != NULL)
+  if (world_is_current_run (world, index, run)
+      && world->hosts[index].owner != NULL)
     world_owner_input (world, index, &owner);
 }
 
-/* Actions of the machines.  */
+/* ---- Actions of the state machines ---- */
 
 static void
-act_send (struct world *world, int host, enum machine machine,
-          const struct mq_action *action)
+run_send_action (struct world *world, int host, enum machine machine,
+                 const struct mq_action *action)
 {
   struct world_event *event;
 
@@ -635,8 +640,8 @@
 }
 
 static void
-act_event (struct world *world, int host, enum machine machine,
-           const struct mq_action *action)
+run_event_action (struct world *world, int host, enum machine machine,
+                  const struct mq_action *action)
 {
   struct mq_message message = { .type = MQ_MSG_FORWARD_EVENT };
   struct world_event *event;
@@ -648,7 +653,8 @@
       return;
     }
   event = world_event_create (
-      world, machine == MACHINE_FRONT ? EVENT_TO_CALLER : EVENT_ANSWER, host);
+      world, machine == MACHINE_FRONT ? EVENT_TO_CALLER : EVENT_OWNER_REPLY,
+      host);
   event->message = talloc_zero (event, struct mq_message);
   mq_message_copy (event->message, event->message, &message);
   world_push (world, event, world->now_us);
@@ -666,10 +672,10 @@
   return names[change];
 }
 
-/* How long it takes is judged where the store can be reached: else nobody
-   can take anything over.  */
+/* Whether the store is available throughout the run.  Otherwise takeover times
+   are not checked.  */
 static bool
-is_store_well (const struct world *world)
+is_store_healthy (const struct world *world)
 {
   static const enum world_fault faults[]
       = { FAULT_STORE_DOWN, FAULT_STORE_SLOW, FAULT_WRITE_LOST,
@@ -683,18 +689,19 @@
   return true;
 }
 
-/* Whoever had the partition last and did not give it up still runs.  */
+/* Counts takeovers from an owner that is running and did not release the
+   partition.  */
 static void
-note_taken (struct world *world, int host, uint64_t partition)
+record_takeover (struct world *world, int host, uint64_t partition)
 {
   int last = world->last_owner[partition];
 
-  if (last != NOBODY && last != host
-      && world_runs (world, last, world->last_run[partition])
+  if (last != NO_HOST && last != host
+      && world_is_current_run (world, last, world->last_run[partition])
       && world->hosts[last].paused_until_us <= world->now_us)
     {
       world->report->taken_alive++;
-      world_trace (world, "%s takes partition %llu from %s, which lives",
+      world_trace (world, "%s takes partition %llu from %s, which is alive",
                    world->hosts[host].name, (unsigned long long)partition,
                    world->hosts[last].name);
     }
@@ -703,45 +710,46 @@
 }
 
 static void
-note_owned (struct world *world, int host, uint64_t partition)
+record_owned (struct world *world, int host, uint64_t partition)
 {
   uint64_t since_us;
 
   if (partition < PARTITIONS)
-    note_taken (world, host, partition);
+    record_takeover (world, host, partition);
   if (partition >= PARTITIONS || world->unowned_us[partition] == 0)
     return;
   since_us = world->unowned_us[partition];
-  if (since_us < world->nobody_us)
-    since_us = world->nobody_us;
+  if (since_us < world->no_entry_until_us)
+    since_us = world->no_entry_until_us;
   since_us = world->now_us - since_us;
   world->unowned_us[partition] = 0;
-  if (!is_store_well (world) || world->replayed)
+  if (!is_store_healthy (world) || world->replayed)
     return;
   if (since_us > world->report->unowned_us)
     world->report->unowned_us = since_us;
-  if (since_us > OWNED_WITHIN_US)
-    world_violate (
-        world, INVARIANT_RESUMED, "partition %llu had no owner for %llu ms",
+  if (since_us > TAKEOVER_DEADLINE_US)
+    world_report_violation (
+        world, INVARIANT_TAKEN_OVER, "partition %llu had no owner for %llu ms",
         (unsigned long long)partition, (unsigned long long)(since_us / MS));
 }
 
 static void
-carry_out (struct world *world, int host, enum machine machine,
-           const struct mq_action *action)
+run_action (struct world *world, int host, enum machine machine,
+            const struct mq_action *action)
 {
   switch (action->type)
     {
     case MQ_ACT_SEND:
-      act_send (world, host, machine, action);
+      run_send_action (world, host, machine, action);
       break;
     case MQ_ACT_STORE:
       store_send (world, host,
-                  machine == MACHINE_OWNER ? ASKER_OWNER : ASKER_SPREAD,
+                  machine == MACHINE_OWNER ? REQUESTER_OWNER
+                                           : REQUESTER_SPREAD,
                   &action->u.store);
       break;
     case MQ_ACT_EVENT:
-      act_event (world, host, machine, action);
+      run_event_action (world, host, machine, action);
       break;
     case MQ_ACT_START:
       worker_start (world, host, &action->u.start);
@@ -757,9 +765,9 @@
       break;
     case MQ_ACT_STATE:
       if (action->u.state.change == MQ_STATE_PARTITION_OWNED)
-        note_owned (world, host, action->u.state.number);
+        record_owned (world, host, action->u.state.number);
       if (action->u.state.change == MQ_STATE_PARTITION_RELEASED)
-        world->last_owner[action->u.state.number % PARTITIONS] = NOBODY;
+        world->last_owner[action->u.state.number % PARTITIONS] = NO_HOST;
       world_trace (world, "%s: %s %llu %s", world->hosts[host].name,
                    state_name (action->u.state.change),
                    (unsigned long long)action->u.state.number,
@@ -771,11 +779,11 @@
     }
 }
 
-/* Carries the actions out one by one.  The process may die or be paused
-   between any two; what is left then is lost, or waits for it to wake.  */
+/* Runs the actions in order.  The process may crash or be paused between two
+   actions; the remaining ones are then lost or delayed until it wakes.  */
 static void
-carry_out_from (struct world *world, int index, enum machine machine,
-                struct mq_actions *actions, size_t next)
+run_actions_from (struct world *world, int index, enum machine machine,
+                  struct mq_actions *actions, size_t next)
 {
   struct host *host = &world->hosts[index];
   uint32_t run = host->run;
@@ -783,11 +791,11 @@
 
   for (; next < actions->count; next++)
     {
-      if (!world_runs (world, index, run))
+      if (!world_is_current_run (world, index, run))
         break;
       if (host->paused_until_us > world->now_us)
         {
-          event = world_event_create (world, EVENT_RESUME, index);
+          event = world_event_create (world, EVENT_ACTIONS_RESUME, index);
           event->machine = machine;
           event->actions = talloc_steal (event, actions);
           event->action_next = next;
@@ -795,11 +803,11 @@
           return;
         }
       world->acting = index;
-      carry_out (world, index, machine, &actions->items[next]);
-      world->acting = NOBODY;
-      if (host->held)
+      run_action (world, index, machine, &actions->items[next]);
+      world->acting = NO_HOST;
+      if (host->actions_deferred)
         next--;
-      host->held = false;
+      host->actions_deferred = false;
     }
   talloc_free (actions);
 }
@@ -810,9 +818,9 @@
 {
   uint32_t run = world->hosts[index].run;
 
-  plan_tick (world, index, machine);
-  carry_out_from (world, index, machine, actions, 0);
-  if (world_runs (world, index, run))
+  schedule_tick (world, index, machine);
+  run_actions_from (world, index, machine, actions, 0);
+  if (world_is_current_run (world, index, run))
     stop_if_drained (world, index);
 }
 
@@ -846,9 +854,10 @@
   finish_input (world, index, MACHINE_GATE, actions);
 }
 
-/* A version rose: the owner gets the new text; the old one ends with it.  */
+/* Passes a new configuration to the owner, which then releases the previous
+   one.  */
 static void
-take_text (struct world *world, int index)
+apply_config_text (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
   const char *source = mq_spread_text (host->spread);
@@ -868,7 +877,7 @@
 }
 
 static void
-look_at_version (struct world *world, int index)
+update_version (struct world *world, int index)
 {
   struct host *host = &world->hosts[index];
   uint64_t version = mq_spread_version (host->spread);
@@ -876,15 +885,15 @@
   if (version == host->version)
     return;
   if (version < host->version)
-    world_violate (world, INVARIANT_CONFIG_RISES,
-                   "%s falls from version %llu to %llu", host->name,
-                   (unsigned long long)host->version,
-                   (unsigned long long)version);
-  world_trace (world, "%s: configuration %llu", host->name,
+    world_report_violation (
+        world, INVARIANT_CONFIG_MONOTONIC,
+        "%s: configuration version decreases from %llu to %llu", host->name,
+        (unsigned long long)host->version, (unsigned long long)version);
+  world_trace (world, "%s: configuration version %llu", host->name,
                (unsigned long long)version);
   host->version = version;
   if (version > 0)
-    take_text (world, index);
+    apply_config_text (world, index);
 }
 
 void
@@ -895,7 +904,7 @@
   struct mq_actions *actions;
   uint32_t run = host->run;
 
-  if (world->cell->plant == PLANT_CONFIG_CUT_OFF && index == HOSTS - 1
+  if (world->cell->plant == PLANT_CONFIG_UNREACHABLE && index == HOSTS - 1
       && host->version > 0 && input->type != MQ_SPREAD_TICK)
     return;
   if (world->cell->plant == PLANT_CONFIG_REVERTED && index == HOSTS - 1
@@ -908,11 +917,11 @@
   actions = mq_actions_create (world);
   mq_spread_handle (host->spread, input, actions);
   finish_input (world, index, MACHINE_SPREAD, actions);
-  if (world_runs (world, index, run))
-    look_at_version (world, index);
+  if (world_is_current_run (world, index, run))
+    update_version (world, index);
 }
 
-/* Ticks.  */
+/* ---- Ticks ---- */
 
 static void
 tick (struct world *world, const struct world_event *event)
@@ -927,7 +936,7 @@
       = { .type = MQ_GATE_TICK, .now_us = world->now_us };
   struct host *host = &world->hosts[event->host];
 
-  /* A nearer tick took its place.  */
+  /* Replaced by an earlier tick.  */
   if (host->tick_us[event->machine] > event->at_us)
     return;
   host->tick_us[event->machine] = 0;
@@ -950,7 +959,7 @@
     }
 }
 
-/* Between the front and the owner of one process.  */
+/* ---- Front and owner of the same process ---- */
 
 static void
 forward_local (struct world *world, const struct world_event *event)
@@ -965,7 +974,7 @@
       input.handle = message->u.forward.handle;
       input.u.request = &message->u.forward.request;
       fault_message_step (world, event->host, NULL, message);
-      if (!world_runs (world, event->host, event->run))
+      if (!world_is_current_run (world, event->host, event->run))
         return;
     }
   else
@@ -977,7 +986,7 @@
 }
 
 static void
-answer_local (struct world *world, const struct world_event *event)
+deliver_local_reply (struct world *world, const struct world_event *event)
 {
   struct mq_front_input input
       = { .type = MQ_FRONT_EVENT, .now_us = world->now_us };
@@ -985,38 +994,38 @@
   input.peer = MQ_PEER_SELF;
   input.u.event = &event->message->u.event;
   fault_message_step (world, event->host, NULL, event->message);
-  if (world_runs (world, event->host, event->run))
+  if (world_is_current_run (world, event->host, event->run))
     world_front_input (world, event->host, &input);
 }
 
-/* The loop.  */
+/* ---- Event loop ---- */
 
 static void
-store_up (struct world *world)
+restore_store (struct world *world)
 {
   if (world->now_us < world->outage_until_us)
-    return; /* a shorter outage within the long one */
-  world_trace (world, "the store is back");
+    return; /* end of a short outage during the long one */
+  world_trace (world, "the store is available again");
   world->store_down = false;
   world->store_slow = false;
 }
 
-/* Everything is at rest: every owner dies, and what the next ones read from
-   checkpoint and log must give each caller the answer that it had.  */
+/* Crashes every owner while the world is idle.  The next owners must restore
+   each caller's answer from checkpoints and logs.  */
 static void
-replay_all (struct world *world)
+restart_all_owners (struct world *world)
 {
-  world_trace (world, "at rest; all owners die");
+  world_trace (world, "idle; all owners crash");
   world->replayed = true;
   world->done_us = 0;
   for (int i = 0; i < ENTRIES; i++)
-    world_kill (world, i, RESTART_US);
-  caller_check_all (world);
+    world_crash (world, i, RESTART_US);
+  caller_repeat_all (world);
 }
 
-/* In the world's small runs a process needs some hundred kilobytes.  */
+/* Checks each process's memory, normally a few hundred kilobytes.  */
 static void
-look_at_memory (struct world *world)
+check_memory (struct world *world)
 {
   for (int i = 0; i < HOSTS; i++)
     {
@@ -1030,47 +1039,48 @@
       if (bytes > world->report->memory_max)
         world->report->memory_max = bytes;
       if (bytes > MEMORY_MAX)
-        world_violate (world, INVARIANT_MEMORY, "%s holds %zu bytes",
-                       world->hosts[i].name, bytes);
+        world_report_violation (world, INVARIANT_MEMORY,
+                                "%s uses %zu bytes of memory",
+                                world->hosts[i].name, bytes);
     }
 }
 
 static void
-look (struct world *world)
+update_idle_state (struct world *world)
 {
-  look_at_memory (world);
-  if (!caller_all_done (world) || world->now_us < world->faults_over_us)
+  check_memory (world);
+  if (!caller_all_done (world) || world->now_us < world->faults_end_us)
     world->done_us = 0;
   else if (world->done_us == 0)
     world->done_us = world->now_us;
-  if (world->done_us != 0 && world->now_us > world->done_us + QUIET_US
-      && (check_rest (world)
-          || world->now_us > world->done_us + FORGET_EVERYTHING_US))
+  if (world->done_us != 0 && world->now_us > world->done_us + IDLE_PERIOD_US
+      && (check_is_idle (world)
+          || world->now_us > world->done_us + CACHE_EXPIRY_US))
     {
-      if (world->low && !world->replayed && check_rest (world))
-        replay_all (world);
+      if (world->small_batches && !world->replayed && check_is_idle (world))
+        restart_all_owners (world);
       else
-        world->over = true;
+        world->finished = true;
     }
-  if (!world->over)
-    world_push (world, world_event_create (world, EVENT_LOOK, NOBODY),
+  if (!world->finished)
+    world_push (world, world_event_create (world, EVENT_CHECK_IDLE, NO_HOST),
                 world->now_us + SECOND);
 }
 
 static void
-plant_echo (struct world *world, const struct world_event *event)
+inject_echo (struct world *world, const struct world_event *event)
 {
-  struct world_event *again;
+  struct world_event *duplicate;
 
   if (world->cell->plant != PLANT_ECHO)
     return;
-  again = world_event_create (world, EVENT_MESSAGE, event->host);
-  again->run = event->run;
-  again->index = event->index;
-  again->end = event->end;
-  again->message = talloc_zero (again, struct mq_message);
-  mq_message_copy (again->message, again->message, event->message);
-  world_push (world, again, world->now_us + MS);
+  duplicate = world_event_create (world, EVENT_MESSAGE, event->host);
+  duplicate->run = event->run;
+  duplicate->index = event->index;
+  duplicate->end = event->end;
+  duplicate->message = talloc_zero (duplicate, struct mq_message);
+  mq_message_copy (duplicate->message, duplicate->message, event->message);
+  world_push (world, duplicate, world->now_us + MS);
 }
 
 static void
@@ -1083,7 +1093,7 @@
       break;
     case EVENT_MESSAGE:
       wire_message (world, event);
-      plant_echo (world, event);
+      inject_echo (world, event);
       break;
     case EVENT_CONNECT:
       wire_connect (world, event);
@@ -1094,80 +1104,80 @@
     case EVENT_WIRE_DOWN:
       wire_down (world, event);
       break;
-    case EVENT_BEAT:
-      wire_beat (world, event);
+    case EVENT_HEARTBEAT:
+      wire_heartbeat (world, event);
       break;
-    case EVENT_RESUME:
-      carry_out_from (world, event->host, event->machine,
-                      talloc_steal (world, event->actions),
-                      event->action_next);
+    case EVENT_ACTIONS_RESUME:
+      run_actions_from (world, event->host, event->machine,
+                        talloc_steal (world, event->actions),
+                        event->action_next);
       break;
     case EVENT_FORWARD:
       forward_local (world, event);
       break;
-    case EVENT_ANSWER:
-      answer_local (world, event);
+    case EVENT_OWNER_REPLY:
+      deliver_local_reply (world, event);
       break;
     case EVENT_TO_CALLER:
       caller_event (world, event);
       break;
-    case EVENT_CALLER:
+    case EVENT_CALLER_TIMER:
       caller_timer (world, event);
       break;
     case EVENT_REQUEST:
       caller_request (world, event);
       break;
-    case EVENT_GONE:
-      caller_gone (world, event);
+    case EVENT_CALLER_DISCONNECT:
+      caller_disconnected (world, event);
       break;
-    case EVENT_STORE:
+    case EVENT_STORE_REQUEST:
       store_serve (world, event);
       break;
-    case EVENT_STORE_DONE:
+    case EVENT_STORE_RESULT:
       store_done (world, event);
       break;
     case EVENT_OPERATOR:
       operator_wake (world, event);
       break;
-    case EVENT_RUN:
+    case EVENT_CALL_STAGE:
       worker_step (world, event);
       break;
     case EVENT_EVICTED:
       worker_evicted (world, event);
       break;
-    case EVENT_ORDERED:
+    case EVENT_ORDER_DONE:
       worker_ordered (world, event);
       break;
-    case EVENT_CACHE:
+    case EVENT_CACHE_READ:
       worker_read_cache (world, event);
-      plan_cache_read (world, event->host);
+      schedule_cache_read (world, event->host);
       break;
     case EVENT_ENGINE:
       worker_engine (world, event);
       break;
-    case EVENT_HOSTS:
+    case EVENT_HOST_LIST:
       read_hosts (world, event->host);
       break;
-    case EVENT_START:
+    case EVENT_HOST_START:
       if (!world->hosts[event->index].alive)
         start_host (world, event->index);
       break;
-    case EVENT_WAKE:
-      wake (world, event);
+    case EVENT_HOST_WAKE:
+      wake_host (world, event);
       break;
-    case EVENT_LEAVE:
-      give_leave (world, event->host);
+    case EVENT_PLANNED_STOP:
+      deliver_stop (world, event->host);
       break;
-    case EVENT_DIE:
-      world_kill (world, event->host,
-                  world->hosts[event->host].rebooting ? GATE_RESTART_US
-                                                      : RESTART_US);
+    case EVENT_CRASH:
+      world_crash (world, event->host,
+                   world->hosts[event->host].rebooting ? GATE_RESTART_US
+                                                       : RESTART_US);
       break;
-    case EVENT_LOOK:
-      look (world);
+    case EVENT_CHECK_IDLE:
+      update_idle_state (world);
       break;
     case EVENT_STORE_UP:
-      store_up (world);
+      restore_store (world);
       break;
     case EVENT_OUTAGE:
       fault_outage (world);
@@ -1175,13 +1185,13 @@
     }
 }
 
-/* An event for a process that is paused waits in the order it came.  */
+/* Queues an event for a paused process, in order of arrival.  */
 static bool
-waits_for_wake (struct world *world, struct world_event *event)
+defer_if_paused (struct world *world, struct world_event *event)
 {
   struct host *host;
 
-  if (event->host == NOBODY)
+  if (event->host == NO_HOST)
     return false;
   host = &world->hosts[event->host];
   if (!host->alive || host->paused_until_us <= world->now_us)
@@ -1193,15 +1203,15 @@
 }
 
 static void
-handle (struct world *world, struct world_event *event)
+handle_event (struct world *world, struct world_event *event)
 {
-  if (event->host != NOBODY && event->run != 0
-      && !world_runs (world, event->host, event->run))
+  if (event->host != NO_HOST && event->run != 0
+      && !world_is_current_run (world, event->host, event->run))
     {
       talloc_free (event);
       return;
     }
-  if (waits_for_wake (world, event))
+  if (defer_if_paused (world, event))
     return;
   dispatch (world, event);
   talloc_free (event);
@@ -1231,7 +1241,7 @@
           host->workers[w].boot = 1;
         }
       for (int j = 0; j < HOSTS; j++)
-        world->current[i][j] = NOBODY;
+        world->current[i][j] = NO_HOST;
     }
 }
 
@@ -1245,9 +1255,10 @@
   world->report = report;
   world->trace = trace;
   world->random = cell->seed;
-  world->acting = NOBODY;
+  world->acting = NO_HOST;
   world->script = world_step_script (cell->step);
-  world->low = world->script == SCRIPT_CHECKPOINT || cell->seed % 3 == 0;
+  world->small_batches
+      = world->script == SCRIPT_CHECKPOINT || cell->seed % 3 == 0;
   create_hosts (world);
   store_create (world);
   caller_create_all (world);
@@ -1255,11 +1266,12 @@
     start_host (world, i);
   operator_apply (world, 0);
   for (int p = 0; p < PARTITIONS; p++)
-    world->last_owner[p] = NOBODY;
+    world->last_owner[p] = NO_HOST;
   if (world->script == SCRIPT_OUTAGE)
-    world_push (world, world_event_create (world, EVENT_OUTAGE, NOBODY),
+    world_push (world, world_event_create (world, EVENT_OUTAGE, NO_HOST),
                 LONG_OUTAGE_FROM_US);
-  world_push (world, world_event_create (world, EVENT_LOOK, NOBODY), SECOND);
+  world_push (world, world_event_create (world, EVENT_CHECK_IDLE, NO_HOST),
+              SECOND);
   return world;
 }
 
@@ -1271,20 +1283,21 @@
 
   memset (report, 0, sizeof *report);
   world = create_world (cell, trace, report);
-  while (!world->over && world->heap_count > 0)
+  while (!world->finished && world->heap_count > 0)
     {
-      struct world_event *event = pop (world);
+      struct world_event *event = pop_event (world);
 
       world->now_us = event->at_us;
-      if (world->now_us > REST_US || ++report->events > EVENTS_MAX)
+      if (world->now_us > RUN_TIMEOUT_US || ++report->events > EVENTS_MAX)
         break;
-      handle (world, event);
+      handle_event (world, event);
     }
   report->end_us = world->now_us;
   if (report->events > EVENTS_MAX)
-    world_violate (world, INVARIANT_SETTLES, "over %llu events by %llu ms",
-                   (unsigned long long)EVENTS_MAX,
-                   (unsigned long long)(world->now_us / MS));
+    world_report_violation (world, INVARIANT_BECOMES_IDLE,
+                            "not idle after %llu events, at %llu ms",
+                            (unsigned long long)EVENTS_MAX,
+                            (unsigned long long)(world->now_us / MS));
   check_end (world);
   talloc_free (world);
 }
--- a/tests/world_caller.c
+++ b/tests/world_caller.c
@@ -1,82 +1,85 @@
-/* world_caller.c - the world's callers.
+/* world_caller.c - simulated callers.
 
-   Each has a script of requests, one under way at a time.  A request whose
-   connection broke, that was refused as not run for a while, or that got
-   no answer for long is made again with the same key at any entry host.
+   Each caller sends the requests of its script one after the other.  A request
+   that was refused as not run, received no reply in time or lost its
+   connection is repeated with the same key at any entry host.
    Needs: world_state.h.  */
 
 #include "world_state.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define THINK_US (300 * MS)
-#define AGAIN_US (250 * MS)
+#define NEXT_REQUEST_DELAY_US (300 * MS)
+#define RETRY_JITTER_US (250 * MS)
 #define REFUSALS_MAX 40
 
-static const struct ask chain_asks[] = {
+static const struct scripted_request chain_requests[] = {
   { MQ_REQUEST_OPEN, "guide", "", 0, TEXT_CHAIN },
   { MQ_REQUEST_GET, "", "", 0, TEXT_NONE },
 };
-static const struct ask talk_asks[] = {
+static const struct scripted_request talk_requests[] = {
   { MQ_REQUEST_OPEN, "guide", "", 0, TEXT_TALK },
   { MQ_REQUEST_TURN, "", "", 0, TEXT_FOLLOW },
   { MQ_REQUEST_CLOSE, "", "", 0, TEXT_NONE },
 };
-static const struct ask step_asks[] = {
+static const struct scripted_request step_requests[] = {
   { MQ_REQUEST_CREATE, "guide", "", 0, TEXT_NONE },
   { MQ_REQUEST_STEP, "guide-models", "", 1, TEXT_ASK },
   { MQ_REQUEST_STEP, "records", "submit", 2, TEXT_SUBMIT },
   { MQ_REQUEST_STEP, "guide-models", "", 3, TEXT_ASK },
   { MQ_REQUEST_CLOSE, "", "", 0, TEXT_NONE },
 };
-static const struct ask loop_asks[] = {
+static const struct scripted_request loop_requests[] = {
   { MQ_REQUEST_OPEN, "looper", "", 0, TEXT_LOOP },
 };
-static const struct ask letter_asks[] = {
+static const struct scripted_request letter_requests[] = {
   { MQ_REQUEST_OPEN, "letters", "", 0, TEXT_LETTER },
 };
 
-static const struct ask desk_asks[] = {
+static const struct scripted_request desk_requests[] = {
   { MQ_REQUEST_OPEN, "desk", "", 0, TEXT_LETTER },
 };
-static const struct ask notice_asks[] = {
+static const struct scripted_request notice_requests[] = {
   { MQ_REQUEST_OPEN, "notices", "", 0, TEXT_LETTER },
 };
 
-#define ASKS(array) array, sizeof (array) / sizeof (array)[0]
+#define REQUESTS(array) array, sizeof (array) / sizeof (array)[0]
 
 struct caller_script
 {
   const char *organisation;
-  const struct ask *asks;
+  const struct scripted_request *requests;
   size_t count;
   uint64_t budget;
 };
 
 static const struct caller_script scripts[CALLERS] = {
-  { "diagne", ASKS (chain_asks), 4000 }, { "zarqa", ASKS (talk_asks), 4000 },
-  { "diagne", ASKS (step_asks), 4000 },  { "zarqa", ASKS (loop_asks), 150 },
-  { "zarqa", ASKS (letter_asks), 2000 },
+  { "diagne", REQUESTS (chain_requests), 4000 },
+  { "zarqa", REQUESTS (talk_requests), 4000 },
+  { "diagne", REQUESTS (step_requests), 4000 },
+  { "zarqa", REQUESTS (loop_requests), 150 },
+  { "zarqa", REQUESTS (letter_requests), 2000 },
 };
 
-/* Further callers, who come in an outage: clerks and a batch in turn.  */
-static const struct caller_script further[]
-    = { { "diagne", ASKS (desk_asks), 2000 },
-        { "zarqa", ASKS (notice_asks), 2000 } };
+/* Additional callers in an outage, urgent and batch in turn.  */
+static const struct caller_script outage_callers[]
+    = { { "diagne", REQUESTS (desk_requests), 2000 },
+        { "zarqa", REQUESTS (notice_requests), 2000 } };
 
 static const struct caller_script *
 script_of (int index)
 {
-  return index < CALLERS ? &scripts[index] : &further[(index - CALLERS) % 2];
+  return index < CALLERS ? &scripts[index]
+                         : &outage_callers[(index - CALLERS) % 2];
 }
 
 static bool
 is_batch (const struct caller *caller)
 {
-  return caller->asks == notice_asks;
+  return caller->requests == notice_requests;
 }
 
-/* What the requests say.  */
+/* ---- Request bodies ---- */
 
 static json_t *
 plan_call (const char *name, json_t *arguments, int tokens)
@@ -96,7 +99,7 @@
   return text;
 }
 
-/* The sub-program's input; its history begins with it.  */
+/* The sub-program's input, the first message of its history.  */
 static char *
 letter_text (struct world *world, struct caller *caller)
 {
@@ -132,17 +135,18 @@
                const char *call)
 {
   json_t *arguments = json_pack ("{s:s}", "of", caller->key);
-  char *whole = talloc_asprintf (world, "%s%s", caller->key, title);
+  char *keyed_title = talloc_asprintf (world, "%s%s", caller->key, title);
 
   return plan_text (
-      world, whole,
+      world, keyed_title,
       json_pack ("[o,{s:i}]", plan_call (call, arguments, 8), "answer", 12));
 }
 
 static char *
-ask_input (struct world *world, struct caller *caller, const struct ask *ask)
+format_input (struct world *world, struct caller *caller,
+              const struct scripted_request *scripted)
 {
-  switch (ask->text)
+  switch (scripted->text)
     {
     case TEXT_CHAIN:
       return chain_text (world, caller);
@@ -159,7 +163,7 @@
                         json_pack ("[{s:i}]", "answer", 20));
     case TEXT_ASK:
       return talloc_asprintf (world, "%s, question %u", caller->key,
-                              ask->sequence);
+                              scripted->sequence);
     case TEXT_NONE:
     case TEXT_SUBMIT:
       break;
@@ -168,10 +172,10 @@
 }
 
 static void
-compose (struct world *world, struct caller *caller, size_t index)
+format_request (struct world *world, struct caller *caller, size_t index)
 {
-  const struct ask *ask = &caller->asks[index];
-  char *input = ask_input (world, caller, ask);
+  const struct scripted_request *scripted = &caller->requests[index];
+  char *input = format_input (world, caller, scripted);
   json_t *body = json_object ();
   char *dump;
 
@@ -180,10 +184,10 @@
       caller->texts[caller->text_count++] = input;
       json_object_set_new (body, "input", json_string (input));
     }
-  if (ask->text == TEXT_SUBMIT)
+  if (scripted->text == TEXT_SUBMIT)
     json_object_set_new (body, "arguments",
                          json_pack ("{s:s}", "of", caller->key));
-  if (ask->text == TEXT_TALK)
+  if (scripted->text == TEXT_TALK)
     json_object_set_new (body, "keep_open", json_true ());
   dump = json_dumps (body, JSON_COMPACT);
   caller->bodies[index] = talloc_strdup (world, dump);
@@ -200,10 +204,10 @@
   return NULL;
 }
 
-/* Whether a history of PROGRAM may hold TEXT as what a person said.  */
+/* Whether a history of PROGRAM may contain TEXT as a user message.  */
 bool
-caller_asked (const struct world *world, struct mq_id program,
-              const char *text)
+caller_has_text (const struct world *world, struct mq_id program,
+                 const char *text)
 {
   const struct caller *caller = find_family (world, program.hi);
 
@@ -213,8 +217,8 @@
   return false;
 }
 
-/* How many calls of a history come before CALL.  The history of a program
-   that its caller drives holds its model calls only.  */
+/* Returns the number of calls in the history before CALL.  Histories of
+   caller-driven programs contain model calls only.  */
 uint32_t
 caller_calls_before (const struct world *world, struct mq_id program,
                      uint32_t call)
@@ -222,10 +226,11 @@
   const struct caller *caller = find_family (world, program.hi);
   uint32_t before = 0;
 
-  if (caller == NULL || caller->asks[0].type != MQ_REQUEST_CREATE)
+  if (caller == NULL || caller->requests[0].type != MQ_REQUEST_CREATE)
     return call - 1;
-  for (size_t i = 0; i < caller->ask_count; i++)
-    if (caller->asks[i].text == TEXT_ASK && caller->asks[i].sequence < call)
+  for (size_t i = 0; i < caller->request_count; i++)
+    if (caller->requests[i].text == TEXT_ASK
+        && caller->requests[i].sequence < call)
       before++;
   return before;
 }
@@ -238,12 +243,13 @@
   return caller == NULL ? 0 : script_of (caller->index)->budget;
 }
 
-/* Asking.  */
+/* ---- Requests ---- */
 
 static void
-plan_timer (struct world *world, struct caller *caller, uint64_t in_us)
+schedule_timer (struct world *world, struct caller *caller, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_CALLER, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_CALLER_TIMER, NO_HOST);
 
   event->index = caller->index;
   caller->timer_us = world->now_us + in_us;
@@ -259,55 +265,55 @@
       struct caller *caller = &world->callers[i];
 
       caller->index = i;
-      caller->asks = script_of (i)->asks;
-      caller->ask_count = script_of (i)->count;
+      caller->requests = script_of (i)->requests;
+      caller->request_count = script_of (i)->count;
       caller->organisation
           = talloc_strdup (world, script_of (i)->organisation);
       caller->key = talloc_asprintf (world, "household %d of %llu", i,
                                      (unsigned long long)world->cell->seed);
       caller->program = mq_id_open (caller->organisation, caller->key);
-      for (size_t a = 0; a < caller->ask_count; a++)
-        compose (world, caller, a);
-      plan_timer (world, caller,
-                  CALLERS_START_US + world_delay (world, 0, 200 * MS)
-                      + (i < CALLERS ? 0 : (uint64_t)(i - CALLERS))
-                            * OUTAGE_CALLER_US);
+      for (size_t a = 0; a < caller->request_count; a++)
+        format_request (world, caller, a);
+      schedule_timer (world, caller,
+                      CALLERS_START_US + world_delay (world, 0, 200 * MS)
+                          + (i < CALLERS ? 0 : (uint64_t)(i - CALLERS))
+                                * OUTAGE_CALLER_INTERVAL_US);
     }
 }
 
-/* The last request of CALLER that asked its program for an answer, or
-   ask_count.  */
+/* Returns the last request of CALLER that waits for its program's answer, or
+   request_count.  */
 static size_t
-last_answer (const struct caller *caller)
+last_answered_request (const struct caller *caller)
 {
-  size_t last = caller->ask_count;
+  size_t last = caller->request_count;
 
-  for (size_t i = 0; i < caller->ask_count; i++)
-    if (caller->asks[i].type == MQ_REQUEST_OPEN
-        || caller->asks[i].type == MQ_REQUEST_TURN)
+  for (size_t i = 0; i < caller->request_count; i++)
+    if (caller->requests[i].type == MQ_REQUEST_OPEN
+        || caller->requests[i].type == MQ_REQUEST_TURN)
       if (caller->answers[i] != NULL || caller->errors[i] != MQ_ERR_NONE)
         last = i;
   return last;
 }
 
-/* Everyone who had an answer asks for it again.  */
+/* All callers that have an answer request it again.  */
 void
-caller_check_all (struct world *world)
+caller_repeat_all (struct world *world)
 {
   for (int i = 0; i < world->caller_count; i++)
     {
       struct caller *caller = &world->callers[i];
 
-      caller->ask = last_answer (caller);
-      if (caller->ask == caller->ask_count)
+      caller->request_index = last_answered_request (caller);
+      if (caller->request_index == caller->request_count)
         continue;
-      caller->checks = true;
+      caller->rechecking = true;
       caller->tries = 0;
       caller->refusals = 0;
-      caller->doubtful = true;
-      caller->state = CALLER_PAUSES;
-      plan_timer (world, caller,
-                  RESTART_US + world_delay (world, 0, AGAIN_US));
+      caller->may_have_run = true;
+      caller->state = CALLER_BACKOFF;
+      schedule_timer (world, caller,
+                      RESTART_US + world_delay (world, 0, RETRY_JITTER_US));
     }
 }
 
@@ -324,11 +330,11 @@
   return true;
 }
 
-/* The platform's balancer: some entry host that takes connections.  */
+/* Load balancer: selects an entry host that accepts connections.  */
 static int
 choose_host (struct world *world)
 {
-  int chosen = NOBODY;
+  int chosen = NO_HOST;
   uint32_t count = 0;
 
   for (int i = 0; i < ENTRIES; i++)
@@ -340,28 +346,30 @@
 }
 
 static void
-ask_again (struct world *world, struct caller *caller, uint64_t in_us)
+schedule_request (struct world *world, struct caller *caller, uint64_t in_us)
 {
-  caller->state = CALLER_PAUSES;
-  plan_timer (world, caller, in_us + world_delay (world, 0, AGAIN_US));
+  caller->state = CALLER_BACKOFF;
+  schedule_timer (world, caller,
+                  in_us + world_delay (world, 0, RETRY_JITTER_US));
 }
 
 static struct mq_request_msg
 request_of (const struct caller *caller)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
-  struct mq_request_msg request = { .type = ask->type };
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
+  struct mq_request_msg request = { .type = scripted->type };
 
   request.program = caller->program;
   request.organisation = caller->organisation;
-  request.service = ask->service;
-  request.route = ask->route;
+  request.service = scripted->service;
+  request.route = scripted->route;
   request.key = caller->key;
-  request.sequence = ask->sequence;
-  request.stream = caller->asks == talk_asks;
+  request.sequence = scripted->sequence;
+  request.stream = caller->requests == talk_requests;
   request.traceparent = "";
-  request.body = caller->bodies[caller->ask];
-  if (caller->checks)
+  request.body = caller->bodies[caller->request_index];
+  if (caller->rechecking)
     {
       request.type = MQ_REQUEST_GET;
       request.body = "{}";
@@ -370,39 +378,39 @@
 }
 
 static void
-ask_now (struct world *world, struct caller *caller)
+send_request (struct world *world, struct caller *caller)
 {
   int host = choose_host (world);
   struct world_event *event;
 
-  if (host == NOBODY)
+  if (host == NO_HOST)
     {
-      ask_again (world, caller, AGAIN_US);
+      schedule_request (world, caller, RETRY_JITTER_US);
       return;
     }
-  worker_program_fact (world, caller->program)->refused = false;
+  worker_observed_program (world, caller->program)->refused = false;
   caller->host = host;
   caller->host_run = world->hosts[host].run;
   caller->handle = ++world->next_handle;
-  caller->state = CALLER_WAITS;
+  caller->state = CALLER_WAITING;
   caller->last_us = world->now_us;
   caller->tries++;
   caller->ends = 0;
   caller->stream_call = 0;
   caller->stream = talloc_strdup (world, "");
-  world_trace (world, "caller %d asks %s: request %zu, try %u, handle %llu",
-               caller->index, world->hosts[host].name, caller->ask,
+  world_trace (world, "caller %d to %s: request %zu, try %u, handle %llu",
+               caller->index, world->hosts[host].name, caller->request_index,
                caller->tries, (unsigned long long)caller->handle);
   event = world_event_create (world, EVENT_REQUEST, host);
   event->index = caller->index;
   event->handle = caller->handle;
   world_push (world, event, world->now_us + world_delay (world, 1, MS));
-  plan_timer (world, caller, CALLER_PATIENCE_US);
+  schedule_timer (world, caller, CALLER_TIMEOUT_US);
 }
 
-/* Refuses a request and runs it all the same.  */
+/* Refuses a request but runs it (seeded bug).  */
 static void
-plant_refusal (struct world *world, struct caller *caller)
+inject_refusal (struct world *world, struct caller *caller)
 {
   struct mq_event_msg refusal = { .type = MQ_EVENT_REFUSED };
   struct world_event *event;
@@ -410,7 +418,7 @@
 
   if (!(world->cell->plant == PLANT_REFUSED_AND_RUN && caller->tries == 1)
       && !(world->cell->plant == PLANT_URGENT_REFUSED
-           && caller->asks == desk_asks && caller->tries == 1))
+           && caller->requests == desk_requests && caller->tries == 1))
     return;
   refusal.handle = caller->handle;
   refusal.error = MQ_ERR_OVERLOADED;
@@ -431,9 +439,9 @@
   struct mq_front_input input
       = { .type = MQ_FRONT_REQUEST, .now_us = world->now_us };
 
-  if (caller->handle != event->handle || caller->state != CALLER_WAITS)
-    return; /* it has closed the connection already */
-  plant_refusal (world, caller);
+  if (caller->handle != event->handle || caller->state != CALLER_WAITING)
+    return; /* the caller has disconnected */
+  inject_refusal (world, caller);
   input.handle = event->handle;
   input.partition = mq_id_partition (
       caller->program, world->hosts[event->host].text->partitions);
@@ -442,7 +450,7 @@
 }
 
 void
-caller_gone (struct world *world, const struct world_event *event)
+caller_disconnected (struct world *world, const struct world_event *event)
 {
   struct mq_front_input input
       = { .type = MQ_FRONT_CALLER_GONE, .now_us = world->now_us };
@@ -456,9 +464,9 @@
 {
   struct world_event *event;
 
-  if (!world_runs (world, caller->host, caller->host_run))
+  if (!world_is_current_run (world, caller->host, caller->host_run))
     return;
-  event = world_event_create (world, EVENT_GONE, caller->host);
+  event = world_event_create (world, EVENT_CALLER_DISCONNECT, caller->host);
   event->handle = caller->handle;
   world_push (world, event, world->now_us + world_delay (world, 1, MS));
 }
@@ -470,64 +478,65 @@
 
   if (caller->timer_us != event->at_us)
     return;
-  if (caller->state == CALLER_IDLE || caller->state == CALLER_PAUSES)
-    ask_now (world, caller);
-  else if (caller->state == CALLER_WAITS)
+  if (caller->state == CALLER_IDLE || caller->state == CALLER_BACKOFF)
+    send_request (world, caller);
+  else if (caller->state == CALLER_WAITING)
     {
-      if (world->now_us < caller->last_us + CALLER_PATIENCE_US)
+      if (world->now_us < caller->last_us + CALLER_TIMEOUT_US)
         {
-          plan_timer (world, caller,
-                      caller->last_us + CALLER_PATIENCE_US - world->now_us);
+          schedule_timer (world, caller,
+                          caller->last_us + CALLER_TIMEOUT_US - world->now_us);
           return;
         }
-      world_trace (world, "caller %d hears nothing and asks elsewhere",
+      world_trace (world, "caller %d timed out and retries at another host",
                    caller->index);
       close_connection (world, caller);
-      caller->doubtful = true;
-      ask_again (world, caller, 0);
+      caller->may_have_run = true;
+      schedule_request (world, caller, 0);
     }
 }
 
-/* The connection broke with the process.  */
+/* The caller's connection closed because the process ended.  */
 void
-caller_host_died (struct world *world, int host)
+caller_host_crashed (struct world *world, int host)
 {
   for (int i = 0; i < world->caller_count; i++)
     {
       struct caller *caller = &world->callers[i];
 
-      if (caller->state != CALLER_WAITS || caller->host != host)
+      if (caller->state != CALLER_WAITING || caller->host != host)
         continue;
-      caller->doubtful = true;
-      ask_again (world, caller, MS);
+      caller->may_have_run = true;
+      schedule_request (world, caller, MS);
     }
 }
 
-/* Answers.  */
+/* ---- Replies ---- */
 
 static void
-next_ask (struct world *world, struct caller *caller)
+next_request (struct world *world, struct caller *caller)
 {
-  caller->ask++;
+  caller->request_index++;
   caller->tries = 0;
   caller->refusals = 0;
-  caller->doubtful = false;
-  if (caller->ask == caller->ask_count)
+  caller->may_have_run = false;
+  if (caller->request_index == caller->request_count)
     {
       caller->state = CALLER_DONE;
       world_trace (world, "caller %d is done", caller->index);
       return;
     }
-  ask_again (world, caller, THINK_US);
+  schedule_request (world, caller, NEXT_REQUEST_DELAY_US);
 }
 
 static bool
-holds_final (struct world *world, struct mq_id program, const char *body)
+was_final_answer (struct world *world, struct mq_id program, const char *body)
 {
-  const struct program_fact *fact = worker_program_fact (world, program);
+  const struct observed_program *observed
+      = worker_observed_program (world, program);
 
-  for (size_t i = 0; i < fact->final_count; i++)
-    if (strstr (body, fact->finals[i]) != NULL)
+  for (size_t i = 0; i < observed->final_count; i++)
+    if (strstr (body, observed->finals[i]) != NULL)
       return true;
   return false;
 }
@@ -546,7 +555,7 @@
 }
 
 static bool
-answer_is (const char *body, const char *answer)
+has_answer (const char *body, const char *answer)
 {
   json_t *root = json_loads (body, 0, NULL);
   const char *text = json_string_value (json_object_get (root, "answer"));
@@ -557,25 +566,27 @@
 }
 
 static bool
-answer_is_own (struct world *world, const struct caller *caller,
+is_own_answer (struct world *world, const struct caller *caller,
                const char *body)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
-  const struct call_fact *fact;
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
+  const struct observed_call *observed;
 
-  switch (ask->type)
+  switch (scripted->type)
     {
     case MQ_REQUEST_OPEN:
     case MQ_REQUEST_TURN:
-      return holds_final (world, caller->program, body);
+      return was_final_answer (world, caller->program, body);
     case MQ_REQUEST_GET:
       return caller->answers[0] == NULL
              || is_same_answer (caller->answers[0], body);
     case MQ_REQUEST_STEP:
-      if (ask->text == TEXT_ASK)
-        return holds_final (world, caller->program, body);
-      fact = worker_call_fact (world, caller->program, ask->sequence);
-      return fact->result != NULL && answer_is (body, fact->result);
+      if (scripted->text == TEXT_ASK)
+        return was_final_answer (world, caller->program, body);
+      observed
+          = worker_observed_call (world, caller->program, scripted->sequence);
+      return observed->result != NULL && has_answer (body, observed->result);
     case MQ_REQUEST_CREATE:
     case MQ_REQUEST_CLOSE:
     case MQ_REQUEST_CANCEL:
@@ -585,55 +596,58 @@
 }
 
 static void
-note_told (struct world *world, const struct caller *caller, const char *body)
+check_answer_is_logged (struct world *world, const struct caller *caller,
+                        const char *body)
 {
-  enum mq_request_type type = caller->asks[caller->ask].type;
+  enum mq_request_type type = caller->requests[caller->request_index].type;
 
   if (world->outage_until_us != 0 && world->now_us > world->outage_until_us
       && !world->replayed)
     world->report->outage_done_us = world->now_us - world->outage_until_us;
   if ((type == MQ_REQUEST_OPEN || type == MQ_REQUEST_TURN)
-      && !check_is_told (world, caller->program, body))
-    world_violate (world, INVARIANT_TOLD,
-                   "caller %d, request %zu: no log holds %.120s",
-                   caller->index, caller->ask, body);
+      && !check_is_logged (world, caller->program, body))
+    world_report_violation (world, INVARIANT_TOLD,
+                            "caller %d, request %zu: in no log: %.120s",
+                            caller->index, caller->request_index, body);
 }
 
-/* In an outage only batch work is turned away.  */
+/* During an outage only batch work may be refused.  */
 static void
-note_refused (struct world *world, const struct caller *caller,
-              const struct mq_event_msg *event)
+check_outage_refusal (struct world *world, const struct caller *caller,
+                      const struct mq_event_msg *event)
 {
   if (world->now_us < world->outage_from_us
-      || world->now_us > world->outage_until_us || caller->checks)
+      || world->now_us > world->outage_until_us || caller->rechecking)
     return;
   if (is_batch (caller))
     world->report->batch_refused++;
   else
     world->report->urgent_refused++;
-  if (world->cell->nth == 0 && caller->asks == desk_asks
+  if (world->cell->nth == 0 && caller->requests == desk_requests
       && event->ran == MQ_RAN_NOT_RUN)
-    world_violate (world, INVARIANT_OUTAGE, "caller %d is refused: %s",
-                   caller->index, mq_error_name (event->error));
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "caller %d is refused: %s", caller->index,
+                            mq_error_name (event->error));
 }
 
 static void
 end_check (struct world *world, struct caller *caller)
 {
-  caller->checks = false;
-  caller->ask = caller->ask_count;
+  caller->rechecking = false;
+  caller->request_index = caller->request_count;
   caller->state = CALLER_DONE;
-  world_trace (world, "caller %d has checked its answer", caller->index);
+  world_trace (world, "caller %d received its answer again", caller->index);
 }
 
 static void
 check_final (struct world *world, struct caller *caller, const char *body)
 {
-  const char *had = caller->answers[caller->ask];
+  const char *previous = caller->answers[caller->request_index];
 
-  if (had == NULL || !is_same_answer (had, body))
-    world_violate (world, INVARIANT_REPLAYED, "caller %d had %.80s, has %.80s",
-                   caller->index, had == NULL ? "a refusal" : had, body);
+  if (previous == NULL || !is_same_answer (previous, body))
+    world_report_violation (world, INVARIANT_REPLAY_EQUAL,
+                            "caller %d got %.80s, then %.80s", caller->index,
+                            previous == NULL ? "a refusal" : previous, body);
   end_check (world, caller);
 }
 
@@ -641,49 +655,52 @@
 check_refusal (struct world *world, struct caller *caller,
                enum mq_error_type error)
 {
-  if (error != caller->errors[caller->ask])
-    world_violate (world, INVARIANT_REPLAYED, "caller %d had %s, has %s",
-                   caller->index, mq_error_name (caller->errors[caller->ask]),
-                   mq_error_name (error));
+  if (error != caller->errors[caller->request_index])
+    world_report_violation (
+        world, INVARIANT_REPLAY_EQUAL, "caller %d got %s, then %s",
+        caller->index, mq_error_name (caller->errors[caller->request_index]),
+        mq_error_name (error));
   end_check (world, caller);
 }
 
 static void
-take_final (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+handle_final (struct world *world, struct caller *caller,
+              const struct mq_event_msg *event)
 {
   const char *body = event->body;
 
   if (++caller->ends > 1)
     {
-      world_violate (world, INVARIANT_ONE_ANSWER,
-                     "caller %d got %u ends of request %zu", caller->index,
-                     caller->ends, caller->ask);
+      world_report_violation (world, INVARIANT_ONE_ANSWER,
+                              "caller %d got %u final events for request %zu",
+                              caller->index, caller->ends,
+                              caller->request_index);
       return;
     }
-  note_told (world, caller, body);
-  if (caller->checks)
+  check_answer_is_logged (world, caller, body);
+  if (caller->rechecking)
     {
       check_final (world, caller, body);
       return;
     }
-  if (!answer_is_own (world, caller, body))
-    world_violate (world, INVARIANT_OWN_ANSWER,
-                   "caller %d, request %zu: %.160s", caller->index,
-                   caller->ask, body);
-  /* The last call that was streamed whole or in part, if it is the answer.  */
+  if (!is_own_answer (world, caller, body))
+    world_report_violation (world, INVARIANT_OWN_ANSWER,
+                            "caller %d, request %zu: %.160s", caller->index,
+                            caller->request_index, body);
+  /* Check the streamed text if it belongs to the call that produced the
+     answer.  */
   if (caller->stream_call == (event->number >> 16) - 1
       && strstr (body, caller->stream) == NULL)
-    world_violate (world, INVARIANT_STREAM,
-                   "caller %d: \"%s\" is no beginning of the answer",
-                   caller->index, caller->stream);
-  caller->answers[caller->ask] = talloc_strdup (world, body);
-  next_ask (world, caller);
+    world_report_violation (world, INVARIANT_STREAM,
+                            "caller %d: \"%s\" is not a prefix of the answer",
+                            caller->index, caller->stream);
+  caller->answers[caller->request_index] = talloc_strdup (world, body);
+  next_request (world, caller);
 }
 
-/* Refusals that pass, so that the same request may be made again.  */
+/* Transient refusals, after which the same request may be repeated.  */
 static bool
-passes (enum mq_error_type error)
+is_transient_refusal (enum mq_error_type error)
 {
   switch (error)
     {
@@ -703,10 +720,10 @@
     }
 }
 
-/* Callers here ask only what is right, in order and of their own program,
-   so a refusal that says otherwise is false.  */
+/* Refusals that cannot apply: the callers send valid requests, in order and
+   for their own programs.  */
 static bool
-is_false (enum mq_error_type error)
+is_impossible_refusal (enum mq_error_type error)
 {
   switch (error)
     {
@@ -724,72 +741,79 @@
     }
 }
 
-/* After a refusal the rest of the script makes no sense, but its end.  */
+/* After a refusal, skips to the script's CLOSE.  */
 static void
 skip_to_close (struct caller *caller)
 {
-  if (caller->ask == 0)
-    caller->ask = caller->ask_count - 1;
-  while (caller->ask + 1 < caller->ask_count
-         && caller->asks[caller->ask + 1].type != MQ_REQUEST_CLOSE)
-    caller->ask++;
+  if (caller->request_index == 0)
+    caller->request_index = caller->request_count - 1;
+  while (caller->request_index + 1 < caller->request_count
+         && caller->requests[caller->request_index + 1].type
+                != MQ_REQUEST_CLOSE)
+    caller->request_index++;
 }
 
-/* A request that was refused as not run, and never tried before, must not
-   have run, nor run before it is made again.  */
+/* Records that a request refused as not run, and never attempted before, must
+   not have run and must not run until it is repeated.  */
 static void
-hold_to_not_run (struct world *world, struct caller *caller)
+expect_not_run (struct world *world, struct caller *caller)
 {
-  const struct ask *ask = &caller->asks[caller->ask];
-  struct program_fact *fact = worker_program_fact (world, caller->program);
+  const struct scripted_request *scripted
+      = &caller->requests[caller->request_index];
+  struct observed_program *observed
+      = worker_observed_program (world, caller->program);
 
-  if (caller->doubtful
-      || (ask->type != MQ_REQUEST_OPEN && ask->type != MQ_REQUEST_CREATE))
+  if (caller->may_have_run
+      || (scripted->type != MQ_REQUEST_OPEN
+          && scripted->type != MQ_REQUEST_CREATE))
     return;
-  if (fact->starts > 0)
-    world_violate (world, INVARIANT_NOT_RUN,
-                   "caller %d hears not_run of a program that started %u "
-                   "calls",
-                   caller->index, fact->starts);
-  fact->refused = true;
+  if (observed->starts > 0)
+    world_report_violation (
+        world, INVARIANT_NOT_RUN,
+        "caller %d received not_run for a program that started %u "
+        "calls",
+        caller->index, observed->starts);
+  observed->refused = true;
 }
 
 static void
-take_refusal (struct world *world, struct caller *caller,
-              const struct mq_event_msg *event)
+handle_refusal (struct world *world, struct caller *caller,
+                const struct mq_event_msg *event)
 {
   world_trace (world, "caller %d is refused: %s, %s", caller->index,
                mq_error_name (event->error), mq_ran_name (event->ran));
-  note_refused (world, caller, event);
+  check_outage_refusal (world, caller, event);
   if (++caller->ends > 1)
     {
-      world_violate (world, INVARIANT_ONE_ANSWER,
-                     "caller %d got %u ends of request %zu", caller->index,
-                     caller->ends, caller->ask);
+      world_report_violation (world, INVARIANT_ONE_ANSWER,
+                              "caller %d got %u final events for request %zu",
+                              caller->index, caller->ends,
+                              caller->request_index);
       return;
     }
   if (event->ran == MQ_RAN_NOT_RUN)
-    hold_to_not_run (world, caller);
+    expect_not_run (world, caller);
   else
-    caller->doubtful = true;
-  if (passes (event->error) && ++caller->refusals < REFUSALS_MAX)
+    caller->may_have_run = true;
+  if (is_transient_refusal (event->error) && ++caller->refusals < REFUSALS_MAX)
     {
-      ask_again (world, caller, event->retry_after_ms * MS);
+      schedule_request (world, caller, event->retry_after_ms * MS);
       return;
     }
-  if (caller->checks)
+  if (caller->rechecking)
     {
       check_refusal (world, caller, event->error);
       return;
     }
-  if (is_false (event->error))
-    world_violate (world, INVARIANT_OWN_ANSWER,
-                   "caller %d, request %zu: refused as %s, which is not so",
-                   caller->index, caller->ask, mq_error_name (event->error));
-  caller->errors[caller->ask] = event->error;
+  if (is_impossible_refusal (event->error))
+    world_report_violation (
+        world, INVARIANT_OWN_ANSWER,
+        "caller %d, request %zu: refused with impossible error %s",
+        caller->index, caller->request_index, mq_error_name (event->error));
+  caller->errors[caller->request_index] = event->error;
   caller->ends = 1;
   skip_to_close (caller);
-  next_ask (world, caller);
+  next_request (world, caller);
 }
 
 static bool
@@ -809,8 +833,8 @@
 }
 
 static void
-take_token (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+handle_token (struct world *world, struct caller *caller,
+              const struct mq_event_msg *event)
 {
   if (event->type == MQ_EVENT_RESET || event->call != caller->stream_call)
     caller->stream = talloc_strdup (world, "");
@@ -823,9 +847,10 @@
     caller->stream
         = talloc_asprintf (world, "%s%s", caller->stream, event->body);
   if (!is_streamed (world, caller, caller->stream, event->call))
-    world_violate (world, INVARIANT_STREAM,
-                   "caller %d, call %u: \"%s\" was never said", caller->index,
-                   event->call, caller->stream);
+    world_report_violation (
+        world, INVARIANT_STREAM,
+        "caller %d, call %u: \"%s\" is not part of any answer", caller->index,
+        event->call, caller->stream);
 }
 
 static struct caller *
@@ -838,14 +863,14 @@
 }
 
 static struct caller *
-plant_swap (struct world *world, struct caller *caller,
-            const struct mq_event_msg *event)
+inject_swapped_answer (struct world *world, struct caller *caller,
+                       const struct mq_event_msg *event)
 {
   struct caller *other
       = &world->callers[(caller->index + 1) % world->caller_count];
 
   if (world->cell->plant != PLANT_ANSWER_SWAPPED
-      || event->type != MQ_EVENT_FINAL || other->state != CALLER_WAITS)
+      || event->type != MQ_EVENT_FINAL || other->state != CALLER_WAITING)
     return caller;
   return other;
 }
@@ -858,28 +883,28 @@
 
   if (caller == NULL || caller->host != from->host
       || caller->host_run != from->run)
-    return; /* its connection is closed */
-  if (caller->state != CALLER_WAITS && caller->ends == 0)
+    return; /* the connection is closed */
+  if (caller->state != CALLER_WAITING && caller->ends == 0)
     return;
-  caller = plant_swap (world, caller, event);
+  caller = inject_swapped_answer (world, caller, event);
   caller->last_us = world->now_us;
   switch (event->type)
     {
     case MQ_EVENT_TOKEN:
     case MQ_EVENT_RESET:
-      take_token (world, caller, event);
+      handle_token (world, caller, event);
       break;
     case MQ_EVENT_FINAL:
-      if (world->cell->plant == PLANT_FINAL_SWALLOWED && caller->index == 0)
+      if (world->cell->plant == PLANT_FINAL_DROPPED && caller->index == 0)
         break;
       world_trace (world, "caller %d: final %.100s", caller->index,
                    event->body);
-      take_final (world, caller, event);
+      handle_final (world, caller, event);
       if (world->cell->plant == PLANT_FINAL_DOUBLED)
-        take_final (world, caller, event);
+        handle_final (world, caller, event);
       break;
     case MQ_EVENT_REFUSED:
-      take_refusal (world, caller, event);
+      handle_refusal (world, caller, event);
       break;
     case MQ_EVENT_ACCEPTED:
     case MQ_EVENT_STEP:
