--- a/tests/world_check.c
+++ b/tests/world_check.c
@@ -1,4 +1,4 @@
-/* world_check.c - what must hold when the world has come to rest.
+/* world_check.c - invariants that must hold when the world is idle.
 
    Needs: world_state.h, proto/log.pb-c.h.  */
 
@@ -11,11 +11,11 @@
 {
   VERSION_BYTES = 8,
   APPLY_ID_BYTES = 16,
-  ORPHANS_MAX = 4 /* objects that each fault or end may leave */
+  ORPHAN_OBJECTS_PER_END_MAX = 4
 };
 
-/* One program as the table's log has it.  */
-struct logged
+/* One program according to the table's log.  */
+struct logged_program
 {
   struct mq_id program;
   bool ended;
@@ -28,12 +28,12 @@
 
 struct log
 {
-  struct logged *programs;
+  struct logged_program *programs;
   size_t count;
 };
 
-static struct logged *
-logged_find (const struct log *log, struct mq_id program)
+static struct logged_program *
+find_logged_program (const struct log *log, struct mq_id program)
 {
   for (size_t i = 0; i < log->count; i++)
     if (mq_id_equal (log->programs[i].program, program))
@@ -41,14 +41,14 @@
   return NULL;
 }
 
-static struct logged *
-logged_get (struct log *log, struct mq_id program)
+static struct logged_program *
+get_logged_program (struct log *log, struct mq_id program)
 {
-  struct logged *logged = logged_find (log, program);
+  struct logged_program *logged = find_logged_program (log, program);
 
   if (logged != NULL)
     return logged;
-  log->programs = talloc_realloc (log, log->programs, struct logged,
+  log->programs = talloc_realloc (log, log->programs, struct logged_program,
                                   (unsigned int)log->count + 1);
   logged = &log->programs[log->count++];
   memset (logged, 0, sizeof *logged);
@@ -60,7 +60,7 @@
 add_answer (struct log *log, struct mq_id program,
             const Mqlog__Answered *answered)
 {
-  struct logged *logged = logged_get (log, program);
+  struct logged_program *logged = get_logged_program (log, program);
   size_t n = logged->answer_count++;
 
   logged->ended = answered->ended;
@@ -75,7 +75,7 @@
 static void
 add_intent (struct log *log, struct mq_id program, const Mqlog__Intent *intent)
 {
-  struct logged *logged = logged_get (log, program);
+  struct logged_program *logged = get_logged_program (log, program);
   size_t n = logged->intent_count++;
 
   logged->intents = talloc_realloc (log, logged->intents, struct mq_call_ref,
@@ -96,7 +96,7 @@
     return;
   program.hi = record->hi;
   program.lo = record->lo;
-  logged_get (log, program);
+  get_logged_program (log, program);
   if (record->body_case == MQLOG__RECORD__BODY_ANSWERED)
     add_answer (log, program, record->answered);
   if (record->body_case == MQLOG__RECORD__BODY_INTENT)
@@ -134,7 +134,7 @@
       const Mqlog__Program *packed = checkpoint->programs[i];
       struct mq_id program = { packed->hi, packed->lo };
 
-      logged_get (log, program);
+      get_logged_program (log, program);
       if (packed->answered != NULL)
         add_answer (log, program, packed->answered);
     }
@@ -171,12 +171,12 @@
   return log;
 }
 
-/* The store.  */
+/* ---- Store ---- */
 
-/* Whether a row names OBJECT: a partition its checkpoint, a log row its
-   batch.  */
+/* Whether a partition row (checkpoint) or a log row (batch) references
+   OBJECT.  */
 static bool
-is_named (const struct mq_table_snapshot *all, const char *object)
+is_referenced (const struct mq_table_snapshot *all, const char *object)
 {
   size_t len = strlen (object);
 
@@ -189,22 +189,22 @@
   return false;
 }
 
-/* After a checkpoint is in force, the next one begins with the first batch
-   after so many records; what comes while that one is being written, or what
-   an owner that dies then leaves to the next one, is on top.  */
+/* Limits the log after a checkpoint.  The next checkpoint starts with the
+   first batch after checkpoint_records records; allows for batches written
+   meanwhile and for those of an owner that crashes then.  */
 static void
 check_growth (struct world *world, const Mqlog__PartitionRow *part,
               const char *key)
 {
   unsigned long number = strtoul (key + 5, NULL, 10) % PARTITIONS;
   uint64_t since = part->sequence - world->installed[number].sequence;
-  uint64_t most = (1 + world->report->injected + world->ends)
-                  * (uint64_t)LOW_CHECKPOINT_RECORDS;
+  uint64_t max = (1 + world->report->injected + world->ends)
+                 * (uint64_t)SMALL_CHECKPOINT_RECORDS;
 
-  if (world->low && since > most)
-    world_violate (world, INVARIANT_STORED,
-                   "%llu batches of %s since the last checkpoint",
-                   (unsigned long long)since, key);
+  if (world->small_batches && since > max)
+    world_report_violation (world, INVARIANT_STORED,
+                            "%llu batches of %s since the last checkpoint",
+                            (unsigned long long)since, key);
 }
 
 static void
@@ -224,10 +224,11 @@
         continue;
       sequence = strtoull (key + strlen (prefix), NULL, 10);
       if (sequence <= part->checkpoint || sequence > part->sequence)
-        world_violate (world, INVARIANT_STORED,
-                       "%s is left: checkpoint %llu, sequence %llu", key,
-                       (unsigned long long)part->checkpoint,
-                       (unsigned long long)part->sequence);
+        world_report_violation (
+            world, INVARIANT_STORED,
+            "%s was not removed: checkpoint %llu, sequence %llu", key,
+            (unsigned long long)part->checkpoint,
+            (unsigned long long)part->sequence);
     }
   if (part == NULL)
     return;
@@ -235,30 +236,31 @@
   mqlog__partition_row__free_unpacked (part, NULL);
 }
 
-/* A process that ends between writing an object and naming it, or between
-   ceasing to name it and removing it, leaves a few behind.  */
+/* A process that ends between writing an object and referencing it, or between
+   dereferencing and removing it, leaves a few unreferenced objects.  */
 static void
 check_store (struct world *world)
 {
   struct mq_table_snapshot *all = mq_table_snapshot (world->table, world);
-  uint32_t doubts = world->ends + 2 * world->report->injected
-                    - (world->replayed ? ENTRIES : 0);
+  uint32_t uncertain = world->ends + 2 * world->report->injected
+                       - (world->replayed ? ENTRIES : 0);
 
   for (size_t i = 0; i < all->row_count; i++)
     if (strncmp (all->rows[i].key, "part/", 5) == 0)
       check_log_rows (world, all, &all->rows[i]);
   for (size_t i = 0; i < all->object_count; i++)
-    if (!is_named (all, all->objects[i].key))
+    if (!is_referenced (all, all->objects[i].key))
       {
         world->report->orphans++;
-        world_trace (world, "%s is named by no row", all->objects[i].key);
+        world_trace (world, "no row references %s", all->objects[i].key);
       }
-  if (world->report->orphans > doubts * ORPHANS_MAX)
-    world_violate (world, INVARIANT_STORED, "%u objects that no row names",
-                   world->report->orphans);
+  if (world->report->orphans > uncertain * ORPHAN_OBJECTS_PER_END_MAX)
+    world_report_violation (world, INVARIANT_STORED,
+                            "%u objects that no row references",
+                            world->report->orphans);
 }
 
-/* The configuration.  */
+/* ---- Configuration ---- */
 
 struct mq_row *
 check_config_row (struct world *world, TALLOC_CTX *ctx)
@@ -288,7 +290,7 @@
 
   for (int i = 0; i < HOSTS; i++)
     if (world->hosts[i].alive && world->hosts[i].version != version)
-      world_violate (
+      world_report_violation (
           world, INVARIANT_CONFIG_EQUAL, "%s has version %llu, the table %llu",
           world->hosts[i].name, (unsigned long long)world->hosts[i].version,
           (unsigned long long)version);
@@ -301,17 +303,18 @@
               && memcmp (accepted->id, row->value.data + VERSION_BYTES,
                          APPLY_ID_BYTES)
                      != 0))
-        world_violate (world, INVARIANT_APPLY_HOLDS,
-                       "version %llu was accepted, the table has %llu",
-                       (unsigned long long)accepted->version,
-                       (unsigned long long)version);
+        world_report_violation (
+            world, INVARIANT_APPLY_DURABLE,
+            "version %llu was accepted, the table has %llu",
+            (unsigned long long)accepted->version,
+            (unsigned long long)version);
     }
 }
 
-/* Answers.  */
+/* ---- Answers ---- */
 
 static bool
-is_answer (const struct logged *logged, const char *body)
+is_answer (const struct logged_program *logged, const char *body)
 {
   json_t *root = json_loads (body, 0, NULL);
   const char *answer = json_string_value (json_object_get (root, "answer"));
@@ -325,23 +328,24 @@
   return found;
 }
 
-/* Whether the log holds by now what a caller is told.  */
+/* Whether the log contains BODY, which is being sent to a caller.  */
 bool
-check_is_told (struct world *world, struct mq_id program, const char *body)
+check_is_logged (struct world *world, struct mq_id program, const char *body)
 {
   struct log *log = read_log (world);
-  const struct logged *logged = logged_find (log, program);
-  bool told = logged != NULL && is_answer (logged, body);
+  const struct logged_program *logged = find_logged_program (log, program);
+  bool is_logged = logged != NULL && is_answer (logged, body);
 
   talloc_free (log);
-  return told;
+  return is_logged;
 }
 
 bool
 check_is_intended (struct world *world, const struct mq_call_ref *ref)
 {
   struct log *log = read_log (world);
-  const struct logged *logged = logged_find (log, ref->program);
+  const struct logged_program *logged
+      = find_logged_program (log, ref->program);
   bool intended = false;
 
   for (size_t i = 0; logged != NULL && i < logged->intent_count; i++)
@@ -353,7 +357,7 @@
 }
 
 static bool
-has_error (const struct logged *logged, enum mq_error_type error)
+has_error (const struct logged_program *logged, enum mq_error_type error)
 {
   for (size_t i = 0; i < logged->answer_count; i++)
     if (logged->errors[i] == (uint32_t)error)
@@ -362,30 +366,33 @@
 }
 
 static bool
-is_program_answer (const struct ask *ask)
+is_program_answer (const struct scripted_request *scripted)
 {
-  return ask->type == MQ_REQUEST_OPEN || ask->type == MQ_REQUEST_TURN;
+  return scripted->type == MQ_REQUEST_OPEN
+         || scripted->type == MQ_REQUEST_TURN;
 }
 
 static void
 check_answer (struct world *world, const struct log *log,
               const struct caller *caller, size_t index)
 {
-  const struct logged *logged = logged_find (log, caller->program);
+  const struct logged_program *logged
+      = find_logged_program (log, caller->program);
 
   if (caller->answers[index] == NULL && caller->errors[index] == MQ_ERR_NONE)
-    return; /* not reached; its caller is still waiting */
+    return; /* not reached; the caller is still waiting */
   if (caller->answers[index] != NULL
       && (logged == NULL || !is_answer (logged, caller->answers[index])))
-    world_violate (world, INVARIANT_LOGGED_ANSWER,
-                   "caller %d, request %zu: the log does not hold %.120s",
-                   caller->index, index, caller->answers[index]);
+    world_report_violation (
+        world, INVARIANT_LOGGED_ANSWER,
+        "caller %d, request %zu: the log does not hold %.120s", caller->index,
+        index, caller->answers[index]);
   if (caller->answers[index] == NULL && logged != NULL
       && !has_error (logged, caller->errors[index]))
-    world_violate (world, INVARIANT_LOGGED_ANSWER,
-                   "caller %d, request %zu: the log does not hold %s",
-                   caller->index, index,
-                   mq_error_name (caller->errors[index]));
+    world_report_violation (world, INVARIANT_LOGGED_ANSWER,
+                            "caller %d, request %zu: the log does not hold %s",
+                            caller->index, index,
+                            mq_error_name (caller->errors[index]));
 }
 
 static void
@@ -396,11 +403,12 @@
       const struct caller *caller = &world->callers[i];
 
       if (caller->state != CALLER_DONE)
-        world_violate (world, INVARIANT_ENDS,
-                       "caller %d still waits for request %zu after %u tries",
-                       i, caller->ask, caller->tries);
-      for (size_t a = 0; a < caller->ask_count; a++)
-        if (is_program_answer (&caller->asks[a]))
+        world_report_violation (
+            world, INVARIANT_ENDS,
+            "caller %d still waits for request %zu after %u tries", i,
+            caller->request_index, caller->tries);
+      for (size_t a = 0; a < caller->request_count; a++)
+        if (is_program_answer (&caller->requests[a]))
           check_answer (world, log, caller, a);
     }
 }
@@ -410,42 +418,44 @@
 {
   for (size_t i = 0; i < world->call_count; i++)
     {
-      const struct call_fact *fact = &world->calls[i];
-
-      if (fact->told_not_run && fact->effects > 0)
-        world_violate (world, INVARIANT_NOT_RUN,
-                       "program %016llx was told not_run of call %u, which "
-                       "took effect",
-                       (unsigned long long)fact->program.lo, fact->call);
+      const struct observed_call *fact = &world->calls[i];
+
+      if (fact->reported_not_run && fact->effects > 0)
+        world_report_violation (
+            world, INVARIANT_NOT_RUN,
+            "program %016llx received not_run for call %u, which "
+            "took effect",
+            (unsigned long long)fact->program.lo, fact->call);
     }
 }
 
-/* Without a fault nothing is refused and nothing runs twice.  */
+/* Without a fault no request is refused and no call runs twice.  */
 static void
-check_calm (struct world *world)
+check_fault_free (struct world *world)
 {
   bool dies
       = world->script == SCRIPT_TAKEOVER || world->script == SCRIPT_SETTLE;
 
   for (int i = 0; i < world->caller_count; i++)
-    for (size_t a = 0; a < world->callers[i].ask_count; a++)
+    for (size_t a = 0; a < world->callers[i].request_count; a++)
       {
         enum mq_error_type error = world->callers[i].errors[a];
 
         if (error != MQ_ERR_NONE && error != MQ_ERR_BUDGET_TOKENS)
-          world_violate (world, INVARIANT_ENDS,
-                         "caller %d, request %zu: %s without a fault", i, a,
-                         mq_error_name (error));
+          world_report_violation (world, INVARIANT_ENDS,
+                                  "caller %d, request %zu: %s without a fault",
+                                  i, a, mq_error_name (error));
       }
   for (size_t i = 0; !dies && i < world->call_count; i++)
     if (world->calls[i].starts > 1)
-      world_violate (world, INVARIANT_PLANNED_STOP,
-                     "program %016llx call %u ran %u times without a fault",
-                     (unsigned long long)world->calls[i].program.lo,
-                     world->calls[i].call, world->calls[i].starts);
+      world_report_violation (
+          world, INVARIANT_PLANNED_STOP,
+          "program %016llx call %u ran %u times without a fault",
+          (unsigned long long)world->calls[i].program.lo, world->calls[i].call,
+          world->calls[i].starts);
 }
 
-/* Engines.  */
+/* ---- Engines ---- */
 
 static void
 check_caches (struct world *world, const struct log *log)
@@ -453,15 +463,18 @@
   for (int i = ENTRIES; i < HOSTS; i++)
     for (size_t c = 0; c < world->hosts[i].workers[0].cache_count; c++)
       {
-        const struct cache_row *row = &world->hosts[i].workers[0].cache[c];
-        const struct logged *logged = logged_find (log, row->program);
+        const struct engine_cache_entry *row
+            = &world->hosts[i].workers[0].cache[c];
+        const struct logged_program *logged
+            = find_logged_program (log, row->program);
 
         if (logged == NULL || logged->ended)
-          world_violate (world, INVARIANT_CACHE,
-                         "%s holds %u tokens of program %016llx, which has "
-                         "ended",
-                         world->hosts[i].name, row->tokens,
-                         (unsigned long long)row->program.lo);
+          world_report_violation (
+              world, INVARIANT_CACHE,
+              "%s holds %u tokens of program %016llx, which has "
+              "ended",
+              world->hosts[i].name, row->tokens,
+              (unsigned long long)row->program.lo);
       }
 }
 
@@ -470,13 +483,13 @@
 {
   for (int i = 0; i < HOSTS; i++)
     if (world->hosts[i].alive && world->hosts[i].leaving)
-      world_violate (world, INVARIANT_PLANNED_STOP, "%s never drains",
-                     world->hosts[i].name);
+      world_report_violation (world, INVARIANT_PLANNED_STOP,
+                              "%s did not drain", world->hosts[i].name);
 }
 
-/* Nothing is left to be done or cleared away.  */
+/* Whether no work and no cleanup remains.  */
 bool
-check_rest (const struct world *world)
+check_is_idle (const struct world *world)
 {
   const struct mq_row *row
       = check_config_row ((struct world *)world, (struct world *)world);
@@ -493,8 +506,8 @@
   return true;
 }
 
-/* Work that may be repeated went on while the store was down; batch work was
-   refused; nothing was taken from an owner that lived.  */
+/* In an outage idempotent calls continue, batch work is refused and no
+   partition is taken from a live owner.  */
 static void
 check_outage (struct world *world)
 {
@@ -503,12 +516,15 @@
   if (world->script != SCRIPT_OUTAGE || world->cell->nth != 0)
     return;
   if (report->starts_in_outage == 0)
-    world_violate (world, INVARIANT_OUTAGE, "nothing went on");
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "no call started during the outage");
   if (report->batch_refused == 0)
-    world_violate (world, INVARIANT_OUTAGE, "batch work was not refused");
+    world_report_violation (world, INVARIANT_OUTAGE,
+                            "batch work was not refused");
   if (report->taken_alive > 0)
-    world_violate (world, INVARIANT_TAKEN, "%u partitions",
-                   report->taken_alive);
+    world_report_violation (world, INVARIANT_NO_LIVE_TAKEOVER,
+                            "%u partitions were taken from live owners",
+                            report->taken_alive);
 }
 
 void
@@ -524,5 +540,5 @@
   check_store (world);
   check_outage (world);
   if (world->cell->nth == 0 && world->cell->plant == PLANT_NONE)
-    check_calm (world);
+    check_fault_free (world);
 }
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -1,4 +1,4 @@
-/* world_fault.c - the steps of a program, and faults injected at them.
+/* world_fault.c - steps of a program and fault injection at them.
 
    Needs: world_state.h, proto/log.pb-c.h.  */
 
@@ -13,9 +13,9 @@
 };
 
 static int
-some_host (struct world *world, int first, int count)
+random_host (struct world *world, int first, int count)
 {
-  int chosen = NOBODY;
+  int chosen = NO_HOST;
   uint32_t seen = 0;
 
   for (int i = first; i < first + count; i++)
@@ -27,25 +27,25 @@
 static int
 entry_of (struct world *world, const struct site *site)
 {
-  if (site->entry != NOBODY && world->hosts[site->entry].alive)
+  if (site->entry != NO_HOST && world->hosts[site->entry].alive)
     return site->entry;
-  return some_host (world, 0, ENTRIES);
+  return random_host (world, 0, ENTRIES);
 }
 
 static int
 target_of (struct world *world, const struct site *site)
 {
-  if (site->target != NOBODY && world->hosts[site->target].alive)
+  if (site->target != NO_HOST && world->hosts[site->target].alive)
     return site->target;
-  return some_host (world, ENTRIES, TARGETS);
+  return random_host (world, ENTRIES, TARGETS);
 }
 
-/* Faults.  */
+/* ---- Faults ---- */
 
 static void
-kill_after (struct world *world, int host)
+schedule_crash (struct world *world, int host)
 {
-  struct world_event *event = world_event_create (world, EVENT_DIE, host);
+  struct world_event *event = world_event_create (world, EVENT_CRASH, host);
 
   world_push (world, event, world->now_us);
 }
@@ -55,15 +55,15 @@
 {
   world->hosts[host].rebooting = true;
   if (mq_random_below (&world->random, 2) == 0)
-    kill_after (world, host);
+    schedule_crash (world, host);
   else
-    world_kill (world, host, GATE_RESTART_US);
+    world_crash (world, host, GATE_RESTART_US);
 }
 
 static void
-kill_centre (struct world *world, const char *centre)
+crash_data_centre (struct world *world, const char *centre)
 {
-  world_trace (world, "data centre %s dies", centre);
+  world_trace (world, "data centre %s fails", centre);
   world->centre_dead_us = world->now_us;
   world->load_second = 0;
   memset (&world->load, 0, sizeof world->load);
@@ -71,23 +71,23 @@
     {
       if (strcmp (world->hosts[i].data_centre, centre) != 0)
         continue;
-      wire_host_died (world, i, true);
-      world_kill (world, i, CENTRE_RESTART_US);
-      worker_host_died (world, i);
+      wire_host_crashed (world, i, true);
+      world_crash (world, i, DATA_CENTRE_RESTART_US);
+      worker_host_crashed (world, i);
     }
 }
 
 static void
-break_store (struct world *world, bool down)
+start_store_fault (struct world *world, bool down)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_STORE_UP, NOBODY);
+      = world_event_create (world, EVENT_STORE_UP, NO_HOST);
 
   world_trace (world, "the store is %s", down ? "down" : "slow");
   world->store_down = down;
   world->store_slow = !down;
   world_push (world, event, world->now_us + OUTAGE_US);
-  world_until (world, world->now_us + OUTAGE_US);
+  world_extend_faults (world, world->now_us + OUTAGE_US);
 }
 
 static void
@@ -98,28 +98,30 @@
                         ? mq_random_below (&world->random, WORKERS)
                         : (uint32_t)site->worker;
 
-  if (host != NOBODY)
+  if (host != NO_HOST)
     world->hosts[host].workers[worker].hangs = true;
 }
 
 static void
-set_message_fate (struct world *world, const struct site *site, enum fate fate)
+set_message_fault (struct world *world, const struct site *site,
+                   enum delivery_fault delivery_fault)
 {
-  int host = site->actor != NOBODY ? site->actor : entry_of (world, site);
+  int host = site->actor != NO_HOST ? site->actor : entry_of (world, site);
 
-  if (host != NOBODY)
-    world->hosts[host].message_fate = fate;
+  if (host != NO_HOST)
+    world->hosts[host].message_delivery = delivery_fault;
 }
 
 static void
-set_store_fate (struct world *world, const struct site *site, enum fate fate)
+set_store_fault (struct world *world, const struct site *site,
+                 enum delivery_fault delivery_fault)
 {
   int host = entry_of (world, site);
 
   if (site->step == STEP_APPLY_WRITE)
-    world->operator_fate = fate;
-  else if (host != NOBODY)
-    world->hosts[host].store_fate = fate;
+    world->operator_delivery = delivery_fault;
+  else if (host != NO_HOST)
+    world->hosts[host].store_delivery = delivery_fault;
 }
 
 static void
@@ -137,59 +139,59 @@
     case FAULT_COUNT:
       break;
     case FAULT_OWNER_DIES:
-      if (entry != NOBODY)
-        world_kill (world, entry, RESTART_US);
+      if (entry != NO_HOST)
+        world_crash (world, entry, RESTART_US);
       break;
     case FAULT_OWNER_DIES_AFTER:
-      if (entry != NOBODY)
-        kill_after (world, entry);
+      if (entry != NO_HOST)
+        schedule_crash (world, entry);
       break;
     case FAULT_OWNER_PAUSED:
-      if (entry != NOBODY)
+      if (entry != NO_HOST)
         world_pause (world, entry, PAUSE_US);
       break;
     case FAULT_WRITE_LOST:
-      set_store_fate (world, site, FATE_ANSWER_LOST);
+      set_store_fault (world, site, DELIVERY_REPLY_LOST);
       break;
     case FAULT_WRITE_LATE:
-      set_store_fate (world, site, FATE_EFFECT_LATE);
+      set_store_fault (world, site, DELIVERY_APPLIED_LATE);
       break;
     case FAULT_STORE_DOWN:
-      break_store (world, true);
+      start_store_fault (world, true);
       break;
     case FAULT_STORE_SLOW:
-      break_store (world, false);
+      start_store_fault (world, false);
       break;
     case FAULT_SILENT:
-      set_message_fate (world, site, FATE_SILENT);
+      set_message_fault (world, site, DELIVERY_BLACKHOLED);
       break;
     case FAULT_LATE:
-      set_message_fate (world, site, FATE_LATE);
+      set_message_fault (world, site, DELIVERY_DELAYED);
       break;
-    case FAULT_DOUBLED:
-      set_message_fate (world, site, FATE_DOUBLED);
+    case FAULT_DUPLICATED:
+      set_message_fault (world, site, DELIVERY_DUPLICATED);
       break;
-    case FAULT_CROSSED:
-      set_message_fate (world, site, FATE_CROSSED);
+    case FAULT_REORDERED:
+      set_message_fault (world, site, DELIVERY_REORDERED);
       break;
     case FAULT_GATE_REBOOTS:
-      if (target != NOBODY)
+      if (target != NO_HOST)
         reboot_gate (world, target);
       break;
     case FAULT_ENGINE_REBOOTS:
-      if (target != NOBODY)
-        worker_plan_engine (world, target, 0, true, 0);
+      if (target != NO_HOST)
+        worker_schedule_engine (world, target, 0, true, 0);
       break;
     case FAULT_WORKER_HANGS:
       hang_worker (world, site);
       break;
     case FAULT_TARGET_LEAVES:
-      if (target != NOBODY)
-        world_leave (world, target);
+      if (target != NO_HOST)
+        world_stop (world, target);
       break;
     case FAULT_CENTRE_DIES:
-      kill_centre (world,
-                   entry != NOBODY ? world->hosts[entry].data_centre : "a");
+      crash_data_centre (
+          world, entry != NO_HOST ? world->hosts[entry].data_centre : "a");
       break;
     case FAULT_OPERATORS_RACE:
       operator_apply (world, 0);
@@ -198,27 +200,27 @@
     }
 }
 
-/* The long outage of its script begins.  */
+/* Starts the long outage of the outage script.  */
 void
 fault_outage (struct world *world)
 {
-  struct site site = { .step = STEP_OUTAGE, .entry = NOBODY };
+  struct site site = { .step = STEP_OUTAGE, .entry = NO_HOST };
 
-  site.target = NOBODY;
-  site.actor = NOBODY;
+  site.target = NO_HOST;
+  site.actor = NO_HOST;
   site.worker = ANY_WORKER;
-  world_trace (world, "the store is down for long");
+  world_trace (world, "long store outage starts");
   world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + LONG_OUTAGE_US;
   world->store_down = true;
-  world_push (world, world_event_create (world, EVENT_STORE_UP, NOBODY),
+  world_push (world, world_event_create (world, EVENT_STORE_UP, NO_HOST),
               world->outage_until_us);
-  world_until (world, world->outage_until_us);
+  world_extend_faults (world, world->outage_until_us);
   fault_step (world, &site);
 }
 
-/* The N-th occurrence of the cell's step gets the first fault; the second
-   comes so many steps later, of whatever kind.  */
+/* Injects the first fault at the N-th occurrence of the cell's step, and the
+   second one after cell->gap further steps of any kind.  */
 void
 fault_step (struct world *world, const struct site *site)
 {
@@ -242,21 +244,21 @@
     inject (world, cell->second, site);
 }
 
-/* What else happens in the run: once, while a plain call of the first
-   caller's program is let through.  */
+/* Runs the script's event once, when a plain call of the first caller's
+   program is started.  */
 void
 fault_script (struct world *world, const struct site *site)
 {
-  struct site here = *site;
+  struct site script_site = *site;
   int entry = world_owner_of (world, site->program);
 
   if (world->script == SCRIPT_PLAIN || world->script == SCRIPT_CHECKPOINT
       || world->script == SCRIPT_OUTAGE || world->script == SCRIPT_SETTLE
-      || world->script_done || entry == NOBODY
+      || world->script_done || entry == NO_HOST
       || site->program.hi != world->callers[0].program.hi)
     return;
   world->script_done = true;
-  here.entry = entry;
+  script_site.entry = entry;
   switch (world->script)
     {
     case SCRIPT_PLAIN:
@@ -266,23 +268,23 @@
     case SCRIPT_COUNT:
       break;
     case SCRIPT_TAKEOVER:
-      world_kill (world, entry, RESTART_US);
+      world_crash (world, entry, RESTART_US);
       break;
     case SCRIPT_DRAIN_ENTRY:
-      here.step = STEP_DRAIN_ENTRY;
-      world_leave (world, entry);
-      fault_step (world, &here);
+      script_site.step = STEP_DRAIN_ENTRY;
+      world_stop (world, entry);
+      fault_step (world, &script_site);
       break;
     case SCRIPT_DRAIN_TARGET:
-      here.step = STEP_DRAIN_TARGET;
-      world_leave (world, site->target);
-      fault_step (world, &here);
+      script_site.step = STEP_DRAIN_TARGET;
+      world_stop (world, site->target);
+      fault_step (world, &script_site);
       break;
     }
 }
 
-/* The owner dies when it would send its first call that may not be
-   repeated: the intent is durable, the call never left.  */
+/* Crashes the owner before it sends its first non-idempotent call: the intent
+   is durable, the call was not sent.  */
 void
 fault_settle_script (struct world *world, int host,
                      const struct mq_message *message)
@@ -291,16 +293,16 @@
       || message->type != MQ_MSG_CALL || message->u.call.idempotent)
     return;
   world->script_done = true;
-  world_kill (world, host, RESTART_US);
+  world_crash (world, host, RESTART_US);
 }
 
-enum fate
-fault_take_message_fate (struct world *world, int host)
+enum delivery_fault
+fault_next_message_delivery (struct world *world, int host)
 {
-  enum fate fate = world->hosts[host].message_fate;
+  enum delivery_fault delivery_fault = world->hosts[host].message_delivery;
 
-  world->hosts[host].message_fate = FATE_NORMAL;
-  return fate;
+  world->hosts[host].message_delivery = DELIVERY_NORMAL;
+  return delivery_fault;
 }
 
 static bool
@@ -309,7 +311,7 @@
   return strncmp (text, prefix, strlen (prefix)) == 0;
 }
 
-/* Of its own row, which says that it lives, no write is worth a fault.  */
+/* Renewals of an owner's own row are not affected by faults.  */
 static bool
 is_owner_write (const struct mq_store_request *request)
 {
@@ -321,22 +323,23 @@
   return false;
 }
 
-enum fate
-fault_take_store_fate (struct world *world, int host,
-                       const struct mq_store_request *request)
+enum delivery_fault
+fault_next_store_delivery (struct world *world, int host,
+                           const struct mq_store_request *request)
 {
-  enum fate *at = host == NOBODY ? &world->operator_fate
-                                 : &world->hosts[host].store_fate;
-  enum fate fate = *at;
-
-  if (host == NOBODY ? request->kind != MQ_STORE_TXN
-                     : !is_owner_write (request))
-    return FATE_NORMAL;
-  *at = FATE_NORMAL;
-  return fate;
+  enum delivery_fault *at = host == NO_HOST
+                                ? &world->operator_delivery
+                                : &world->hosts[host].store_delivery;
+  enum delivery_fault delivery_fault = *at;
+
+  if (host == NO_HOST ? request->kind != MQ_STORE_TXN
+                      : !is_owner_write (request))
+    return DELIVERY_NORMAL;
+  *at = DELIVERY_NORMAL;
+  return delivery_fault;
 }
 
-/* Steps that a message is.  */
+/* ---- Steps of messages ---- */
 
 static enum world_step
 request_step (const struct mq_request_msg *request)
@@ -358,7 +361,7 @@
   return STEP_COUNT;
 }
 
-/* STEP_COUNT: none.  */
+/* Returns STEP_COUNT if the message is no step.  */
 static enum world_step
 message_step (const struct mq_message *message, struct mq_id *program)
 {
@@ -406,14 +409,14 @@
 fault_message_step (struct world *world, int host, struct wire *wire,
                     const struct mq_message *message)
 {
-  struct site site = { .actor = host, .target = NOBODY, .entry = NOBODY };
+  struct site site = { .actor = host, .target = NO_HOST, .entry = NO_HOST };
 
   site.worker = ANY_WORKER;
   site.step = message_step (message, &site.program);
   if (site.step == STEP_COUNT)
     return;
   if (wire == NULL)
-    site.actor = NOBODY;
+    site.actor = NO_HOST;
   else if (other_host (wire, host) >= ENTRIES)
     site.target = other_host (wire, host);
   if (host >= ENTRIES)
@@ -428,7 +431,7 @@
   fault_step (world, &site);
 }
 
-/* Steps that a store request is.  */
+/* ---- Steps of store requests ---- */
 
 static void
 record_step (struct world *world, struct site *site,
@@ -494,7 +497,7 @@
   fault_step (world, site);
 }
 
-/* The row names a newer checkpoint than it did before.  */
+/* Detects a row that references a newer checkpoint than before.  */
 static void
 install_step (struct world *world, struct site *site,
               const struct mq_store_op *op)
@@ -558,18 +561,18 @@
 }
 
 void
-fault_store_step (struct world *world, int host, enum asker asker,
+fault_store_step (struct world *world, int host, enum requester requester,
                   const struct mq_store_request *request)
 {
-  struct site site = { .actor = host, .target = NOBODY, .entry = host };
+  struct site site = { .actor = host, .target = NO_HOST, .entry = host };
 
   site.worker = ANY_WORKER;
-  if (asker == ASKER_OPERATOR && request->kind == MQ_STORE_TXN)
+  if (requester == REQUESTER_OPERATOR && request->kind == MQ_STORE_TXN)
     {
       site.step = STEP_APPLY_WRITE;
       fault_step (world, &site);
     }
-  if (asker != ASKER_OWNER)
+  if (requester != REQUESTER_OWNER)
     return;
   if (request->kind == MQ_STORE_TXN)
     transaction_steps (world, &site, request);
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -1,5 +1,5 @@
-/* world_store.c - the world's table with its faults, and the operators who
-   apply by compare-and-swap.
+/* world_store.c - the simulated table with its faults, and operators that
+   apply configurations by compare-and-swap.
 
    Needs: world_state.h.  */
 
@@ -8,9 +8,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE_LEAST_US (1 * MS)
-#define TABLE_MOST_US (3 * MS)
-#define OPERATOR_PAUSE_US (400 * MS)
+#define TABLE_DELAY_MIN_US (1 * MS)
+#define TABLE_DELAY_MAX_US (3 * MS)
+#define OPERATOR_BACKOFF_US (400 * MS)
 
 enum
 {
@@ -74,7 +74,7 @@
       "path = /submit\n"
       "idempotent = no\n";
 
-/* Requests.  */
+/* ---- Requests ---- */
 
 static struct mq_bytes
 copy_bytes (TALLOC_CTX *ctx, struct mq_bytes from)
@@ -110,11 +110,11 @@
              struct mq_store_result *result, uint64_t in_us)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_STORE_DONE, from->index);
+      = world_event_create (world, EVENT_STORE_RESULT, from->index);
 
   event->run = from->run;
   event->index = from->index;
-  event->asker = from->asker;
+  event->requester = from->requester;
   event->result = talloc_steal (event, result);
   world_push (world, event, world->now_us + in_us);
 }
@@ -137,11 +137,11 @@
          || request->kind == MQ_STORE_DROP;
 }
 
-/* Programs here write a few kilobytes; a write of a megabyte is a machine
-   that goes round in a circle and takes the more the longer it does.  */
+/* Stops the run at a write that is far larger than any expected one; the state
+   machine is looping and its writes would keep growing.  */
 static bool
-is_runaway (struct world *world, int host,
-            const struct mq_store_request *request)
+is_excessive_write (struct world *world, int host,
+                    const struct mq_store_request *request)
 {
   size_t len = request->value.len;
 
@@ -149,9 +149,10 @@
     len += request->ops[i].value.len;
   if (len < WRITE_MAX)
     return false;
-  world_violate (world, INVARIANT_SETTLES, "%s writes %zu bytes at once",
-                 host == NOBODY ? "operator" : world->hosts[host].name, len);
-  world->over = true;
+  world_report_violation (
+      world, INVARIANT_BECOMES_IDLE, "%s writes %zu bytes in one request",
+      host == NO_HOST ? "operator" : world->hosts[host].name, len);
+  world->finished = true;
   return true;
 }
 
@@ -175,7 +176,7 @@
 }
 
 static void
-judge_load (struct world *world)
+check_load (struct world *world)
 {
   struct world_load *peak = &world->report->centre_peak;
   const struct world_load *load = &world->load;
@@ -188,24 +189,25 @@
   if (load->reads > hosts * LOAD_HOST_READS + PARTITIONS * LOAD_PARTITION_READS
       || load->writes
              > hosts * LOAD_HOST_WRITES + PARTITIONS * LOAD_PARTITION_WRITES)
-    world_violate (world, INVARIANT_LOAD,
-                   "%u hosts ask for %u reads and %u writes in a second",
-                   hosts, load->reads, load->writes);
+    world_report_violation (
+        world, INVARIANT_LOAD,
+        "%u hosts make %u reads and %u writes in one second", hosts,
+        load->reads, load->writes);
 }
 
-/* Seconds since a data centre died, until its hosts are back.  */
+/* Counts store requests per second while a data centre is down.  */
 static void
-note_load (struct world *world, int host,
-           const struct mq_store_request *request)
+record_load (struct world *world, int host,
+             const struct mq_store_request *request)
 {
   uint64_t since_us = world->now_us - world->centre_dead_us;
 
-  if (world->centre_dead_us == 0 || host == NOBODY || world->replayed
-      || since_us >= CENTRE_RESTART_US)
+  if (world->centre_dead_us == 0 || host == NO_HOST || world->replayed
+      || since_us >= DATA_CENTRE_RESTART_US)
     return;
   if (since_us / SECOND != world->load_second)
     {
-      judge_load (world);
+      check_load (world);
       memset (&world->load, 0, sizeof world->load);
       world->load_second = since_us / SECOND;
     }
@@ -217,39 +219,42 @@
     world->load.writes++;
 }
 
-/* FLAG of the event: its answer is lost.  */
+/* Sends a request to the table.  Sets the event's FLAG if the reply is to
+   be lost.  */
 void
-store_send (struct world *world, int host, enum asker asker,
+store_send (struct world *world, int host, enum requester requester,
             const struct mq_store_request *request)
 {
   struct world_event *event;
-  uint32_t run = host == NOBODY ? 0 : world->hosts[host].run;
-  enum fate fate;
-  uint64_t delay_us = world_delay (world, TABLE_LEAST_US, TABLE_MOST_US);
+  uint32_t run = host == NO_HOST ? 0 : world->hosts[host].run;
+  enum delivery_fault delivery_fault;
+  uint64_t delay_us
+      = world_delay (world, TABLE_DELAY_MIN_US, TABLE_DELAY_MAX_US);
 
-  if (is_runaway (world, host, request))
+  if (is_excessive_write (world, host, request))
     return;
-  note_load (world, host, request);
-  fault_store_step (world, host, asker, request);
-  fate = fault_take_store_fate (world, host, request);
-  if (host != NOBODY
-      && (!world_runs (world, host, run) || world->hosts[host].held))
+  record_load (world, host, request);
+  fault_store_step (world, host, requester, request);
+  delivery_fault = fault_next_store_delivery (world, host, request);
+  if (host != NO_HOST
+      && (!world_is_current_run (world, host, run)
+          || world->hosts[host].actions_deferred))
     return;
-  /* On its way it belongs to nobody: it arrives though its sender died.  */
-  event = world_event_create (world, EVENT_STORE, NOBODY);
+  /* Arrives even if its sender crashes meanwhile.  */
+  event = world_event_create (world, EVENT_STORE_REQUEST, NO_HOST);
   event->index = host;
   event->run = run;
-  event->asker = asker;
+  event->requester = requester;
   event->request = copy_request (event, request);
-  world_trace (world, "%s asks the table: %s %s",
-               host == NOBODY ? "operator" : world->hosts[host].name,
+  world_trace (world, "%s to the table: %s %s",
+               host == NO_HOST ? "operator" : world->hosts[host].name,
                is_write (request) ? "write" : "read",
                request->kind == MQ_STORE_TXN && request->op_count > 0
                    ? request->ops[0].key
                    : request->key);
-  if (fate == FATE_ANSWER_LOST)
+  if (delivery_fault == DELIVERY_REPLY_LOST)
     event->flag = true;
-  if (fate == FATE_EFFECT_LATE)
+  if (delivery_fault == DELIVERY_APPLIED_LATE)
     {
       event->flag = true;
       delay_us = STORE_TIMEOUT_US + 700 * MS;
@@ -257,22 +262,22 @@
   if (event->flag)
     {
       struct world_event *lost
-          = world_event_create (world, EVENT_STORE_DONE, host);
+          = world_event_create (world, EVENT_STORE_RESULT, host);
 
       lost->index = host;
-      lost->asker = asker;
+      lost->requester = requester;
       lost->result = talloc_zero (lost, struct mq_store_result);
       lost->result->id = request->id;
       lost->result->status = MQ_STORE_LOST;
       world_push (world, lost, world->now_us + STORE_TIMEOUT_US);
-      world_until (world, world->now_us + STORE_TIMEOUT_US + SECOND);
+      world_extend_faults (world, world->now_us + STORE_TIMEOUT_US + SECOND);
     }
   world_push (world, event, world->now_us + delay_us);
 }
 
-/* Reports a commit as applied that was not.  */
+/* Reports a commit as applied but drops it (seeded bug).  */
 static bool
-plant_drops (struct world *world, const struct world_event *event)
+inject_dropped_commit (struct world *world, const struct world_event *event)
 {
   struct mq_store_result *result;
 
@@ -289,12 +294,13 @@
       result->rows[i].key = talloc_strdup (result, event->request->ops[i].key);
       result->rows[i].version = 1000000 + event->number;
     }
-  push_result (world, event, result, TABLE_LEAST_US);
+  push_result (world, event, result, TABLE_DELAY_MIN_US);
   return true;
 }
 
 static void
-plant_passes (struct world *world, struct mq_store_request *request)
+inject_ignored_condition (struct world *world,
+                          struct mq_store_request *request)
 {
   if (world->cell->plant != PLANT_CONDITION_IGNORED || !is_commit (request))
     return;
@@ -302,9 +308,10 @@
     request->ops[i].if_version = MQ_VERSION_ANY;
 }
 
-/* Writes a checkpoint without its last program.  */
+/* Removes the last program of a checkpoint (seeded bug).  */
 static void
-plant_cuts (struct world *world, struct mq_store_request *request)
+inject_truncated_checkpoint (struct world *world,
+                             struct mq_store_request *request)
 {
   Mqlog__Checkpoint *checkpoint;
   size_t count;
@@ -326,24 +333,25 @@
   mqlog__checkpoint__free_unpacked (checkpoint, NULL);
 }
 
-/* Refuses claims for a while after the owner died.  */
+/* Refuses claims for a while after the owner crashed (seeded bug).  */
 static bool
-plant_holds_claims (struct world *world, const struct world_event *event)
+inject_claim_refusal (struct world *world, const struct world_event *event)
 {
   const struct mq_store_request *request = event->request;
 
-  if (world->cell->plant != PLANT_CLAIM_HELD || !world->script_done
+  if (world->cell->plant != PLANT_CLAIM_REFUSED || !world->script_done
       || request->kind != MQ_STORE_TXN || is_commit (request)
       || strncmp (request->ops[0].key, "part/", 5) != 0
       || world->now_us > 14 * SECOND)
     return false;
-  push_failure (world, event, MQ_STORE_DOWN, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_DOWN, TABLE_DELAY_MIN_US);
   return true;
 }
 
-/* Owners seem dead after the outage, though they renew.  */
+/* Refuses renewals after the outage, so that live owners seem dead (seeded
+   bug).  */
 static bool
-plant_refuses_renewals (struct world *world, const struct world_event *event)
+inject_renewal_refusal (struct world *world, const struct world_event *event)
 {
   const struct mq_store_request *request = event->request;
 
@@ -353,21 +361,21 @@
       || event->index != world->last_owner[0]
       || world->now_us > world->outage_until_us + 15 * SECOND)
     return false;
-  push_failure (world, event, MQ_STORE_DOWN, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_DOWN, TABLE_DELAY_MIN_US);
   return true;
 }
 
 static bool
-plant_keeps (struct world *world, const struct world_event *event)
+inject_ignored_removal (struct world *world, const struct world_event *event)
 {
-  if (world->cell->plant != PLANT_DROP_SWALLOWED
+  if (world->cell->plant != PLANT_REMOVAL_SKIPPED
       || event->request->kind != MQ_STORE_DROP)
     return false;
-  push_failure (world, event, MQ_STORE_OK, TABLE_LEAST_US);
+  push_failure (world, event, MQ_STORE_OK, TABLE_DELAY_MIN_US);
   return true;
 }
 
-/* The batch of a log row, read from its object if it is there.  */
+/* Returns the batch of a log row, read from its object if it has one.  */
 static struct mq_bytes
 read_log_row (struct world *world, const char *key)
 {
@@ -388,10 +396,11 @@
   return value;
 }
 
-/* What the log held is known also after a checkpoint took its place.  Returns
-   how many batches were noted; they stay only if the request applies.  */
+/* Keeps the batches of log rows that a checkpoint replaces.  Returns their
+   number; they are kept only if the request applies.  */
 static size_t
-note_removed (struct world *world, const struct mq_store_request *request)
+record_removed_batches (struct world *world,
+                        const struct mq_store_request *request)
 {
   size_t noted = 0;
 
@@ -411,9 +420,10 @@
   return noted;
 }
 
-/* Programs whose end a batch holds.  */
+/* Records the programs that end in a batch.  */
 static void
-note_ends (struct world *world, const struct mq_store_request *request)
+record_program_ends (struct world *world,
+                     const struct mq_store_request *request)
 {
   for (size_t i = 0; i < request->op_count; i++)
     {
@@ -437,7 +447,7 @@
           program.lo = record->lo;
           if (record->body_case == MQLOG__RECORD__BODY_ANSWERED
               && record->answered->ended)
-            worker_note_end (world, program);
+            worker_on_program_end (world, program);
           mqlog__record__free_unpacked (record, NULL);
         }
       if (batch != NULL)
@@ -446,19 +456,20 @@
 }
 
 static void
-note_fence (struct world *world, const char *key, uint64_t fence)
+record_fence (struct world *world, const char *key, uint64_t fence)
 {
   uint64_t *had = &world->fences[strtoul (key + 5, NULL, 10) % PARTITIONS];
 
   if (fence < *had)
-    world_violate (world, INVARIANT_FENCE, "%s falls from %llu to %llu", key,
-                   (unsigned long long)*had, (unsigned long long)fence);
+    world_report_violation (
+        world, INVARIANT_FENCE, "%s decreases from %llu to %llu", key,
+        (unsigned long long)*had, (unsigned long long)fence);
   *had = fence;
 }
 
-/* How far the log was when a checkpoint came into force.  */
+/* Records the log position when a checkpoint was installed.  */
 static void
-note_installed (struct world *world, const struct mq_store_request *request)
+record_checkpoint (struct world *world, const struct mq_store_request *request)
 {
   for (size_t i = 0; i < request->op_count; i++)
     {
@@ -472,7 +483,7 @@
       row = mqlog__partition_row__unpack (NULL, op->value.len, op->value.data);
       if (row == NULL)
         continue;
-      note_fence (world, op->key, row->fence);
+      record_fence (world, op->key, row->fence);
       if (row->checkpoint > at->checkpoint)
         {
           at->checkpoint = row->checkpoint;
@@ -482,12 +493,13 @@
     }
 }
 
-/* The request is at the table.  */
+/* Executes a request at the table.  */
 void
 store_serve (struct world *world, const struct world_event *event)
 {
   struct mq_store_result *result;
-  uint64_t delay_us = world_delay (world, TABLE_LEAST_US, TABLE_MOST_US);
+  uint64_t delay_us
+      = world_delay (world, TABLE_DELAY_MIN_US, TABLE_DELAY_MAX_US);
   size_t noted;
 
   if (world->store_down)
@@ -496,27 +508,29 @@
         push_failure (world, event, MQ_STORE_DOWN, delay_us);
       return;
     }
-  if (plant_drops (world, event) || plant_keeps (world, event)
-      || plant_holds_claims (world, event)
-      || plant_refuses_renewals (world, event))
+  if (inject_dropped_commit (world, event)
+      || inject_ignored_removal (world, event)
+      || inject_claim_refusal (world, event)
+      || inject_renewal_refusal (world, event))
     return;
-  plant_passes (world, event->request);
-  plant_cuts (world, event->request);
+  inject_ignored_condition (world, event->request);
+  inject_truncated_checkpoint (world, event->request);
   result = talloc_zero (world, struct mq_store_result);
-  noted = note_removed (world, event->request);
+  noted = record_removed_batches (world, event->request);
   mq_table_serve (world->table, result, event->request, result);
   if (result->status == MQ_STORE_OK)
     {
       world->removed_count += noted;
-      note_installed (world, event->request);
-      note_ends (world, event->request);
+      record_checkpoint (world, event->request);
+      record_program_ends (world, event->request);
     }
   world_trace (world, "table: %s for %s",
                result->status == MQ_STORE_CONFLICT ? "conflict" : "served",
-               event->index == NOBODY ? "operator"
-                                      : world->hosts[event->index].name);
+               event->index == NO_HOST ? "operator"
+                                       : world->hosts[event->index].name);
   if (world->store_slow)
-    delay_us += world_delay (world, SLOW_US / 2, SLOW_US);
+    delay_us
+        += world_delay (world, SLOW_STORE_DELAY_US / 2, SLOW_STORE_DELAY_US);
   if (event->flag)
     talloc_free (result);
   else
@@ -536,15 +550,15 @@
 
   owner.u.store = event->result;
   spread.u.store = event->result;
-  switch (event->asker)
+  switch (event->requester)
     {
-    case ASKER_OWNER:
+    case REQUESTER_OWNER:
       world_owner_input (world, event->host, &owner);
       break;
-    case ASKER_SPREAD:
+    case REQUESTER_SPREAD:
       world_spread_input (world, event->host, &spread);
       break;
-    case ASKER_OPERATOR:
+    case REQUESTER_OPERATOR:
       for (int i = 0; i < OPERATORS; i++)
         if (event->result->id >> 32 == (uint64_t)i + 1)
           operator_result (world, &world->operators[i], event->result);
@@ -552,7 +566,7 @@
     }
 }
 
-/* The configuration's row.  */
+/* ---- Configuration row ---- */
 
 static struct mq_bytes
 make_row (TALLOC_CTX *ctx, uint64_t version, const uint8_t *id,
@@ -591,13 +605,16 @@
   mq_table_transact (world->table, &op, 1, &version, NULL);
 }
 
-/* Operators: read, write on that base, settle a lost answer by the id.  */
+/* ---- Operators ---- */
 
+/* An operator reads the configuration and writes on that base.  After a lost
+   reply it checks by the ID whether its write was applied.  */
 static void
-operator_plan (struct world *world, struct world_operator *who, uint64_t in_us)
+operator_schedule (struct world *world, struct world_operator *who,
+                   uint64_t in_us)
 {
   struct world_event *event
-      = world_event_create (world, EVENT_OPERATOR, NOBODY);
+      = world_event_create (world, EVENT_OPERATOR, NO_HOST);
 
   event->index = who->index;
   world_push (world, event, world->now_us + in_us);
@@ -612,8 +629,8 @@
   who->applies_left++;
   if (who->state == OPERATOR_DONE || who->state == OPERATOR_IDLE)
     {
-      who->state = OPERATOR_READS;
-      operator_plan (world, who, world->now_us == 0 ? 2 * SECOND : 1);
+      who->state = OPERATOR_READING;
+      operator_schedule (world, who, world->now_us == 0 ? 2 * SECOND : 1);
     }
 }
 
@@ -630,7 +647,7 @@
 
   request.id = operator_request_id (world, who);
   request.key = (char *)MQ_CONFIG_KEY;
-  store_send (world, NOBODY, ASKER_OPERATOR, &request);
+  store_send (world, NO_HOST, REQUESTER_OPERATOR, &request);
 }
 
 static void
@@ -643,8 +660,8 @@
   op.if_version = who->base_row;
   op.value = who->value;
   request.id = operator_request_id (world, who);
-  who->state = OPERATOR_WRITES;
-  store_send (world, NOBODY, ASKER_OPERATOR, &request);
+  who->state = OPERATOR_WRITING;
+  store_send (world, NO_HOST, REQUESTER_OPERATOR, &request);
 }
 
 void
@@ -652,7 +669,7 @@
 {
   struct world_operator *who = &world->operators[event->index];
 
-  if (who->state == OPERATOR_WRITES)
+  if (who->state == OPERATOR_WRITING)
     operator_write (world, who);
   else if (who->state != OPERATOR_DONE)
     operator_read (world, who);
@@ -688,18 +705,18 @@
                (unsigned long long)who->version);
 }
 
-/* One apply has ended, as accepted, in conflict or unknown.  */
+/* Continues after an apply was accepted, conflicted or ended unknown.  */
 static void
 operator_next (struct world *world, struct world_operator *who)
 {
   who->applies_left--;
-  who->state = who->applies_left > 0 ? OPERATOR_READS : OPERATOR_DONE;
+  who->state = who->applies_left > 0 ? OPERATOR_READING : OPERATOR_DONE;
   if (who->applies_left > 0)
-    operator_plan (world, who, OPERATOR_PAUSE_US);
+    operator_schedule (world, who, OPERATOR_BACKOFF_US);
 }
 
 static void
-plant_reverts (struct world *world)
+inject_config_revert (struct world *world)
 {
   uint8_t id[APPLY_ID_BYTES] = { 0 };
   struct mq_store_op op = { .key = (char *)MQ_CONFIG_KEY };
@@ -720,21 +737,21 @@
     {
     case MQ_STORE_OK:
       operator_accepted (world, who);
-      plant_reverts (world);
+      inject_config_revert (world);
       operator_next (world, who);
       break;
     case MQ_STORE_CONFLICT:
-      /* The other won: looks at the difference and applies again.  */
-      who->state = OPERATOR_READS;
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      /* The other operator's write won: read again and retry.  */
+      who->state = OPERATOR_READING;
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_DOWN:
     case MQ_STORE_MISSING:
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     case MQ_STORE_LOST:
-      who->state = OPERATOR_SETTLES;
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      who->state = OPERATOR_VERIFYING;
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       break;
     }
 }
@@ -751,24 +768,24 @@
   else if (row->version == who->base_row)
     operator_write (world, who);
   else
-    operator_next (world, who); /* written over, if it was */
+    operator_next (world, who); /* it may have been overwritten */
 }
 
 static void
 operator_result (struct world *world, struct world_operator *who,
                  const struct mq_store_result *result)
 {
-  if (who->state == OPERATOR_WRITES)
+  if (who->state == OPERATOR_WRITING)
     {
       operator_wrote (world, who, result);
       return;
     }
   if (result->status != MQ_STORE_OK || result->row_count == 0)
     {
-      operator_plan (world, who, OPERATOR_PAUSE_US);
+      operator_schedule (world, who, OPERATOR_BACKOFF_US);
       return;
     }
-  if (who->state == OPERATOR_SETTLES)
+  if (who->state == OPERATOR_VERIFYING)
     {
       operator_settled (world, who, &result->rows[0]);
       return;
--- a/tests/world_wire.c
+++ b/tests/world_wire.c
@@ -1,18 +1,17 @@
-/* world_wire.c - connections between the world's hosts.
+/* world_wire.c - connections between the simulated hosts.
 
-   Each is FIFO.  Both ends find out by themselves that it is gone: at once
-   where a process died, by silence otherwise; so an end may hold an old
-   connection open, and take in what was on its way there, while a new one
-   is in use already.
+   Each connection is FIFO.  Its ends detect that it is gone independently: at
+   once if a process crashed, otherwise by timeout.  One end may thus keep an
+   old connection open, and receive messages in transit there, while a new one
+   is in use.
    Needs: world_state.h.  */
 
 #include "world_state.h"
 
-#define LINK_LEAST_US 300
-#define LINK_MOST_US 1200
+#define LINK_DELAY_MIN_US 300
+#define LINK_DELAY_MAX_US 1200
 #define RECONNECT_US (MQ_CONNECT_RETRY_MS * MS)
 
-/* Target hosts do not talk to each other.  */
 static bool
 may_connect (const struct world *world, int a, int b)
 {
@@ -34,17 +33,17 @@
   struct world_event *event;
 
   if (!may_connect (world, low, high) || world->connecting[low][high]
-      || world->current[low][high] != NOBODY)
+      || world->current[low][high] != NO_HOST)
     return;
   world->connecting[low][high] = true;
-  event = world_event_create (world, EVENT_CONNECT, NOBODY);
+  event = world_event_create (world, EVENT_CONNECT, NO_HOST);
   event->index = low;
   event->end = high;
   world_push (world, event, world->now_us + in_us);
 }
 
 static bool
-answers (const struct world *world, int host)
+is_responsive (const struct world *world, int host)
 {
   return world->hosts[host].alive
          && world->hosts[host].paused_until_us <= world->now_us;
@@ -61,7 +60,7 @@
   event->run = w->run[end];
   event->index = wire;
   event->end = end;
-  /* Not before what is on its way.  */
+  /* Keep the order of earlier messages.  */
   if (at_us < w->last_us[end])
     at_us = w->last_us[end];
   w->last_us[end] = at_us;
@@ -69,12 +68,13 @@
 }
 
 static void
-plan_beat (struct world *world, int wire)
+schedule_heartbeat (struct world *world, int wire)
 {
-  struct world_event *event = world_event_create (world, EVENT_BEAT, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_HEARTBEAT, NO_HOST);
 
   event->index = wire;
-  world_push (world, event, world->now_us + BEAT_US);
+  world_push (world, event, world->now_us + HEARTBEAT_INTERVAL_US);
 }
 
 static void
@@ -91,15 +91,16 @@
     {
       wire->run[end] = world->hosts[wire->host[end]].run;
       wire->handle[end] = ++world->hosts[wire->host[end]].next_peer;
-      wire->heard_us[end] = world->now_us;
+      wire->received_us[end] = world->now_us;
     }
   world->current[a][b] = index;
   world_trace (world, "wire %d: %s - %s", index, world->hosts[a].name,
                world->hosts[b].name);
   for (int end = 0; end < 2; end++)
-    push_wire_event (world, EVENT_WIRE_UP, index, end,
-                     world_delay (world, LINK_LEAST_US, LINK_MOST_US));
-  plan_beat (world, index);
+    push_wire_event (
+        world, EVENT_WIRE_UP, index, end,
+        world_delay (world, LINK_DELAY_MIN_US, LINK_DELAY_MAX_US));
+  schedule_heartbeat (world, index);
 }
 
 void
@@ -109,10 +110,10 @@
   int b = event->end;
 
   world->connecting[a][b] = false;
-  if (world->current[a][b] != NOBODY || !world->hosts[a].alive
+  if (world->current[a][b] != NO_HOST || !world->hosts[a].alive
       || !world->hosts[b].alive)
-    return; /* a host that starts connects anew */
-  if (answers (world, a) && answers (world, b))
+    return; /* a starting host connects by itself */
+  if (is_responsive (world, a) && is_responsive (world, b))
     create_wire (world, a, b);
   else
     wire_connect_later (world, a, b, RECONNECT_US);
@@ -125,7 +126,7 @@
 }
 
 static void
-entry_up (struct world *world, const struct wire *wire, int end)
+notify_entry_connected (struct world *world, const struct wire *wire, int end)
 {
   const struct host *peer = peer_host (world, wire, end);
   struct mq_owner_input owner
@@ -140,7 +141,7 @@
   owner.u.peer_up.role = peer->role;
   owner.u.peer_up.boot = peer->boot;
   world_owner_input (world, host, &owner);
-  if (peer->role != MQ_HOST_ENTRY || !world_runs (world, host, run))
+  if (peer->role != MQ_HOST_ENTRY || !world_is_current_run (world, host, run))
     return;
   front.peer = wire->handle[end];
   front.u.address = peer->address;
@@ -148,7 +149,7 @@
 }
 
 static void
-target_up (struct world *world, const struct wire *wire, int end)
+notify_target_connected (struct world *world, const struct wire *wire, int end)
 {
   struct mq_gate_input input
       = { .type = MQ_GATE_PEER_UP, .now_us = world->now_us };
@@ -166,23 +167,22 @@
 
   if (!wire.open[event->end])
     return;
-  /* The other end may have started again since: then it was not this run
-     that shook hands, and the connection breaks.  */
-  if (!world_runs (world, wire.host[other_end (event->end)],
-                   wire.run[other_end (event->end)]))
+  /* The other end restarted after the handshake: the connection closes.  */
+  if (!world_is_current_run (world, wire.host[other_end (event->end)],
+                             wire.run[other_end (event->end)]))
     return;
   spread.peer = wire.handle[event->end];
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
-    entry_up (world, &wire, event->end);
+    notify_entry_connected (world, &wire, event->end);
   else
-    target_up (world, &wire, event->end);
+    notify_target_connected (world, &wire, event->end);
 }
 
 static void
-entry_down (struct world *world, int host, uint32_t handle)
+notify_entry_disconnected (struct world *world, int host, uint32_t handle)
 {
   struct mq_owner_input owner
       = { .type = MQ_OWNER_PEER_DOWN, .now_us = world->now_us };
@@ -193,11 +193,12 @@
   owner.peer = handle;
   front.peer = handle;
   world_owner_input (world, host, &owner);
-  if (world_runs (world, host, run))
+  if (world_is_current_run (world, host, run))
     world_front_input (world, host, &front);
 }
 
-/* One end closes: the other hears of it unless the connection is silent.  */
+/* Closes one end.  The other end is notified unless the connection is
+   silent.  */
 void
 wire_down (struct world *world, const struct world_event *event)
 {
@@ -217,26 +218,26 @@
   wire->open[event->end] = false;
   if (world->current[a][b] == event->index)
     {
-      world->current[a][b] = NOBODY;
+      world->current[a][b] = NO_HOST;
       wire_connect_later (world, a, b, RECONNECT_US);
     }
   if (wire->open[other_end (event->end)] && !wire->silent)
     push_wire_event (world, EVENT_WIRE_DOWN, event->index,
-                     other_end (event->end), LINK_LEAST_US);
+                     other_end (event->end), LINK_DELAY_MIN_US);
   spread.peer = handle;
   gate.peer = handle;
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
-    entry_down (world, event->host, handle);
+    notify_entry_disconnected (world, event->host, handle);
   else
     world_gate_input (world, event->host, &gate);
 }
 
-/* Beats carry the version in force at the other end.  */
+/* Heartbeats carry the other end's configuration version.  */
 static void
-hear_beat (struct world *world, int index, int end)
+receive_heartbeat (struct world *world, int index, int end)
 {
   const struct wire *wire = &world->wires[index];
   struct mq_message message = { .type = MQ_MSG_NONE };
@@ -250,15 +251,16 @@
 }
 
 static bool
-end_beats (const struct world *world, const struct wire *wire, int end)
+sends_heartbeats (const struct world *world, const struct wire *wire, int end)
 {
-  return wire->open[end] && answers (world, wire->host[end])
-         && world_runs (world, wire->host[end], wire->run[end]);
+  return wire->open[end] && is_responsive (world, wire->host[end])
+         && world_is_current_run (world, wire->host[end], wire->run[end]);
 }
 
-/* An end that hears nothing closes the connection.  */
+/* Exchanges heartbeats; an end that receives none until the timeout closes the
+   connection.  */
 void
-wire_beat (struct world *world, const struct world_event *event)
+wire_heartbeat (struct world *world, const struct world_event *event)
 {
   int index = event->index;
   bool any = false;
@@ -267,33 +269,33 @@
     {
       struct wire *wire = &world->wires[index];
 
-      if (!end_beats (world, wire, end))
+      if (!sends_heartbeats (world, wire, end))
         {
           any = any || wire->open[end];
           continue;
         }
       any = true;
-      if (!wire->silent && end_beats (world, wire, other_end (end))
+      if (!wire->silent && sends_heartbeats (world, wire, other_end (end))
           && wire->last_us[end] <= world->now_us)
         {
-          wire->heard_us[end] = world->now_us;
-          hear_beat (world, index, end);
+          wire->received_us[end] = world->now_us;
+          receive_heartbeat (world, index, end);
         }
-      else if (world->now_us > wire->heard_us[end] + SILENT_US)
+      else if (world->now_us > wire->received_us[end] + PEER_TIMEOUT_US)
         {
-          wire->heard_us[end] = world->now_us;
+          wire->received_us[end] = world->now_us;
           push_wire_event (world, EVENT_WIRE_DOWN, index, end,
                            world_delay (world, 1, 300 * MS));
         }
     }
   if (any)
-    plan_beat (world, index);
+    schedule_heartbeat (world, index);
 }
 
-/* A process that dies takes its connections with it.  Its peers hear of it
-   at once, or by silence where the whole host is gone.  */
+/* Closes the connections of a crashed process.  Peers notice at once, or by
+   timeout if the whole host failed (SILENTLY).  */
 void
-wire_host_died (struct world *world, int host, bool silently)
+wire_host_crashed (struct world *world, int host, bool silently)
 {
   for (size_t i = 0; i < world->wire_count; i++)
     {
@@ -307,22 +309,22 @@
         wire->silent = true;
       else if (wire->open[other_end (end)])
         push_wire_event (world, EVENT_WIRE_DOWN, (int)i, other_end (end),
-                         LINK_LEAST_US);
+                         LINK_DELAY_MIN_US);
       if (world->current[wire->host[0]][wire->host[1]] == (int)i)
-        world->current[wire->host[0]][wire->host[1]] = NOBODY;
+        world->current[wire->host[0]][wire->host[1]] = NO_HOST;
     }
 }
 
 void
 wire_silence (struct world *world, struct wire *wire)
 {
-  world_trace (world, "%s - %s: swallows everything from now on",
+  world_trace (world, "%s - %s: drops all messages from now on",
                world->hosts[wire->host[0]].name,
                world->hosts[wire->host[1]].name);
   wire->silent = true;
 }
 
-/* Sending and receiving.  */
+/* ---- Sending and receiving ---- */
 
 static int
 find_wire (const struct world *world, int host, uint32_t handle, int *end)
@@ -339,7 +341,7 @@
             return (int)(i - 1);
           }
     }
-  return NOBODY;
+  return NO_HOST;
 }
 
 static void
@@ -361,20 +363,21 @@
   world_push (world, event, at_us);
 }
 
-/* Holds a message back on a connection that its sender has given up; the
-   receiver, which has not, takes it in after what comes on the new one.  */
+/* Delays a message on a connection that its sender has closed.  The
+   receiver, which has not closed it, gets the message after those on the
+   new connection.  */
 static void
-cross (struct world *world, int index, int end,
-       const struct mq_message *message)
+deliver_reordered (struct world *world, int index, int end,
+                   const struct mq_message *message)
 {
-  push_message (world, index, end, message, world->now_us + LATE_US);
+  push_message (world, index, end, message, world->now_us + LATE_DELAY_US);
   push_wire_event (world, EVENT_WIRE_DOWN, index, end, 50 * MS);
   push_wire_event (world, EVENT_WIRE_DOWN, index, other_end (end), 50 * MS);
   world->wires[index].silent = true;
 }
 
 static bool
-swallows (const struct wire *wire, int sender)
+drops_messages (const struct wire *wire, int sender)
 {
   return wire->silent || !wire->open[sender] || !wire->open[1 - sender];
 }
@@ -386,43 +389,44 @@
   int end = 0;
   int index = find_wire (world, host, handle, &end);
   uint32_t run = world->hosts[host].run;
-  uint64_t at_us
-      = world->now_us + world_delay (world, LINK_LEAST_US, LINK_MOST_US);
+  uint64_t at_us = world->now_us
+                   + world_delay (world, LINK_DELAY_MIN_US, LINK_DELAY_MAX_US);
   struct mq_message copy = *message;
-  enum fate fate;
+  enum delivery_fault delivery_fault;
 
-  if (index == NOBODY)
+  if (index == NO_HOST)
     return;
   copy.config_version = world->hosts[host].version;
   fault_settle_script (world, host, message);
-  if (!world_runs (world, host, run))
+  if (!world_is_current_run (world, host, run))
     return;
   fault_message_step (world, host, &world->wires[index], message);
-  fate = fault_take_message_fate (world, host);
-  if (!world_runs (world, host, run) || world->hosts[host].held)
+  delivery_fault = fault_next_message_delivery (world, host);
+  if (!world_is_current_run (world, host, run)
+      || world->hosts[host].actions_deferred)
     return;
   world_trace (world, "%s -> %s (wire %d): %s%s", world->hosts[host].name,
                world->hosts[world->wires[index].host[other_end (end)]].name,
                index, mq_message_name (message->type),
-               swallows (&world->wires[index], end) ? ", swallowed" : "");
-  if (fate == FATE_SILENT)
+               drops_messages (&world->wires[index], end) ? ", dropped" : "");
+  if (delivery_fault == DELIVERY_BLACKHOLED)
     wire_silence (world, &world->wires[index]);
-  if (swallows (&world->wires[index], end))
+  if (drops_messages (&world->wires[index], end))
     return;
-  if (fate == FATE_CROSSED)
+  if (delivery_fault == DELIVERY_REORDERED)
     {
-      cross (world, index, other_end (end), &copy);
+      deliver_reordered (world, index, other_end (end), &copy);
       return;
     }
-  if (fate == FATE_LATE)
-    at_us += LATE_US;
+  if (delivery_fault == DELIVERY_DELAYED)
+    at_us += LATE_DELAY_US;
   push_message (world, index, other_end (end), &copy, at_us);
-  if (fate == FATE_DOUBLED)
+  if (delivery_fault == DELIVERY_DUPLICATED)
     push_message (world, index, other_end (end), &copy, at_us + 2 * MS);
 }
 
 static void
-note_arrival (struct world *world, int host, const struct mq_call_ref *ref)
+record_arrival (struct world *world, int host, const struct mq_call_ref *ref)
 {
   struct arrival *arrival;
 
@@ -451,7 +455,7 @@
   input.peer = world->wires[event->index].handle[event->end];
   input.u.message = event->message;
   if (event->message->type == MQ_MSG_CALL)
-    note_arrival (world, event->host, &event->message->u.call.ref);
+    record_arrival (world, event->host, &event->message->u.call.ref);
   world_gate_input (world, event->host, &input);
 }
 
@@ -503,11 +507,11 @@
 
   if (!wire->open[event->end])
     return;
-  wire->heard_us[event->end] = world->now_us;
+  wire->received_us[event->end] = world->now_us;
   spread.peer = wire->handle[event->end];
   spread.u.message = event->message;
   world_spread_input (world, event->host, &spread);
-  if (!world_runs (world, event->host, event->run))
+  if (!world_is_current_run (world, event->host, event->run))
     return;
   if (world->hosts[event->host].role == MQ_HOST_ENTRY)
     entry_message (world, event);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -1,9 +1,9 @@
-/* world_worker.c - the world's workers: engines, a plain service whose calls
-   may not be repeated, and a tool; and what they saw.
+/* world_worker.c - simulated workers: engines, a plain service with
+   non-idempotent calls, and a tool; and what was observed of them.
 
-   An engine answers by a plan in the last user message, as docs/CONTRACTS.md
-   has it; its answer depends on the program and the messages alone, so that
-   a whole history can be checked from its first message on.
+   An engine replies according to a plan in the last user message, see
+   docs/CONTRACTS.md.  The reply depends only on the program and the messages,
+   so a whole history can be verified.
    Needs: world_state.h.  */
 
 #include "world_state.h"
@@ -26,78 +26,80 @@
   MODEL_WORKER = 0,
   BYTES_PER_TOKEN = 4,
   DEFAULT_TOKENS = 12,
-  OVERSPENT = 400
+  OVERSPENT_TOKENS = 400
 };
 
-/* What was seen.  */
+/* ---- Observations ---- */
 
-struct call_fact *
-worker_call_fact (struct world *world, struct mq_id program, uint32_t call)
+struct observed_call *
+worker_observed_call (struct world *world, struct mq_id program, uint32_t call)
 {
-  struct call_fact *fact;
+  struct observed_call *observed;
 
   for (size_t i = 0; i < world->call_count; i++)
     if (world->calls[i].call == call
         && mq_id_equal (world->calls[i].program, program))
       return &world->calls[i];
-  world->calls = talloc_realloc (world, world->calls, struct call_fact,
+  world->calls = talloc_realloc (world, world->calls, struct observed_call,
                                  (unsigned int)world->call_count + 1);
-  fact = &world->calls[world->call_count++];
-  memset (fact, 0, sizeof *fact);
-  fact->program = program;
-  fact->call = call;
-  return fact;
+  observed = &world->calls[world->call_count++];
+  memset (observed, 0, sizeof *observed);
+  observed->program = program;
+  observed->call = call;
+  return observed;
 }
 
-struct program_fact *
-worker_program_fact (struct world *world, struct mq_id program)
+struct observed_program *
+worker_observed_program (struct world *world, struct mq_id program)
 {
-  struct program_fact *fact;
+  struct observed_program *observed;
 
   for (size_t i = 0; i < world->program_count; i++)
     if (mq_id_equal (world->programs[i].program, program))
       return &world->programs[i];
   world->programs
-      = talloc_realloc (world, world->programs, struct program_fact,
+      = talloc_realloc (world, world->programs, struct observed_program,
                         (unsigned int)world->program_count + 1);
-  fact = &world->programs[world->program_count++];
-  memset (fact, 0, sizeof *fact);
-  fact->program = program;
-  return fact;
+  observed = &world->programs[world->program_count++];
+  memset (observed, 0, sizeof *observed);
+  observed->program = program;
+  return observed;
 }
 
 static void
 spend (struct world *world, struct mq_id program, uint64_t tokens)
 {
-  struct spent_fact *fact = NULL;
+  struct observed_spend *observed = NULL;
   uint64_t budget = caller_budget_of (world, program.hi);
 
   for (size_t i = 0; i < world->spent_count; i++)
     if (world->spent[i].family == program.hi)
-      fact = &world->spent[i];
-  if (fact == NULL)
+      observed = &world->spent[i];
+  if (observed == NULL)
     {
-      world->spent = talloc_realloc (world, world->spent, struct spent_fact,
-                                     (unsigned int)world->spent_count + 1);
-      fact = &world->spent[world->spent_count++];
-      fact->family = program.hi;
-      fact->tokens = 0;
+      world->spent
+          = talloc_realloc (world, world->spent, struct observed_spend,
+                            (unsigned int)world->spent_count + 1);
+      observed = &world->spent[world->spent_count++];
+      observed->family = program.hi;
+      observed->tokens = 0;
     }
-  if (fact->tokens <= budget && fact->tokens + tokens > budget)
-    world_violate (
-        world, INVARIANT_BUDGET, "program %016llx spent %llu tokens of %llu",
-        (unsigned long long)program.hi,
-        (unsigned long long)fact->tokens + tokens, (unsigned long long)budget);
-  fact->tokens += tokens;
+  if (observed->tokens <= budget && observed->tokens + tokens > budget)
+    world_report_violation (world, INVARIANT_BUDGET,
+                            "program %016llx spent %llu tokens of %llu",
+                            (unsigned long long)program.hi,
+                            (unsigned long long)observed->tokens + tokens,
+                            (unsigned long long)budget);
+  observed->tokens += tokens;
   world_trace (world, "program %016llx has spent %llu tokens",
                (unsigned long long)program.hi,
-               (unsigned long long)fact->tokens);
+               (unsigned long long)observed->tokens);
 }
 
-/* Plans and answers.  */
+/* ---- Plans and answers ---- */
 
 static const char *
-text_of (json_t *object, const char *key)
+json_text (json_t *object, const char *key)
 {
   const char *text = json_string_value (json_object_get (object, key));
 
@@ -107,10 +109,11 @@
 static bool
 has_role (json_t *message, const char *role)
 {
-  return strcmp (text_of (message, "role"), role) == 0;
+  return strcmp (json_text (message, "role"), role) == 0;
 }
 
-/* Place of the last user message among the first COUNT, or COUNT.  */
+/* Returns the index of the last user message among the first COUNT, or
+   COUNT.  */
 static size_t
 last_user (json_t *messages, size_t count)
 {
@@ -120,7 +123,7 @@
   return count;
 }
 
-/* The step that a plan has for a history of COUNT messages, NULL: none.  */
+/* Returns the plan's step for a history of COUNT messages, or NULL.  */
 static json_t *
 plan_step (json_t *messages, size_t count)
 {
@@ -132,8 +135,8 @@
 
   if (user == count)
     return NULL;
-  plan
-      = strstr (text_of (json_array_get (messages, user), "content"), "plan=");
+  plan = strstr (json_text (json_array_get (messages, user), "content"),
+                 "plan=");
   if (plan == NULL)
     return NULL;
   steps = json_loads (plan + strlen ("plan="), JSON_DISABLE_EOF_CHECK, NULL);
@@ -175,14 +178,14 @@
 static json_t *
 tool_calls_of (json_t *step, size_t count)
 {
-  const char *name = text_of (step, "call");
+  const char *name = json_text (step, "call");
   json_t *calls = json_array ();
   json_t *call;
   char *arguments;
   char id[16];
 
   if (name[0] == '\0')
-    name = text_of (step, "loop");
+    name = json_text (step, "loop");
   if (name[0] == '\0')
     return calls;
   arguments = json_dumps (json_object_get (step, "arguments"),
@@ -207,23 +210,23 @@
   return tokens <= 0 ? DEFAULT_TOKENS : (uint32_t)tokens;
 }
 
-/* A history is whole when every message follows from those before it.  */
+/* ---- Histories: every message must follow from those before it ---- */
 
 static bool
 is_failure (json_t *result)
 {
-  return text_of (result, "error")[0] != '\0'
-         && text_of (result, "ran")[0] != '\0';
+  return json_text (result, "error")[0] != '\0'
+         && json_text (result, "ran")[0] != '\0';
 }
 
-/* What a program was told of a call that failed is held against what the
-   target saw, at the end.  */
+/* Records a failure that was reported to a program; at the end it is compared
+   with what the target observed.  */
 static void
-note_failure (struct world *world, struct mq_id program, uint32_t call,
-              json_t *result)
+record_failure (struct world *world, struct mq_id program, uint32_t call,
+                json_t *result)
 {
-  if (strcmp (text_of (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
-    worker_call_fact (world, program, call)->told_not_run = true;
+  if (strcmp (json_text (result, "ran"), mq_ran_name (MQ_RAN_NOT_RUN)) == 0)
+    worker_observed_call (world, program, call)->reported_not_run = true;
 }
 
 static bool
@@ -231,76 +234,80 @@
                  const char *content)
 {
   struct mq_id child = mq_id_child (program, call);
-  const struct program_fact *fact = worker_program_fact (world, child);
+  const struct observed_program *observed
+      = worker_observed_program (world, child);
 
-  for (size_t i = 0; i < fact->final_count; i++)
-    if (strstr (content, fact->finals[i]) != NULL)
+  for (size_t i = 0; i < observed->final_count; i++)
+    if (strstr (content, observed->finals[i]) != NULL)
       return true;
   return false;
 }
 
 static bool
-tool_message_holds (struct world *world, struct mq_id program, uint32_t call,
-                    json_t *message)
+tool_message_is_valid (struct world *world, struct mq_id program,
+                       uint32_t call, json_t *message)
 {
-  const char *content = text_of (message, "content");
-  const struct call_fact *fact = worker_call_fact (world, program, call);
+  const char *content = json_text (message, "content");
+  const struct observed_call *observed
+      = worker_observed_call (world, program, call);
   json_t *result = json_loads (content, 0, NULL);
-  bool holds = is_failure (result);
+  bool valid = is_failure (result);
 
-  if (holds)
-    note_failure (world, program, call, result);
-  else if (fact->result != NULL)
-    holds = strcmp (fact->result, content) == 0;
+  if (valid)
+    record_failure (world, program, call, result);
+  else if (observed->result != NULL)
+    valid = strcmp (observed->result, content) == 0;
   else
-    holds = is_child_answer (world, program, call, content);
+    valid = is_child_answer (world, program, call, content);
   json_decref (result);
-  return holds;
+  return valid;
 }
 
 static bool
-assistant_message_holds (struct mq_id program, json_t *messages, size_t place)
-{
-  json_t *message = json_array_get (messages, place);
-  json_t *step = plan_step (messages, place);
-  json_t *calls = tool_calls_of (step, place);
-  json_t *told = json_object_get (message, "tool_calls");
-  char *content = content_of (NULL, program, messages, place);
-  bool holds = strcmp (content, text_of (message, "content")) == 0;
-
-  if (json_array_size (calls) > 0 || json_array_size (told) > 0)
-    holds = holds && json_equal (calls, told);
+assistant_message_is_valid (struct mq_id program, json_t *messages,
+                            size_t index)
+{
+  json_t *message = json_array_get (messages, index);
+  json_t *step = plan_step (messages, index);
+  json_t *calls = tool_calls_of (step, index);
+  json_t *message_calls = json_object_get (message, "tool_calls");
+  char *content = content_of (NULL, program, messages, index);
+  bool valid = strcmp (content, json_text (message, "content")) == 0;
+
+  if (json_array_size (calls) > 0 || json_array_size (message_calls) > 0)
+    valid = valid && json_equal (calls, message_calls);
   talloc_free (content);
   json_decref (calls);
   json_decref (step);
-  return holds;
+  return valid;
 }
 
-/* Place of the first message that does not follow, COUNT when all do.  CALLS
-   is set to the calls that the history holds.  */
+/* Returns the index of the first invalid message, or COUNT.  Sets CALLS to the
+   number of calls in the history.  */
 static size_t
-first_wrong (struct world *world, struct mq_id program, json_t *messages,
-             uint32_t *calls)
+first_invalid_message (struct world *world, struct mq_id program,
+                       json_t *messages, uint32_t *calls)
 {
   size_t count = json_array_size (messages);
   *calls = 0;
   for (size_t i = 0; i < count; i++)
     {
       json_t *message = json_array_get (messages, i);
-      bool holds = true;
+      bool valid = true;
 
       if (has_role (message, "assistant"))
         {
           ++*calls;
-          holds = assistant_message_holds (program, messages, i);
+          valid = assistant_message_is_valid (program, messages, i);
         }
       else if (has_role (message, "tool"))
-        holds = tool_message_holds (world, program, ++*calls, message);
+        valid = tool_message_is_valid (world, program, ++*calls, message);
       else if (has_role (message, "user"))
-        holds = caller_asked (world, program, text_of (message, "content"));
+        valid
+            = caller_has_text (world, program, json_text (message, "content"));
       else
-        holds = has_role (message, "system") && i == 0;
-      if (!holds)
+        valid = has_role (message, "system") && i == 0;
+      if (!valid)
         return i;
     }
   return count;
@@ -311,30 +318,31 @@
 {
   uint32_t calls = 0;
   size_t count = json_array_size (messages);
-  size_t wrong = first_wrong (world, run->ref.program, messages, &calls);
+  size_t invalid
+      = first_invalid_message (world, run->ref.program, messages, &calls);
   char *text;
 
-  if (wrong < count)
+  if (invalid < count)
     {
-      text = json_dumps (json_array_get (messages, wrong), JSON_COMPACT);
-      world_violate (world, INVARIANT_HISTORY,
-                     "program %016llx call %u: message %zu of %zu does not "
-                     "follow: %.120s",
-                     (unsigned long long)run->ref.program.lo, run->ref.call,
-                     wrong, count, text);
+      text = json_dumps (json_array_get (messages, invalid), JSON_COMPACT);
+      world_report_violation (world, INVARIANT_HISTORY,
+                              "program %016llx call %u: message %zu of %zu is "
+                              "invalid: %.120s",
+                              (unsigned long long)run->ref.program.lo,
+                              run->ref.call, invalid, count, text);
       free (text);
     }
   else if (calls
            != caller_calls_before (world, run->ref.program, run->ref.call))
-    world_violate (world, INVARIANT_HISTORY,
-                   "program %016llx call %u: the history holds %u calls",
-                   (unsigned long long)run->ref.program.lo, run->ref.call,
-                   calls);
+    world_report_violation (
+        world, INVARIANT_HISTORY,
+        "program %016llx call %u: the history contains %u calls",
+        (unsigned long long)run->ref.program.lo, run->ref.call, calls);
 }
 
-/* Engines' caches.  */
+/* ---- Engine caches ---- */
 
-static struct cache_row *
+static struct engine_cache_entry *
 cache_find (struct worker *worker, struct mq_id program)
 {
   for (size_t i = 0; i < worker->cache_count; i++)
@@ -344,87 +352,91 @@
 }
 
 static void
-cache_hold (struct world *world, struct worker *worker, struct mq_id program,
-            uint32_t tokens)
+cache_put (struct world *world, struct worker *worker, struct mq_id program,
+           uint32_t tokens)
 {
-  struct cache_row *row = cache_find (worker, program);
+  struct engine_cache_entry *entry = cache_find (worker, program);
 
-  if (row == NULL)
+  if (entry == NULL)
     {
-      worker->cache = talloc_realloc (world, worker->cache, struct cache_row,
-                                      (unsigned int)worker->cache_count + 1);
-      row = &worker->cache[worker->cache_count++];
-      row->program = program;
+      worker->cache
+          = talloc_realloc (world, worker->cache, struct engine_cache_entry,
+                            (unsigned int)worker->cache_count + 1);
+      entry = &worker->cache[worker->cache_count++];
+      entry->program = program;
     }
-  row->tokens = tokens;
-  row->held_us = world->now_us;
+  entry->tokens = tokens;
+  entry->last_used_us = world->now_us;
 }
 
-/* How long ROW has been held for a program that has ended.  */
+/* Returns how long ENTRY has been cached for an ended program.  */
 static uint64_t
-held_in_vain (struct world *world, const struct cache_row *row)
+unneeded_cache_us (struct world *world, const struct engine_cache_entry *entry)
 {
-  uint64_t ended_us = worker_program_fact (world, row->program)->ended_us;
+  uint64_t ended_us
+      = worker_observed_program (world, entry->program)->ended_us;
 
   if (ended_us == 0)
     return 0;
-  return world->now_us - (ended_us > row->held_us ? ended_us : row->held_us);
+  return world->now_us
+         - (ended_us > entry->last_used_us ? ended_us : entry->last_used_us);
 }
 
-/* WORKER gives up what it holds for a program, or for all.  */
+/* Records the cache time when WORKER evicts one program, or all.  */
 static void
-note_held (struct world *world, const struct worker *worker,
-           const struct mq_id *program)
+record_cache_held (struct world *world, const struct worker *worker,
+                   const struct mq_id *program)
 {
   for (size_t i = 0; i < worker->cache_count; i++)
     {
-      const struct cache_row *row = &worker->cache[i];
-      uint64_t held_us = held_in_vain (world, row);
+      const struct engine_cache_entry *entry = &worker->cache[i];
+      uint64_t unneeded_us = unneeded_cache_us (world, entry);
 
-      if (program != NULL && !mq_id_equal (row->program, *program))
+      if (program != NULL && !mq_id_equal (entry->program, *program))
         continue;
-      if (held_us > world->report->held_us)
-        world->report->held_us = held_us;
-      if (held_us > EVICT_WITHIN_US)
-        world_violate (world, INVARIANT_EVICTED,
-                       "program %016llx ended %llu ms before",
-                       (unsigned long long)row->program.lo,
-                       (unsigned long long)(held_us / MS));
+      if (unneeded_us > world->report->held_us)
+        world->report->held_us = unneeded_us;
+      if (unneeded_us > EVICTION_DEADLINE_US)
+        world_report_violation (world, INVARIANT_EVICTED,
+                                "program %016llx ended %llu ms before",
+                                (unsigned long long)entry->program.lo,
+                                (unsigned long long)(unneeded_us / MS));
     }
 }
 
-/* The program's end is in the log.  */
+/* Called when the program's end is in the log.  */
 void
-worker_note_end (struct world *world, struct mq_id program)
+worker_on_program_end (struct world *world, struct mq_id program)
 {
-  struct program_fact *fact = worker_program_fact (world, program);
+  struct observed_program *observed = worker_observed_program (world, program);
 
-  if (fact->ended_us == 0)
-    fact->ended_us = world->now_us;
+  if (observed->ended_us == 0)
+    observed->ended_us = world->now_us;
 }
 
 static void
 cache_drop (struct worker *worker, struct mq_id program)
 {
-  struct cache_row *row = cache_find (worker, program);
+  struct engine_cache_entry *entry = cache_find (worker, program);
 
-  if (row != NULL)
-    *row = worker->cache[--worker->cache_count];
+  if (entry != NULL)
+    *entry = worker->cache[--worker->cache_count];
 }
 
-/* Starting.  */
+/* ---- Starting calls ---- */
 
 static void
-plan_stage (struct world *world, size_t index, uint64_t in_us)
+schedule_stage (struct world *world, size_t index, uint64_t in_us)
 {
-  struct world_event *event = world_event_create (world, EVENT_RUN, NOBODY);
+  struct world_event *event
+      = world_event_create (world, EVENT_CALL_STAGE, NO_HOST);
 
   event->index = (int)index;
   world_push (world, event, world->now_us + in_us);
 }
 
 static json_t *
-plant_in_history (struct world *world, json_t *messages)
+inject_history_fault (struct world *world, json_t *messages)
 {
   size_t count = json_array_size (messages);
 
@@ -442,13 +454,14 @@
 {
   json_t *body = json_loads (run->body, 0, NULL);
   json_t *messages
-      = plant_in_history (world, json_object_get (body, "messages"));
+      = inject_history_fault (world, json_object_get (body, "messages"));
   size_t count = json_array_size (messages);
   json_t *step = plan_step (messages, count);
   json_t *calls = tool_calls_of (step, count);
   json_t *answer = json_object ();
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  const struct cache_row *row = cache_find (worker, run->ref.program);
+  const struct engine_cache_entry *entry
+      = cache_find (worker, run->ref.program);
   char *text;
 
   check_history (world, run, messages);
@@ -457,9 +470,9 @@
   if (run->tokens > run->max_tokens && run->max_tokens > 0)
     run->tokens = run->max_tokens;
   if (world->cell->plant == PLANT_CAP_IGNORED)
-    run->tokens += OVERSPENT;
+    run->tokens += OVERSPENT_TOKENS;
   run->tokens_in = (uint32_t)strlen (run->body) / BYTES_PER_TOKEN;
-  run->cached = row == NULL ? 0 : row->tokens;
+  run->cached = entry == NULL ? 0 : entry->tokens;
   if (run->cached > run->tokens_in)
     run->cached = run->tokens_in;
   json_object_set_new (answer, "content", json_string (run->content));
@@ -479,46 +492,47 @@
 static void
 prepare_plain (struct world *world, struct run *run)
 {
-  struct call_fact *fact
-      = worker_call_fact (world, run->ref.program, run->ref.call);
+  struct observed_call *observed
+      = worker_observed_call (world, run->ref.program, run->ref.call);
 
   run->answer = talloc_asprintf (run, "{\"receipt\":\"%016llx%016llx/%u\"}",
                                  (unsigned long long)run->ref.program.hi,
                                  (unsigned long long)run->ref.program.lo,
                                  run->ref.call);
-  if (fact->result == NULL)
-    fact->result = talloc_strdup (world, run->answer);
+  if (observed->result == NULL)
+    observed->result = talloc_strdup (world, run->answer);
 }
 
 static void
 check_start (struct world *world, const struct run *run)
 {
   const struct mq_call_ref *ref = &run->ref;
-  const struct program_fact *program
-      = worker_program_fact (world, ref->program);
+  const struct observed_program *program
+      = worker_observed_program (world, ref->program);
   const struct host *host = &world->hosts[run->host];
-  struct call_fact *before;
+  struct observed_call *previous;
 
   if (program->refused)
-    world_violate (world, INVARIANT_NOT_RUN,
-                   "program %016llx call %u starts after not_run",
-                   (unsigned long long)ref->program.lo, ref->call);
+    world_report_violation (world, INVARIANT_NOT_RUN,
+                            "program %016llx call %u starts after not_run",
+                            (unsigned long long)ref->program.lo, ref->call);
   if (world->now_us > world->outage_from_us
       && world->now_us < world->outage_until_us)
     world->report->starts_in_outage++;
   if (host->workers[run->worker].kind == MQ_SERVICE_PLAIN
       && !check_is_intended (world, ref))
-    world_violate (
-        world, INVARIANT_INTENDED, "program %016llx call %u attempt %u starts",
-        (unsigned long long)ref->program.lo, ref->call, ref->attempt);
+    world_report_violation (world, INVARIANT_INTENT_COMMITTED,
+                            "program %016llx call %u attempt %u starts",
+                            (unsigned long long)ref->program.lo, ref->call,
+                            ref->attempt);
   if (ref->call > 1)
     {
-      before = worker_call_fact (world, ref->program, ref->call - 1);
-      if (before->starts > 0 && before->ends == 0)
-        world_violate (world, INVARIANT_ORDER,
-                       "program %016llx call %u starts, call %u never ended",
-                       (unsigned long long)ref->program.lo, ref->call,
-                       ref->call - 1);
+      previous = worker_observed_call (world, ref->program, ref->call - 1);
+      if (previous->starts > 0 && previous->ends == 0)
+        world_report_violation (
+            world, INVARIANT_ORDER,
+            "program %016llx call %u starts, call %u has not ended",
+            (unsigned long long)ref->program.lo, ref->call, ref->call - 1);
     }
   if (!host->leaving)
     return;
@@ -531,10 +545,10 @@
           && arrival->ref.attempt == ref->attempt
           && mq_id_equal (arrival->ref.program, ref->program)
           && arrival->at_us > host->leave_us)
-        world_violate (world, INVARIANT_LEAVING,
-                       "%s starts program %016llx call %u after its LEAVE",
-                       host->name, (unsigned long long)ref->program.lo,
-                       ref->call);
+        world_report_violation (
+            world, INVARIANT_LEAVING,
+            "%s starts program %016llx call %u after its LEAVE", host->name,
+            (unsigned long long)ref->program.lo, ref->call);
     }
 }
 
@@ -558,26 +572,26 @@
 }
 
 static void
-begin (struct world *world, struct run *run, size_t index)
+begin_run (struct world *world, struct run *run, size_t index)
 {
   struct worker *worker = &world->hosts[run->host].workers[run->worker];
-  struct call_fact *fact;
+  struct observed_call *observed;
 
   check_start (world, run);
-  fact = worker_call_fact (world, run->ref.program, run->ref.call);
-  fact->starts++;
-  fact->idempotent = worker->kind != MQ_SERVICE_PLAIN;
-  worker_program_fact (world, run->ref.program)->starts++;
+  observed = worker_observed_call (world, run->ref.program, run->ref.call);
+  observed->starts++;
+  observed->idempotent = worker->kind != MQ_SERVICE_PLAIN;
+  worker_observed_program (world, run->ref.program)->starts++;
   run->hangs = worker->hangs;
   worker->hangs = false;
   if (worker->kind == MQ_SERVICE_MODEL)
     {
       prepare_model (world, run);
-      plan_stage (world, index, ENGINE_FIRST_US);
+      schedule_stage (world, index, ENGINE_FIRST_US);
       return;
     }
   prepare_plain (world, run);
-  plan_stage (world, index, EFFECT_US);
+  schedule_stage (world, index, EFFECT_US);
 }
 
 void
@@ -593,28 +607,29 @@
   fault_step (world, &site);
   if (world->hosts[host].workers[start->worker].kind == MQ_SERVICE_PLAIN)
     fault_script (world, &site);
-  if (!world_runs (world, host, run_number) || world->hosts[host].held)
+  if (!world_is_current_run (world, host, run_number)
+      || world->hosts[host].actions_deferred)
     return;
   world_trace (
       world, "%s starts %016llx call %u attempt %u at %s, max_tokens %u",
       world->hosts[host].name, (unsigned long long)start->ref.program.lo,
       start->ref.call, start->ref.attempt, start->service, start->max_tokens);
   run = add_run (world, host, start);
-  begin (world, run, world->run_count - 1);
-  if (world->cell->plant != PLANT_START_CLONED
+  begin_run (world, run, world->run_count - 1);
+  if (world->cell->plant != PLANT_START_DUPLICATED
       || world->hosts[host].workers[start->worker].kind != MQ_SERVICE_PLAIN)
     return;
   run = add_run (world, host, start);
   run->slot = UINT32_MAX;
-  begin (world, run, world->run_count - 1);
+  begin_run (world, run, world->run_count - 1);
 }
 
-/* Ending.  */
+/* ---- Ending calls ---- */
 
 static bool
-is_heard (const struct world *world, const struct run *run)
+is_gate_waiting (const struct world *world, const struct run *run)
 {
-  return world_runs (world, run->host, run->host_run)
+  return world_is_current_run (world, run->host, run->host_run)
          && run->slot != UINT32_MAX;
 }
 
@@ -622,17 +637,17 @@
 end_run (struct world *world, struct run *run)
 {
   run->ended = true;
-  worker_call_fact (world, run->ref.program, run->ref.call)->ends++;
+  worker_observed_call (world, run->ref.program, run->ref.call)->ends++;
 }
 
 static void
-give_done (struct world *world, const struct run *run,
+send_done (struct world *world, const struct run *run,
            enum mq_error_type error, enum mq_ran ran)
 {
   struct mq_gate_input input
       = { .type = MQ_GATE_DONE, .now_us = world->now_us };
 
-  if (!is_heard (world, run))
+  if (!is_gate_waiting (world, run))
     return;
   input.u.done.slot = run->slot;
   input.u.done.error = error;
@@ -644,8 +659,8 @@
   world_gate_input (world, run->host, &input);
 }
 
-/* A model call may be asked again; whether another took effect can't be
-   known when it does not answer.  */
+/* A model call is idempotent.  Whether another call took effect is unknown if
+   it gets no reply.  */
 static void
 fail_run (struct world *world, struct run *run, enum mq_error_type error)
 {
@@ -654,11 +669,11 @@
   if (run->ended)
     return;
   end_run (world, run);
-  give_done (world, run, error, model ? MQ_RAN_RAN : MQ_RAN_UNKNOWN);
+  send_done (world, run, error, model ? MQ_RAN_RAN : MQ_RAN_UNKNOWN);
 }
 
 static void
-give_token (struct world *world, const struct run *run, uint32_t chunk)
+send_token (struct world *world, const struct run *run, uint32_t chunk)
 {
   struct mq_gate_input input
       = { .type = MQ_GATE_TOKEN, .now_us = world->now_us };
@@ -669,21 +684,23 @@
 
   input.u.token.slot = run->slot;
   input.u.token.text = text;
-  if (is_heard (world, run))
+  if (is_gate_waiting (world, run))
     world_gate_input (world, run->host, &input);
   talloc_free (text);
 }
 
 static void
-note_final (struct world *world, const struct run *run)
+record_final_answer (struct world *world, const struct run *run)
 {
-  struct program_fact *fact = worker_program_fact (world, run->ref.program);
+  struct observed_program *observed
+      = worker_observed_program (world, run->ref.program);
 
   if (strstr (run->answer, "\"finish\":\"stop\"") == NULL)
     return;
-  fact->finals = talloc_realloc (world, fact->finals, char *,
-                                 (unsigned int)fact->final_count + 1);
-  fact->finals[fact->final_count++] = talloc_strdup (world, run->content);
+  observed->finals = talloc_realloc (world, observed->finals, char *,
+                                     (unsigned int)observed->final_count + 1);
+  observed->finals[observed->final_count++]
+      = talloc_strdup (world, run->content);
 }
 
 static void
@@ -697,33 +714,34 @@
       due = run->tokens * (run->stage + 1) / CHUNKS;
       spend (world, run->ref.program, due - run->tokens_done);
       run->tokens_done = due;
-      cache_hold (world, worker, run->ref.program, run->tokens_in + due);
-      give_token (world, run, run->stage++);
-      plan_stage (world, index, ENGINE_CHUNK_US);
+      cache_put (world, worker, run->ref.program, run->tokens_in + due);
+      send_token (world, run, run->stage++);
+      schedule_stage (world, index, ENGINE_CHUNK_US);
       return;
     }
-  note_final (world, run);
+  record_final_answer (world, run);
   end_run (world, run);
-  give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+  send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
 }
 
 static void
-take_effect (struct world *world, struct run *run)
+apply_effect (struct world *world, struct run *run)
 {
-  struct call_fact *fact
-      = worker_call_fact (world, run->ref.program, run->ref.call);
+  struct observed_call *observed
+      = worker_observed_call (world, run->ref.program, run->ref.call);
 
-  fact->effects++;
+  observed->effects++;
   world_trace (world, "%s: effect of %016llx call %u attempt %u",
                world->hosts[run->host].name,
                (unsigned long long)run->ref.program.lo, run->ref.call,
                run->ref.attempt);
-  if (!fact->idempotent && fact->effects == 2)
-    world_violate (world, INVARIANT_ONCE,
-                   "program %016llx call %u took effect twice, now by "
-                   "attempt %u at %s",
-                   (unsigned long long)run->ref.program.lo, run->ref.call,
-                   run->ref.attempt, world->hosts[run->host].name);
+  if (!observed->idempotent && observed->effects == 2)
+    world_report_violation (
+        world, INVARIANT_ONCE,
+        "program %016llx call %u took effect twice, now by "
+        "attempt %u at %s",
+        (unsigned long long)run->ref.program.lo, run->ref.call,
+        run->ref.attempt, world->hosts[run->host].name);
 }
 
 static void
@@ -735,31 +753,31 @@
     {
     case 0:
       if (early)
-        give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+        send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
       else
-        take_effect (world, run);
-      plan_stage (world, index, early ? ANSWER_HELD_US : ANSWER_US);
+        apply_effect (world, run);
+      schedule_stage (world, index, early ? ANSWER_HELD_US : ANSWER_US);
       break;
     case 1:
       if (early)
-        take_effect (world, run);
+        apply_effect (world, run);
       end_run (world, run);
       if (!early)
-        give_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
+        send_done (world, run, MQ_ERR_NONE, MQ_RAN_RAN);
       break;
     }
 }
 
-/* A hanging service takes effect and never answers; the client at the gate
-   gives up.  */
+/* A hanging service takes effect but does not reply; the gate's client times
+   out.  */
 static void
-hang (struct world *world, struct run *run, size_t index)
+start_hang (struct world *world, struct run *run, size_t index)
 {
   if (run->worker != MODEL_WORKER)
-    take_effect (world, run);
+    apply_effect (world, run);
   run->hangs = false;
   run->stopped = true;
-  plan_stage (world, index, HANG_US);
+  schedule_stage (world, index, HANG_US);
 }
 
 void
@@ -773,7 +791,7 @@
   if (run->stopped)
     fail_run (world, run, MQ_ERR_TIMEOUT);
   else if (run->hangs)
-    hang (world, run, (size_t)event->index);
+    start_hang (world, run, (size_t)event->index);
   else if (run->worker == MODEL_WORKER)
     model_stage (world, run, (size_t)event->index);
   else
@@ -790,14 +808,15 @@
       if (run->ended || run->host != host || run->slot != slot
           || run->host_run != world->hosts[host].run)
         continue;
-      world_trace (world, "%s stops %016llx call %u", world->hosts[host].name,
+      world_trace (world, "%s cancels %016llx call %u",
+                   world->hosts[host].name,
                    (unsigned long long)run->ref.program.lo, run->ref.call);
       fail_run (world, run, MQ_ERR_CANCELLED);
       return;
     }
 }
 
-/* Evictions, orders, reads of the cache.  */
+/* ---- Evictions, orders, cache reports ---- */
 
 void
 worker_evict (struct world *world, int host, const struct mq_evict *evict)
@@ -810,7 +829,7 @@
   site.program = evict->program;
   site.worker = (int)evict->worker;
   fault_step (world, &site);
-  if (!world_runs (world, host, run))
+  if (!world_is_current_run (world, host, run))
     return;
   world_trace (world, "%s evicts %016llx", world->hosts[host].name,
                (unsigned long long)evict->program.lo);
@@ -820,10 +839,10 @@
   event->flag = world->hosts[host].workers[evict->worker].up
                 && (world->cell->plant != PLANT_EVICT_DELAYED
                     || world->now_us > PLANT_EVICT_FROM_US);
-  if (event->flag && world->cell->plant != PLANT_EVICT_SWALLOWED)
+  if (event->flag && world->cell->plant != PLANT_EVICT_SKIPPED)
     {
-      note_held (world, &world->hosts[host].workers[evict->worker],
-                 &evict->program);
+      record_cache_held (world, &world->hosts[host].workers[evict->worker],
+                         &evict->program);
       cache_drop (&world->hosts[host].workers[evict->worker], evict->program);
     }
   world_push (world, event, world->now_us + EVICT_US);
@@ -844,7 +863,8 @@
 void
 worker_order (struct world *world, int host, const struct mq_order_msg *order)
 {
-  struct world_event *event = world_event_create (world, EVENT_ORDERED, host);
+  struct world_event *event
+      = world_event_create (world, EVENT_ORDER_DONE, host);
 
   event->handle = order->order;
   world_push (world, event, world->now_us + EVICT_US);
@@ -881,13 +901,13 @@
       input.u.cache.used += entries[i].tokens;
     }
   input.u.cache.entry_count = worker->cache_count;
-  /* A bug planted in evictions hides behind what the engine says, too.  */
-  if (worker->up && world->cell->plant != PLANT_EVICT_SWALLOWED)
+  /* The seeded eviction bug also hides the engine's report.  */
+  if (worker->up && world->cell->plant != PLANT_EVICT_SKIPPED)
     world_gate_input (world, event->host, &input);
   talloc_free (entries);
 }
 
-/* Restarts.  */
+/* ---- Restarts ---- */
 
 static void
 abort_runs (struct world *world, int host, uint32_t index)
@@ -897,7 +917,7 @@
       fail_run (world, world->runs[i], MQ_ERR_TARGET_FAILED);
 }
 
-/* FLAG: it goes down, and up again a while later.  */
+/* Stops the engine (FLAG) and schedules its restart, or starts it.  */
 void
 worker_engine (struct world *world, const struct world_event *event)
 {
@@ -911,32 +931,32 @@
   if (event->flag)
     {
       worker->boot++;
-      note_held (world, worker, NULL);
+      record_cache_held (world, worker, NULL);
       worker->cache_count = 0;
       abort_runs (world, event->host, (uint32_t)event->index);
-      worker_plan_engine (world, event->host, (uint32_t)event->index, false,
-                          ENGINE_RESTART_US);
+      worker_schedule_engine (world, event->host, (uint32_t)event->index,
+                              false, ENGINE_RESTART_US);
     }
   if (host->alive)
     world_gate_input (world, event->host, &input);
 }
 
 void
-worker_plan_engine (struct world *world, int host, uint32_t index, bool down,
-                    uint64_t in_us)
+worker_schedule_engine (struct world *world, int host, uint32_t index,
+                        bool down, uint64_t in_us)
 {
   struct world_event *event = world_event_create (world, EVENT_ENGINE, host);
 
   event->index = (int)index;
-  event->run = 0; /* the engine's, not the gate's */
+  event->run = 0; /* not bound to a run of the gate */
   event->flag = down;
   world_push (world, event, world->now_us + in_us);
 }
 
-/* A call that hangs has had its effect, and only the gate's client waits for
-   the answer: it ends with that client.  */
+/* Ends hanging calls of a crashed gate: they have taken effect, and only the
+   gate's client was waiting.  */
 void
-worker_gate_died (struct world *world, int host)
+worker_gate_crashed (struct world *world, int host)
 {
   for (size_t i = 0; i < world->run_count; i++)
     if (!world->runs[i]->ended && world->runs[i]->stopped
@@ -945,16 +965,16 @@
       end_run (world, world->runs[i]);
 }
 
-/* The whole host is gone, its workers with it.  */
+/* Stops the workers of a failed host.  */
 void
-worker_host_died (struct world *world, int host)
+worker_host_crashed (struct world *world, int host)
 {
   for (uint32_t i = 0; i < WORKERS; i++)
     {
       struct worker *worker = &world->hosts[host].workers[i];
 
       worker->boot++;
-      note_held (world, worker, NULL);
+      record_cache_held (world, worker, NULL);
       worker->cache_count = 0;
       worker->up = true;
       abort_runs (world, host, i);
