--- a/src/core/owner/owner_read.c
+++ b/src/core/owner/owner_read.c
@@ -151,10 +151,11 @@
 {
   Mqlog__Batch *batch
       = mqlog__batch__unpack (NULL, row->value.len, row->value.data);
-  struct read_batch *batch_row;
+  struct logged_batch *batch_row;
 
-  takeover->rows = talloc_realloc (takeover, takeover->rows, struct read_batch,
-                                   (unsigned int)takeover->row_count + 1);
+  takeover->rows
+      = talloc_realloc (takeover, takeover->rows, struct logged_batch,
+                        (unsigned int)takeover->row_count + 1);
   if (takeover->rows == NULL)
     abort ();
   batch_row = &takeover->rows[takeover->row_count++];
@@ -300,7 +301,7 @@
       break;
     case TAKEOVER_READ_OBJECTS:
       {
-        struct read_batch *row = &takeover->rows[takeover->row_next++];
+        struct logged_batch *row = &takeover->rows[takeover->row_next++];
 
         row->bytes.data
             = talloc_memdup (takeover, result->value.data, result->value.len);
--- a/src/core/owner/owner_request.c
+++ b/src/core/owner/owner_request.c
@@ -206,7 +206,7 @@
   if (running == NULL)
     return;
   /* A newer answer is not durable yet.  */
-  if (owner->settled < running->answer_position)
+  if (owner->settled_position < running->answer_position)
     {
       log_add_reply_hook (owner, running, hook->peer, hook->handle)->history
           = hook->history;
