--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -107,7 +107,7 @@
 mq_gate_load_due (const struct mq_gate *gate)
 {
   uint64_t gap_us = read_gap_us (gate);
-  uint64_t beat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
+  uint64_t beat_us = MQ_GATE_LOAD_INTERVAL_MS * MQ_US_PER_MS;
 
   if (!gate->load_dirty && beat_us > gap_us)
     gap_us = beat_us;
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -153,9 +153,9 @@
    the call a second time.  A copy can only come over a connection that is
    still open, and such a connection delivers in order: what was sent before
    the call was forgotten arrives before the next beat, and a connection
-   without a beat for MQ_SILENT_MS is closed.  So a copy comes within that
-   time of this process's running; lived_us counts only that (a pause counts
-   as a second at most), and MQ_GATE_PROGRAM_KEEP_MS is far longer.  */
+   without a beat for MQ_PEER_TIMEOUT_MS is closed.  So a copy comes within
+   that time of this process's running; lived_us counts only that (a pause
+   counts as a second at most), and MQ_GATE_PROGRAM_KEEP_MS is far longer.  */
 void
 mq_gate_programs_expire (struct mq_gate *gate)
 {
@@ -167,7 +167,7 @@
 make_room (struct mq_gate *gate)
 {
   while (gate->programs.count >= MQ_GATE_PROGRAMS_MAX)
-    if (!free_oldest (gate, MQ_GATE_PROGRAM_LEAST_MS))
+    if (!free_oldest (gate, MQ_GATE_PROGRAM_KEEP_MIN_MS))
       return false;
   return true;
 }
--- a/src/core/gate/gate_settle.c
+++ b/src/core/gate/gate_settle.c
@@ -69,7 +69,7 @@
 
 static void
 send_sealed (struct mq_gate *gate, uint32_t peer, const struct mq_ref_msg *msg,
-             uint64_t fence, enum mq_seal_answer answer)
+             uint64_t fence, enum mq_seal_status answer)
 {
   struct mq_message message = { .type = MQ_MSG_SEALED };
 
--- a/src/core/id.c
+++ b/src/core/id.c
@@ -55,7 +55,7 @@
 }
 
 struct mq_id
-mq_id_text_hash (const char *text)
+mq_id_from_text (const char *text)
 {
   XXH128_hash_t hash = XXH3_128bits (text, strlen (text));
 
--- a/src/core/id.h
+++ b/src/core/id.h
@@ -14,7 +14,7 @@
 /* Id of the sub-program that CALL of PARENT starts; same partition.  */
 struct mq_id mq_id_child (struct mq_id parent, uint32_t call);
 /* Id that stands for TEXT, an id given by someone else.  */
-struct mq_id mq_id_text_hash (const char *text);
+struct mq_id mq_id_from_text (const char *text);
 bool mq_id_equal (struct mq_id a, struct mq_id b);
 bool mq_id_is_zero (struct mq_id id);
 int mq_id_compare (struct mq_id a, struct mq_id b);
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -24,24 +24,24 @@
 #define MQ_HTTP_KEPT_CONNECTIONS 256 /* client: idle ones at most */
 
 /* Connections between processes.  */
-#define MQ_BEAT_MS 500U          /* heartbeat on an idle connection */
-#define MQ_SILENT_MS 2000U       /* nothing heard: silent, replace it */
+#define MQ_HEARTBEAT_MS 500U     /* heartbeat on an idle connection */
+#define MQ_PEER_TIMEOUT_MS 2000U /* nothing heard: silent, replace it */
 #define MQ_CONNECT_RETRY_MS 200U /* first pause before connecting again */
 #define MQ_CONNECT_RETRY_MAX_MS 3000U
 #define MQ_HANDSHAKE_MS 2000U
-#define MQ_PEER_UNSENT_BYTES (32U << 20)  /* unsent to one peer: closed */
-#define MQ_PEER_UNPROVEN_MAX 256U         /* connections before their proof */
-#define MQ_PEER_UNPROVEN_BYTES 1024U      /* frame before the proof */
-#define MQ_FRAME_MEMORY_BYTES (32U << 20) /* memory of one decoded frame */
-#define MQ_FRAME_WORKERS_MAX 1024U        /* workers in one LOAD */
-#define MQ_FRAME_CALLS_MAX 65536U         /* calls in one RECOVERED */
-#define MQ_FRAME_PARTITIONS_MAX 65536U    /* partitions in one HANDOVER */
+#define MQ_PEER_UNSENT_BYTES (32U << 20) /* unsent to one peer: closed */
+#define MQ_PEER_UNAUTHENTICATED_MAX 256U /* connections before their proof */
+#define MQ_PEER_UNAUTHENTICATED_BYTES 1024U /* frame before the proof */
+#define MQ_FRAME_MEMORY_BYTES (32U << 20)   /* memory of one decoded frame */
+#define MQ_FRAME_WORKERS_MAX 1024U          /* workers in one LOAD */
+#define MQ_FRAME_CALLS_MAX 65536U           /* calls in one RECOVERED */
+#define MQ_FRAME_PARTITIONS_MAX 65536U      /* partitions in one HANDOVER */
 
 /* Partition ownership.  */
 #define MQ_OWNER_RENEW_MS 1000U    /* the owner's row is written this often */
 #define MQ_OWNER_SCAN_MS 1000U     /* owners' and partitions' rows are read */
 #define MQ_OWNER_STANDBY_MS 30000U /* renewal of a host that may not own */
-#define MQ_OWNER_FORGET_MS                                                    \
+#define MQ_OWNER_EXPIRY_MS                                                    \
   120000U /* a row that stands still counts no more                           \
            */
 #define MQ_OWNER_PROGRAMS_MAX 50000U
@@ -70,10 +70,10 @@
 #define MQ_GRANT_CALLS 4U         /* calls that one budget grant covers */
 #define MQ_ENDED_KEEP_MS 3600000U /* ended programs stay for repeats */
 #define MQ_PENDING_MAX_BYTES                                                  \
-  (64U << 20)              /* records that wait for the store                 \
-                            */
-#define MQ_GONE_MS 30000U  /* an unlisted target's calls: unknown */
-#define MQ_LOOP_REPEATS 4U /* same call in a row: a suspected loop */
+  (64U << 20)                    /* records that wait for the store           \
+                                  */
+#define MQ_TARGET_GONE_MS 30000U /* an unlisted target's calls: unknown */
+#define MQ_LOOP_REPEATS 4U       /* same call in a row: a suspected loop */
 
 /* Callers' requests at the host that took them.  */
 #define MQ_FRONT_REQUESTS_MAX 8192U
@@ -85,26 +85,29 @@
 /* Callers' HTTP.  */
 #define MQ_API_KEY_MAX 255U         /* bytes of an Idempotency-Key */
 #define MQ_API_WAIT_MAX_MS 3600000U /* a caller's wait, service not known */
-#define MQ_HOLD_MS 1000U      /* a request waits for a newer configuration */
-#define MQ_HOLD_MAX 1024U     /* requests that wait so */
-#define MQ_ENTRY_LEAVE_MS 50U /* a planned stop looks whether it is done */
-#define MQ_TARGET_LOOK_MS 50U /* the same beside a target */
-#define MQ_TARGET_QUIET_MS 1500U    /* no call came for so long: may end */
-#define MQ_HOSTS_POLL_MS 1000U      /* the platform's list of hosts is read */
-#define MQ_HOSTS_POLL_HOST_MS 20U   /* and not before so long for each host */
-#define MQ_HOSTS_POLL_MAX_MS 5000U  /* but then: who leaves shows in it */
+#define MQ_CONFIG_WAIT_MS 1000U /* a request waits for a newer configuration  \
+                                 */
+#define MQ_CONFIG_WAITERS_MAX 1024U /* requests that wait so */
+#define MQ_ENTRY_STOP_POLL_MS 50U  /* a planned stop looks whether it is done \
+                                    */
+#define MQ_TARGET_STOP_POLL_MS 50U /* the same beside a target */
+#define MQ_TARGET_IDLE_MS 1500U    /* no call came for so long: may end */
+#define MQ_HOSTS_POLL_MS 1000U     /* the platform's list of hosts is read */
+#define MQ_HOSTS_POLL_HOST_MS 20U  /* and not before so long for each host */
+#define MQ_HOSTS_POLL_MAX_MS 5000U /* but then: who leaves shows in it */
 #define MQ_API_WAIT_SLACK_MS 30000U /* beyond what the service may take */
 
 /* Gates.  */
 #define MQ_GATE_QUEUE_MAX 512U
 #define MQ_GATE_OUTCOMES_MAX 65536U
-#define MQ_GATE_LOAD_BEAT_MS 1000U
+#define MQ_GATE_LOAD_INTERVAL_MS 1000U
 #define MQ_GATE_LOAD_MIN_MS 50U /* load is pushed on change, no faster */
 #define MQ_GATE_EVICT_RETRY_MS 200U
 #define MQ_GATE_AGEING_MS 2000U /* a waiting call rises one step */
 #define MQ_GATE_PROGRAMS_MAX 65536U
 #define MQ_GATE_PROGRAM_KEEP_MS 600000U /* idle record of a program */
-#define MQ_GATE_PROGRAM_LEAST_MS 30000U /* the same when the table is full */
+#define MQ_GATE_PROGRAM_KEEP_MIN_MS                                           \
+  30000U /* the same when the table is full */
 #define MQ_GATE_OUTCOME_BYTES_MAX (32U << 20) /* bodies of kept outcomes */
 #define MQ_GATE_QUEUE_BYTES_MAX (32U << 20)   /* bodies that wait, a worker */
 #define MQ_GATE_EVICT_RETRY_MAX_MS 5000U
@@ -125,10 +128,11 @@
 #define MQ_CONFIG_POLL_MS 1000U       /* pollers of a data centre */
 #define MQ_CONFIG_POLL_SLOW_MS 60000U /* everyone else */
 #define MQ_CONFIG_POLLERS 2U          /* pollers in a data centre */
-#define MQ_CONFIG_FIRST_MAX_MS 4000U  /* longest pause before the first */
-#define MQ_CONFIG_GET_MS 1000U        /* a peer asked: then another one */
-#define MQ_CONFIG_TELL_PEERS 8U       /* peers told at a time of a rise */
-#define MQ_CONFIG_TELL_MS 50U         /* pause before the next few; doubles */
+#define MQ_CONFIG_STARTUP_RETRY_MAX_MS                                        \
+  4000U                                /* longest pause before the first */
+#define MQ_CONFIG_GET_TIMEOUT_MS 1000U /* a peer asked: then another one */
+#define MQ_CONFIG_NOTIFY_PEERS 8U      /* peers told at a time of a rise */
+#define MQ_CONFIG_NOTIFY_MS 50U        /* pause before the next few; doubles */
 
 /* Measures.  */
 #define MQ_LATENCY_SERIES_MAX 256U /* services, first and follow-up apart */
--- a/src/core/memory.c
+++ b/src/core/memory.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 
 void *
-mq_must (void *memory)
+mq_check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -16,11 +16,11 @@
 char *
 mq_text_copy (TALLOC_CTX *ctx, const char *text)
 {
-  return mq_must (talloc_strdup (ctx, text == NULL ? "" : text));
+  return mq_check_alloc (talloc_strdup (ctx, text == NULL ? "" : text));
 }
 
 void
-mq_text_set (TALLOC_CTX *ctx, char **to, const char *text)
+mq_text_replace (TALLOC_CTX *ctx, char **to, const char *text)
 {
   talloc_free (*to);
   *to = mq_text_copy (ctx, text);
--- a/src/core/memory.h
+++ b/src/core/memory.h
@@ -10,10 +10,10 @@
 #include "types.h"
 
 /* MEMORY itself; stops the process when it is NULL.  */
-void *mq_must (void *memory);
+void *mq_check_alloc (void *memory);
 /* Copy of TEXT below CTX; NULL is copied as the empty text.  */
 char *mq_text_copy (TALLOC_CTX *ctx, const char *text);
 /* Puts such a copy in the place of *TO, which is freed.  */
-void mq_text_set (TALLOC_CTX *ctx, char **to, const char *text);
+void mq_text_replace (TALLOC_CTX *ctx, char **to, const char *text);
 
 #endif
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -214,7 +214,7 @@
   bool recovered;
 };
 
-enum mq_seal_answer
+enum mq_seal_status
 {
   MQ_SEAL_DONE,    /* an OUTCOME message precedes this one */
   MQ_SEAL_RUNNING, /* the OUTCOME follows when it ends */
@@ -228,7 +228,7 @@
   uint32_t partition;
   uint64_t fence;
   uint64_t boot;
-  enum mq_seal_answer answer;
+  enum mq_seal_status answer;
 };
 
 /**
--- a/src/core/organisation/orgs.c
+++ b/src/core/organisation/orgs.c
@@ -82,7 +82,7 @@
       return MQ_KEY_NOBODY;
     }
   set_scope (to);
-  mq_idmap_put (orgs->names, mq_id_text_hash (to->name), 0, to);
+  mq_idmap_put (orgs->names, mq_id_from_text (to->name), 0, to);
   return (uint32_t)orgs->count++;
 }
 
@@ -131,7 +131,7 @@
 const struct mq_org *
 mq_orgs_find_name (const struct mq_orgs *orgs, const char *name)
 {
-  return mq_idmap_find (orgs->names, mq_id_text_hash (name), 0);
+  return mq_idmap_find (orgs->names, mq_id_from_text (name), 0);
 }
 
 size_t
--- a/src/core/organisation/quota_issuer.c
+++ b/src/core/organisation/quota_issuer.c
@@ -98,10 +98,10 @@
 mq_quota_issuer_create (TALLOC_CTX *ctx)
 {
   struct mq_quota_issuer *issuer
-      = mq_must (talloc_zero (ctx, struct mq_quota_issuer));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_quota_issuer));
 
-  issuer->buckets = mq_must (mq_idmap_create (issuer));
-  issuer->hosts = mq_must (mq_idmap_create (issuer));
+  issuer->buckets = mq_check_alloc (mq_idmap_create (issuer));
+  issuer->hosts = mq_check_alloc (mq_idmap_create (issuer));
   return issuer;
 }
 
@@ -187,7 +187,7 @@
 
   if (host != NULL)
     return host;
-  host = mq_must (talloc_zero (issuer, struct issuer_host));
+  host = mq_check_alloc (talloc_zero (issuer, struct issuer_host));
   host->id = id;
   host->heard_ms = now;
   mq_idmap_put (issuer->hosts, host_key (id), 0, host);
@@ -250,12 +250,12 @@
             const struct mq_quota_bounds *bounds,
             const struct mq_quota_lease *lease, uint64_t now)
 {
-  struct mq_id id = mq_id_text_hash (organisation);
+  struct mq_id id = mq_id_from_text (organisation);
   struct bucket *bucket = mq_idmap_find (issuer->buckets, id, 0);
 
   if (bucket == NULL)
     {
-      bucket = mq_must (talloc_zero (issuer, struct bucket));
+      bucket = mq_check_alloc (talloc_zero (issuer, struct bucket));
       bucket->id = id;
       bucket->lease.since_ms = UINT64_MAX;
       mq_idmap_put (issuer->buckets, id, 0, bucket);
@@ -279,7 +279,7 @@
     at = at->next;
   if (at != NULL)
     return at;
-  at = mq_must (talloc_zero (bucket, struct standing));
+  at = mq_check_alloc (talloc_zero (bucket, struct standing));
   at->host = host;
   at->next = bucket->standings;
   bucket->standings = at;
--- a/src/core/owner/front.c
+++ b/src/core/owner/front.c
@@ -19,7 +19,7 @@
 mq_front_create (TALLOC_CTX *ctx, const struct mq_front_lookup *lookup,
                  uint64_t seed)
 {
-  struct mq_front *front = mq_must (talloc_zero (ctx, struct mq_front));
+  struct mq_front *front = mq_check_alloc (talloc_zero (ctx, struct mq_front));
 
   front->lookup = *lookup;
   front->random = seed;
@@ -78,7 +78,7 @@
   if (front->count == front->room)
     {
       front->room = front->room == 0 ? FIRST_ROOM : 2 * front->room;
-      front->requests = mq_must (talloc_realloc (
+      front->requests = mq_check_alloc (talloc_realloc (
           front, front->requests, struct front_request *, front->room));
     }
   memmove (&front->requests[place + 1], &front->requests[place],
@@ -135,12 +135,12 @@
     {
       front->peer_room
           = front->peer_room == 0 ? FIRST_ROOM : 2 * front->peer_room;
-      front->peers = mq_must (talloc_realloc (
+      front->peers = mq_check_alloc (talloc_realloc (
           front, front->peers, struct front_peer, front->peer_room));
     }
   row = &front->peers[front->peer_count++];
   row->peer = peer;
-  row->address = mq_must (talloc_strdup (front, address));
+  row->address = mq_check_alloc (talloc_strdup (front, address));
 }
 
 static const char *
@@ -206,7 +206,8 @@
 
   event.call = call;
   event.number = call << CALL_SHIFT;
-  event.body = mq_must (talloc_asprintf (actions, "{\"call\":%u}", call));
+  event.body
+      = mq_check_alloc (talloc_asprintf (actions, "{\"call\":%u}", call));
   front->counters.resets++;
   front_give_event (actions, &event);
 }
@@ -245,7 +246,7 @@
 front_set_text (void *ctx, char **text, const char *value)
 {
   talloc_free (*text);
-  *text = value == NULL ? NULL : mq_must (talloc_strdup (ctx, value));
+  *text = value == NULL ? NULL : mq_check_alloc (talloc_strdup (ctx, value));
 }
 
 /* Sends the request to the host that a refusal named, else to the owner by
@@ -301,7 +302,7 @@
                     MQ_RAN_NOT_RUN);
       return;
     }
-  request = mq_must (talloc_zero (front, struct front_request));
+  request = mq_check_alloc (talloc_zero (front, struct front_request));
   request->handle = input->handle;
   request->partition = input->partition;
   request->deadline_us = input->deadline_us;
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -23,7 +23,7 @@
           at = &segment->next;
           continue;
         }
-      request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+      request = owner_store (owner, MQ_STORE_DELETE, owner_new_id (owner));
       request->key = talloc_strdup (owner->actions, segment->object);
       *at = segment->next;
       talloc_free (segment);
@@ -37,7 +37,7 @@
 
   if (key == NULL || key[0] == '\0')
     return;
-  request = owner_store (owner, MQ_STORE_DROP, owner_new_id (owner));
+  request = owner_store (owner, MQ_STORE_DELETE, owner_new_id (owner));
   request->key = talloc_strdup (owner->actions, key);
 }
 
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -45,7 +45,7 @@
 {
   return sibling->row_known && !sibling->leaving
          && owner->now_us - sibling->counter_us
-                <= 1000ULL * MQ_OWNER_FORGET_MS;
+                <= 1000ULL * MQ_OWNER_EXPIRY_MS;
 }
 
 static void
--- a/src/core/owner/owner_rows.c
+++ b/src/core/owner/owner_rows.c
@@ -44,10 +44,10 @@
   partition->batch = value->batch;
   partition->checkpoint = value->checkpoint;
   partition->first = value->first;
-  mq_text_set (owner->partitions, &partition->owner, value->owner);
-  mq_text_set (owner->partitions, &partition->address, value->address);
-  mq_text_set (owner->partitions, &partition->checkpoint_key,
-               value->checkpoint_key);
+  mq_text_replace (owner->partitions, &partition->owner, value->owner);
+  mq_text_replace (owner->partitions, &partition->address, value->address);
+  mq_text_replace (owner->partitions, &partition->checkpoint_key,
+                   value->checkpoint_key);
   copy_senders (owner, partition, value);
   mqlog__partition_row__free_unpacked (value, NULL);
   return true;
@@ -110,7 +110,7 @@
   sibling->counter = value->counter;
   sibling->boot = value->boot;
   sibling->leaving = value->leaving;
-  mq_text_set (sibling, &sibling->address, value->address);
+  mq_text_replace (sibling, &sibling->address, value->address);
   mqlog__owner_row__free_unpacked (value, NULL);
 }
 
@@ -124,8 +124,8 @@
                     &result->rows[i]);
   if (result->more && result->row_count > 0)
     {
-      mq_text_set (owner, &owner->owners_after,
-                   result->rows[result->row_count - 1].key);
+      mq_text_replace (owner, &owner->owners_after,
+                       result->rows[result->row_count - 1].key);
       tick_scan_owners (owner);
       return;
     }
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -144,7 +144,7 @@
 {
   struct call *call = running->call;
   uint64_t down_ms = (owner->now_us - call->down_us) / 1000;
-  bool gone = !call->target->listed && down_ms >= MQ_GONE_MS;
+  bool gone = !call->target->listed && down_ms >= MQ_TARGET_GONE_MS;
 
   if (call->idempotent)
     {
@@ -154,7 +154,7 @@
       calls_retry_call (owner, running, 0);
       return;
     }
-  if (gone || down_ms >= 2ULL * MQ_GONE_MS)
+  if (gone || down_ms >= 2ULL * MQ_TARGET_GONE_MS)
     calls_give_up_unknown (owner, running);
 }
 
--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -57,7 +57,7 @@
   take_forget_partition (owner, partition);
   partition->row_known = false;
   partition->row_version = 0;
-  mq_text_set (owner->partitions, &partition->owner, "");
+  mq_text_replace (owner->partitions, &partition->owner, "");
   owner->next_scan_us = owner->now_us;
 }
 
@@ -71,9 +71,9 @@
   owner_state (owner, MQ_STATE_PARTITION_RELEASED, number,
                successor == NULL ? "" : successor->host);
   /* Callers that are sent away are told where to ask next.  */
-  mq_text_set (owner->partitions, &partition->owner, "");
-  mq_text_set (owner->partitions, &partition->address,
-               successor == NULL ? "" : successor->address);
+  mq_text_replace (owner->partitions, &partition->owner, "");
+  mq_text_replace (owner->partitions, &partition->address,
+                   successor == NULL ? "" : successor->address);
   take_forget_partition (owner, partition);
   partition->unowned_us = owner->now_us;
   if (successor == NULL)
@@ -216,9 +216,10 @@
       partition->owner_boot = owner->options.boot;
       if (partition->first == 0)
         partition->first = 1;
-      mq_text_set (owner->partitions, &partition->owner, owner->options.host);
-      mq_text_set (owner->partitions, &partition->address,
-                   owner->options.address);
+      mq_text_replace (owner->partitions, &partition->owner,
+                       owner->options.host);
+      mq_text_replace (owner->partitions, &partition->address,
+                       owner->options.address);
       partition->state = PARTITION_OTHER;
       owner->claiming--;
       read_start (owner, partition);
--- a/src/core/owner/owner_tick.c
+++ b/src/core/owner/owner_tick.c
@@ -398,7 +398,7 @@
   for (uint32_t i = 0; i < count; i++)
     {
       owner->partitions[i].number = i;
-      mq_text_set (owner->partitions, &owner->partitions[i].owner, "");
+      mq_text_replace (owner->partitions, &owner->partitions[i].owner, "");
     }
 }
 
--- a/src/core/router/admission.c
+++ b/src/core/router/admission.c
@@ -102,12 +102,12 @@
 find_row (struct mq_admission *admission, const char *name, uint32_t table,
           size_t size)
 {
-  struct mq_id id = mq_id_text_hash (name);
+  struct mq_id id = mq_id_from_text (name);
   void *row = mq_idmap_find (admission->names, id, table);
 
   if (row == NULL)
     {
-      row = mq_must (talloc_zero_size (admission, size));
+      row = mq_check_alloc (talloc_zero_size (admission, size));
       mq_idmap_put (admission->names, id, table, row);
     }
   return row;
--- a/src/core/router/chain.c
+++ b/src/core/router/chain.c
@@ -266,7 +266,7 @@
 void
 mq_chain_cache_put (struct mq_chain_cache *cache, struct mq_chain *chain)
 {
-  struct mq_id key = mq_id_text_hash (chain->id);
+  struct mq_id key = mq_id_from_text (chain->id);
   struct cached *old = mq_idmap_find (cache->map, key, 0);
   struct cached *cached = talloc_zero (cache, struct cached);
 
@@ -289,7 +289,7 @@
 const struct mq_chain *
 mq_chain_cache_find (struct mq_chain_cache *cache, const char *id)
 {
-  struct cached *cached = mq_idmap_find (cache->map, mq_id_text_hash (id), 0);
+  struct cached *cached = mq_idmap_find (cache->map, mq_id_from_text (id), 0);
 
   if (cached == NULL || strcmp (cached->chain->id, id) != 0)
     return NULL;
--- a/src/core/router/fleet.c
+++ b/src/core/router/fleet.c
@@ -33,7 +33,7 @@
 find_entry (const struct mq_fleet *fleet, const char *id)
 {
   uintptr_t place = (uintptr_t)mq_idmap_find (
-      fleet->by_id, mq_id_text_hash (id), FLEET_BY_ID);
+      fleet->by_id, mq_id_from_text (id), FLEET_BY_ID);
 
   return place == 0 ? NULL : &fleet->entries[place - 1];
 }
@@ -136,7 +136,7 @@
   entry->listed = true;
   entry->seen = true;
   place = (void *)(uintptr_t)(entry - fleet->entries + 1);
-  mq_idmap_put (fleet->by_id, mq_id_text_hash (member->id), FLEET_BY_ID,
+  mq_idmap_put (fleet->by_id, mq_id_from_text (member->id), FLEET_BY_ID,
                 place);
   mq_idmap_put (fleet->by_id, hash_key (entry->hash), FLEET_BY_HASH, place);
   return true;
@@ -151,7 +151,7 @@
     return;
   if (!entry->replaced)
     {
-      mq_idmap_remove (fleet->by_id, mq_id_text_hash (entry->member.id),
+      mq_idmap_remove (fleet->by_id, mq_id_from_text (entry->member.id),
                        FLEET_BY_ID);
       mq_idmap_remove (fleet->by_id, hash_key (entry->hash), FLEET_BY_HASH);
     }
--- a/src/core/router/fleet_load.c
+++ b/src/core/router/fleet_load.c
@@ -39,12 +39,12 @@
 static struct fleet_service *
 service_row (struct mq_fleet *fleet, const char *service)
 {
-  struct mq_id id = mq_id_text_hash (service);
+  struct mq_id id = mq_id_from_text (service);
   struct fleet_service *row = mq_idmap_find (fleet->services, id, 0);
 
   if (row == NULL)
     {
-      row = mq_must (talloc_zero (fleet, struct fleet_service));
+      row = mq_check_alloc (talloc_zero (fleet, struct fleet_service));
       mq_idmap_put (fleet->services, id, 0, row);
     }
   return row;
@@ -53,7 +53,7 @@
 const struct fleet_service *
 fleet_find_service (const struct mq_fleet *fleet, const char *service)
 {
-  return mq_idmap_find (fleet->services, mq_id_text_hash (service), 0);
+  return mq_idmap_find (fleet->services, mq_id_from_text (service), 0);
 }
 
 uint32_t
--- a/src/core/spread.c
+++ b/src/core/spread.c
@@ -29,7 +29,7 @@
 
 /* A time around MS from now, between half and one and a half of it.  */
 uint64_t
-spread_jittered (struct mq_spread *spread, uint64_t now_us, uint32_t ms)
+spread_jittered_time (struct mq_spread *spread, uint64_t now_us, uint32_t ms)
 {
   uint64_t spread_us = (uint64_t)ms * US_PER_MS;
 
@@ -41,13 +41,14 @@
 mq_spread_create (TALLOC_CTX *ctx, const char *host, const char *data_centre,
                   uint64_t seed)
 {
-  struct mq_spread *spread = mq_must (talloc_zero (ctx, struct mq_spread));
+  struct mq_spread *spread
+      = mq_check_alloc (talloc_zero (ctx, struct mq_spread));
 
-  spread->host = mq_must (talloc_strdup (spread, host));
-  spread->data_centre = mq_must (talloc_strdup (spread, data_centre));
+  spread->host = mq_check_alloc (talloc_strdup (spread, host));
+  spread->data_centre = mq_check_alloc (talloc_strdup (spread, data_centre));
   spread->random = seed;
   spread->poll.pause_ms = MQ_STORE_RETRY_MS;
-  spread->tell_pause_ms = MQ_CONFIG_TELL_MS;
+  spread->tell_pause_ms = MQ_CONFIG_NOTIFY_MS;
   return spread;
 }
 
@@ -97,7 +98,7 @@
   if (spread->peer_count == spread->peer_room)
     {
       spread->peer_room = spread->peer_room == 0 ? 16 : 2 * spread->peer_room;
-      spread->peers = mq_must (talloc_realloc (
+      spread->peers = mq_check_alloc (talloc_realloc (
           spread, spread->peers, struct spread_peer, spread->peer_room));
     }
   row = &spread->peers[place];
@@ -136,10 +137,10 @@
 /* True when ROW may have a higher version than ours and was not asked a
    moment ago.  Without any version of our own everybody is worth asking.  */
 static bool
-worth_asking (const struct mq_spread *spread, const struct spread_peer *row,
-              uint64_t now_us)
+should_query_peer (const struct mq_spread *spread,
+                   const struct spread_peer *row, uint64_t now_us)
 {
-  uint64_t pause_us = (uint64_t)MQ_CONFIG_GET_MS * US_PER_MS;
+  uint64_t pause_us = (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
 
   if (row->asked != 0 && now_us < row->asked_us + pause_us)
     return false;
@@ -149,7 +150,7 @@
 /* Who was not asked for the longest time goes first, so that a mute peer is
    not asked for ever because it shows the highest version.  */
 static bool
-goes_first (const struct spread_peer *a, const struct spread_peer *b)
+query_precedes (const struct spread_peer *a, const struct spread_peer *b)
 {
   if (b == NULL || a->asked != b->asked)
     return b == NULL || a->asked < b->asked;
@@ -173,9 +174,9 @@
       struct spread_peer *row
           = &spread->peers[(start + i) % spread->peer_count];
 
-      if (!worth_asking (spread, row, now_us))
+      if (!should_query_peer (spread, row, now_us))
         continue;
-      if (goes_first (row, best))
+      if (query_precedes (row, best))
         best = row;
     }
   if (best == NULL)
@@ -184,7 +185,8 @@
   best->asked_us = now_us;
   spread->get.waiting = true;
   spread->get.peer = best->peer;
-  spread->get.until_us = now_us + (uint64_t)MQ_CONFIG_GET_MS * US_PER_MS;
+  spread->get.until_us
+      = now_us + (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
   send_config (spread, actions, best->peer, MQ_MSG_CONFIG_GET);
 }
 
@@ -203,12 +205,13 @@
 /* The peer that was asked answered, went away or kept silent: the next one
    is asked, at the latest when every peer may be asked again.  */
 static void
-end_get (struct mq_spread *spread, uint64_t now_us, struct mq_actions *actions)
+finish_get (struct mq_spread *spread, uint64_t now_us,
+            struct mq_actions *actions)
 {
   spread->get.waiting = false;
   ask (spread, now_us, actions);
   if (!spread->get.waiting && behind (spread))
-    spread->ask_us = now_us + (uint64_t)MQ_CONFIG_GET_MS * US_PER_MS;
+    spread->ask_us = now_us + (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
 }
 
 /* Telling peers.  */
@@ -233,7 +236,7 @@
 
       if (row->heard >= spread->version || row->told >= spread->version)
         continue;
-      if (told == MQ_CONFIG_TELL_PEERS)
+      if (told == MQ_CONFIG_NOTIFY_PEERS)
         {
           spread->tell_us
               = now_us + (uint64_t)spread->tell_pause_ms * US_PER_MS;
@@ -265,8 +268,8 @@
    the same (a table restored from an old copy), each process would run on
    the one it met first without knowing; the hash makes that seen.  */
 bool
-spread_raise_to (struct mq_spread *spread, uint64_t version, const char *text,
-                 size_t len, struct mq_actions *actions)
+spread_adopt_config (struct mq_spread *spread, uint64_t version,
+                     const char *text, size_t len, struct mq_actions *actions)
 {
   uint64_t hash = mq_hash_bytes (text, len, version);
 
@@ -275,7 +278,7 @@
   if (version <= spread->version)
     return false;
   talloc_free (spread->text);
-  spread->text = mq_must (talloc_strndup (spread, text, len));
+  spread->text = mq_check_alloc (talloc_strndup (spread, text, len));
   spread->text_hash = hash;
   spread->version = version;
   spread->counters.rises++;
@@ -285,11 +288,11 @@
 
 /* After a rise: who is still ahead is asked, the others are told.  */
 void
-spread_after_rise (struct mq_spread *spread, uint64_t now_us,
-                   struct mq_actions *actions)
+spread_on_new_config (struct mq_spread *spread, uint64_t now_us,
+                      struct mq_actions *actions)
 {
   spread->poll.pause_ms = MQ_STORE_RETRY_MS;
-  spread->tell_pause_ms = MQ_CONFIG_TELL_MS;
+  spread->tell_pause_ms = MQ_CONFIG_NOTIFY_MS;
   tell (spread, now_us, actions);
   if (!spread->get.waiting && behind (spread))
     ask (spread, now_us, actions);
@@ -298,7 +301,7 @@
 /* Hosts.  */
 
 static bool
-counts_as_poller (const struct mq_spread *spread, const struct mq_host *host)
+can_poll_table (const struct mq_spread *spread, const struct mq_host *host)
 {
   return !host->leaving
          && strcmp (host->data_centre, spread->data_centre) == 0;
@@ -317,7 +320,7 @@
     {
       const struct mq_host *host = &hosts->items[i];
 
-      if (!counts_as_poller (spread, host))
+      if (!can_poll_table (spread, host))
         continue;
       if (strcmp (host->name, spread->host) == 0)
         listed = true;
@@ -335,7 +338,7 @@
   if (poller && !spread->poller && spread->poll.id == 0)
     {
       uint64_t due
-          = spread_jittered (spread, input->now_us, MQ_CONFIG_POLL_MS);
+          = spread_jittered_time (spread, input->now_us, MQ_CONFIG_POLL_MS);
 
       spread->poll.next_us = earlier (spread->poll.next_us, due);
     }
@@ -355,16 +358,16 @@
   if (len == 0 || len > MQ_TEXT_MAX_BYTES)
     spread->counters.texts_bad++;
   else
-    rose = spread_raise_to (spread, config->version, config->text, len,
-                            actions);
+    rose = spread_adopt_config (spread, config->version, config->text, len,
+                                actions);
   if (!rose)
     spread->counters.texts_dropped++;
   if (spread->get.waiting && spread->get.peer == input->peer)
     spread->get.waiting = false;
   if (rose)
-    spread_after_rise (spread, input->now_us, actions);
+    spread_on_new_config (spread, input->now_us, actions);
   else if (!spread->get.waiting)
-    end_get (spread, input->now_us, actions);
+    finish_get (spread, input->now_us, actions);
 }
 
 /* A peer that has nothing answers GET with CONFIG_HAVE of version 0.  */
@@ -386,7 +389,7 @@
 }
 
 static uint64_t
-shown_version (const struct mq_message *message)
+message_config_version (const struct mq_message *message)
 {
   bool config = message->type == MQ_MSG_CONFIG_HAVE
                 || message->type == MQ_MSG_CONFIG_TEXT
@@ -402,7 +405,7 @@
                 struct mq_actions *actions)
 {
   struct spread_peer *row = find_peer (spread, input->peer);
-  uint64_t shown = shown_version (input->u.message);
+  uint64_t shown = message_config_version (input->u.message);
 
   if (row != NULL && shown > row->heard)
     row->heard = shown;
@@ -418,7 +421,7 @@
       /* In answer to our GET: it has nothing that we lack.  */
       if (spread->get.waiting && spread->get.peer == input->peer
           && shown <= spread->version)
-        end_get (spread, input->now_us, actions);
+        finish_get (spread, input->now_us, actions);
       break;
     default:
       break;
@@ -426,7 +429,8 @@
   if (row != NULL && shown > spread->version && !spread->get.waiting)
     ask (spread, input->now_us, actions);
   if (!spread->get.waiting && spread->ask_us == 0 && shown > spread->version)
-    spread->ask_us = input->now_us + (uint64_t)MQ_CONFIG_GET_MS * US_PER_MS;
+    spread->ask_us
+        = input->now_us + (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
 }
 
 static void
@@ -451,7 +455,7 @@
   if (row != NULL)
     remove_peer (spread, row);
   if (spread->get.waiting && spread->get.peer == input->peer)
-    end_get (spread, input->now_us, actions);
+    finish_get (spread, input->now_us, actions);
 }
 
 static void
@@ -469,10 +473,10 @@
   if (spread->get.waiting && now_us >= spread->get.until_us)
     {
       spread->counters.gets_timed_out++;
-      end_get (spread, now_us, actions);
+      finish_get (spread, now_us, actions);
     }
   if (spread->ask_us != 0 && now_us >= spread->ask_us && !spread->get.waiting)
-    end_get (spread, now_us, actions);
+    finish_get (spread, now_us, actions);
   if (spread->tell_us != 0 && now_us >= spread->tell_us)
     tell (spread, now_us, actions);
 }
--- a/src/core/spread_state.h
+++ b/src/core/spread_state.h
@@ -63,13 +63,13 @@
 
 /* spread.c */
 
-uint64_t spread_jittered (struct mq_spread *spread, uint64_t now_us,
-                          uint32_t ms);
-bool spread_raise_to (struct mq_spread *spread, uint64_t version,
-                      const char *text, size_t len,
-                      struct mq_actions *actions);
-void spread_after_rise (struct mq_spread *spread, uint64_t now_us,
-                        struct mq_actions *actions);
+uint64_t spread_jittered_time (struct mq_spread *spread, uint64_t now_us,
+                               uint32_t ms);
+bool spread_adopt_config (struct mq_spread *spread, uint64_t version,
+                          const char *text, size_t len,
+                          struct mq_actions *actions);
+void spread_on_new_config (struct mq_spread *spread, uint64_t now_us,
+                           struct mq_actions *actions);
 
 /* spread_table.c */
 
--- a/src/core/spread_table.c
+++ b/src/core/spread_table.c
@@ -23,10 +23,10 @@
       if (spread->poll.pause_ms < ms)
         ms = spread->poll.pause_ms;
       spread->poll.pause_ms *= 2;
-      if (spread->poll.pause_ms > MQ_CONFIG_FIRST_MAX_MS)
-        spread->poll.pause_ms = MQ_CONFIG_FIRST_MAX_MS;
+      if (spread->poll.pause_ms > MQ_CONFIG_STARTUP_RETRY_MAX_MS)
+        spread->poll.pause_ms = MQ_CONFIG_STARTUP_RETRY_MAX_MS;
     }
-  spread->poll.next_us = spread_jittered (spread, now_us, ms);
+  spread->poll.next_us = spread_jittered_time (spread, now_us, ms);
 }
 
 void
@@ -43,7 +43,7 @@
   spread->counters.polls++;
   request->id = spread->poll.id;
   request->kind = MQ_STORE_SCAN;
-  request->key = mq_must (talloc_strdup (actions, MQ_CONFIG_KEY));
+  request->key = mq_check_alloc (talloc_strdup (actions, MQ_CONFIG_KEY));
   request->limit = 1;
 }
 
@@ -60,7 +60,7 @@
 /* True when the row can be a configuration: version, apply id, a text
    without zero bytes and within its bound.  */
 static bool
-row_is_sound (const struct mq_row *row)
+config_row_is_valid (const struct mq_row *row)
 {
   size_t text_len;
 
@@ -81,7 +81,7 @@
   /* The prefix also matches longer keys.  */
   if (strcmp (row->key, MQ_CONFIG_KEY) != 0)
     return false;
-  if (!row_is_sound (row))
+  if (!config_row_is_valid (row))
     {
       spread->counters.rows_bad++;
       return false;
@@ -94,9 +94,9 @@
     spread->counters.rows_not_rising++;
   if (row->version > spread->row_version)
     spread->row_version = row->version;
-  return spread_raise_to (spread, version,
-                          (const char *)row->value.data + MQ_CONFIG_HEADER,
-                          row->value.len - MQ_CONFIG_HEADER, actions);
+  return spread_adopt_config (spread, version,
+                              (const char *)row->value.data + MQ_CONFIG_HEADER,
+                              row->value.len - MQ_CONFIG_HEADER, actions);
 }
 
 void
@@ -120,5 +120,5 @@
   if (spread->poll.id == 0)
     plan_poll (spread, input->now_us);
   if (rose)
-    spread_after_rise (spread, input->now_us, actions);
+    spread_on_new_config (spread, input->now_us, actions);
 }
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -12,11 +12,11 @@
 
 enum mq_store_kind
 {
-  MQ_STORE_TXN,  /* conditional transaction on table rows */
-  MQ_STORE_SCAN, /* rows with a key prefix, in key order, after a key */
-  MQ_STORE_PUT,  /* write one object */
-  MQ_STORE_GET,  /* read one object */
-  MQ_STORE_DROP  /* remove one object */
+  MQ_STORE_TXN,   /* conditional transaction on table rows */
+  MQ_STORE_SCAN,  /* rows with a key prefix, in key order, after a key */
+  MQ_STORE_PUT,   /* write one object */
+  MQ_STORE_GET,   /* read one object */
+  MQ_STORE_DELETE /* remove one object */
 };
 
 enum mq_store_status
--- a/src/core/text/text.c
+++ b/src/core/text/text.c
@@ -193,7 +193,7 @@
 {
   struct mq_text_draft *draft;
   struct mq_text *text = NULL;
-  struct mq_place start = { 1, 1 };
+  struct mq_text_position start = { 1, 1 };
 
   memset (errors, 0, sizeof *errors);
   draft = start_draft (ctx, errors);
--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -10,29 +10,30 @@
 
 static void
 add_error (struct mq_text_draft *draft, enum mq_error_type type,
-           struct mq_place place, const char *subject, const char *allowed)
+           struct mq_text_position place, const char *subject,
+           const char *allowed)
 {
   mq_error_list_add (&draft->errors, type, place, subject, allowed);
 }
 
-static struct mq_place
+static struct mq_text_position
 value_place (const struct mq_ini_pair *pair)
 {
-  struct mq_place place = { pair->line, pair->value_column };
+  struct mq_text_position place = { pair->line, pair->value_column };
 
   return place;
 }
 
-static struct mq_place
+static struct mq_text_position
 section_place (const struct mq_ini_section *section)
 {
-  struct mq_place place = { section->line, section->name_column };
+  struct mq_text_position place = { section->line, section->name_column };
 
   return place;
 }
 
 /* Key's value, or the header when the key is not there.  */
-static struct mq_place
+static struct mq_text_position
 key_or_header (const struct mq_ini_section *section, const char *key)
 {
   const struct mq_ini_pair *pair = mq_ini_find (section, key);
@@ -59,16 +60,16 @@
 
 static void
 report_unknown_service (struct mq_text_draft *draft, const char *name,
-                        struct mq_place place)
+                        struct mq_text_position place)
 {
   const struct mq_text *text = draft->text;
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, name);
+  mq_hint_init (&hint, name);
   for (size_t i = 0; i < text->service_count; i++)
-    mq_hint_offer (&hint, text->services[i].name);
-  mq_hint_write (&hint, allowed);
+    mq_hint_add (&hint, text->services[i].name);
+  mq_hint_format (&hint, allowed);
   add_error (draft, MQ_ERR_TEXT_UNKNOWN_NAME, place, name, allowed);
 }
 
@@ -112,7 +113,7 @@
 
 static void
 add_dependency (struct mq_text_draft *draft, struct mq_service *service,
-                const char *name, struct mq_place place)
+                const char *name, struct mq_text_position place)
 {
   const struct mq_service *on = mq_text_find_service (draft->text, name);
   uint32_t index;
@@ -150,7 +151,7 @@
   while (next_item (pair->value, &at, &item))
     {
       char *name = talloc_strndup (draft, pair->value + item.offset, item.len);
-      struct mq_place place
+      struct mq_text_position place
           = { pair->line, pair->value_column + (uint32_t)item.offset };
 
       if (item.len == 0)
@@ -223,7 +224,7 @@
 
 /* The walk keeps its own path: a long chain of dependencies must not grow
    the stack.  */
-struct circle_walk
+struct cycle_search
 {
   struct mq_text_draft *draft;
   uint8_t *states;
@@ -233,7 +234,7 @@
 };
 
 static void
-report_circle (struct circle_walk *walk, uint32_t again)
+report_circle (struct cycle_search *walk, uint32_t again)
 {
   const struct mq_text *text = walk->draft->text;
   uint32_t last = walk->path[walk->depth - 1];
@@ -253,7 +254,7 @@
 }
 
 static void
-enter (struct circle_walk *walk, uint32_t index)
+enter (struct cycle_search *walk, uint32_t index)
 {
   walk->states[index] = VISIT_OPEN;
   walk->path[walk->depth] = index;
@@ -262,7 +263,7 @@
 }
 
 static void
-walk_on (struct circle_walk *walk)
+walk_on (struct cycle_search *walk)
 {
   uint32_t last = walk->path[walk->depth - 1];
   const struct mq_service *service = &walk->draft->text->services[last];
@@ -286,7 +287,7 @@
 check_circles (struct mq_text_draft *draft)
 {
   size_t count = draft->text->service_count;
-  struct circle_walk walk = { .draft = draft };
+  struct cycle_search walk = { .draft = draft };
 
   walk.states = talloc_zero_array (draft, uint8_t, count);
   walk.path = talloc_array (draft, uint32_t, count);
@@ -309,7 +310,7 @@
 {
   const struct mq_text *text = draft->text;
   const struct mq_service *agent = &text->services[index];
-  struct mq_place place
+  struct mq_text_position place
       = key_or_header (draft->service_sections[index], "budget_tokens");
 
   for (size_t i = 0; i < agent->depend_count; i++)
--- a/src/core/text/text_hint.c
+++ b/src/core/text/text_hint.c
@@ -56,7 +56,7 @@
 }
 
 void
-mq_hint_begin (struct mq_hint *hint, const char *word)
+mq_hint_init (struct mq_hint *hint, const char *word)
 {
   memset (hint, 0, sizeof *hint);
   hint->word = word;
@@ -101,7 +101,7 @@
 }
 
 void
-mq_hint_offer (struct mq_hint *hint, const char *allowed)
+mq_hint_add (struct mq_hint *hint, const char *allowed)
 {
   size_t most = (strlen (hint->word) + 1) / NEAR_SHARE;
   uint32_t distance;
@@ -141,7 +141,7 @@
 }
 
 void
-mq_hint_write (const struct mq_hint *hint, char allowed[MQ_SUBJECT_MAX])
+mq_hint_format (const struct mq_hint *hint, char allowed[MQ_SUBJECT_MAX])
 {
   allowed[0] = '\0';
   if (hint->best != NULL)
--- a/src/core/text/text_hint.h
+++ b/src/core/text/text_hint.h
@@ -25,10 +25,10 @@
   bool cut;
 };
 
-void mq_hint_begin (struct mq_hint *hint, const char *word);
-void mq_hint_offer (struct mq_hint *hint, const char *allowed);
+void mq_hint_init (struct mq_hint *hint, const char *word);
+void mq_hint_add (struct mq_hint *hint, const char *allowed);
 /* "did you mean BEST? LIST", or only the list.  */
-void mq_hint_write (const struct mq_hint *hint, char allowed[MQ_SUBJECT_MAX]);
+void mq_hint_format (const struct mq_hint *hint, char allowed[MQ_SUBJECT_MAX]);
 /* Insertions, deletions, replacements and swaps of neighbours that turn one
    word into the other; UINT32_MAX for words of over 63 bytes.  */
 uint32_t mq_edit_distance (const char *from, const char *to);
--- a/src/core/text/text_ini.c
+++ b/src/core/text/text_ini.c
@@ -50,7 +50,7 @@
 
 /* The byte after the last whole UTF-8 character of TEXT.  */
 static size_t
-whole_characters (const char *text, size_t len)
+complete_characters_len (const char *text, size_t len)
 {
   size_t start = len;
 
@@ -62,17 +62,17 @@
 /* Error texts are cut at a fixed length; a character cut in two would make
    the JSON form of the error unreadable.  */
 static void
-drop_cut_character (char text[MQ_SUBJECT_MAX])
+trim_partial_character (char text[MQ_SUBJECT_MAX])
 {
   size_t len = strlen (text);
 
   if (len == MQ_SUBJECT_MAX - 1)
-    text[whole_characters (text, len)] = '\0';
+    text[complete_characters_len (text, len)] = '\0';
 }
 
 void
 mq_error_list_add (struct mq_error_list *list, enum mq_error_type type,
-                   struct mq_place place, const char *subject,
+                   struct mq_text_position place, const char *subject,
                    const char *allowed)
 {
   struct mq_text_errors *errors = list->errors;
@@ -88,8 +88,8 @@
       allowed = "correct those listed; more follow";
     }
   mq_error_set (error, type, subject, allowed);
-  drop_cut_character (error->subject);
-  drop_cut_character (error->allowed);
+  trim_partial_character (error->subject);
+  trim_partial_character (error->allowed);
   error->line = place.line;
   error->column = place.column;
 }
@@ -133,7 +133,7 @@
 report_syntax (struct ini_reader *reader, size_t offset, const char *subject,
                const char *allowed)
 {
-  struct mq_place place = { reader->line, (uint32_t)offset + 1 };
+  struct mq_text_position place = { reader->line, (uint32_t)offset + 1 };
 
   mq_error_list_add (reader->errors, MQ_ERR_TEXT_SYNTAX, place, subject,
                      allowed);
@@ -295,7 +295,7 @@
 /* The indentation is not given on: the library would take an indented line
    for a continuation of the value before.  */
 static char *
-give_line (char *buffer, int size, void *stream)
+read_next_line (char *buffer, int size, void *stream)
 {
   struct ini_reader *reader = stream;
   size_t len = 0;
@@ -398,7 +398,7 @@
     return NULL;
   if (len > MQ_TEXT_MAX_BYTES)
     {
-      struct mq_place start = { 1, 1 };
+      struct mq_text_position start = { 1, 1 };
 
       mq_error_list_add (errors, MQ_ERR_TOO_LARGE, start, "the text",
                          "at most 1 MiB");
@@ -412,7 +412,7 @@
     }
   reader.next = source;
   reader.end = source + len;
-  ini_parse_stream (give_line, &reader, take_pair, &reader);
+  ini_parse_stream (read_next_line, &reader, take_pair, &reader);
   close_line (&reader);
   return reader.ini;
 }
--- a/src/core/text/text_ini.h
+++ b/src/core/text/text_ini.h
@@ -62,7 +62,7 @@
 };
 
 /* A place in a text: line and column from 1.  */
-struct mq_place
+struct mq_text_position
 {
   uint32_t line;
   uint32_t column;
@@ -70,7 +70,7 @@
 
 /* Keeps MQ_TEXT_ERRORS_MAX errors at most; the last then says so.  */
 void mq_error_list_add (struct mq_error_list *list, enum mq_error_type type,
-                        struct mq_place place, const char *subject,
+                        struct mq_text_position place, const char *subject,
                         const char *allowed);
 /* Puts the errors in line order.  */
 void mq_error_list_sort (struct mq_error_list *list);
--- a/src/core/text/text_keys.c
+++ b/src/core/text/text_keys.c
@@ -300,26 +300,26 @@
 
 /* Headers.  */
 
-static struct mq_place
+static struct mq_text_position
 header_place (const struct mq_ini_section *section)
 {
-  struct mq_place place = { section->line, section->name_column };
+  struct mq_text_position place = { section->line, section->name_column };
 
   return place;
 }
 
-static struct mq_place
+static struct mq_text_position
 key_place (const struct mq_ini_pair *pair)
 {
-  struct mq_place place = { pair->line, pair->column };
+  struct mq_text_position place = { pair->line, pair->column };
 
   return place;
 }
 
-static struct mq_place
+static struct mq_text_position
 value_place (const struct mq_ini_pair *pair)
 {
-  struct mq_place place = { pair->line, pair->value_column };
+  struct mq_text_position place = { pair->line, pair->value_column };
 
   return place;
 }
@@ -341,10 +341,10 @@
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, section->type);
+  mq_hint_init (&hint, section->type);
   for (size_t i = 0; i < table->section_count; i++)
-    mq_hint_offer (&hint, table->sections[i].type);
-  mq_hint_write (&hint, allowed);
+    mq_hint_add (&hint, table->sections[i].type);
+  mq_hint_format (&hint, allowed);
   mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_SECTION,
                      header_place (section),
                      section->type[0] == '\0' ? "[]" : section->type, allowed);
@@ -456,7 +456,7 @@
 check_missing_sections (const struct mq_key_table *table,
                         const struct mq_ini *ini, struct mq_error_list *errors)
 {
-  struct mq_place start = { 1, 1 };
+  struct mq_text_position start = { 1, 1 };
 
   for (size_t i = 0; i < table->section_count; i++)
     {
@@ -520,11 +520,11 @@
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, pair->key);
+  mq_hint_init (&hint, pair->key);
   for (size_t i = 0; i < table->key_count; i++)
     if (key_belongs (&table->keys[i], section->type, kinds))
-      mq_hint_offer (&hint, table->keys[i].name);
-  mq_hint_write (&hint, allowed);
+      mq_hint_add (&hint, table->keys[i].name);
+  mq_hint_format (&hint, allowed);
   mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_KEY, key_place (pair),
                      pair->key, allowed);
 }
@@ -535,10 +535,10 @@
 {
   struct mq_hint hint;
 
-  mq_hint_begin (&hint, word);
+  mq_hint_init (&hint, word);
   for (const struct mq_key_choice *c = key->choices; c->word != NULL; c++)
-    mq_hint_offer (&hint, c->word);
-  mq_hint_write (&hint, allowed);
+    mq_hint_add (&hint, c->word);
+  mq_hint_format (&hint, allowed);
 }
 
 static void
--- a/src/ctl/ctl_watch.c
+++ b/src/ctl/ctl_watch.c
@@ -182,14 +182,14 @@
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, name);
+  mq_hint_init (&hint, name);
   for (size_t i = 0; i < list->count; i++)
     {
       if (strcmp (list->items[i].name, name) == 0)
         return &list->items[i];
-      mq_hint_offer (&hint, list->items[i].name);
+      mq_hint_add (&hint, list->items[i].name);
     }
-  mq_hint_write (&hint, allowed);
+  mq_hint_format (&hint, allowed);
   mq_error_set (error, MQ_ERR_NOT_FOUND, name, allowed);
   return NULL;
 }
--- a/src/daemon/api_answer.c
+++ b/src/daemon/api_answer.c
@@ -14,7 +14,7 @@
 dump (TALLOC_CTX *ctx, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
-  char *copy = mq_must (talloc_strdup (ctx, mq_must (text)));
+  char *copy = mq_check_alloc (talloc_strdup (ctx, mq_check_alloc (text)));
 
   free (text);
   json_decref (json);
@@ -30,7 +30,7 @@
 
   if (value != NULL)
     return value;
-  copy = mq_must (talloc_strdup (NULL, text));
+  copy = mq_check_alloc (talloc_strdup (NULL, text));
   for (char *p = copy; *p != '\0'; p++)
     if ((unsigned char)*p >= 0x80)
       *p = '?';
@@ -155,7 +155,7 @@
     text = talloc_asprintf (ctx, "id: %u\nevent: %s\ndata: %s\n\n",
                             event->number, event_name (event->type), data);
   talloc_free (data);
-  return mq_must (text);
+  return mq_check_alloc (text);
 }
 
 char *
@@ -173,7 +173,8 @@
 {
   json_t *json = parse_object (body);
   const char *service = json_string_value (json_object_get (json, "service"));
-  char *copy = mq_must (talloc_strdup (ctx, service == NULL ? "" : service));
+  char *copy
+      = mq_check_alloc (talloc_strdup (ctx, service == NULL ? "" : service));
 
   json_decref (json);
   return copy;
@@ -322,9 +323,9 @@
   char *copy;
 
   if (!read_answer (final, &answer))
-    return mq_must (talloc_strdup (ctx, ""));
+    return mq_check_alloc (talloc_strdup (ctx, ""));
   text = json_string_value (answer.content);
-  copy = mq_must (talloc_strdup (ctx, text == NULL ? "" : text));
+  copy = mq_check_alloc (talloc_strdup (ctx, text == NULL ? "" : text));
   json_decref (answer.body);
   return copy;
 }
@@ -340,7 +341,7 @@
 
   json_object_set_new (json, "choices", one_choice ("delta", delta, finish));
   data = dump (ctx, json);
-  text = mq_must (talloc_asprintf (ctx, "data: %s\n\n", data));
+  text = mq_check_alloc (talloc_asprintf (ctx, "data: %s\n\n", data));
   talloc_free (data);
   return text;
 }
@@ -373,7 +374,7 @@
       json_decref (answer.body);
     }
   chunk = chat_chunk (ctx, delta, finish, model, program, created);
-  return mq_must (talloc_strdup_append (chunk, "data: [DONE]\n\n"));
+  return mq_check_alloc (talloc_strdup_append (chunk, "data: [DONE]\n\n"));
 }
 
 char *
@@ -385,7 +386,7 @@
 
   json_object_set_new (json, "error", refusal_value (refusal));
   data = dump (ctx, json);
-  text = mq_must (talloc_asprintf (ctx, "data: %s\n\n", data));
+  text = mq_check_alloc (talloc_asprintf (ctx, "data: %s\n\n", data));
   talloc_free (data);
   return text;
 }
--- a/src/daemon/batch.c
+++ b/src/daemon/batch.c
@@ -8,7 +8,7 @@
 struct mq_actions *
 mq_batch_add (TALLOC_CTX *ctx, struct mq_batch_queue *queue, int origin)
 {
-  struct mq_batch *batch = mq_must (talloc_zero (ctx, struct mq_batch));
+  struct mq_batch *batch = mq_check_alloc (talloc_zero (ctx, struct mq_batch));
 
   batch->origin = origin;
   batch->actions = mq_actions_create (batch);
--- a/src/daemon/kept_hosts.c
+++ b/src/daemon/kept_hosts.c
@@ -22,7 +22,7 @@
                       const void *data)
 {
   char **addresses
-      = mq_must (talloc_zero_array (ctx, char *, hosts->count + 1));
+      = mq_check_alloc (talloc_zero_array (ctx, char *, hosts->count + 1));
   size_t count = 0;
 
   for (size_t i = 0; i < kept->count; i++)
--- a/src/daemon/operator_http.c
+++ b/src/daemon/operator_http.c
@@ -24,7 +24,7 @@
 static void
 respond_owned (struct mq_http_request *request, const char *type, char *text)
 {
-  mq_respond_text (request, 200, type, mq_must (text));
+  mq_respond_text (request, 200, type, mq_check_alloc (text));
   talloc_free (text);
 }
 
--- a/src/daemon/platform.c
+++ b/src/daemon/platform.c
@@ -103,7 +103,7 @@
       return scan_url (pending);
     case MQ_STORE_PUT:
     case MQ_STORE_GET:
-    case MQ_STORE_DROP:
+    case MQ_STORE_DELETE:
       break;
     }
   return append_escaped (talloc_asprintf (pending, "%s/v1/objects/", base),
@@ -119,7 +119,7 @@
       return "POST";
     case MQ_STORE_PUT:
       return "PUT";
-    case MQ_STORE_DROP:
+    case MQ_STORE_DELETE:
       return "DELETE";
     case MQ_STORE_SCAN:
     case MQ_STORE_GET:
--- a/src/daemon/platform_answer.c
+++ b/src/daemon/platform_answer.c
@@ -244,7 +244,7 @@
       return read_scan (reading, http, result);
     case MQ_STORE_GET:
       return read_object (reading, http, result);
-    case MQ_STORE_DROP:
+    case MQ_STORE_DELETE:
       if (http->error == MQ_ERR_NONE && http->status == STATUS_NOT_FOUND)
         return MQ_STORE_OK;
       break;
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -20,7 +20,7 @@
   const char *colon = strrchr (address, ':');
   int len = colon == NULL ? (int)strlen (address) : (int)(colon - address);
 
-  return mq_must (talloc_asprintf (ctx, "%.*s:%u", len, address, port));
+  return mq_check_alloc (talloc_asprintf (ctx, "%.*s:%u", len, address, port));
 }
 
 struct mq_peer_net *
@@ -65,6 +65,6 @@
     wait_us = least_us;
   TALLOC_FREE (tick->timer);
   tick->at_us = at_us;
-  tick->timer = mq_must (mq_timer_add (
+  tick->timer = mq_check_alloc (mq_timer_add (
       data, ev, (wait_us + US_PER_MS - 1) / US_PER_MS, handler, data));
 }
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -95,7 +95,7 @@
 mq_report_text (TALLOC_CTX *ctx, json_t *json)
 {
   char *dumped = json_dumps (json, JSON_COMPACT);
-  char *text = mq_must (talloc_strdup (ctx, mq_must (dumped)));
+  char *text = mq_check_alloc (talloc_strdup (ctx, mq_check_alloc (dumped)));
 
   json_decref (json);
   free (dumped);
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -244,7 +244,7 @@
 report_section (struct settings_draft *draft,
                 const struct mq_ini_section *section, const char *allowed)
 {
-  struct mq_place place = { section->line, section->name_column };
+  struct mq_text_position place = { section->line, section->name_column };
 
   mq_error_list_add (&draft->errors, MQ_ERR_TEXT_UNKNOWN_SECTION, place,
                      section->type, allowed);
@@ -347,7 +347,7 @@
 static void
 check_workers (struct settings_draft *draft)
 {
-  struct mq_place start = { 1, 1 };
+  struct mq_text_position start = { 1, 1 };
 
   if (draft->role == MQ_HOST_TARGET && draft->settings->worker_count == 0
       && draft->errors.errors->count == 0)
@@ -360,7 +360,7 @@
                    size_t len, struct mq_text_errors *errors)
 {
   struct settings_draft draft = { .role = role };
-  struct mq_place start = { 1, 1 };
+  struct mq_text_position start = { 1, 1 };
 
   memset (errors, 0, sizeof *errors);
   draft.errors.ctx = ctx;
--- a/src/daemon/settings_file.c
+++ b/src/daemon/settings_file.c
@@ -53,7 +53,7 @@
 {
   struct mq_error error;
   struct mq_error_list list = { ctx, errors };
-  struct mq_place nowhere = { 0, 0 };
+  struct mq_text_position nowhere = { 0, 0 };
   char *text = mq_settings_file_text (ctx, file, len, &error);
 
   if (text != NULL)
--- a/src/entry/api.c
+++ b/src/entry/api.c
@@ -37,7 +37,7 @@
   api->counters.refused++;
   if (refusal->retry_after_ms != 0)
     {
-      char *seconds = mq_must (talloc_asprintf (
+      char *seconds = mq_check_alloc (talloc_asprintf (
           json, "%u",
           (refusal->retry_after_ms + MS_PER_SECOND - 1) / MS_PER_SECOND));
 
@@ -69,7 +69,7 @@
 
   if (count > SLOTS_MAX)
     return false;
-  api->slots = mq_must (
+  api->slots = mq_check_alloc (
       talloc_realloc (api, api->slots, struct mq_exchange *, count));
   memset (&api->slots[api->slot_count], 0,
           (count - api->slot_count) * sizeof (struct mq_exchange *));
@@ -113,12 +113,12 @@
 
   if (!find_free_slot (api, &slot))
     return NULL;
-  exchange = mq_must (talloc_zero (api, struct mq_exchange));
+  exchange = mq_check_alloc (talloc_zero (api, struct mq_exchange));
   exchange->api = api;
   exchange->slot = slot;
   exchange->http = http;
   exchange->start_us = api->callbacks.now_us (api->callbacks.user);
-  exchange->streamed = mq_must (talloc_strdup (exchange, ""));
+  exchange->streamed = mq_check_alloc (talloc_strdup (exchange, ""));
   mq_exchange_renew (exchange);
   api->slots[slot] = exchange;
   api->live++;
@@ -167,13 +167,13 @@
   char span[MQ_ID_TEXT];
 
   if (mq_api_traceparent_valid (header))
-    return mq_must (talloc_strdup (ctx, header));
+    return mq_check_alloc (talloc_strdup (ctx, header));
   if (gnutls_rnd (GNUTLS_RND_NONCE, random, sizeof random) != 0)
     abort ();
   memcpy (words, random, sizeof words);
   mq_id_format ((struct mq_id){ words[0], words[1] }, trace);
   mq_id_format ((struct mq_id){ words[2], 0 }, span);
-  return mq_must (talloc_asprintf (ctx, "00-%s-%.16s-01", trace, span));
+  return mq_check_alloc (talloc_asprintf (ctx, "00-%s-%.16s-01", trace, span));
 }
 
 void
@@ -218,7 +218,7 @@
 static void
 keep_plan (struct mq_exchange *exchange, const struct mq_api_plan *plan)
 {
-  exchange->plan = mq_must (talloc_zero (exchange, struct mq_api_plan));
+  exchange->plan = mq_check_alloc (talloc_zero (exchange, struct mq_api_plan));
   *exchange->plan = *plan;
   mq_request_copy (exchange->plan, &exchange->plan->first, &plan->first);
   if (plan->has_second)
@@ -242,10 +242,10 @@
 
   if (gnutls_rnd (GNUTLS_RND_NONCE, &random, sizeof random) != 0)
     abort ();
-  return mq_must (talloc_asprintf (ctx, "auto-%016llx-%016llx-%016llx",
-                                   (unsigned long long)exchange->api->boot,
-                                   (unsigned long long)exchange->handle,
-                                   (unsigned long long)random));
+  return mq_check_alloc (talloc_asprintf (
+      ctx, "auto-%016llx-%016llx-%016llx",
+      (unsigned long long)exchange->api->boot,
+      (unsigned long long)exchange->handle, (unsigned long long)random));
 }
 
 static void
@@ -275,7 +275,7 @@
                const struct mq_organisation *caller)
 {
   struct mq_api_refusal refusal = { .ran = MQ_RAN_NOT_RUN };
-  TALLOC_CTX *ctx = mq_must (talloc_new (NULL));
+  TALLOC_CTX *ctx = mq_check_alloc (talloc_new (NULL));
   struct mq_api_ask ask = { 0 };
   struct mq_api_plan *plan;
 
@@ -417,7 +417,7 @@
                const struct mq_api_callbacks *callbacks,
                struct mq_error *error)
 {
-  struct mq_api *api = mq_must (talloc_zero (ctx, struct mq_api));
+  struct mq_api *api = mq_check_alloc (talloc_zero (ctx, struct mq_api));
 
   api->callbacks = *callbacks;
   api->boot = options->boot;
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -240,7 +240,7 @@
 {
   if (exchange->held)
     return;
-  exchange->streamed = mq_must (
+  exchange->streamed = mq_check_alloc (
       talloc_strdup_append_buffer (exchange->streamed, event->body));
   write_stream (exchange, mq_api_chat_token (exchange->api, event->body,
                                              chat_model (exchange),
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -59,7 +59,7 @@
       mq_api_stop_accepting (entry->api);
       return;
     }
-  entry->stop = mq_must (tevent_create_immediate (entry));
+  entry->stop = mq_check_alloc (tevent_create_immediate (entry));
   tevent_schedule_immediate (entry->stop, entry->ev, report_done, entry);
 }
 
@@ -125,8 +125,8 @@
   next = earlier (next, mq_hold_next (entry->hold));
   /* What is in progress over HTTP ends without telling a core.  */
   if (entry->leaving && entry->stop == NULL)
-    next = earlier (next,
-                    mq_clock_us () + (uint64_t)MQ_ENTRY_LEAVE_MS * US_PER_MS);
+    next = earlier (next, mq_clock_us ()
+                              + (uint64_t)MQ_ENTRY_STOP_POLL_MS * US_PER_MS);
   return next;
 }
 
@@ -250,7 +250,7 @@
                  const struct mq_settings *settings, void (*done) (void *user),
                  void *user, struct mq_error *error)
 {
-  struct mq_entry *entry = mq_must (talloc_zero (ctx, struct mq_entry));
+  struct mq_entry *entry = mq_check_alloc (talloc_zero (ctx, struct mq_entry));
 
   entry->ev = ev;
   entry->settings = settings;
--- a/src/entry/hold.c
+++ b/src/entry/hold.c
@@ -57,13 +57,13 @@
     return false;
   if (message->config_version <= version && !peer_waits (hold, peer))
     return false;
-  if (hold->count >= MQ_HOLD_MAX)
+  if (hold->count >= MQ_CONFIG_WAITERS_MAX)
     return false;
   held = talloc_zero (hold, struct held);
   if (held == NULL)
     abort ();
   held->peer = peer;
-  held->until_us = now_us + (uint64_t)MQ_HOLD_MS * US_PER_MS;
+  held->until_us = now_us + (uint64_t)MQ_CONFIG_WAIT_MS * US_PER_MS;
   mq_message_copy (held, &held->message, message);
   if (hold->last == NULL)
     hold->first = held;
--- a/src/net/codec_unpack.c
+++ b/src/net/codec_unpack.c
@@ -239,7 +239,7 @@
   to->partition = from->partition;
   to->fence = from->fence;
   to->boot = from->boot;
-  to->answer = (enum mq_seal_answer)from->answer;
+  to->answer = (enum mq_seal_status)from->answer;
   return read_ref (&to->ref, from->ref)
          && in_range (from->answer, SEAL_ANSWER_COUNT);
 }
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -251,7 +251,7 @@
 
   if (conn == NULL)
     return;
-  if (net->unproven > MQ_PEER_UNPROVEN_MAX)
+  if (net->unproven > MQ_PEER_UNAUTHENTICATED_MAX)
     close_oldest_unproven (net);
   mq_conn_start_handshake (conn);
 }
@@ -430,8 +430,9 @@
   net->callbacks = *callbacks;
   net->listen_fd = -1;
   net->clock_fd = -1;
-  net->beat_ms = options->beat_ms ? options->beat_ms : MQ_BEAT_MS;
-  net->silent_ms = options->silent_ms ? options->silent_ms : MQ_SILENT_MS;
+  net->beat_ms = options->beat_ms ? options->beat_ms : MQ_HEARTBEAT_MS;
+  net->silent_ms
+      = options->silent_ms ? options->silent_ms : MQ_PEER_TIMEOUT_MS;
   net->tick_ms = choose_tick (net->beat_ms);
   net->now_ms = mq_clock_ms ();
   memcpy (net->site_key, options->site_key, sizeof net->site_key);
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -3,10 +3,10 @@
    TCP with frames of a 4-byte big-endian length and a protobuf envelope
    (codec.h).  Both sides prove the site key (HMAC-SHA256 over both nonces
    and roles) before any other frame.  Beats go both ways; a connection that
-   hears nothing for MQ_SILENT_MS is closed and made anew.  Bytes and frames
-   of control messages (LEASE, LOAD, CONFIG_*, beats, HANDOVER) are counted
-   apart from callers' data.
-   Needs: tevent, gnutls, codec.h, message.h.  */
+   hears nothing for MQ_PEER_TIMEOUT_MS is closed and made anew.  Bytes and
+   frames of control messages (LEASE, LOAD, CONFIG_*, beats, HANDOVER) are
+   counted apart from callers' data. Needs: tevent, gnutls, codec.h, message.h.
+ */
 
 #ifndef MQ_PEER_H
 #define MQ_PEER_H
@@ -49,8 +49,8 @@
   const char *listen;       /* "IP:PORT", port 0: a free one */
   struct mq_peer_info self; /* address: NULL: the one listened at */
   uint8_t site_key[MQ_KEY_BYTES];
-  uint32_t beat_ms;   /* 0: MQ_BEAT_MS */
-  uint32_t silent_ms; /* 0: MQ_SILENT_MS */
+  uint32_t beat_ms;   /* 0: MQ_HEARTBEAT_MS */
+  uint32_t silent_ms; /* 0: MQ_PEER_TIMEOUT_MS */
 };
 
 struct mq_peer_net *
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -265,7 +265,8 @@
 static bool
 take_next (struct mq_conn *conn)
 {
-  size_t bound = was_up (conn) ? MQ_FRAME_MAX_BYTES : MQ_PEER_UNPROVEN_BYTES;
+  size_t bound
+      = was_up (conn) ? MQ_FRAME_MAX_BYTES : MQ_PEER_UNAUTHENTICATED_BYTES;
   const uint8_t *data;
   size_t len;
 
--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -78,11 +78,11 @@
                         struct mq_relay *relay)
 {
   struct mq_commit_queue *queue
-      = mq_must (talloc_zero (ctx, struct mq_commit_queue));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_commit_queue));
 
   queue->rows = rows;
   queue->relay = relay;
-  queue->parts = mq_must (mq_idmap_create (queue));
+  queue->parts = mq_check_alloc (mq_idmap_create (queue));
   return queue;
 }
 
@@ -95,12 +95,12 @@
 static struct part *
 get_part (struct mq_commit_queue *queue, const char *name, uint32_t way)
 {
-  struct mq_id id = mq_id_text_hash (name);
+  struct mq_id id = mq_id_from_text (name);
   struct part *part = mq_idmap_find (queue->parts, id, way);
 
   if (part != NULL)
     return part;
-  part = mq_must (talloc_zero (queue, struct part));
+  part = mq_check_alloc (talloc_zero (queue, struct part));
   part->queue = queue;
   part->id = id;
   part->way = way;
@@ -385,8 +385,8 @@
   to->part = mq_text_copy (ctx, from->part);
   to->key = mq_text_copy (ctx, from->key);
   if (from->value.len > 0)
-    to->value.data
-        = mq_must (talloc_memdup (ctx, from->value.data, from->value.len));
+    to->value.data = mq_check_alloc (
+        talloc_memdup (ctx, from->value.data, from->value.len));
 }
 
 static struct mq_commit *
@@ -394,13 +394,13 @@
      mq_rows_done *done, void *user)
 {
   struct mq_commit *commit
-      = mq_must (talloc_zero (part->queue, struct mq_commit));
+      = mq_check_alloc (talloc_zero (part->queue, struct mq_commit));
 
   commit->done = done;
   commit->user = user;
   commit->count = count;
-  commit->entries
-      = mq_must (talloc_zero_array (commit, struct mq_rows_entry, count));
+  commit->entries = mq_check_alloc (
+      talloc_zero_array (commit, struct mq_rows_entry, count));
   for (size_t i = 0; i < count; i++)
     copy_entry (commit, &commit->entries[i], &entries[i]);
   put_last (part, commit);
--- a/src/router/relay.c
+++ b/src/router/relay.c
@@ -168,7 +168,7 @@
 serve_ask (struct mq_relay *relay, struct mq_relay_link *link,
            const struct mq_relay_ask *ask)
 {
-  struct errand *errand = mq_must (talloc_zero (relay, struct errand));
+  struct errand *errand = mq_check_alloc (talloc_zero (relay, struct errand));
 
   errand->relay = relay;
   errand->link = link;
@@ -467,7 +467,7 @@
            mq_rows_done *done, void *user)
 {
   struct mq_relay_call *call
-      = mq_must (talloc_zero (relay, struct mq_relay_call));
+      = mq_check_alloc (talloc_zero (relay, struct mq_relay_call));
   struct mq_relay_frame frame = { .kind = MQ_RELAY_ASK };
 
   call->relay = relay;
@@ -583,7 +583,7 @@
   if (host != NULL || strcmp (address, relay->own_address) == 0
       || address[0] == '\0')
     return host;
-  host = mq_must (talloc_zero (relay, struct host));
+  host = mq_check_alloc (talloc_zero (relay, struct host));
   host->address = mq_text_copy (host, address);
   host->next = relay->hosts;
   relay->hosts = host;
--- a/src/router/relay_frame.c
+++ b/src/router/relay_frame.c
@@ -31,8 +31,8 @@
 static void *
 make_list (TALLOC_CTX *ctx, size_t count, size_t size)
 {
-  char *all = mq_must (talloc_size (ctx, (count + 1) * size));
-  void **list = mq_must (talloc_array (ctx, void *, count + 1));
+  char *all = mq_check_alloc (talloc_size (ctx, (count + 1) * size));
+  void **list = mq_check_alloc (talloc_array (ctx, void *, count + 1));
 
   for (size_t i = 0; i < count; i++)
     list[i] = all + i * size;
@@ -78,7 +78,8 @@
 pack (TALLOC_CTX *ctx, const Mqrelay__Frame *frame)
 {
   size_t len = mqrelay__frame__get_packed_size (frame);
-  uint8_t *bytes = mq_must (talloc_size (ctx, len + MQ_FRAME_HEADER_BYTES));
+  uint8_t *bytes
+      = mq_check_alloc (talloc_size (ctx, len + MQ_FRAME_HEADER_BYTES));
 
   for (size_t i = 0; i < MQ_FRAME_HEADER_BYTES; i++)
     bytes[i] = (uint8_t)(len >> (8 * (MQ_FRAME_HEADER_BYTES - 1 - i)));
@@ -321,7 +322,7 @@
 struct mq_bytes
 mq_relay_frame_pack (TALLOC_CTX *ctx, const struct mq_relay_frame *frame)
 {
-  TALLOC_CTX *scratch = mq_must (talloc_new (NULL));
+  TALLOC_CTX *scratch = mq_check_alloc (talloc_new (NULL));
   struct mq_bytes bytes = pack_body (scratch, frame);
 
   talloc_steal (ctx, bytes.data);
@@ -332,8 +333,8 @@
 static struct mq_rows_entry *
 read_entries (TALLOC_CTX *ctx, Mqrelay__Entry *const *list, size_t count)
 {
-  struct mq_rows_entry *entries
-      = mq_must (talloc_zero_array (ctx, struct mq_rows_entry, count + 1));
+  struct mq_rows_entry *entries = mq_check_alloc (
+      talloc_zero_array (ctx, struct mq_rows_entry, count + 1));
 
   for (size_t i = 0; i < count; i++)
     entries[i] = (struct mq_rows_entry){
@@ -350,8 +351,8 @@
 static struct mq_fleet_member *
 read_workers (TALLOC_CTX *ctx, Mqrelay__Worker *const *list, size_t count)
 {
-  struct mq_fleet_member *workers
-      = mq_must (talloc_zero_array (ctx, struct mq_fleet_member, count + 1));
+  struct mq_fleet_member *workers = mq_check_alloc (
+      talloc_zero_array (ctx, struct mq_fleet_member, count + 1));
 
   for (size_t i = 0; i < count; i++)
     workers[i] = (struct mq_fleet_member){
@@ -427,7 +428,7 @@
 static void
 read_quota_ask (struct mq_relay_frame *to, const Mqrelay__QuotaAsk *from)
 {
-  struct mq_quota_want *wants = mq_must (
+  struct mq_quota_want *wants = mq_check_alloc (
       talloc_zero_array (to, struct mq_quota_want, from->n_wants + 1));
 
   for (size_t i = 0; i < from->n_wants; i++)
@@ -456,7 +457,7 @@
 static void
 read_quota_told (struct mq_relay_frame *to, const Mqrelay__QuotaTold *from)
 {
-  struct mq_quota_gift *gifts = mq_must (
+  struct mq_quota_gift *gifts = mq_check_alloc (
       talloc_zero_array (to, struct mq_quota_gift, from->n_gifts + 1));
 
   for (size_t i = 0; i < from->n_gifts; i++)
@@ -554,8 +555,8 @@
 mq_relay_frame_unpack (TALLOC_CTX *ctx, const uint8_t *data, size_t len)
 {
   struct mq_relay_frame *frame
-      = mq_must (talloc_zero (ctx, struct mq_relay_frame));
-  struct holder *holder = mq_must (talloc_zero (frame, struct holder));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_relay_frame));
+  struct holder *holder = mq_check_alloc (talloc_zero (frame, struct holder));
 
   holder->frame = mqrelay__frame__unpack (NULL, len, data);
   if (holder->frame != NULL)
--- a/src/router/relay_link.c
+++ b/src/router/relay_link.c
@@ -91,10 +91,10 @@
 make_link (TALLOC_CTX *ctx, const struct mq_relay_link_owner *owner)
 {
   struct mq_relay_link *link
-      = mq_must (talloc_zero (ctx, struct mq_relay_link));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_relay_link));
 
   link->owner = *owner;
-  link->reader = mq_must (mq_frame_reader_create (link));
+  link->reader = mq_check_alloc (mq_frame_reader_create (link));
   return link;
 }
 
--- a/src/router/router_loan.c
+++ b/src/router/router_loan.c
@@ -209,7 +209,7 @@
 static struct mq_loan *
 create_loan (struct mq_turns *turns)
 {
-  struct mq_loan *loan = mq_must (talloc_zero (turns, struct mq_loan));
+  struct mq_loan *loan = mq_check_alloc (talloc_zero (turns, struct mq_loan));
 
   turns->router->counters.loans_asked++;
   loan->turns = turns;
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -102,13 +102,13 @@
 mq_permits_create (struct mq_router *router)
 {
   struct mq_permits *permits
-      = mq_must (talloc_zero (router, struct mq_permits));
+      = mq_check_alloc (talloc_zero (router, struct mq_permits));
 
   permits->router = router;
   permits->run = mq_clock_random ();
   permits->unheard = UINT64_MAX;
   permits->issuer = mq_quota_issuer_create (permits);
-  permits->shares = mq_must (mq_idmap_create (permits));
+  permits->shares = mq_check_alloc (mq_idmap_create (permits));
   return permits;
 }
 
@@ -132,7 +132,7 @@
 
   if (contact != NULL)
     return contact;
-  contact = mq_must (talloc_zero (permits, struct contact));
+  contact = mq_check_alloc (talloc_zero (permits, struct contact));
   contact->address = mq_text_copy (contact, address);
   contact->quota.answered_ms = mq_clock_boot_ms ();
   contact->next = permits->contacts;
@@ -153,12 +153,12 @@
 static struct share *
 get_share (struct mq_permits *permits, const char *name)
 {
-  struct mq_id id = mq_id_text_hash (name);
+  struct mq_id id = mq_id_from_text (name);
   struct share *share = mq_idmap_find (permits->shares, id, 0);
 
   if (share != NULL)
     return share;
-  share = mq_must (talloc_zero (permits, struct share));
+  share = mq_check_alloc (talloc_zero (permits, struct share));
   share->permits = permits;
   share->name = mq_text_copy (share, name);
   share->slot = mq_reserve_slot (name);
@@ -222,7 +222,7 @@
              void *user)
 {
   struct mq_permit *permit
-      = mq_must (talloc_zero (share->permits, struct mq_permit));
+      = mq_check_alloc (talloc_zero (share->permits, struct mq_permit));
   struct mq_permit **at = &share->first;
 
   *permit = (struct mq_permit){ .share = share,
@@ -292,7 +292,7 @@
                    bool begins, uint32_t *retry_ms)
 {
   const struct share *share = mq_idmap_find (router->permits->shares,
-                                             mq_id_text_hash (org->name), 0);
+                                             mq_id_from_text (org->name), 0);
   uint64_t now = mq_clock_boot_ms ();
 
   if (share == NULL || !mq_quota_is_over (&share->quota, begins, now))
@@ -368,8 +368,8 @@
 static void
 ask_contact (struct mq_permits *permits, struct contact *contact, uint64_t now)
 {
-  struct mq_quota_want *wants
-      = mq_must (talloc_zero_array (permits, struct mq_quota_want, WANTS_MAX));
+  struct mq_quota_want *wants = mq_check_alloc (
+      talloc_zero_array (permits, struct mq_quota_want, WANTS_MAX));
   uint64_t id
       = now << COUNT_BITS | (++permits->next_ask & ((1U << COUNT_BITS) - 1));
   size_t count = 0;
@@ -528,7 +528,7 @@
            bool in_time, uint64_t now)
 {
   struct share *share = mq_idmap_find (
-      permits->shares, mq_id_text_hash (gift->organisation), 0);
+      permits->shares, mq_id_from_text (gift->organisation), 0);
 
   if (share == NULL)
     return;
@@ -540,7 +540,7 @@
       return;
     }
   if (share->issuer == NULL || strcmp (share->issuer, address) != 0)
-    mq_text_set (share, &share->issuer, address);
+    mq_text_replace (share, &share->issuer, address);
   mq_quota_told (&share->quota, gift, told->server, asked_ms_of (told->id),
                  now);
   hand_out (share, gift, told->id);
@@ -625,7 +625,7 @@
 {
   uint64_t now = mq_clock_boot_ms ();
   uint64_t heard = ask->server == permits->run ? ask->heard_ms : 0;
-  struct mq_quota_gift *gifts = mq_must (
+  struct mq_quota_gift *gifts = mq_check_alloc (
       talloc_array (ctx, struct mq_quota_gift, ask->want_count + 1));
 
   mq_quota_heard (permits->issuer, ask->host, heard, now);
@@ -646,7 +646,7 @@
 static void
 ask_here (struct mq_permits *permits, const struct mq_relay_quota_ask *ask)
 {
-  TALLOC_CTX *ctx = mq_must (talloc_new (permits));
+  TALLOC_CTX *ctx = mq_check_alloc (talloc_new (permits));
   struct mq_relay_quota_told told = answer (ctx, permits, ask);
 
   mq_permits_on_told (&told, mq_relay_address (permits->router->relay),
@@ -659,7 +659,7 @@
                    struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
-  TALLOC_CTX *ctx = mq_must (talloc_new (router));
+  TALLOC_CTX *ctx = mq_check_alloc (talloc_new (router));
   struct mq_relay_quota_told told = answer (ctx, router->permits, ask);
 
   mq_relay_tell_quota (router->relay, link, &told);
@@ -676,7 +676,7 @@
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
   uint64_t now = mq_clock_boot_ms ();
-  struct mq_quota_want *wants = mq_must (talloc_zero_array (
+  struct mq_quota_want *wants = mq_check_alloc (talloc_zero_array (
       permits, struct mq_quota_want, mq_idmap_count (permits->shares) + 1));
   struct mq_relay_quota_ask ask = { .host = permits->run,
                                     .wants = wants,
@@ -735,7 +735,7 @@
       found[count++] = share;
   for (size_t i = 0; i < count; i++)
     {
-      mq_idmap_remove (permits->shares, mq_id_text_hash (found[i]->name), 0);
+      mq_idmap_remove (permits->shares, mq_id_from_text (found[i]->name), 0);
       talloc_free (found[i]);
     }
 }
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -21,13 +21,13 @@
 struct mq_program *
 mq_program_find (struct mq_turns *turns, const char *id)
 {
-  return mq_idmap_find (turns->programs, mq_id_text_hash (id), 0);
+  return mq_idmap_find (turns->programs, mq_id_from_text (id), 0);
 }
 
 struct mq_program *
 mq_program_get (struct mq_turns *turns, const char *id)
 {
-  struct mq_id key = mq_id_text_hash (id);
+  struct mq_id key = mq_id_from_text (id);
   struct mq_program *program = mq_idmap_find (turns->programs, key, 0);
 
   if (program != NULL)
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -67,10 +67,11 @@
 static struct mq_leases *
 create_leases (struct mq_router *router)
 {
-  struct mq_leases *leases = mq_must (talloc_zero (router, struct mq_leases));
+  struct mq_leases *leases
+      = mq_check_alloc (talloc_zero (router, struct mq_leases));
 
   leases->router = router;
-  leases->reserve = mq_must (mq_reserve_create (
+  leases->reserve = mq_check_alloc (mq_reserve_create (
       leases, mq_clock_random (), mq_relay_address (router->relay)));
   return leases;
 }
--- a/src/router/router_settings.c
+++ b/src/router/router_settings.c
@@ -179,7 +179,7 @@
                uint32_t *thousandths)
 {
   const struct mq_ini_pair *pair = mq_ini_find (&ini->sections[0], key->name);
-  struct mq_place place = { 1, 1 };
+  struct mq_text_position place = { 1, 1 };
   char *end = NULL;
   double number = strtod (text, &end);
 
@@ -190,7 +190,7 @@
       return true;
     }
   if (pair != NULL)
-    place = (struct mq_place){ pair->line, pair->value_column };
+    place = (struct mq_text_position){ pair->line, pair->value_column };
   mq_error_list_add (list, MQ_ERR_TEXT_BAD_VALUE, place, key->name,
                      key->allowed);
   return false;
--- a/src/router/router_silence.c
+++ b/src/router/router_silence.c
@@ -118,7 +118,8 @@
 mq_silence_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                    const struct mq_silence_options *options)
 {
-  struct mq_silence *silence = mq_must (talloc_zero (ctx, struct mq_silence));
+  struct mq_silence *silence
+      = mq_check_alloc (talloc_zero (ctx, struct mq_silence));
 
   silence->options = *options;
   silence->ev = ev;
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -201,7 +201,7 @@
 struct mq_try *
 mq_try_begin (TALLOC_CTX *ctx, const struct mq_try_options *options)
 {
-  struct mq_try *try = mq_must (talloc_zero (ctx, struct mq_try));
+  struct mq_try *try = mq_check_alloc (talloc_zero (ctx, struct mq_try));
   struct mq_error error = { .type = MQ_ERR_NONE };
 
   try->options = *options;
--- a/src/target/target.c
+++ b/src/target/target.c
@@ -113,7 +113,7 @@
     target->quiet_since_us = now;
   target->quiet_calls = calls;
   return now - target->quiet_since_us
-         >= (uint64_t)MQ_TARGET_QUIET_MS * US_PER_MS;
+         >= (uint64_t)MQ_TARGET_IDLE_MS * US_PER_MS;
 }
 
 static void
@@ -134,7 +134,7 @@
     return;
   if (!is_quiet (target) && mq_clock_us () < target->stop_until_us)
     return;
-  target->stop = mq_must (tevent_create_immediate (target));
+  target->stop = mq_check_alloc (tevent_create_immediate (target));
   tevent_schedule_immediate (target->stop, target->ev, report_done, target);
 }
 
@@ -188,8 +188,8 @@
 
   /* Quiet is seen by looking.  */
   if (target->stopping && target->stop == NULL)
-    next = earlier (next,
-                    mq_clock_us () + (uint64_t)MQ_TARGET_LOOK_MS * US_PER_MS);
+    next = earlier (next, mq_clock_us ()
+                              + (uint64_t)MQ_TARGET_STOP_POLL_MS * US_PER_MS);
   return next;
 }
 
@@ -267,7 +267,7 @@
   const struct mq_settings *settings = target->settings;
   struct mq_worker_callbacks callbacks = mq_target_worker_callbacks (target);
 
-  target->workers = mq_must (talloc_zero_array (
+  target->workers = mq_check_alloc (talloc_zero_array (
       target, struct mq_worker *, (unsigned int)settings->worker_count + 1));
   for (uint32_t i = 0; i < settings->worker_count; i++)
     {
@@ -276,7 +276,7 @@
       options.kind = settings->workers[i].kind;
       options.url = settings->worker_urls[i];
       options.model = settings->workers[i].model;
-      target->workers[i] = mq_must (mq_worker_create (
+      target->workers[i] = mq_check_alloc (mq_worker_create (
           target, target->ev, target->client, &options, &callbacks));
     }
 }
@@ -304,7 +304,8 @@
                   void (*done) (void *user), void *user,
                   struct mq_error *error)
 {
-  struct mq_target *target = mq_must (talloc_zero (ctx, struct mq_target));
+  struct mq_target *target
+      = mq_check_alloc (talloc_zero (ctx, struct mq_target));
 
   target->ev = ev;
   target->settings = settings;
--- a/src/target/target_http.c
+++ b/src/target/target_http.c
@@ -45,7 +45,7 @@
                        struct mq_error *error)
 {
   struct mq_target_http *http
-      = mq_must (talloc_zero (ctx, struct mq_target_http));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_target_http));
   struct mq_http_server_options options = { .address = address };
 
   http->operators.callbacks = *callbacks;
--- a/src/target/worker.c
+++ b/src/target/worker.c
@@ -124,8 +124,8 @@
   worker->ev = ev;
   worker->client = client;
   worker->options = *options;
-  worker->options.url = mq_must (talloc_strdup (worker, options->url));
-  worker->options.model = mq_must (
+  worker->options.url = mq_check_alloc (talloc_strdup (worker, options->url));
+  worker->options.model = mq_check_alloc (
       talloc_strdup (worker, options->model == NULL ? "" : options->model));
   if (options->cache_poll_ms == 0)
     worker->options.cache_poll_ms = MQ_WORKER_CACHE_POLL_MS;
--- a/src/target/worker_answer.c
+++ b/src/target/worker_answer.c
@@ -22,7 +22,7 @@
                struct mq_gate_cache *cache)
 {
   size_t count = json_array_size (programs);
-  struct mq_gate_cache_entry *entries = mq_must (
+  struct mq_gate_cache_entry *entries = mq_check_alloc (
       talloc_zero_array (ctx, struct mq_gate_cache_entry, count + 1));
 
   cache->entries = entries;
--- a/src/target/worker_call.c
+++ b/src/target/worker_call.c
@@ -88,7 +88,7 @@
 {
   if (call->later != NULL)
     return;
-  call->later = mq_must (tevent_create_immediate (call));
+  call->later = mq_check_alloc (tevent_create_immediate (call));
   tevent_schedule_immediate (call->later, call->worker->ev, call_late, call);
 }
 
@@ -162,8 +162,8 @@
 static void
 cancel_later (struct mq_worker_call *call)
 {
-  mq_must (mq_timer_add (call, call->worker->ev, MQ_WORKER_CANCEL_RETRY_MS,
-                         cancel_again, call));
+  mq_check_alloc (mq_timer_add (
+      call, call->worker->ev, MQ_WORKER_CANCEL_RETRY_MS, cancel_again, call));
 }
 
 static void
@@ -182,7 +182,7 @@
 limit_time (struct mq_worker_call *call, uint32_t timeout_ms)
 {
   if (timeout_ms > 0)
-    mq_must (
+    mq_check_alloc (
         mq_timer_add (call, call->worker->ev, timeout_ms, time_out, call));
 }
 
@@ -427,13 +427,14 @@
 add_call (struct mq_worker *worker, const struct mq_start *start)
 {
   struct mq_worker_call *call
-      = mq_must (talloc_zero (worker, struct mq_worker_call));
+      = mq_check_alloc (talloc_zero (worker, struct mq_worker_call));
   char *id;
   char program[MQ_ID_TEXT];
 
   mq_id_format (start->ref.program, program);
-  id = mq_must (talloc_asprintf (call, "%s-%" PRIu32 "-%" PRIu32, program,
-                                 start->ref.call, start->ref.attempt));
+  id = mq_check_alloc (talloc_asprintf (call, "%s-%" PRIu32 "-%" PRIu32,
+                                        program, start->ref.call,
+                                        start->ref.attempt));
   strncpy (call->request_id, id, sizeof call->request_id - 1);
   talloc_free (id);
   call->worker = worker;
--- a/src/target/worker_control.c
+++ b/src/target/worker_control.c
@@ -30,7 +30,7 @@
 mq_control_add (struct mq_worker *worker, enum mq_control_type type)
 {
   struct mq_worker_control *control
-      = mq_must (talloc_zero (worker, struct mq_worker_control));
+      = mq_check_alloc (talloc_zero (worker, struct mq_worker_control));
 
   control->worker = worker;
   control->type = type;
@@ -60,7 +60,7 @@
 mq_control_skip (struct mq_worker_control *control, bool failed)
 {
   control->failed = failed;
-  control->later = mq_must (tevent_create_immediate (control));
+  control->later = mq_check_alloc (tevent_create_immediate (control));
   tevent_schedule_immediate (control->later, control->worker->ev, control_late,
                              control);
 }
--- a/standins/engine_kv.c
+++ b/standins/engine_kv.c
@@ -72,15 +72,16 @@
 mq_kv_create (TALLOC_CTX *ctx, uint32_t blocks, mq_kv_evicted *evicted,
               void *user)
 {
-  struct mq_kv *kv = mq_must (talloc_zero (ctx, struct mq_kv));
+  struct mq_kv *kv = mq_check_alloc (talloc_zero (ctx, struct mq_kv));
   uint64_t buckets = round_up_power (2ULL * blocks);
   uint64_t ghosts = round_up_power ((uint64_t)GHOSTS_PER_BLOCK * blocks);
 
-  kv->blocks = mq_must (talloc_zero_array (kv, struct block, blocks + 1));
+  kv->blocks
+      = mq_check_alloc (talloc_zero_array (kv, struct block, blocks + 1));
   kv->block_count = blocks;
-  kv->buckets = mq_must (talloc_zero_array (kv, uint32_t, buckets));
+  kv->buckets = mq_check_alloc (talloc_zero_array (kv, uint32_t, buckets));
   kv->bucket_mask = buckets - 1;
-  kv->ghosts = mq_must (talloc_zero_array (kv, uint64_t, ghosts));
+  kv->ghosts = mq_check_alloc (talloc_zero_array (kv, uint64_t, ghosts));
   kv->ghost_mask = ghosts - 1;
   kv->evicted = evicted;
   kv->user = user;
@@ -348,8 +349,9 @@
 mq_kv_chain (TALLOC_CTX *ctx, const struct mq_kv *kv, struct mq_id program,
              size_t *count)
 {
-  bool *marked = mq_must (talloc_zero_array (NULL, bool, kv->block_count + 1));
-  struct mq_kv_label *labels = mq_must (
+  bool *marked
+      = mq_check_alloc (talloc_zero_array (NULL, bool, kv->block_count + 1));
+  struct mq_kv_label *labels = mq_check_alloc (
       talloc_zero_array (ctx, struct mq_kv_label, kv->block_count + 1));
 
   *count = 0;
@@ -423,7 +425,7 @@
 struct mq_kv_held *
 mq_kv_held (TALLOC_CTX *ctx, const struct mq_kv *kv, size_t *count)
 {
-  struct mq_kv_held *held = mq_must (
+  struct mq_kv_held *held = mq_check_alloc (
       talloc_zero_array (ctx, struct mq_kv_held, kv->block_count + 1));
   size_t used = 0;
 
--- a/standins/platform_server.c
+++ b/standins/platform_server.c
@@ -150,7 +150,7 @@
   if (mq_is_below (request, "GET", OBJECT_PATH))
     return parse_object (operation, MQ_STORE_GET);
   if (mq_is_below (request, "DELETE", OBJECT_PATH))
-    return parse_object (operation, MQ_STORE_DROP);
+    return parse_object (operation, MQ_STORE_DELETE);
   if (mq_is_request (request, "GET", HOSTS_PATH))
     return parse_hosts (operation);
   if (mq_is_below (request, "GET", WEIGHT_PATH))
@@ -185,7 +185,7 @@
         mq_http_respond (request, 200, BYTES_TYPE, result->value.data,
                          result->value.len);
       return;
-    case MQ_STORE_DROP:
+    case MQ_STORE_DELETE:
       if (dropped)
         mq_answer_done (request);
       else
@@ -258,7 +258,7 @@
   struct mq_store_result result = { 0 };
   bool dropped = false;
 
-  if (operation->store.kind == MQ_STORE_DROP)
+  if (operation->store.kind == MQ_STORE_DELETE)
     dropped = mq_table_drop (table, operation->store.key);
   else
     mq_table_serve (table, operation, &operation->store, &result);
--- a/standins/table.c
+++ b/standins/table.c
@@ -380,7 +380,7 @@
       if (!mq_table_get (table, ctx, request->key, &result->value))
         result->status = MQ_STORE_MISSING;
       break;
-    case MQ_STORE_DROP:
+    case MQ_STORE_DELETE:
       mq_table_drop (table, request->key);
       break;
     }
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -15,7 +15,7 @@
                                      [MQ_STORE_SCAN] = "scan",
                                      [MQ_STORE_PUT] = "put",
                                      [MQ_STORE_GET] = "get",
-                                     [MQ_STORE_DROP] = "drop" };
+                                     [MQ_STORE_DELETE] = "drop" };
 
 static void
 check_rows (const struct mq_store_request *request,
@@ -46,7 +46,7 @@
   switch (result->status)
     {
     case MQ_STORE_OK:
-      FUZZ_CHECK (http->status == 200 || request->kind == MQ_STORE_DROP);
+      FUZZ_CHECK (http->status == 200 || request->kind == MQ_STORE_DELETE);
       break;
     case MQ_STORE_CONFLICT:
       FUZZ_CHECK (request->kind == MQ_STORE_TXN && http->status == 409);
--- a/tests/replay.c
+++ b/tests/replay.c
@@ -201,7 +201,8 @@
 static struct program *
 make_program (struct replay *self)
 {
-  struct program *program = mq_must (talloc_zero (self, struct program));
+  struct program *program
+      = mq_check_alloc (talloc_zero (self, struct program));
   struct mq_engine_params params;
   const struct class_kind *kind;
   double idle = 0.0;
@@ -277,7 +278,7 @@
 prompt_hashes (struct replay *self, const struct program *program,
                size_t count)
 {
-  uint64_t *hashes = mq_must (talloc_array (self, uint64_t, count + 1));
+  uint64_t *hashes = mq_check_alloc (talloc_array (self, uint64_t, count + 1));
   uint32_t shared = program->shared_tokens / MQ_KV_BLOCK_TOKENS;
 
   for (size_t i = 0; i < count; i++)
@@ -468,8 +469,8 @@
 
   for (uint32_t i = 0; i < self->options->hosts; i++)
     {
-      self->hosts[i].fleet = mq_must (mq_fleet_create (self));
-      self->hosts[i].admission = mq_must (mq_admission_create (self));
+      self->hosts[i].fleet = mq_check_alloc (mq_fleet_create (self));
+      self->hosts[i].admission = mq_check_alloc (mq_admission_create (self));
       for (uint32_t j = 0; j < self->options->engines; j++)
         {
           snprintf (id, sizeof id, "engine-%u", j);
@@ -487,7 +488,7 @@
   for (uint32_t i = 0; i < self->options->engines; i++)
     {
       params.seed = self->options->seed + i;
-      self->engines[i] = mq_must (mq_engine_create (self, &params));
+      self->engines[i] = mq_check_alloc (mq_engine_create (self, &params));
     }
 }
 
@@ -542,7 +543,7 @@
   if (second >= options->length_s || fraction (self) >= expected)
     return;
   program = make_program (self);
-  self->programs = mq_must (talloc_realloc (
+  self->programs = mq_check_alloc (talloc_realloc (
       self, self->programs, struct program *, self->program_count + 1));
   self->programs[program->number] = program;
   self->result->classes[program->kind].asked++;
@@ -581,7 +582,7 @@
 void
 replay_run (const struct replay_options *options, struct replay_result *result)
 {
-  struct replay *self = mq_must (talloc_zero (NULL, struct replay));
+  struct replay *self = mq_check_alloc (talloc_zero (NULL, struct replay));
 
   *result = (struct replay_result){ 0 };
   self->options = options;
@@ -589,8 +590,8 @@
   self->chance[0] = (unsigned short)options->seed;
   self->chance[1] = (unsigned short)(options->seed >> 16);
   self->end_ms = (uint64_t)options->length_s * MS_PER_S + TAIL_MS;
-  self->due
-      = mq_must (talloc_zero_array (self, struct program *, self->end_ms));
+  self->due = mq_check_alloc (
+      talloc_zero_array (self, struct program *, self->end_ms));
   make_hosts (self);
   make_engines (self);
   /* Zero is no time at all to the fleet.  */
--- a/tests/test_gate_queue.c
+++ b/tests/test_gate_queue.c
@@ -341,7 +341,7 @@
     PLAIN,
     0,
     {
-        { STEP_WAIT, .ms = MQ_GATE_LOAD_BEAT_MS, .loads = true,
+        { STEP_WAIT, .ms = MQ_GATE_LOAD_INTERVAL_MS, .loads = true,
           .want = "load@1 0+0/1; load@2 0+0/1; load@3 0+0/1" },
         { CALL_OF (1), .loads = true, .want = "start 1/1.1 w0" },
         { CALL_OF (2), .loads = true, .want = "" },
@@ -349,7 +349,7 @@
           .want = "" },
         { STEP_WAIT, .ms = 1, .loads = true,
           .want = "load@1 1+1/1; load@2 1+1/1; load@3 1+1/1" },
-        { STEP_WAIT, .ms = MQ_GATE_LOAD_BEAT_MS - 1, .loads = true,
+        { STEP_WAIT, .ms = MQ_GATE_LOAD_INTERVAL_MS - 1, .loads = true,
           .want = "" },
         { STEP_WAIT, .ms = 1, .loads = true,
           .want = "load@1 1+1/1; load@2 1+1/1; load@3 1+1/1" },
--- a/tests/test_handshake.c
+++ b/tests/test_handshake.c
@@ -16,7 +16,7 @@
 {
   KEY = 7,
   WRONG_KEY = 8,
-  IDLE_CLIENTS = MQ_PEER_UNPROVEN_MAX + 20
+  IDLE_CLIENTS = MQ_PEER_UNAUTHENTICATED_MAX + 20
 };
 
 /* cppcheck-suppress unknownMacro */
@@ -147,7 +147,7 @@
 static void
 send_large_frame (struct kit_client *client)
 {
-  send_length (client, MQ_PEER_UNPROVEN_BYTES + 1);
+  send_length (client, MQ_PEER_UNAUTHENTICATED_BYTES + 1);
 }
 
 static void
--- a/tests/test_hold.c
+++ b/tests/test_hold.c
@@ -53,7 +53,7 @@
       { RISES, 0, 0, 9, "1" } } },
   { "a version that does not come is not waited for",
     { { COMES, 1, 1, 8, "" },
-      { WAITS, MQ_HOLD_MS - 1, 0, 0, "" },
+      { WAITS, MQ_CONFIG_WAIT_MS - 1, 0, 0, "" },
       { WAITS, 1, 0, 0, "1" } } },
   { "a lower rise is not enough",
     { { COMES, 1, 1, 9, "" },
@@ -118,7 +118,7 @@
   struct mq_message message
       = { .type = MQ_MSG_FORWARD_CLOSE, .config_version = 2 };
 
-  for (uint32_t i = 0; i < MQ_HOLD_MAX; i++)
+  for (uint32_t i = 0; i < MQ_CONFIG_WAITERS_MAX; i++)
     cr_assert (mq_hold_take (hold, 0, 1, 1, &message));
   cr_expect (!mq_hold_take (hold, 0, 1, 1, &message));
   talloc_free (hold);
--- a/tests/test_io.c
+++ b/tests/test_io.c
@@ -120,7 +120,7 @@
   const char *subject_key;
 } state_rows[] = {
   { MQ_STATE_PARTITION_OWNED, 17, "", "partition_owned", "partition", NULL },
-  { MQ_STATE_PEER_SILENT, 3, "host-2", "peer_silent", "peer", "other" },
+  { MQ_STATE_PEER_TIMED_OUT, 3, "host-2", "peer_silent", "peer", "other" },
   { MQ_STATE_STORE_DOWN, 0, NULL, "table_down", NULL, NULL },
   { MQ_STATE_UNKNOWN_CALL, 2, "ab", "unknown_call", "call", "run" },
   { MQ_STATE_ORDER, 1, "", "order", "worker", NULL },
--- a/tests/test_ownership.c
+++ b/tests/test_ownership.c
@@ -131,7 +131,7 @@
     fleet_kill (fleet, i);
   for (uint32_t i = 0; i < 5; i++)
     fleet_start (fleet, MQ_OWNERS_MAX + 5 + i);
-  run_s (fleet, MQ_OWNER_FORGET_MS / 1000 + SETTLE_S);
+  run_s (fleet, MQ_OWNER_EXPIRY_MS / 1000 + SETTLE_S);
   cr_expect_eq (fleet_owned (fleet), PARTITIONS, "%u owned",
                 fleet_owned (fleet));
   talloc_free (ctx);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -265,7 +265,7 @@
   send_plain (platform, MQ_STORE_SCAN, MQ_STORE_SCAN, "scan/", none);
   send_plain (platform, MQ_STORE_PUT, MQ_STORE_PUT, "put", bytes_of ("new"));
   send_plain (platform, MQ_STORE_GET, MQ_STORE_GET, "get", none);
-  send_plain (platform, MQ_STORE_DROP, MQ_STORE_DROP, "drop", none);
+  send_plain (platform, MQ_STORE_DELETE, MQ_STORE_DELETE, "drop", none);
 }
 
 /* How many of the three writes have taken effect.  */
@@ -467,7 +467,7 @@
 Test (platform, a_write_on_a_closing_connection_is_sent_once)
 {
   static const enum mq_store_kind kinds[]
-      = { MQ_STORE_TXN, MQ_STORE_PUT, MQ_STORE_DROP };
+      = { MQ_STORE_TXN, MQ_STORE_PUT, MQ_STORE_DELETE };
 
   for (size_t i = 0; i < COUNT_OF (kinds); i++)
     {
@@ -535,8 +535,8 @@
   { MQ_STORE_PUT, 500, "", MQ_STORE_LOST, 0 },
   { MQ_STORE_PUT, 404, "", MQ_STORE_LOST, 0 },
   { MQ_STORE_PUT, 503, "", MQ_STORE_DOWN, 0 },
-  { MQ_STORE_DROP, 404, "", MQ_STORE_OK, 0 },
-  { MQ_STORE_DROP, 500, "", MQ_STORE_LOST, 0 },
+  { MQ_STORE_DELETE, 404, "", MQ_STORE_OK, 0 },
+  { MQ_STORE_DELETE, 500, "", MQ_STORE_LOST, 0 },
   { MQ_STORE_GET, 404, "", MQ_STORE_MISSING, 0 },
   { MQ_STORE_GET, 500, "", MQ_STORE_DOWN, 0 },
   { MQ_STORE_SCAN, 404, "", MQ_STORE_DOWN, 0 },
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -255,7 +255,7 @@
   enum get_fault fault;
   uint64_t after_us; /* when the other peer must have been asked */
 } get_cases[] = {
-  { "mute", PEER_MUTE, (uint64_t)MQ_CONFIG_GET_MS *MS },
+  { "mute", PEER_MUTE, (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS *MS },
   { "dies", PEER_DIES, 0 },
   { "empty", PEER_EMPTY, 0 },
   { "behind", PEER_BEHIND, 0 },
@@ -265,7 +265,7 @@
 break_peer (struct mq_spread *spread, enum get_fault fault, uint32_t peer,
             struct mq_actions *actions)
 {
-  uint64_t timeout_us = (uint64_t)MQ_CONFIG_GET_MS * MS;
+  uint64_t timeout_us = (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * MS;
 
   switch (fault)
     {
@@ -385,7 +385,7 @@
           told_now++;
         }
     }
-  cr_expect_leq (told_now, MQ_CONFIG_TELL_PEERS, "too many told at a time");
+  cr_expect_leq (told_now, MQ_CONFIG_NOTIFY_PEERS, "too many told at a time");
   if (more->count > 0)
     site_carry (site, from, more);
   talloc_free (more);
--- a/tests/world_fault.c
+++ b/tests/world_fault.c
@@ -313,7 +313,7 @@
 static bool
 is_owner_write (const struct mq_store_request *request)
 {
-  if (request->kind == MQ_STORE_PUT || request->kind == MQ_STORE_DROP)
+  if (request->kind == MQ_STORE_PUT || request->kind == MQ_STORE_DELETE)
     return true;
   for (size_t i = 0; i < request->op_count; i++)
     if (!begins_with (request->ops[i].key, "owner/"))
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -33,8 +33,8 @@
 #define SECOND 1000000ULL
 
 /* Times of the world.  */
-#define BEAT_US (MQ_BEAT_MS * MS)
-#define SILENT_US (MQ_SILENT_MS * MS)
+#define BEAT_US (MQ_HEARTBEAT_MS * MS)
+#define SILENT_US (MQ_PEER_TIMEOUT_MS * MS)
 #define STORE_TIMEOUT_US (MQ_STORE_TIMEOUT_MS * MS)
 #define HOSTS_READ_US (1 * SECOND)
 #define LIST_LAG_US (1500 * MS)
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -134,7 +134,7 @@
 is_write (const struct mq_store_request *request)
 {
   return request->kind == MQ_STORE_TXN || request->kind == MQ_STORE_PUT
-         || request->kind == MQ_STORE_DROP;
+         || request->kind == MQ_STORE_DELETE;
 }
 
 /* Programs here write a few kilobytes; a write of a megabyte is a machine
@@ -361,7 +361,7 @@
 plant_keeps (struct world *world, const struct world_event *event)
 {
   if (world->cell->plant != PLANT_DROP_SWALLOWED
-      || event->request->kind != MQ_STORE_DROP)
+      || event->request->kind != MQ_STORE_DELETE)
     return false;
   push_failure (world, event, MQ_STORE_OK, TABLE_LEAST_US);
   return true;
