--- a/src/core/action.c
+++ b/src/core/action.c
@@ -1,4 +1,4 @@
-/* action.c - lists of actions and deep copies of messages.
+/* action.c - action lists and deep copies of messages.
 
    Needs: action.h.  */
 
--- a/src/core/action.h
+++ b/src/core/action.h
@@ -1,8 +1,8 @@
-/* action.h - what a core machine asks the outside to do.
+/* action.h - actions returned by the core's state machines.
 
-   Every machine of the core (owner, gate, front, spread) takes one input
-   with the time and appends actions to a list; the caller carries them out
-   in order and frees the list.  Actions own their memory.
+   Each state machine (owner, gate, front, spread) takes one input with the
+   current time and appends actions to a list.  The caller runs them in order
+   and frees the list, which owns the memory of its actions.
    Needs: message.h, store.h.  */
 
 #ifndef MQ_ACTION_H
@@ -11,35 +11,32 @@
 #include "message.h"
 #include "store.h"
 
-/* Peers are small handles given out by the caller; 0 is this process.  */
+/* Peer handles are assigned by the caller; 0 is this process.  */
 #define MQ_PEER_SELF 0U
 
 enum mq_action_type
 {
   MQ_ACT_SEND,  /* message to a peer */
   MQ_ACT_STORE, /* request to the platform */
-  MQ_ACT_EVENT, /* event for a caller of this host, or of the peer */
+  MQ_ACT_EVENT, /* event for a caller here or at a peer */
   MQ_ACT_START, /* gate: start a call at a worker */
   MQ_ACT_STOP,  /* gate: cancel a call at a worker */
   MQ_ACT_EVICT, /* gate: evict a program's cache at a worker */
   MQ_ACT_ORDER, /* gate: order to a worker */
-  MQ_ACT_SPAN,  /* a hop ended */
-  MQ_ACT_STATE  /* a change of state worth a log line */
+  MQ_ACT_SPAN,  /* tracing span */
+  MQ_ACT_STATE  /* state change to be logged */
 };
 
 /**
- * struct mq_start - a call that the gate lets through to its target
- * @slot: handle of the call in the gate, given back in worker events
+ * struct mq_start - a call dispatched by the gate to its target
+ * @slot: handle of the call in the gate, returned in worker events
  * @worker: index of the worker
- * @ref: which attempt
- * @service: service called
- * @route: route or empty
- * @priority: priority class for the engine
- * @max_tokens: cap for the engine
- * @timeout_ms: give up after this time, 0 when none
- * @idempotency_key: sent along where the target honours one
+ * @route: empty if the service has no routes
+ * @max_tokens: limit on generated tokens
+ * @timeout_ms: 0 if none
+ * @idempotency_key: sent if the target supports one
  * @traceparent: W3C trace context
- * @body: JSON body
+ * @body: JSON
  */
 struct mq_start
 {
@@ -63,14 +60,13 @@
 };
 
 /**
- * struct mq_span - one hop of a call's path
+ * struct mq_span - a tracing span
  * @name: "queue", "target", "commit", "owner", …
- * @traceparent: trace it belongs to
- * @program: program it concerns
- * @call: call it concerns, 0 when none
+ * @traceparent: W3C trace context
+ * @call: 0 if none
  * @start_us: on this process's clock
  * @end_us: on this process's clock
- * @error: how the hop ended
+ * @error: MQ_ERR_NONE on success
  */
 struct mq_span
 {
@@ -129,20 +125,20 @@
 
 struct mq_actions
 {
-  struct mq_action *items; /* talloc array; strings hang below it */
+  struct mq_action *items; /* talloc array */
   size_t count;
   size_t room;
 };
 
 struct mq_actions *mq_actions_create (TALLOC_CTX *ctx);
-/* Appends a zeroed action and returns it; its strings are to be allocated
-   below ACTIONS.  Aborts the process when memory is out.  */
+/* Appends a zeroed action and returns it.  Its strings must be allocated
+   below ACTIONS.  Aborts when out of memory.  */
 struct mq_action *mq_actions_add (struct mq_actions *actions,
                                   enum mq_action_type type);
 /* Appends a SEND with a deep copy of MESSAGE.  */
 void mq_actions_send (struct mq_actions *actions, uint32_t peer,
                       const struct mq_message *message);
-/* Deep copy of MESSAGE below CTX.  */
+/* Deep copy of FROM; strings and arrays are allocated below CTX.  */
 void mq_message_copy (TALLOC_CTX *ctx, struct mq_message *to,
                       const struct mq_message *from);
 void mq_request_copy (TALLOC_CTX *ctx, struct mq_request_msg *to,
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -1,4 +1,4 @@
-/* error.c - names, texts and HTTP statuses of the typed failures.
+/* error.c - names, messages and HTTP statuses of error types.
 
    Needs: error.h.  */
 
--- a/src/core/error.h
+++ b/src/core/error.h
@@ -1,8 +1,8 @@
-/* error.h - the one table of typed failures.
+/* error.h - error types, their messages and HTTP statuses.
 
-   Every failure that crosses a function, a process or an API has a type of
-   this table; texts are derived from the type, never carried as bare
-   strings.  docs/OPERATING.md lists each type; CI compares the two.
+   Errors are passed between functions, processes and API clients by type;
+   messages are looked up from the type.  docs/OPERATING.md lists each type,
+   and CI compares the two.
    Needs: types.h.  */
 
 #ifndef MQ_ERROR_H
@@ -10,7 +10,7 @@
 
 #include "types.h"
 
-/* X (enumerator, name on the wire, HTTP status, cause, remedy)  */
+/* X (enumerator, wire name, HTTP status, cause, remedy)  */
 #define MQ_ERROR_LIST(X)                                                      \
   X (NONE, "ok", 200, "no error", "nothing to do")                            \
   X (NO_MEMORY, "no_memory", 503,                                             \
@@ -137,15 +137,15 @@
 #define MQ_SUBJECT_MAX 128
 
 /**
- * struct mq_error - a typed failure, filled in by the function that failed
- * @type: which failure; MQ_ERR_NONE when there is none
- * @ran: whether the work it concerns took effect
- * @line: line of an operators' text or settings file, 0 when none
- * @column: column in that line from 1, 0 when none
- * @number: errno, status or bound that goes with the type
- * @retry_after_ms: when to come back, 0 when never
- * @subject: what was wrong (a key, a name, a value), may be empty
- * @allowed: what is allowed in its place, may be empty
+ * struct mq_error - an error, filled in by the function that failed
+ * @type: MQ_ERR_NONE if there is no error
+ * @ran: whether the failed operation took effect
+ * @line: line in a configuration or settings file from 1, 0 if none
+ * @column: column in that line from 1, 0 if none
+ * @number: errno, HTTP status or limit, depending on the type
+ * @retry_after_ms: delay before a retry, 0 if a retry won't help
+ * @subject: invalid key, name or value; may be empty
+ * @allowed: accepted alternatives; may be empty
  */
 struct mq_error
 {
@@ -165,7 +165,8 @@
 const char *mq_error_cause (enum mq_error_type type);
 const char *mq_error_remedy (enum mq_error_type type);
 int mq_error_http_status (enum mq_error_type type);
-enum mq_error_type mq_error_from_name (const char *name); /* NONE if unknown */
-const char *mq_ran_name (enum mq_ran ran); /* "not_run", "ran", "unknown" */
+enum mq_error_type
+mq_error_from_name (const char *name); /* MQ_ERR_NONE if unknown */
+const char *mq_ran_name (enum mq_ran ran);
 
 #endif
--- a/src/core/histogram.c
+++ b/src/core/histogram.c
@@ -1,4 +1,4 @@
-/* histogram.c - counts of values in buckets whose width grows with the value.
+/* histogram.c - log-linear histogram.
 
    Needs: histogram.h.  */
 
@@ -23,7 +23,7 @@
                                        : MQ_HISTOGRAM_BUCKETS - 1;
 }
 
-/* Greatest value of BUCKET.  */
+/* Largest value in BUCKET.  */
 static uint64_t
 bucket_end (uint32_t bucket)
 {
--- a/src/core/histogram.h
+++ b/src/core/histogram.h
@@ -1,10 +1,9 @@
-/* histogram.h - counts of values in buckets whose width grows with the value.
+/* histogram.h - log-linear histogram of fixed size.
 
-   Each power of two is cut into MQ_HISTOGRAM_STEPS equal buckets; values
-   below MQ_HISTOGRAM_STEPS have one each.  A quantile is given as the middle
-   of its bucket, which is off by at most 1 part in 2 * MQ_HISTOGRAM_STEPS
-   (1.6%).  Histograms of several processes can be added up, quantiles
-   can't.  Pure; a fixed size, whatever comes in.
+   Each power of two is divided into MQ_HISTOGRAM_STEPS equal buckets; values
+   below MQ_HISTOGRAM_STEPS have one bucket each.  A quantile is the midpoint
+   of its bucket; the relative error is at most 1 / (2 * MQ_HISTOGRAM_STEPS).
+   Histograms can be merged across processes; quantiles cannot.
    Needs: types.h.  */
 
 #ifndef MQ_HISTOGRAM_H
@@ -16,11 +15,11 @@
 #define MQ_HISTOGRAM_BUCKETS 1216U /* values up to 2^42 */
 
 /**
- * struct mq_histogram - zero-initialised when empty
- * @count: values added
- * @sum: their sum
- * @max: greatest of them
- * @buckets: how many fell into each; greater values are in the last
+ * struct mq_histogram - all zero when empty
+ * @count: number of values
+ * @sum: sum of the values
+ * @max: largest value
+ * @buckets: count per bucket; the last also holds larger values
  */
 struct mq_histogram
 {
@@ -33,12 +32,12 @@
 void mq_histogram_add (struct mq_histogram *histogram, uint64_t value);
 void mq_histogram_merge (struct mq_histogram *to,
                          const struct mq_histogram *from);
-/* Value below which PERMILLE of 1000 lie (nearest rank), 0 when empty, and
-   never above the greatest value added.  */
+/* Quantile by nearest rank, capped at the largest value; 0 if empty.
+   PERMILLE: 500 for the median.  */
 uint64_t mq_histogram_quantile (const struct mq_histogram *histogram,
                                 uint32_t permille);
-/* How many values are certainly not above BOUND: the buckets that lie below
-   it as a whole.  Exact for a BOUND one below a power of two.  */
+/* Number of values in buckets that lie entirely at or below BOUND.  Exact if
+   BOUND is a power of two minus one.  */
 uint64_t mq_histogram_count_to (const struct mq_histogram *histogram,
                                 uint64_t bound);
 
--- a/src/core/host.h
+++ b/src/core/host.h
@@ -1,6 +1,6 @@
-/* host.h - the hosts of a site as the platform's list and beats show them.
+/* host.h - hosts of a site, from the platform's list and from heartbeats.
 
-   Hints only: a stale entry costs latency, never a promise.
+   Entries may be stale; that costs latency but does not affect correctness.
    Needs: types.h.  */
 
 #ifndef MQ_HOST_H
@@ -16,13 +16,10 @@
 
 /**
  * struct mq_host - one host of the platform's list
- * @name: its name, unique in the site
- * @role: entry host or target host
- * @data_centre: where it stands
- * @region: where its data centre stands
- * @address: "IP:PORT" at which the system's process on it meets its peers
- * @http: "IP:PORT" of that process's HTTP, for operators (and callers)
- * @leaving: it is to go; gets no new work
+ * @name: unique within the site
+ * @address: "IP:PORT" for connections from peers
+ * @http: "IP:PORT" of the HTTP server for operators and callers
+ * @leaving: shutting down; receives no new work
  */
 struct mq_host
 {
--- a/src/core/id.c
+++ b/src/core/id.c
@@ -21,8 +21,8 @@
   return XXH64 (data, len, seed);
 }
 
-/* The length of the name goes in first, so that no two pairs of name and
-   key run together to the same bytes.  */
+/* Hashes the length of FIRST as well, so that different pairs never
+   concatenate to the same bytes.  */
 static uint64_t
 hash_pair (const char *first, const char *second, uint64_t seed)
 {
--- a/src/core/id.h
+++ b/src/core/id.h
@@ -1,6 +1,6 @@
 /* id.h - program ids, partitions and rendezvous hashing.
 
-   Pure; hashes are xxHash64 (hints only, never a proof).
+   Hashes are xxHash64, which is not cryptographic.
    Needs: types.h, xxhash.  */
 
 #ifndef MQ_ID_H
@@ -8,12 +8,12 @@
 
 #include "types.h"
 
-/* Id of the program that ORGANISATION opens with KEY: the same pair always
-   gives the same id, so a repeated open finds the same program.  */
+/* Id of the program that ORGANISATION opens with idempotency key KEY.
+   Deterministic, so that a repeated open finds the same program.  */
 struct mq_id mq_id_open (const char *organisation, const char *key);
-/* Id of the sub-program that CALL of PARENT starts; same partition.  */
+/* Id of the sub-program started by CALL of PARENT, in the same partition.  */
 struct mq_id mq_id_child (struct mq_id parent, uint32_t call);
-/* Id that stands for TEXT, an id given by someone else.  */
+/* Hashes TEXT, an external identifier, to an id.  */
 struct mq_id mq_id_from_text (const char *text);
 bool mq_id_equal (struct mq_id a, struct mq_id b);
 bool mq_id_is_zero (struct mq_id id);
@@ -21,10 +21,10 @@
 void mq_id_format (struct mq_id id, char text[MQ_ID_TEXT]);
 bool mq_id_parse (const char *text, struct mq_id *id);
 uint32_t mq_id_partition (struct mq_id id, uint32_t partitions);
-/* Rendezvous weight of HOST for KEY: the highest weight should serve it.  */
+/* Rendezvous weight of HOST for KEY; the host with the highest is chosen.  */
 uint64_t mq_rendezvous_weight (const char *host, uint64_t key);
 uint64_t mq_hash_bytes (const void *data, size_t len, uint64_t seed);
-/* Seeded generator for jitter: splitmix64.  Not for secrets.  */
+/* splitmix64, for jitter; not for secrets.  */
 uint64_t mq_random_next (uint64_t *state);
 /* Uniform in [0, bound).  */
 uint32_t mq_random_below (uint64_t *state, uint32_t bound);
--- a/src/core/idmap.c
+++ b/src/core/idmap.c
@@ -1,4 +1,4 @@
-/* idmap.c - hash map from a program id, and a number in it, to a pointer.
+/* idmap.c - hash map from (program id, number) to a pointer.
 
    Needs: idmap.h.  */
 
@@ -116,7 +116,7 @@
   slot->value = value;
 }
 
-/* Closes the gap at GAP by moving back those that probed past it.  */
+/* Fills the empty slot at GAP by moving back entries that probed past it.  */
 static void
 close_gap (struct mq_idmap *map, size_t gap)
 {
--- a/src/core/idmap.h
+++ b/src/core/idmap.h
@@ -1,6 +1,6 @@
-/* idmap.h - hash map from a program id, and a number in it, to a pointer.
+/* idmap.h - hash map from (program id, number) to a pointer.
 
-   Open addressing with linear probing; pure.
+   Open addressing with linear probing.
    Needs: types.h.  */
 
 #ifndef MQ_IDMAP_H
@@ -15,14 +15,14 @@
 /* NULL when absent.  */
 void *mq_idmap_find (const struct mq_idmap *map, struct mq_id id,
                      uint32_t number);
-/* Replaces what is there; VALUE is never NULL.  */
+/* Inserts or replaces; VALUE must not be NULL.  */
 void mq_idmap_put (struct mq_idmap *map, struct mq_id id, uint32_t number,
                    void *value);
-/* Returns what was there, NULL when absent.  */
+/* Returns the removed value, NULL when absent.  */
 void *mq_idmap_remove (struct mq_idmap *map, struct mq_id id, uint32_t number);
 size_t mq_idmap_count (const struct mq_idmap *map);
-/* Steps through the map: start with *POSITION 0; NULL at the end.  The map
-   must not be changed meanwhile.  */
+/* Iterates from *POSITION 0; NULL at the end.  The map must not be modified
+   during the iteration.  */
 void *mq_idmap_next (const struct mq_idmap *map, size_t *position);
 
 #endif
--- a/src/core/latency.c
+++ b/src/core/latency.c
@@ -1,4 +1,4 @@
-/* latency.c - program latency at an entry host, by service.
+/* latency.c - per-service program latency at an entry host.
 
    Needs: latency.h, limits.h.  */
 
@@ -49,7 +49,7 @@
   return series;
 }
 
-/* Two places are kept for the series with the empty name.  */
+/* Two entries are reserved for the series with the empty name.  */
 struct mq_latency_series *
 mq_latency_find (struct mq_latency *latency, const char *service,
                  bool follow_up)
--- a/src/core/latency.h
+++ b/src/core/latency.h
@@ -1,8 +1,8 @@
-/* latency.h - program latency at an entry host, by service.
+/* latency.h - per-service program latency at an entry host.
 
-   docs/MEASURES.md defines it.  Every program that a caller waits for here
-   is counted once, by how it ended; only answered ones have a latency.
-   Follow-ups are apart from first answers.  Pure.
+   Defined in docs/MEASURES.md.  Each program that a caller waits for on this
+   host is counted once by outcome; only answered programs have a latency.
+   Follow-up turns are counted separately from first answers.
    Needs: histogram.h, error.h, talloc.  */
 
 #ifndef MQ_LATENCY_H
@@ -15,12 +15,12 @@
 
 /**
  * struct mq_latency_series - one service's programs, first or follow-up
- * @service: name; empty for turns of programs that never got an answer here
+ * @service: service name; empty if unknown, or if the table is full
  * @follow_up: further turns, and programs that continue an ended one
- * @answered: microseconds from the request to its final event
- * @failed: ended without an answer after they had (perhaps) run
- * @refused: ended without an answer, certainly not run
- * @gone: the caller went away before the end
+ * @answered: microseconds from the request to the final event
+ * @failed: no answer, and the program ran or may have run
+ * @refused: no answer, and the program did not run
+ * @gone: the caller disconnected before the end
  */
 struct mq_latency_series
 {
@@ -33,8 +33,8 @@
 };
 
 struct mq_latency *mq_latency_create (TALLOC_CTX *ctx);
-/* The series of SERVICE; at most MQ_LATENCY_SERIES_MAX, further services
-   share the one with the empty name.  */
+/* Finds or adds the series of SERVICE.  When MQ_LATENCY_SERIES_MAX is
+   reached, further services share the one with the empty name.  */
 struct mq_latency_series *mq_latency_find (struct mq_latency *latency,
                                            const char *service,
                                            bool follow_up);
--- a/src/core/memory.c
+++ b/src/core/memory.c
@@ -1,4 +1,4 @@
-/* memory.c - allocations that stop the process when memory is out.
+/* memory.c - allocation helpers that abort when out of memory.
 
    Needs: memory.h.  */
 
--- a/src/core/memory.h
+++ b/src/core/memory.h
@@ -1,7 +1,7 @@
-/* memory.h - allocations that stop the process when memory is out.
+/* memory.h - allocation helpers that abort when out of memory.
 
-   The system keeps bounds on what it holds, so an allocation that fails
-   leaves nothing sensible to do but to stop: another host takes over.
+   Memory use is bounded by limits.h, so a failed allocation is treated as
+   fatal; another host takes over the partitions.
    Needs: talloc.  */
 
 #ifndef MQ_MEMORY_H
@@ -9,11 +9,11 @@
 
 #include "types.h"
 
-/* MEMORY itself; stops the process when it is NULL.  */
+/* Returns MEMORY; aborts if it is NULL.  */
 void *mq_check_alloc (void *memory);
-/* Copy of TEXT below CTX; NULL is copied as the empty text.  */
+/* Copies TEXT below CTX; NULL gives an empty string.  */
 char *mq_text_copy (TALLOC_CTX *ctx, const char *text);
-/* Puts such a copy in the place of *TO, which is freed.  */
+/* Frees *TO and replaces it with a copy of TEXT.  */
 void mq_text_replace (TALLOC_CTX *ctx, char **to, const char *text);
 
 #endif
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -1,9 +1,8 @@
-/* message.h - messages between the system's processes.
+/* message.h - messages between processes.
 
-   A tagged union in plain C; src/net/codec.h turns it into protobuf frames
-   and back.  Strings and arrays of a received message are owned by the
-   talloc context given to the decoder; those of a message to be sent are
-   borrowed until the send function returns.
+   src/net/codec.h encodes them as protobuf frames.  Strings and arrays of a
+   received message are owned by the talloc context passed to the decoder;
+   those of a sent message must stay valid until the send function returns.
    Needs: types.h, error.h.  */
 
 #ifndef MQ_MESSAGE_H
@@ -17,13 +16,13 @@
   MQ_MSG_NONE,
   /* owner -> gate (targetd) */
   MQ_MSG_CALL,    /* run one attempt */
-  MQ_MSG_CANCEL,  /* stop one attempt, it need not finish */
-  MQ_MSG_SEAL,    /* settle a call: outcome, running, or refused for good */
-  MQ_MSG_RECOVER, /* a new owner: raise the fence, report what is kept */
-  MQ_MSG_FORGET,  /* the outcome is durable */
-  MQ_MSG_LEASE,   /* renew, pause or end a program's cache */
-  MQ_MSG_ORDER,   /* an order to an engine */
-  MQ_MSG_PROBE,   /* which of these prefixes are cached */
+  MQ_MSG_CANCEL,  /* cancel one attempt */
+  MQ_MSG_SEAL,    /* report the call, or refuse it permanently */
+  MQ_MSG_RECOVER, /* new owner: raise fence, report calls */
+  MQ_MSG_FORGET,  /* outcome is durable and may be dropped */
+  MQ_MSG_LEASE,   /* renew, pause or end a cache lease */
+  MQ_MSG_ORDER,   /* management order to an engine */
+  MQ_MSG_PROBE,   /* query cached prefixes */
   /* gate -> owner */
   MQ_MSG_TOKEN,
   MQ_MSG_OUTCOME,
@@ -34,12 +33,12 @@
   MQ_MSG_ORDER_DONE,
   MQ_MSG_PROBED,
   /* entry host <-> entry host */
-  MQ_MSG_FORWARD,       /* a caller's request for the partition's owner */
-  MQ_MSG_FORWARD_EVENT, /* one event of its answer */
-  MQ_MSG_FORWARD_CLOSE, /* the caller went away */
-  MQ_MSG_HANDOVER,      /* a leaving owner released these partitions */
-  /* anyone <-> anyone */
-  MQ_MSG_CONFIG_HAVE, /* the version in force at the sender */
+  MQ_MSG_FORWARD,       /* caller request, to the partition owner */
+  MQ_MSG_FORWARD_EVENT, /* one event of the response */
+  MQ_MSG_FORWARD_CLOSE, /* the caller disconnected */
+  MQ_MSG_HANDOVER,      /* partitions released at shutdown */
+  /* between any two processes */
+  MQ_MSG_CONFIG_HAVE, /* the sender's version */
   MQ_MSG_CONFIG_GET,
   MQ_MSG_CONFIG_TEXT,
   MQ_MSG_TYPE_COUNT
@@ -47,25 +46,21 @@
 
 /**
  * struct mq_call_msg - run one attempt of a call
- * @ref: which attempt
- * @partition: partition of the program
- * @fence: the sender's fencing number for that partition
- * @boot: boot id that the gate must have, 0 when any will do (idempotent)
- * @service: service that is called
+ * @fence: the sender's fencing token for @partition
+ * @boot: required boot id of the gate; 0 accepts any (idempotent calls)
  * @route: route of a plain service, empty otherwise
- * @organisation: who is charged, for fairness
+ * @organisation: accounting key for fair scheduling
  * @worker: index of the worker on the gate's host
- * @idempotent: false when the call must run at most once
- * @priority: priority class
- * @deadline_ms: time left when sent, 0 when none
- * @max_tokens: most tokens that the call may generate
- * @attained: tokens that the whole program was served so far
+ * @idempotent: false if the call must run at most once
+ * @deadline_ms: remaining time when sent, 0 if none
+ * @max_tokens: limit on generated tokens
+ * @attained: tokens processed for the whole program so far
  * @continuing: the program has run before
- * @follow_up: the call follows a person's further turn
- * @prefix_tokens: tokens of history that were sent to this worker before
- * @shared_prefix: hash of the part of the prompt common to the service
+ * @follow_up: the call belongs to a further turn of the user
+ * @prefix_tokens: tokens of history previously sent to this worker
+ * @shared_prefix: hash of the prompt prefix common to the service
  * @traceparent: W3C trace context
- * @body: JSON body for the target
+ * @body: JSON
  */
 struct mq_call_msg
 {
@@ -90,7 +85,7 @@
   const char *body;
 };
 
-/* Names a call of a partition: CANCEL, SEAL, FORGET.  */
+/* Payload of CANCEL, SEAL and FORGET.  */
 struct mq_ref_msg
 {
   struct mq_call_ref ref;
@@ -106,19 +101,16 @@
 
 enum mq_lease_state
 {
-  MQ_LEASE_ACTIVE, /* a call runs or follows at once */
-  MQ_LEASE_PAUSED, /* a tool or a person is awaited */
-  MQ_LEASE_ENDED   /* evict now and confirm */
+  MQ_LEASE_ACTIVE, /* a call runs or is about to */
+  MQ_LEASE_PAUSED, /* waiting for a tool or a person */
+  MQ_LEASE_ENDED   /* evict and confirm */
 };
 
 /**
- * struct mq_lease_msg - what becomes of a program's cache
- * @program: the program
- * @partition: its partition
- * @fence: the sender's fencing number
- * @state: active, paused or ended
- * @lease_ms: without a renewal in this time the gate evicts
- * @pause_ms: expected length of the pause, 0 when unknown
+ * struct mq_lease_msg - cache lease of a program
+ * @fence: the sender's fencing token for @partition
+ * @lease_ms: the gate evicts the cache if not renewed within this time
+ * @pause_ms: expected length of the pause, 0 if unknown
  */
 struct mq_lease_msg
 {
@@ -141,7 +133,7 @@
 struct mq_order_msg
 {
   uint64_t order; /* order id, chosen by the sender */
-  uint64_t fence; /* fencing number of the order's log */
+  uint64_t fence; /* fencing token of the order log */
   uint32_t worker;
   enum mq_order_type type;
   const char *argument;
@@ -164,7 +156,7 @@
 {
   uint64_t probe;
   uint32_t worker;
-  uint32_t program_tokens; /* cached tokens of the program, 0: none */
+  uint32_t program_tokens; /* cached tokens of the program */
   uint32_t shared_tokens;  /* cached tokens of the shared prefix */
 };
 
@@ -173,27 +165,25 @@
   struct mq_call_ref ref;
   uint32_t partition;
   uint64_t fence;
-  uint32_t index; /* of the chunk in the attempt, from 0 */
+  uint32_t index; /* chunk number within the attempt, from 0 */
   const char *text;
 };
 
 /**
- * struct mq_outcome_msg - how one attempt ended
- * @ref: which attempt
- * @partition: partition of the program
- * @fence: fence under which the call was accepted or refused
+ * struct mq_outcome_msg - result of one attempt
+ * @fence: fencing token under which the call was accepted or refused
  * @boot: boot id of the gate
- * @error: MQ_ERR_NONE when the target answered
- * @ran: whether the call took effect; RAN with MQ_ERR_NONE
- * @retry_after_ms: with a refusal, when to come back
- * @body: JSON answer of the target
+ * @error: MQ_ERR_NONE if the target responded
+ * @ran: whether the call took effect; MQ_RAN_RAN with MQ_ERR_NONE
+ * @retry_after_ms: delay before a retry of a refused call
+ * @body: JSON response of the target
  * @tokens_in: prompt tokens
  * @tokens_out: generated tokens, also of a cancelled or failed stream
- * @cached_tokens: prompt tokens found in the cache
+ * @cached_tokens: prompt tokens served from the cache
  * @queue_us: time in the gate's queue
- * @first_us: time from start to the first token, 0 when none
+ * @first_us: time to first token, 0 if none
  * @run_us: time at the target
- * @recovered: sent in answer to RECOVER, not as the call ended
+ * @recovered: sent in reply to RECOVER, not when the call ended
  */
 struct mq_outcome_msg
 {
@@ -216,10 +206,10 @@
 
 enum mq_seal_status
 {
-  MQ_SEAL_DONE,    /* an OUTCOME message precedes this one */
-  MQ_SEAL_RUNNING, /* the OUTCOME follows when it ends */
-  MQ_SEAL_SEALED,  /* never seen here, and refused from now on */
-  MQ_SEAL_STALE    /* the gate has seen a higher fence */
+  MQ_SEAL_DONE,    /* the OUTCOME was sent before this */
+  MQ_SEAL_RUNNING, /* the OUTCOME follows at the end */
+  MQ_SEAL_SEALED,  /* unknown here; refused from now on */
+  MQ_SEAL_STALE    /* the gate has a higher fencing token */
 };
 
 struct mq_sealed_msg
@@ -232,14 +222,13 @@
 };
 
 /**
- * struct mq_recovered_msg - end of the answer to RECOVER
- * @partition: as asked
- * @fence: highest fence seen by the gate; higher than asked: refused
+ * struct mq_recovered_msg - last message of the reply to RECOVER
+ * @fence: highest fencing token known to the gate; RECOVER is refused if it
+ *         is higher than the requested one
  * @boot: boot id of the gate
- * @running: attempts of the partition that still run here
- * @running_count: how many
+ * @running: attempts of the partition that are still running
  *
- * The kept outcomes of the partition precede it as OUTCOME messages.
+ * Retained outcomes of the partition are sent before it as OUTCOME messages.
  */
 struct mq_recovered_msg
 {
@@ -255,19 +244,19 @@
   struct mq_id program;
 };
 
-/* Load of one worker, pushed on change and on a slow beat.  */
+/* Load of one worker, sent on change and periodically.  */
 struct mq_worker_load
 {
   uint32_t worker;
   const char *service;
   const char *model;
-  uint32_t slots; /* calls it runs side by side */
+  uint32_t slots; /* concurrent calls */
   uint32_t running;
   uint32_t queued;
   uint32_t cache_used;   /* tokens */
   uint32_t cache_total;  /* tokens */
-  uint32_t prefill_rate; /* measured tokens a second, 0: not yet known */
-  uint32_t decode_us;    /* measured time of one token, 0: not yet known */
+  uint32_t prefill_rate; /* tokens per second, 0 if unknown */
+  uint32_t decode_us;    /* time per token, 0 if unknown */
 };
 
 struct mq_load_msg
@@ -280,30 +269,29 @@
 
 enum mq_request_type
 {
-  MQ_REQUEST_OPEN,   /* a new program, run by the system */
-  MQ_REQUEST_CREATE, /* a new program, driven by the caller step by step */
+  MQ_REQUEST_OPEN,   /* new program, executed by the system */
+  MQ_REQUEST_CREATE, /* new program, driven by the caller */
   MQ_REQUEST_STEP,   /* one call of a program driven by the caller */
-  MQ_REQUEST_TURN,   /* a person's further turn of a waiting program */
-  MQ_REQUEST_GET,    /* state and answer; with stream: events after N */
+  MQ_REQUEST_TURN,   /* next user turn of a waiting program */
+  MQ_REQUEST_GET,    /* state and answer, or stream of events */
   MQ_REQUEST_CLOSE,  /* end a program */
-  MQ_REQUEST_CANCEL  /* end it now, its calls are cancelled */
+  MQ_REQUEST_CANCEL  /* end a program and cancel its calls */
 };
 
 /**
- * struct mq_request_msg - a caller's request, at any entry host
- * @type: what is asked
- * @program: the program; for OPEN and CREATE derived by mq_id_open
- * @organisation: who asks, authenticated by the entry host that took it
+ * struct mq_request_msg - a caller's request
+ * @program: for OPEN and CREATE derived by mq_id_open
+ * @organisation: authenticated by the entry host that received the request
  * @service: OPEN, CREATE: the agent service; STEP: the service to call
  * @route: STEP: route of a plain service, else empty
- * @key: idempotency key, empty when none
- * @sequence: STEP: sequence number of the call from 1, 0: next
- * @continues: OPEN: program whose history carries over, 0 when none
- * @stream: tokens and steps are wanted as they come
+ * @key: idempotency key, empty if none
+ * @sequence: STEP: sequence number of the call from 1; 0 for the next
+ * @continues: OPEN: program whose history is continued, 0 if none
+ * @stream: send tokens and steps as they occur
  * @after: GET with @stream: number of the last event already received
- * @max_tokens: STEP: cap on the answer, 0: the service's own
+ * @max_tokens: STEP: limit on generated tokens, 0 for the service's limit
  * @traceparent: W3C trace context
- * @body: JSON input
+ * @body: JSON
  */
 struct mq_request_msg
 {
@@ -330,26 +318,25 @@
 
 enum mq_event_type
 {
-  MQ_EVENT_ACCEPTED, /* the program is durable; body: {"program": id} */
+  MQ_EVENT_ACCEPTED, /* program is durable; body: {"program": id} */
   MQ_EVENT_TOKEN,    /* provisional text of the running model call */
-  MQ_EVENT_STEP,     /* a call ended; body names it */
-  MQ_EVENT_RESET,    /* provisional text of the running call is void */
-  MQ_EVENT_FINAL,    /* the whole answer, durable; ends the answer */
-  MQ_EVENT_REFUSED   /* typed refusal; ends the answer */
+  MQ_EVENT_STEP,     /* a call ended; body describes it */
+  MQ_EVENT_RESET,    /* discard text of the running call */
+  MQ_EVENT_FINAL,    /* complete durable answer; last event */
+  MQ_EVENT_REFUSED   /* error; last event */
 };
 
 /**
- * struct mq_event_msg - one event of the answer to a caller's request
- * @handle: handle of the request that it answers
- * @type: what happened
- * @number: number of the event in its program, rising, 0 when none
- * @call: call that it concerns, 0 when none
- * @body: text of a token; JSON of the others
- * @error: of a refusal
- * @ran: of a refusal
- * @retry_after_ms: of a refusal
- * @redirect: address of the entry host that should own the partition,
- *            with MQ_ERR_NOT_READY, else empty
+ * struct mq_event_msg - one event of the response to a caller's request
+ * @handle: handle of the request
+ * @number: increasing event number within the program, 0 if none
+ * @call: sequence number of the call concerned, 0 if none
+ * @body: plain text for MQ_EVENT_TOKEN, otherwise JSON
+ * @error: MQ_EVENT_REFUSED only
+ * @ran: MQ_EVENT_REFUSED only
+ * @retry_after_ms: MQ_EVENT_REFUSED only
+ * @redirect: with MQ_ERR_NOT_READY, address of the entry host that should own
+ *            the partition; else empty
  */
 struct mq_event_msg
 {
@@ -383,8 +370,8 @@
 
 /**
  * struct mq_message - one message between two processes
- * @type: which member of the union holds
- * @config_version: configuration in force at the sender
+ * @type: selects the member of the union
+ * @config_version: configuration version of the sender
  */
 struct mq_message
 {
--- a/src/core/spread.c
+++ b/src/core/spread.c
@@ -1,11 +1,10 @@
-/* spread.c - how a configuration reaches every process within seconds.
-
-   Three ways in: the table's row (polled), a peer's text (asked for after
-   the peer showed a higher version) and nothing else.  Whatever comes, the
-   version and the text only rise together.  On a rise the peers are told a
-   few at a time; each of them fetches, tells its own peers in turn, and who
-   shows the version meanwhile is not told again, so the text travels along
-   a tree without anyone laying one out.
+/* spread.c - gossip of the configuration between processes.
+
+   A new configuration comes from the polled table row, or from a peer that
+   was asked after it reported a higher version.  The version never
+   decreases, and version and text change together.  After a change, peers
+   are notified a few at a time.  Each of them fetches the text and notifies
+   its own peers; a peer that already reports the version is skipped.
    Needs: spread.h, id.h, limits.h.  */
 
 #include "spread_state.h"
@@ -14,9 +13,10 @@
 #include "memory.h"
 #include <string.h>
 
-/* Key of the rendezvous hash that picks the pollers of a data centre.  */
+/* Rendezvous hash key that selects the pollers of a data centre.  */
 #define POLLER_KEY 0x636f6e666967ULL
 
+/* The earlier of two times, where 0 means none.  */
 static uint64_t
 earlier (uint64_t a, uint64_t b)
 {
@@ -27,7 +27,7 @@
   return a < b ? a : b;
 }
 
-/* A time around MS from now, between half and one and a half of it.  */
+/* NOW_US plus a uniformly random 50% to 150% of MS.  */
 uint64_t
 spread_jittered_time (struct mq_spread *spread, uint64_t now_us, uint32_t ms)
 {
@@ -58,11 +58,11 @@
   talloc_free (spread);
 }
 
-/* Peers: a table sorted by handle.  */
+/* Peer table, sorted by handle.  */
 
-/* Place of PEER in the table, or where it would stand.  */
+/* Index of PEER, or the index at which to insert it.  */
 static size_t
-peer_place (const struct mq_spread *spread, uint32_t peer)
+peer_index (const struct mq_spread *spread, uint32_t peer)
 {
   size_t low = 0;
   size_t high = spread->peer_count;
@@ -82,17 +82,17 @@
 static struct spread_peer *
 find_peer (const struct mq_spread *spread, uint32_t peer)
 {
-  size_t place = peer_place (spread, peer);
+  size_t index = peer_index (spread, peer);
 
-  if (place == spread->peer_count || spread->peers[place].peer != peer)
+  if (index == spread->peer_count || spread->peers[index].peer != peer)
     return NULL;
-  return &spread->peers[place];
+  return &spread->peers[index];
 }
 
 static struct spread_peer *
 add_peer (struct mq_spread *spread, uint32_t peer)
 {
-  size_t place = peer_place (spread, peer);
+  size_t index = peer_index (spread, peer);
   struct spread_peer *row;
 
   if (spread->peer_count == spread->peer_room)
@@ -101,8 +101,8 @@
       spread->peers = mq_check_alloc (talloc_realloc (
           spread, spread->peers, struct spread_peer, spread->peer_room));
     }
-  row = &spread->peers[place];
-  memmove (row + 1, row, (spread->peer_count - place) * sizeof *row);
+  row = &spread->peers[index];
+  memmove (row + 1, row, (spread->peer_count - index) * sizeof *row);
   memset (row, 0, sizeof *row);
   row->peer = peer;
   spread->peer_count++;
@@ -112,10 +112,10 @@
 static void
 remove_peer (struct mq_spread *spread, struct spread_peer *row)
 {
-  size_t place = (size_t)(row - spread->peers);
+  size_t index = (size_t)(row - spread->peers);
 
   spread->peer_count--;
-  memmove (row, row + 1, (spread->peer_count - place) * sizeof *row);
+  memmove (row, row + 1, (spread->peer_count - index) * sizeof *row);
 }
 
 /* Messages.  */
@@ -132,10 +132,11 @@
   mq_actions_send (actions, peer, &message);
 }
 
-/* Asking peers.  */
+/* Fetching from peers.  */
 
-/* True when ROW may have a higher version than ours and was not asked a
-   moment ago.  Without any version of our own everybody is worth asking.  */
+/* True when the peer reported a higher version than the local one and was
+   not queried within MQ_CONFIG_GET_TIMEOUT_MS.  Without a local version any
+   peer qualifies.  */
 static bool
 should_query_peer (const struct mq_spread *spread,
                    const struct spread_peer *row, uint64_t now_us)
@@ -147,8 +148,8 @@
   return spread->version == 0 || row->heard > spread->version;
 }
 
-/* Who was not asked for the longest time goes first, so that a mute peer is
-   not asked for ever because it shows the highest version.  */
+/* Prefers the least recently queried peer, so that an unresponsive peer with
+   the highest version does not block the others.  */
 static bool
 query_precedes (const struct spread_peer *a, const struct spread_peer *b)
 {
@@ -157,10 +158,11 @@
   return a->heard > b->heard;
 }
 
-/* Asks one peer, unless an answer is still awaited.  The search starts at a
-   random peer, so that the load of a rise spreads.  */
+/* Sends CONFIG_GET to one peer unless a request is pending.  The search
+   starts at a random peer to balance the load of a new version.  */
 static void
-ask (struct mq_spread *spread, uint64_t now_us, struct mq_actions *actions)
+query_peer (struct mq_spread *spread, uint64_t now_us,
+            struct mq_actions *actions)
 {
   struct spread_peer *best = NULL;
   size_t start;
@@ -190,9 +192,10 @@
   send_config (spread, actions, best->peer, MQ_MSG_CONFIG_GET);
 }
 
-/* True when a peer showed a version above ours, or nobody showed any.  */
+/* True when a peer has a higher version, or when there is no local version
+   and at least one peer.  */
 static bool
-behind (const struct mq_spread *spread)
+is_behind (const struct mq_spread *spread)
 {
   if (spread->version == 0)
     return spread->peer_count > 0;
@@ -202,27 +205,28 @@
   return false;
 }
 
-/* The peer that was asked answered, went away or kept silent: the next one
-   is asked, at the latest when every peer may be asked again.  */
+/* Ends the pending request after a reply, a disconnect or a timeout, and
+   queries the next peer.  If none may be queried yet, schedules a retry.  */
 static void
 finish_get (struct mq_spread *spread, uint64_t now_us,
             struct mq_actions *actions)
 {
   spread->get.waiting = false;
-  ask (spread, now_us, actions);
-  if (!spread->get.waiting && behind (spread))
+  query_peer (spread, now_us, actions);
+  if (!spread->get.waiting && is_behind (spread))
     spread->ask_us = now_us + (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
 }
 
-/* Telling peers.  */
+/* Notifying peers.  */
 
-/* Tells a few peers that did not show this version yet, and sets when the
-   next few are due.  The pauses double: by the third group nearly everybody
-   has heard of it from somebody, and the beats show who has.  */
+/* Notifies up to MQ_CONFIG_NOTIFY_PEERS peers that have not reported this
+   version and schedules the next group.  The interval doubles, because
+   heartbeats show which peers received the version from others.  */
 static void
-tell (struct mq_spread *spread, uint64_t now_us, struct mq_actions *actions)
+notify_peers (struct mq_spread *spread, uint64_t now_us,
+              struct mq_actions *actions)
 {
-  size_t told = 0;
+  size_t notified = 0;
   size_t start;
 
   spread->tell_us = 0;
@@ -236,7 +240,7 @@
 
       if (row->heard >= spread->version || row->told >= spread->version)
         continue;
-      if (told == MQ_CONFIG_NOTIFY_PEERS)
+      if (notified == MQ_CONFIG_NOTIFY_PEERS)
         {
           spread->tell_us
               = now_us + (uint64_t)spread->tell_pause_ms * US_PER_MS;
@@ -245,16 +249,16 @@
           return;
         }
       row->told = spread->version;
-      told++;
+      notified++;
       spread->counters.haves_sent++;
       send_config (spread, actions, row->peer, MQ_MSG_CONFIG_HAVE);
     }
 }
 
-/* Rising.  */
+/* Accepting a configuration.  */
 
 static void
-state_line (struct mq_spread *spread, struct mq_actions *actions)
+log_config_change (struct mq_spread *spread, struct mq_actions *actions)
 {
   struct mq_action *action = mq_actions_add (actions, MQ_ACT_STATE);
 
@@ -263,10 +267,10 @@
   action->u.state.subject = "";
 }
 
-/* Takes TEXT in when its version is above ours.  Two texts under one version
-   must never be: apply is a compare-and-swap of the row.  If it happens all
-   the same (a table restored from an old copy), each process would run on
-   the one it met first without knowing; the hash makes that seen.  */
+/* Accepts TEXT if VERSION is higher than the local one; returns true then.
+   Two texts with the same version are possible only if the table was restored
+   from an old backup.  Processes could then run different configurations; the
+   hash detects that, and texts_conflicting counts it.  */
 bool
 spread_adopt_config (struct mq_spread *spread, uint64_t version,
                      const char *text, size_t len, struct mq_actions *actions)
@@ -282,20 +286,20 @@
   spread->text_hash = hash;
   spread->version = version;
   spread->counters.rises++;
-  state_line (spread, actions);
+  log_config_change (spread, actions);
   return true;
 }
 
-/* After a rise: who is still ahead is asked, the others are told.  */
+/* After a new version: notifies peers and queries those that are ahead.  */
 void
 spread_on_new_config (struct mq_spread *spread, uint64_t now_us,
                       struct mq_actions *actions)
 {
   spread->poll.pause_ms = MQ_STORE_RETRY_MS;
   spread->tell_pause_ms = MQ_CONFIG_NOTIFY_MS;
-  tell (spread, now_us, actions);
-  if (!spread->get.waiting && behind (spread))
-    ask (spread, now_us, actions);
+  notify_peers (spread, now_us, actions);
+  if (!spread->get.waiting && is_behind (spread))
+    query_peer (spread, now_us, actions);
 }
 
 /* Hosts.  */
@@ -307,8 +311,8 @@
          && strcmp (host->data_centre, spread->data_centre) == 0;
 }
 
-/* This host polls when fewer than MQ_CONFIG_POLLERS hosts of its data centre
-   have a higher weight.  */
+/* True when fewer than MQ_CONFIG_POLLERS hosts of this data centre have a
+   higher rendezvous weight.  */
 static bool
 is_poller (const struct mq_spread *spread, const struct mq_host_list *hosts)
 {
@@ -345,7 +349,7 @@
   spread->poller = poller;
 }
 
-/* Peers' messages.  */
+/* Messages from peers.  */
 
 static void
 handle_text (struct mq_spread *spread, const struct mq_spread_input *input,
@@ -353,24 +357,24 @@
 {
   const struct mq_config_msg *config = &input->u.message->u.config;
   size_t len = strlen (config->text);
-  bool rose = false;
+  bool accepted = false;
 
   if (len == 0 || len > MQ_TEXT_MAX_BYTES)
     spread->counters.texts_bad++;
   else
-    rose = spread_adopt_config (spread, config->version, config->text, len,
-                                actions);
-  if (!rose)
+    accepted = spread_adopt_config (spread, config->version, config->text, len,
+                                    actions);
+  if (!accepted)
     spread->counters.texts_dropped++;
   if (spread->get.waiting && spread->get.peer == input->peer)
     spread->get.waiting = false;
-  if (rose)
+  if (accepted)
     spread_on_new_config (spread, input->now_us, actions);
   else if (!spread->get.waiting)
     finish_get (spread, input->now_us, actions);
 }
 
-/* A peer that has nothing answers GET with CONFIG_HAVE of version 0.  */
+/* Without a configuration, the reply is CONFIG_HAVE with version 0.  */
 static void
 handle_get (struct mq_spread *spread, const struct mq_spread_input *input,
             struct mq_actions *actions)
@@ -418,7 +422,7 @@
       handle_text (spread, input, actions);
       break;
     case MQ_MSG_CONFIG_HAVE:
-      /* In answer to our GET: it has nothing that we lack.  */
+      /* Reply to CONFIG_GET: the peer has no newer version.  */
       if (spread->get.waiting && spread->get.peer == input->peer
           && shown <= spread->version)
         finish_get (spread, input->now_us, actions);
@@ -427,7 +431,7 @@
       break;
     }
   if (row != NULL && shown > spread->version && !spread->get.waiting)
-    ask (spread, input->now_us, actions);
+    query_peer (spread, input->now_us, actions);
   if (!spread->get.waiting && spread->ask_us == 0 && shown > spread->version)
     spread->ask_us
         = input->now_us + (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * US_PER_MS;
@@ -440,9 +444,9 @@
   if (find_peer (spread, input->peer) == NULL)
     add_peer (spread, input->peer);
   if (spread->version == 0)
-    ask (spread, input->now_us, actions);
+    query_peer (spread, input->now_us, actions);
   else if (spread->tell_us == 0)
-    tell (spread, input->now_us, actions);
+    notify_peers (spread, input->now_us, actions);
 }
 
 static void
@@ -478,7 +482,7 @@
   if (spread->ask_us != 0 && now_us >= spread->ask_us && !spread->get.waiting)
     finish_get (spread, now_us, actions);
   if (spread->tell_us != 0 && now_us >= spread->tell_us)
-    tell (spread, now_us, actions);
+    notify_peers (spread, now_us, actions);
 }
 
 void
@@ -509,7 +513,7 @@
     }
 }
 
-/* 0, which is always due, until the first tick has polled.  */
+/* Returns 0, which is always due, until the first tick has polled.  */
 uint64_t
 mq_spread_next_tick (const struct mq_spread *spread)
 {
--- a/src/core/spread.h
+++ b/src/core/spread.h
@@ -1,7 +1,8 @@
-/* spread.h - how a configuration reaches every process within seconds.
+/* spread.h - distribution of the configuration to every process.
 
-   A few processes of each data centre poll the table; the rest hear from
-   their peers and poll rarely.  Versions only rise.  Pure, like owner.h.
+   A few hosts of each data centre poll the table often; the others receive
+   the configuration from peers and poll rarely.  The accepted version never
+   decreases.  No I/O: inputs go in, actions come out, as in owner.h.
    Needs: action.h, host.h.  */
 
 #ifndef MQ_SPREAD_H
@@ -12,13 +13,13 @@
 
 struct mq_spread;
 
-/* Key of the table row that holds the accepted configuration: 8 bytes of
-   version, big endian, 16 bytes of apply id, then the text.  */
+/* Key of the table row with the accepted configuration.  Its value is an
+   8-byte big-endian version, a 16-byte apply id and the text.  */
 #define MQ_CONFIG_KEY "config"
 #define MQ_CONFIG_HEADER 24
 
-/* Set in the ids of all its store requests, so that a process which has
-   another asker of the store can tell the results apart.  */
+/* Set in the ids of all store requests made here, so that their results can
+   be told from those of other modules in the process.  */
 #define MQ_SPREAD_STORE_BIT (1ULL << 63)
 
 enum mq_spread_input_type
@@ -27,7 +28,7 @@
   MQ_SPREAD_HOSTS,
   MQ_SPREAD_PEER_UP,
   MQ_SPREAD_PEER_DOWN,
-  MQ_SPREAD_MESSAGE, /* any message: its config_version counts */
+  MQ_SPREAD_MESSAGE, /* any type; config_version is read */
   MQ_SPREAD_STORE
 };
 
@@ -51,15 +52,15 @@
                        const struct mq_spread_input *input,
                        struct mq_actions *actions);
 uint64_t mq_spread_next_tick (const struct mq_spread *spread);
-/* Version in force here, 0 when none yet.  */
+/* Accepted version, 0 if none.  */
 uint64_t mq_spread_version (const struct mq_spread *spread);
-/* Its text, borrowed until the version rises; NULL when none yet.  */
+/* Accepted text, valid until the next version is accepted; NULL if none.  */
 const char *mq_spread_text (const struct mq_spread *spread);
-/* Highest version heard from PEER, 0 when nothing was heard.  */
+/* Highest version reported by PEER, 0 if none.  */
 uint64_t mq_spread_peer_version (const struct mq_spread *spread,
                                  uint32_t peer);
 
-/* Counters, one name each, read by the daemon.  */
+/* X (field, help text)  */
 #define MQ_SPREAD_COUNTER_LIST(X)                                             \
   X (rises, "versions taken into force")                                      \
   X (polls, "reads of the table's row")                                       \
--- a/src/core/spread_state.h
+++ b/src/core/spread_state.h
@@ -1,4 +1,4 @@
-/* spread_state.h - the spread's tables, shared by the spread*.c files only.
+/* spread_state.h - internal state, shared by the spread*.c files only.
 
    Needs: spread.h.  */
 
@@ -16,13 +16,13 @@
 struct spread_peer
 {
   uint32_t peer;
-  uint64_t heard;    /* highest version heard from it */
-  uint64_t told;     /* highest version told to it */
-  uint64_t asked;    /* number of the question to it, 0 never asked */
-  uint64_t asked_us; /* when that was */
+  uint64_t heard;    /* highest version it reported */
+  uint64_t told;     /* highest version sent to it */
+  uint64_t asked;    /* sequence number of the last GET, 0 if none */
+  uint64_t asked_us; /* time of the last GET */
 };
 
-/* The one CONFIG_GET that waits for its answer.  */
+/* The pending CONFIG_GET; at most one.  */
 struct spread_get
 {
   bool waiting;
@@ -30,13 +30,13 @@
   uint64_t until_us;
 };
 
-/* The one SCAN that waits for its result.  */
+/* The pending SCAN of the table; at most one.  */
 struct spread_poll
 {
-  uint64_t id; /* 0 when none waits */
+  uint64_t id; /* 0 if none is pending */
   uint64_t until_us;
   uint64_t next_us;
-  uint32_t pause_ms; /* while no version is known: doubles up to a bound */
+  uint32_t pause_ms; /* backoff while no version is known */
 };
 
 struct mq_spread
@@ -47,14 +47,14 @@
   uint64_t version;
   char *text;
   uint64_t text_hash;
-  uint64_t row_version; /* highest version of the table's row seen */
+  uint64_t row_version; /* highest row version read from the table */
   bool poller;
   uint64_t last_id;
   struct spread_poll poll;
   struct spread_get get;
-  uint64_t ask_us;        /* next look for a peer to ask, 0 when none is due */
-  uint64_t tell_us;       /* next group of peers to tell, 0 when none is due */
-  uint32_t tell_pause_ms; /* pause before it, doubles with each group */
+  uint64_t ask_us;           /* next attempt to query a peer, 0 if none */
+  uint64_t tell_us;          /* next group to notify, 0 if none */
+  uint32_t tell_pause_ms;    /* interval before the next group, doubles */
   struct spread_peer *peers; /* sorted by handle */
   size_t peer_count;
   size_t peer_room;
--- a/src/core/spread_table.c
+++ b/src/core/spread_table.c
@@ -1,5 +1,4 @@
-/* spread_table.c - the configuration as the platform's table has it, read and
-   watched.
+/* spread_table.c - polling of the table row that holds the configuration.
 
    Needs: spread_state.h.  */
 
@@ -8,13 +7,10 @@
 #include "memory.h"
 #include <string.h>
 
-/* The table.  */
-
-/* When the table is read next.  Without a version the pause doubles up to a
-   bound, so that a whole site that starts during an outage does not meet
-   the store with all its hosts each second.  */
+/* Schedules the next poll.  Without a version it uses exponential backoff, so
+   that a site that starts during an outage does not overload the store.  */
 static void
-plan_poll (struct mq_spread *spread, uint64_t now_us)
+schedule_poll (struct mq_spread *spread, uint64_t now_us)
 {
   uint32_t ms = spread->poller ? MQ_CONFIG_POLL_MS : MQ_CONFIG_POLL_SLOW_MS;
 
@@ -37,8 +33,7 @@
   struct mq_store_request *request = &action->u.store;
 
   spread->poll.id = MQ_SPREAD_STORE_BIT | ++spread->last_id;
-  /* Every request gets a result; should one be swallowed all the same,
-     polling goes on after this time.  */
+  /* Polling continues after this time if the result is lost.  */
   spread->poll.until_us = now_us + 2ULL * MQ_STORE_TIMEOUT_MS * US_PER_MS;
   spread->counters.polls++;
   request->id = spread->poll.id;
@@ -57,8 +52,8 @@
   return version;
 }
 
-/* True when the row can be a configuration: version, apply id, a text
-   without zero bytes and within its bound.  */
+/* True when the row has a non-zero version, an apply id and a text without
+   zero bytes of at most MQ_TEXT_MAX_BYTES.  */
 static bool
 config_row_is_valid (const struct mq_row *row)
 {
@@ -73,12 +68,12 @@
 }
 
 static bool
-take_row (struct mq_spread *spread, const struct mq_row *row,
-          struct mq_actions *actions)
+accept_row (struct mq_spread *spread, const struct mq_row *row,
+            struct mq_actions *actions)
 {
   uint64_t version;
 
-  /* The prefix also matches longer keys.  */
+  /* SCAN matches by prefix, so longer keys may appear.  */
   if (strcmp (row->key, MQ_CONFIG_KEY) != 0)
     return false;
   if (!config_row_is_valid (row))
@@ -87,8 +82,8 @@
       return false;
     }
   version = read_version (row->value.data);
-  /* A row written later with a version that did not rise: whoever wrote it
-     did not follow apply's rule.  It is kept out like any lower version.  */
+  /* The row was rewritten without a higher configuration version, against
+     the rule for apply.  It is counted, and ignored below.  */
   if (row->version > spread->row_version && spread->row_version != 0
       && version <= spread->version)
     spread->counters.rows_not_rising++;
@@ -105,7 +100,7 @@
                      struct mq_actions *actions)
 {
   const struct mq_store_result *result = input->u.store;
-  bool rose = false;
+  bool accepted = false;
 
   if (result->id == spread->poll.id)
     {
@@ -113,12 +108,12 @@
       if (result->status != MQ_STORE_OK)
         spread->counters.polls_failed++;
     }
-  /* A result that comes late is as good as any: versions only rise.  */
+  /* Late results are safe to use: lower versions are ignored.  */
   if (result->status == MQ_STORE_OK)
     for (size_t i = 0; i < result->row_count; i++)
-      rose = take_row (spread, &result->rows[i], actions) || rose;
+      accepted = accept_row (spread, &result->rows[i], actions) || accepted;
   if (spread->poll.id == 0)
-    plan_poll (spread, input->now_us);
-  if (rose)
+    schedule_poll (spread, input->now_us);
+  if (accepted)
     spread_on_new_config (spread, input->now_us, actions);
 }
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -1,8 +1,8 @@
-/* store.h - what the core asks of the platform's table and object store.
+/* store.h - requests to the platform's table and object store.
 
-   The core hands out requests and takes results as plain values;
-   src/daemon/platform.c carries them over HTTP.  A result may be LOST: the
-   request may or may not have taken effect, now or later.
+   The core passes requests and results by value; src/daemon/platform.c sends
+   them over HTTP.  A LOST result means that the request may or may not have
+   taken effect, or may still take effect later.
    Needs: types.h.  */
 
 #ifndef MQ_STORE_H
@@ -12,7 +12,7 @@
 
 enum mq_store_kind
 {
-  MQ_STORE_TXN,   /* conditional transaction on table rows */
+  MQ_STORE_TXN,   /* conditional transaction on rows */
   MQ_STORE_SCAN,  /* rows with a key prefix, in key order, after a key */
   MQ_STORE_PUT,   /* write one object */
   MQ_STORE_GET,   /* read one object */
@@ -22,10 +22,10 @@
 enum mq_store_status
 {
   MQ_STORE_OK,
-  MQ_STORE_CONFLICT, /* TXN only: a condition did not hold, nothing applied */
-  MQ_STORE_MISSING,  /* GET only: no such object */
-  MQ_STORE_DOWN,     /* certainly not applied */
-  MQ_STORE_LOST      /* may have been applied, or may still be */
+  MQ_STORE_CONFLICT, /* TXN: a condition failed, nothing applied */
+  MQ_STORE_MISSING,  /* GET: no such object */
+  MQ_STORE_DOWN,     /* not applied */
+  MQ_STORE_LOST      /* may have been applied, or may be later */
 };
 
 #define MQ_VERSION_ABSENT 0ULL    /* the row must not exist */
@@ -39,10 +39,8 @@
 
 /**
  * struct mq_store_op - one row of a transaction
- * @key: row key
- * @if_version: version that the row must have, MQ_VERSION_ABSENT or _ANY
- * @remove: delete the row in place of writing @value
- * @value: new value
+ * @if_version: required row version, MQ_VERSION_ABSENT or MQ_VERSION_ANY
+ * @remove: delete the row instead of writing @value
  */
 struct mq_store_op
 {
@@ -54,7 +52,7 @@
 
 struct mq_store_request
 {
-  uint64_t id; /* chosen by the core, given back in the result */
+  uint64_t id; /* chosen by the core, returned in the result */
   enum mq_store_kind kind;
   struct mq_store_op *ops; /* TXN */
   size_t op_count;
@@ -75,10 +73,10 @@
 {
   uint64_t id;
   enum mq_store_status status;
-  struct mq_row *rows; /* SCAN; TXN: rows' new versions, or with CONFLICT
-                          those whose condition failed; values empty */
+  struct mq_row *rows; /* SCAN: rows; TXN: new row versions, or with
+                          CONFLICT the failed ones; values empty */
   size_t row_count;
-  bool more;             /* SCAN: cut by the limit or the platform's bound */
+  bool more;             /* SCAN: truncated by a limit */
   struct mq_bytes value; /* GET */
 };
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-/* types.h - identities and small enumerations shared by every module.
+/* types.h - identifiers and enumerations shared by every module.
 
    Needs: nothing but the C library's integer types.  */
 
@@ -12,8 +12,8 @@
 
 /**
  * struct mq_id - a 128-bit program id
- * @hi: shared by a program and all its sub-programs; decides the partition
- * @lo: distinguishes the programs that share @hi
+ * @hi: shared by a program and its sub-programs; determines the partition
+ * @lo: unique among programs with the same @hi
  *
  * Written as 32 lower-case hexadecimal digits.
  */
@@ -25,9 +25,8 @@
 
 /**
  * struct mq_call_ref - one attempt of one call of one program
- * @program: the program that made the call
- * @call: sequence number of the call in its program, from 1
- * @attempt: attempt number of the call, from 1
+ * @call: sequence number within the program, from 1
+ * @attempt: attempt number, from 1
  */
 struct mq_call_ref
 {
@@ -36,7 +35,7 @@
   uint32_t attempt;
 };
 
-/* What is known about whether a refused or failed call took effect.  */
+/* Whether a refused or failed call took effect.  */
 enum mq_ran
 {
   MQ_RAN_NOT_RUN,
@@ -46,22 +45,22 @@
 
 enum mq_priority
 {
-  MQ_PRIORITY_URGENT,      /* someone waits at a window, a legal deadline */
+  MQ_PRIORITY_URGENT,      /* a person is waiting, or a hard deadline */
   MQ_PRIORITY_INTERACTIVE, /* the default */
-  MQ_PRIORITY_BATCH,       /* fills what the others leave */
+  MQ_PRIORITY_BATCH,       /* uses the remaining capacity */
   MQ_PRIORITY_COUNT
 };
 
 enum mq_service_kind
 {
-  MQ_SERVICE_AGENT, /* programs of this service are run by the system */
+  MQ_SERVICE_AGENT, /* programs executed by this system */
   MQ_SERVICE_MODEL, /* model engines */
   MQ_SERVICE_PLAIN, /* plain services with routes */
-  MQ_SERVICE_TOOL   /* tools: one path each */
+  MQ_SERVICE_TOOL   /* tools with a single path */
 };
 
-#define MQ_NAME_MAX 64  /* bytes of a name, terminator included */
-#define MQ_ID_TEXT 33   /* bytes of a written id, terminator included */
+#define MQ_NAME_MAX 64  /* bytes, including the terminator */
+#define MQ_ID_TEXT 33   /* bytes of a formatted id, with terminator */
 #define MQ_KEY_BYTES 32 /* bytes of a SHA-256 digest or a site key */
 
 #endif
