--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -12,11 +12,12 @@
 #define MQ_CONNECTIONS_MAX 4096U         /* caller connections per process */
 #define MQ_STREAM_BUFFER_BYTES                                                \
   (1U << 20) /* unsent data per streaming caller */
-#define MQ_SEND_BUFFER_BYTES (128U << 10) /* kernel part of that (SO_SNDBUF)  \
-                                           */
-#define MQ_TEXT_MAX_BYTES (1U << 20)      /* configuration text */
-#define MQ_TEXT_LINE_MAX 198U             /* bytes in one line of it */
-#define MQ_TEXT_ERRORS_MAX 1000U          /* errors listed per parse */
+#define MQ_SEND_BUFFER_BYTES                                                  \
+  (128U << 10)                       /* kernel part of that (SO_SNDBUF)       \
+                                      */
+#define MQ_TEXT_MAX_BYTES (1U << 20) /* configuration text */
+#define MQ_TEXT_LINE_MAX 198U        /* bytes in one line of it */
+#define MQ_TEXT_ERRORS_MAX 1000U     /* errors listed per parse */
 
 /* HTTP.  The client closes idle connections before the server does, so that
    requests are rarely sent on a connection that is being closed.  */
@@ -56,10 +57,11 @@
 #define MQ_BALANCE_MS 250U       /* interval between released partitions */
 #define MQ_TARGET_KEEP_MS 10000U /* retention of an unlisted target */
 #define MQ_COMMIT_RECORDS_MAX 512U
-#define MQ_COMMIT_INLINE_BYTES (64U << 10) /* larger values go to an object   \
-                                            */
-#define MQ_CHECKPOINT_RECORDS 2000U        /* records between checkpoints */
-#define MQ_STORE_TIMEOUT_MS 3000U          /* then the result is LOST */
+#define MQ_COMMIT_INLINE_BYTES                                                \
+  (64U << 10)                       /* larger values go to an object          \
+                                     */
+#define MQ_CHECKPOINT_RECORDS 2000U /* records between checkpoints */
+#define MQ_STORE_TIMEOUT_MS 3000U   /* then the result is LOST */
 #define MQ_STORE_RETRY_MS 100U
 #define MQ_STORE_RETRY_MAX_MS 2000U
 
@@ -83,8 +85,9 @@
 #define MQ_FRONT_CHECK_MS 500U /* check interval for a changed owner */
 
 /* HTTP API.  */
-#define MQ_API_KEY_MAX 255U         /* bytes of an Idempotency-Key */
-#define MQ_API_WAIT_MAX_MS 3600000U /* wait limit if the service is unknown   \
+#define MQ_API_KEY_MAX 255U /* bytes of an Idempotency-Key */
+#define MQ_API_WAIT_MAX_MS                                                    \
+  3600000U                          /* wait limit if the service is unknown   \
                                      */
 #define MQ_CONFIG_WAIT_MS 1000U     /* wait for a newer configuration */
 #define MQ_CONFIG_WAITERS_MAX 1024U /* requests in that wait */
@@ -107,15 +110,17 @@
 #define MQ_GATE_PROGRAM_KEEP_MS 600000U /* retention of an idle program */
 #define MQ_GATE_PROGRAM_KEEP_MIN_MS                                           \
   30000U /* the same when the table is full */
-#define MQ_GATE_OUTCOME_BYTES_MAX (32U << 20) /* bodies of retained outcomes  \
-                                               */
-#define MQ_GATE_QUEUE_BYTES_MAX (32U << 20)   /* queued bodies per worker */
+#define MQ_GATE_OUTCOME_BYTES_MAX                                             \
+  (32U << 20)                               /* bodies of retained outcomes    \
+                                             */
+#define MQ_GATE_QUEUE_BYTES_MAX (32U << 20) /* queued bodies per worker */
 #define MQ_GATE_EVICT_RETRY_MAX_MS 5000U
 #define MQ_GATE_LEASE_MS 10000U       /* until an owner sets one */
 #define MQ_GATE_LEASE_GRACE_MS 10000U /* for cache found without a lease */
 #define MQ_GATE_ORDERS_MAX 64U        /* remembered per worker */
-#define MQ_GATE_LOAD_BYTES_S 8192U /* LOAD messages to all peers, per second  \
-                                    */
+#define MQ_GATE_LOAD_BYTES_S                                                  \
+  8192U /* LOAD messages to all peers, per second                             \
+         */
 
 /* Workers.  */
 #define MQ_WORKER_CACHE_POLL_MS 1000U /* poll interval of the engine cache */
@@ -133,11 +138,13 @@
   4000U /* backoff limit before the first version */
 #define MQ_CONFIG_GET_TIMEOUT_MS 1000U /* then another peer is queried */
 #define MQ_CONFIG_NOTIFY_PEERS 8U      /* peers notified per group */
-#define MQ_CONFIG_NOTIFY_MS 50U /* initial interval between groups; doubles   \
-                                 */
+#define MQ_CONFIG_NOTIFY_MS                                                   \
+  50U /* initial interval between groups; doubles                             \
+       */
 
 /* Metrics.  */
-#define MQ_LATENCY_SERIES_MAX 256U /* first and follow-up counted separately */
+#define MQ_LATENCY_SERIES_MAX 256U /* first and follow-up counted separately  \
+                                    */
 
 /* Traces.  */
 #define MQ_SPANS_MAX 4096U /* spans buffered per process */
--- a/src/core/text/text.c
+++ b/src/core/text/text.c
@@ -1,4 +1,4 @@
-/* text.c - the operators' text: from sections to a checked structure.
+/* text.c - building a validated configuration from INI sections.
 
    Needs: text.h, text_keys.h, text_check.h.  */
 
@@ -75,7 +75,7 @@
   read_section (draft, section, MQ_KEY_ALL_KINDS, organisation);
 }
 
-/* Routes come last: their services may stand below them in the text.  */
+/* Routes are read later, since a route may precede its service.  */
 static void
 read_sections (struct mq_text_draft *draft)
 {
@@ -94,7 +94,7 @@
     }
 }
 
-/* Indices in name and key order.  */
+/* Indices sorted by name and by key.  */
 
 static int
 compare_service_names (const void *left, const void *right, void *data)
@@ -287,8 +287,8 @@
   return at == NULL ? NULL : &text->organisations[*at];
 }
 
-/* The hash is of the whole key, so how long the search takes tells nothing
-   of use about the key itself.  */
+/* Compares hashes of keys, so the duration of the search reveals nothing
+   useful about the key.  */
 const struct mq_organisation *
 mq_text_find_key (const struct mq_text *text,
                   const uint8_t key_hash[MQ_KEY_BYTES])
--- a/src/core/text/text.h
+++ b/src/core/text/text.h
@@ -1,7 +1,7 @@
-/* text.h - the operators' text: services and what each depends on.
+/* text.h - the operators' configuration text: services and dependencies.
 
-   Parses, checks, compares and prints the INI text.  Pure: takes a buffer,
-   gives a read-only structure or a list of every error in it.
+   Parses a buffer of INI text into a read-only structure, or returns a list
+   of all errors in it.  No I/O.
    Needs: inih (on a buffer), types.h, error.h.  */
 
 #ifndef MQ_TEXT_H
@@ -11,10 +11,10 @@
 #include "../types.h"
 
 /**
- * struct mq_budget - what one program of a service may spend
+ * struct mq_budget - limits of one program of a service
  * @tokens: generated tokens, sub-programs included
  * @turns: calls of any kind, sub-programs included
- * @seconds: from its opening; time that waits for a person does not count
+ * @seconds: since it was opened, excluding time spent waiting for a person
  */
 struct mq_budget
 {
@@ -32,22 +32,18 @@
 
 /**
  * struct mq_service - one [service NAME] section
- * @name: its name
- * @kind: agent, model, plain or tool
- * @depends: indices of services it may call (agents only)
- * @depend_count: how many
- * @budget: agents: budget of one program
- * @priority: agents: priority class of its programs
- * @prompt: agents: text that begins every history
- * @model: model services: model that its engines must serve
- * @max_tokens: model services: most tokens of one answer
- * @timeout_ms: model, plain, tool: a call that runs longer is given up
+ * @depends: agents: indices of the services that may be called
+ * @budget: agents: limits of one program
+ * @priority: agents: priority class of programs
+ * @prompt: agents: text at the start of every history
+ * @model: model services: name of the model that engines must serve
+ * @max_tokens: model services: limit on generated tokens of one call
+ * @timeout_ms: model, plain, tool: call timeout
  * @idempotent: tools: the call may be repeated
- * @path: tools: path of the call
+ * @path: tools: URL path of the call
  * @routes: plain services: their [route SERVICE.NAME] sections
- * @route_count: how many
- * @checks_fence: the targets refuse an order with an old fencing number
- * @retry_percent: retries allowed, as a share of calls
+ * @checks_fence: targets reject orders with an old fencing token
+ * @retry_percent: limit on retries, in percent of calls
  */
 struct mq_service
 {
@@ -71,10 +67,9 @@
 
 /**
  * struct mq_organisation - one [organisation NAME] section
- * @name: its name
- * @key_hash: SHA-256 of its key
- * @weight: share of capacity when there is not enough for all
- * @max_programs: programs under way at a time
+ * @key_hash: SHA-256 of the organisation's API key
+ * @weight: relative share of capacity under contention
+ * @max_programs: limit on concurrent programs
  */
 struct mq_organisation
 {
@@ -85,17 +80,17 @@
 };
 
 /**
- * struct mq_text - a whole checked text
- * @version: its version in the table, set by who read it from there
+ * struct mq_text - a validated configuration
+ * @version: version in the table, set by the code that loads it
  * @site: name of the site
- * @partitions: number of partitions, fixed for the life of a site
- * @lease_ms: an owner that is silent for longer may be taken over
- * @cache_lease_ms: cache of a program that is not renewed is evicted
- * @services: in the order of the text
- * @organisations: in the order of the text
- * @services_by_name: indices in name order, for the search functions
- * @organisations_by_name: likewise
- * @organisations_by_key: indices in key_hash order, likewise
+ * @partitions: number of partitions, fixed for the lifetime of a site
+ * @lease_ms: an owner that does not renew within this time may be replaced
+ * @cache_lease_ms: a program's cache not renewed within this time is evicted
+ * @services: in source order
+ * @organisations: in source order
+ * @services_by_name: indices sorted by name, for binary search
+ * @organisations_by_name: indices sorted by name
+ * @organisations_by_key: indices sorted by key_hash
  */
 struct mq_text
 {
@@ -119,7 +114,7 @@
   size_t count;
 };
 
-/* NULL when there is an error; ERRORS then lists all of them.  */
+/* Returns NULL on error; ERRORS then lists all errors.  */
 struct mq_text *mq_text_parse (TALLOC_CTX *ctx, const char *source, size_t len,
                                struct mq_text_errors *errors);
 const struct mq_service *mq_text_find_service (const struct mq_text *text,
--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -1,4 +1,4 @@
-/* text_check.c - checks across the sections of an operators' text.
+/* text_check.c - cross-section validation of a configuration text.
 
    Needs: text_check.h, text_hint.h.  */
 
@@ -10,35 +10,35 @@
 
 static void
 add_error (struct mq_text_draft *draft, enum mq_error_type type,
-           struct mq_text_position place, const char *subject,
+           struct mq_text_position position, const char *subject,
            const char *allowed)
 {
-  mq_error_list_add (&draft->errors, type, place, subject, allowed);
+  mq_error_list_add (&draft->errors, type, position, subject, allowed);
 }
 
 static struct mq_text_position
-value_place (const struct mq_ini_pair *pair)
+value_position (const struct mq_ini_pair *pair)
 {
-  struct mq_text_position place = { pair->line, pair->value_column };
+  struct mq_text_position position = { pair->line, pair->value_column };
 
-  return place;
+  return position;
 }
 
 static struct mq_text_position
-section_place (const struct mq_ini_section *section)
+section_position (const struct mq_ini_section *section)
 {
-  struct mq_text_position place = { section->line, section->name_column };
+  struct mq_text_position position = { section->line, section->name_column };
 
-  return place;
+  return position;
 }
 
-/* Key's value, or the header when the key is not there.  */
+/* Position of the value of KEY, or of the header if KEY is absent.  */
 static struct mq_text_position
 key_or_header (const struct mq_ini_section *section, const char *key)
 {
   const struct mq_ini_pair *pair = mq_ini_find (section, key);
 
-  return pair == NULL ? section_place (section) : value_place (pair);
+  return pair == NULL ? section_position (section) : value_position (pair);
 }
 
 static uint32_t
@@ -48,7 +48,7 @@
   return (uint32_t)(service - draft->text->services);
 }
 
-/* True when the kind could be read, so that the rest makes sense.  */
+/* True when the service has a valid kind; other checks need it.  */
 static bool
 kind_is_known (const struct mq_text_draft *draft, size_t index)
 {
@@ -60,7 +60,7 @@
 
 static void
 report_unknown_service (struct mq_text_draft *draft, const char *name,
-                        struct mq_text_position place)
+                        struct mq_text_position position)
 {
   const struct mq_text *text = draft->text;
   struct mq_hint hint;
@@ -70,19 +70,19 @@
   for (size_t i = 0; i < text->service_count; i++)
     mq_hint_add (&hint, text->services[i].name);
   mq_hint_format (&hint, allowed);
-  add_error (draft, MQ_ERR_TEXT_UNKNOWN_NAME, place, name, allowed);
+  add_error (draft, MQ_ERR_TEXT_UNKNOWN_NAME, position, name, allowed);
 }
 
 /* Dependencies.  */
 
-/* One name of a list: where it stands in the value.  */
+/* Position of one name within a comma-separated value.  */
 struct list_item
 {
   size_t offset;
   size_t len;
 };
 
-/* The item at or after *AT, which is moved past it.  */
+/* Gets the item at *AT and advances *AT past it; false at the end.  */
 static bool
 next_item (const char *list, size_t *at, struct list_item *item)
 {
@@ -113,19 +113,19 @@
 
 static void
 add_dependency (struct mq_text_draft *draft, struct mq_service *service,
-                const char *name, struct mq_text_position place)
+                const char *name, struct mq_text_position position)
 {
   const struct mq_service *on = mq_text_find_service (draft->text, name);
   uint32_t index;
 
   if (on == NULL)
     {
-      report_unknown_service (draft, name, place);
+      report_unknown_service (draft, name, position);
       return;
     }
   index = service_index (draft, on);
   if (already_depends (service, index))
-    add_error (draft, MQ_ERR_TEXT_DUPLICATE, place, name,
+    add_error (draft, MQ_ERR_TEXT_DUPLICATE, position, name,
                "each service once in depends");
   else
     service->depends[service->depend_count++] = index;
@@ -151,20 +151,20 @@
   while (next_item (pair->value, &at, &item))
     {
       char *name = talloc_strndup (draft, pair->value + item.offset, item.len);
-      struct mq_text_position place
+      struct mq_text_position position
           = { pair->line, pair->value_column + (uint32_t)item.offset };
 
       if (item.len == 0)
-        add_error (draft, MQ_ERR_TEXT_BAD_VALUE, place, "depends",
+        add_error (draft, MQ_ERR_TEXT_BAD_VALUE, position, "depends",
                    "a name between two commas");
       else
-        add_dependency (draft, service, name, place);
+        add_dependency (draft, service, name, position);
       talloc_free (name);
     }
 }
 
-/* A name or kind that is wrong may stand for the model, so that with one of
-   them nothing can be said about it.  */
+/* False if a dependency has an unknown name or kind.  It may be the model, so
+   a missing model is not reported then.  */
 static bool
 all_resolved (const struct mq_text_draft *draft,
               const struct mq_service *service, const struct mq_ini_pair *pair)
@@ -192,7 +192,7 @@
                              models == 0 ? "no model service"
                                          : "more than one model service");
   add_error (draft, models == 0 ? MQ_ERR_TEXT_MISSING : MQ_ERR_TEXT_BAD_VALUE,
-             value_place (pair), subject, "exactly one model service");
+             value_position (pair), subject, "exactly one model service");
   talloc_free (subject);
 }
 
@@ -213,93 +213,94 @@
   check_model (draft, service, pair);
 }
 
-/* Circles.  */
+/* Dependency cycles.  */
 
 enum visit_state
 {
   VISIT_NEW,
-  VISIT_OPEN, /* on the path that is being walked */
+  VISIT_OPEN, /* on the current path */
   VISIT_DONE
 };
 
-/* The walk keeps its own path: a long chain of dependencies must not grow
-   the stack.  */
+/* Depth-first search with an explicit stack, so that a long dependency chain
+   cannot overflow the C stack.  */
 struct cycle_search
 {
   struct mq_text_draft *draft;
   uint8_t *states;
   uint32_t *path;
-  size_t *next; /* for each of the path: dependency to look at next */
+  size_t *next; /* per path entry: next dependency to visit */
   size_t depth;
 };
 
 static void
-report_circle (struct cycle_search *walk, uint32_t again)
+report_cycle (struct cycle_search *search, uint32_t repeated)
 {
-  const struct mq_text *text = walk->draft->text;
-  uint32_t last = walk->path[walk->depth - 1];
-  const struct mq_ini_section *section = walk->draft->service_sections[last];
-  char *subject = talloc_strdup (walk->draft, "");
-  size_t start = walk->depth - 1;
+  const struct mq_text *text = search->draft->text;
+  uint32_t last = search->path[search->depth - 1];
+  const struct mq_ini_section *section = search->draft->service_sections[last];
+  char *subject = talloc_strdup (search->draft, "");
+  size_t start = search->depth - 1;
 
-  while (walk->path[start] != again)
+  while (search->path[start] != repeated)
     start--;
-  for (size_t i = start; i < walk->depth; i++)
+  for (size_t i = start; i < search->depth; i++)
     subject = talloc_asprintf_append (subject, "%s -> ",
-                                      text->services[walk->path[i]].name);
-  subject = talloc_asprintf_append (subject, "%s", text->services[again].name);
-  add_error (walk->draft, MQ_ERR_TEXT_CYCLE,
+                                      text->services[search->path[i]].name);
+  subject
+      = talloc_asprintf_append (subject, "%s", text->services[repeated].name);
+  add_error (search->draft, MQ_ERR_TEXT_CYCLE,
              key_or_header (section, "depends"), subject, "no circles");
   talloc_free (subject);
 }
 
 static void
-enter (struct cycle_search *walk, uint32_t index)
+push_service (struct cycle_search *search, uint32_t index)
 {
-  walk->states[index] = VISIT_OPEN;
-  walk->path[walk->depth] = index;
-  walk->next[walk->depth] = 0;
-  walk->depth++;
+  search->states[index] = VISIT_OPEN;
+  search->path[search->depth] = index;
+  search->next[search->depth] = 0;
+  search->depth++;
 }
 
 static void
-walk_on (struct cycle_search *walk)
+search_step (struct cycle_search *search)
 {
-  uint32_t last = walk->path[walk->depth - 1];
-  const struct mq_service *service = &walk->draft->text->services[last];
-  size_t *next = &walk->next[walk->depth - 1];
+  uint32_t last = search->path[search->depth - 1];
+  const struct mq_service *service = &search->draft->text->services[last];
+  size_t *next = &search->next[search->depth - 1];
   uint32_t to;
 
   if (*next == service->depend_count)
     {
-      walk->states[last] = VISIT_DONE;
-      walk->depth--;
+      search->states[last] = VISIT_DONE;
+      search->depth--;
       return;
     }
   to = service->depends[(*next)++];
-  if (walk->states[to] == VISIT_OPEN)
-    report_circle (walk, to);
-  else if (walk->states[to] == VISIT_NEW)
-    enter (walk, to);
+  if (search->states[to] == VISIT_OPEN)
+    report_cycle (search, to);
+  else if (search->states[to] == VISIT_NEW)
+    push_service (search, to);
 }
 
 static void
-check_circles (struct mq_text_draft *draft)
+check_cycles (struct mq_text_draft *draft)
 {
   size_t count = draft->text->service_count;
-  struct cycle_search walk = { .draft = draft };
+  struct cycle_search search = { .draft = draft };
 
-  walk.states = talloc_zero_array (draft, uint8_t, count);
-  walk.path = talloc_array (draft, uint32_t, count);
-  walk.next = talloc_array (draft, size_t, count);
-  if (walk.states == NULL || walk.path == NULL || walk.next == NULL)
+  search.states = talloc_zero_array (draft, uint8_t, count);
+  search.path = talloc_array (draft, uint32_t, count);
+  search.next = talloc_array (draft, size_t, count);
+  if (search.states == NULL || search.path == NULL || search.next == NULL)
     return;
   for (size_t i = 0; i < count; i++)
     {
-      if (walk.states[i] == VISIT_NEW)
-        enter (&walk, (uint32_t)i);
-      while (walk.depth > 0)
-        walk_on (&walk);
+      if (search.states[i] == VISIT_NEW)
+        push_service (&search, (uint32_t)i);
+      while (search.depth > 0)
+        search_step (&search);
     }
 }
 
@@ -310,7 +311,7 @@
 {
   const struct mq_text *text = draft->text;
   const struct mq_service *agent = &text->services[index];
-  struct mq_text_position place
+  struct mq_text_position position
       = key_or_header (draft->service_sections[index], "budget_tokens");
 
   for (size_t i = 0; i < agent->depend_count; i++)
@@ -327,7 +328,7 @@
                              (unsigned long long)agent->budget.tokens);
       allowed = talloc_asprintf (draft, "at least max_tokens of %s: %u",
                                  model->name, model->max_tokens);
-      add_error (draft, MQ_ERR_TEXT_BUDGET, place, subject, allowed);
+      add_error (draft, MQ_ERR_TEXT_BUDGET, position, subject, allowed);
       talloc_free (subject);
       talloc_free (allowed);
     }
@@ -360,7 +361,7 @@
   struct mq_service *service = NULL;
 
   if (found == NULL)
-    report_unknown_service (draft, name, section_place (section));
+    report_unknown_service (draft, name, section_position (section));
   else
     service = &draft->text->services[service_index (draft, found)];
   talloc_free (name);
@@ -377,7 +378,7 @@
 
   if (service != NULL && service->kind != MQ_SERVICE_PLAIN
       && kind_is_known (draft, service_index (draft, service)))
-    add_error (draft, MQ_ERR_TEXT_BAD_VALUE, section_place (section),
+    add_error (draft, MQ_ERR_TEXT_BAD_VALUE, section_position (section),
                section->name, "a route of a service of kind plain");
   route
       = service == NULL ? &unused : add_route (draft->text, service, dot + 1);
@@ -407,7 +408,8 @@
       = talloc_asprintf (draft, "route of plain service %s", service->name);
   allowed = talloc_asprintf (draft, "[route %s.NAME]", service->name);
   add_error (draft, MQ_ERR_TEXT_MISSING,
-             section_place (draft->service_sections[index]), subject, allowed);
+             section_position (draft->service_sections[index]), subject,
+             allowed);
   talloc_free (subject);
   talloc_free (allowed);
 }
@@ -415,14 +417,15 @@
 /* Organisations.  */
 
 static bool
-key_is_read (const struct mq_organisation *organisation)
+key_is_set (const struct mq_organisation *organisation)
 {
   static const uint8_t none[MQ_KEY_BYTES];
 
   return memcmp (organisation->key_hash, none, sizeof none) != 0;
 }
 
-/* Two organisations with one key would see each other's programs.  */
+/* Organisations with the same key would have access to each other's
+   programs.  */
 static void
 check_keys (struct mq_text_draft *draft)
 {
@@ -436,7 +439,7 @@
       const struct mq_organisation *b = &text->organisations[at];
       char *subject;
 
-      if (!key_is_read (b)
+      if (!key_is_set (b)
           || memcmp (a->key_hash, b->key_hash, MQ_KEY_BYTES) != 0)
         continue;
       subject = talloc_asprintf (draft, "key_sha256 of %s, as of %s", b->name,
@@ -458,7 +461,7 @@
   for (size_t i = 0; i < text->service_count; i++)
     if (kind_is_known (draft, i) && text->services[i].kind == MQ_SERVICE_AGENT)
       read_dependencies (draft, i);
-  check_circles (draft);
+  check_cycles (draft);
   for (size_t i = 0; i < text->service_count; i++)
     {
       if (!kind_is_known (draft, i))
--- a/src/core/text/text_check.h
+++ b/src/core/text/text_check.h
@@ -1,4 +1,4 @@
-/* text_check.h - checks across the sections of an operators' text.
+/* text_check.h - cross-section validation of a configuration text.
 
    Needs: text_keys.h.  */
 
@@ -8,13 +8,12 @@
 #include "text_keys.h"
 
 /**
- * struct mq_text_draft - a text that is being read
- * @text: what is known so far, its three indices included
- * @ini: where it came from
- * @rows: for each section of @ini its row of the table, NULL: not usable
+ * struct mq_text_draft - a configuration being parsed
+ * @text: values parsed so far, with the three sorted indices
+ * @ini: parsed INI source
+ * @rows: table row for each section of @ini, NULL if its header is invalid
  * @service_sections: section of each service
  * @organisation_sections: section of each organisation
- * @errors: what was found so far
  */
 struct mq_text_draft
 {
@@ -26,8 +25,8 @@
   struct mq_error_list errors;
 };
 
-/* Resolves dependencies and routes and lists what does not fit together:
-   unknown names, circles, budgets, models, keys given twice.  */
+/* Resolves dependencies and routes, and reports unknown names, dependency
+   cycles, unmeetable budgets, wrong numbers of models and duplicate keys.  */
 void mq_text_check (struct mq_text_draft *draft);
 
 #endif
--- a/src/core/text/text_diff.c
+++ b/src/core/text/text_diff.c
@@ -1,4 +1,4 @@
-/* text_diff.c - what changes from one operators' text to the next.
+/* text_diff.c - differences between two configurations.
 
    Needs: text_diff.h, text_keys.h, jansson.  */
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SHOWN_MAX 60 /* bytes of a value that a line shows */
+#define SHOWN_MAX 60 /* bytes of a value shown in a line */
 
 struct diff_work
 {
@@ -49,16 +49,16 @@
     change->effect = effect;
 }
 
-/* Keys of a section that both texts have.  */
+/* Keys of sections present in both texts.  */
 
-/* A section in both texts, and how its NAMES are printed.  */
+/* A section present in both texts.  */
 struct section_pair
 {
   const char *section;
   const char *name;
   const void *before;
   const void *after;
-  uint32_t kinds; /* kinds of both */
+  uint32_t kinds; /* kinds of BEFORE and AFTER */
 };
 
 static const char *
@@ -82,8 +82,8 @@
   return mq_key_print (ctx, key, target);
 }
 
-/* The direction decides: letting a call be repeated that was not is the
-   change that can do a thing twice.  */
+/* The effect of "idempotent" depends on the new value: calls may run twice
+   only if repeats become allowed.  */
 static const char *
 change_effect (const struct mq_key *key, const char *after)
 {
@@ -308,7 +308,7 @@
   return "";
 }
 
-/* One line of a value: breaks are shown as \n, long ones cut.  */
+/* VALUE on one line: newlines shown as \n, truncated to SHOWN_MAX.  */
 static char *
 show_value (TALLOC_CTX *ctx, const char *value)
 {
--- a/src/core/text/text_diff.h
+++ b/src/core/text/text_diff.h
@@ -1,6 +1,4 @@
-/* text_diff.h - what changes from one operators' text to the next.
-
-   Pure; the lines for people and the JSON come from the same list.
+/* text_diff.h - differences between two configurations, as text or JSON.
    Needs: text.h, text_keys.h, jansson.  */
 
 #ifndef MQ_TEXT_DIFF_H
@@ -17,14 +15,14 @@
 
 /**
  * struct mq_text_change - one difference
- * @type: whether a section was added or removed, or a key of it changed
- * @section: type of the section: site, organisation, service, route
- * @name: its name; empty for the site
- * @key: CHANGED: the key, else empty
- * @before: CHANGED: value as written before, else empty
- * @after: CHANGED: value as written now, else empty
- * @effect: what it does, one line
- * @refused: the change can't be applied to a site that is in use
+ * @type: section added, section removed, or key changed
+ * @section: section type: site, organisation, service or route
+ * @name: section name; empty for the site
+ * @key: MQ_CHANGE_CHANGED: the key, else empty
+ * @before: MQ_CHANGE_CHANGED: formatted old value, else empty
+ * @after: MQ_CHANGE_CHANGED: formatted new value, else empty
+ * @effect: consequence of the change, one line
+ * @refused: the change can't be applied to an existing site
  */
 struct mq_text_change
 {
@@ -44,15 +42,15 @@
   size_t count;
 };
 
-/* BEFORE may be NULL: then everything is added.  The result borrows the
-   names of both texts.  NULL when memory is out.  */
+/* If BEFORE is NULL, everything counts as added.  The result refers to names
+   in both texts, which must outlive it.  NULL when out of memory.  */
 struct mq_text_diff *mq_text_diff_create (TALLOC_CTX *ctx,
                                           const struct mq_text *before,
                                           const struct mq_text *after);
-/* First change that is refused, NULL when there is none.  */
+/* First refused change, NULL if none.  */
 const struct mq_text_change *
 mq_text_diff_refused (const struct mq_text_diff *diff);
-/* Two lines for each change, "no difference" when there is none.  */
+/* Two lines per change, or "no difference".  */
 char *mq_text_diff_text (TALLOC_CTX *ctx, const struct mq_text_diff *diff);
 /* {"changes":[{"type":…,"section":…,…}]}  */
 char *mq_text_diff_json (TALLOC_CTX *ctx, const struct mq_text_diff *diff);
--- a/src/core/text/text_hint.c
+++ b/src/core/text/text_hint.c
@@ -1,11 +1,11 @@
-/* text_hint.c - what is allowed in place of a word, nearest first.
+/* text_hint.c - suggestions for a misspelled word.
 
    Needs: text_hint.h.  */
 
 #include "text_hint.h"
 #include <string.h>
 
-/* A word is near when about a third of its letters differ at most.  */
+/* A word is suggested if at most about 1 / NEAR_SHARE of it differs.  */
 #define NEAR_SHARE 3
 #define ELLIPSIS ", ..."
 
@@ -15,8 +15,8 @@
   return a < b ? a : b;
 }
 
-/* One row of the optimal string alignment table: ROWS[2] is the row to be
-   filled, ROWS[1] and ROWS[0] are the two before.  */
+/* Fills row ROWS[2] of the optimal string alignment table from the two
+   preceding rows, ROWS[1] and ROWS[0].  */
 static void
 fill_row (uint32_t rows[3][MQ_NAME_MAX], const char *from, size_t i,
           const char *to, size_t to_len)
@@ -117,7 +117,7 @@
     }
 }
 
-/* As much of the list as fits after what TO holds, whole words only.  */
+/* Appends as many complete words of the list as fit in TO.  */
 static void
 append_list (const struct mq_hint *hint, char to[MQ_SUBJECT_MAX])
 {
--- a/src/core/text/text_hint.h
+++ b/src/core/text/text_hint.h
@@ -1,6 +1,6 @@
-/* text_hint.h - what is allowed in place of a word, nearest first.
+/* text_hint.h - suggestions for a misspelled word.
 
-   Pure, no allocation.
+   Does not allocate.
    Needs: error.h.  */
 
 #ifndef MQ_TEXT_HINT_H
@@ -9,12 +9,12 @@
 #include "../error.h"
 
 /**
- * struct mq_hint - the words that would be allowed in place of another
- * @word: the word that is not allowed
- * @best: nearest allowed word, borrowed, NULL when none is near
- * @best_distance: its edit distance
- * @list: allowed words as far as they fit
- * @cut: some did not fit
+ * struct mq_hint - allowed replacements for an invalid word
+ * @word: the invalid word, not copied
+ * @best: closest allowed word, not copied; NULL if none is close
+ * @best_distance: edit distance of @best
+ * @list: allowed words that fit
+ * @cut: the list was truncated
  */
 struct mq_hint
 {
@@ -27,10 +27,10 @@
 
 void mq_hint_init (struct mq_hint *hint, const char *word);
 void mq_hint_add (struct mq_hint *hint, const char *allowed);
-/* "did you mean BEST? LIST", or only the list.  */
+/* Writes "did you mean BEST? LIST", or only LIST.  */
 void mq_hint_format (const struct mq_hint *hint, char allowed[MQ_SUBJECT_MAX]);
-/* Insertions, deletions, replacements and swaps of neighbours that turn one
-   word into the other; UINT32_MAX for words of over 63 bytes.  */
+/* Optimal string alignment distance (Levenshtein with adjacent swaps);
+   UINT32_MAX for words longer than 63 bytes.  */
 uint32_t mq_edit_distance (const char *from, const char *to);
 
 #endif
--- a/src/core/text/text_ini.c
+++ b/src/core/text/text_ini.c
@@ -1,11 +1,10 @@
-/* text_ini.c - an INI text as sections and pairs with their positions.
-
-   The library calls back for each pair, but tells neither the line of a
-   pair, nor a section without pairs, nor more than the first bad line, and
-   it cuts section names at 49 bytes.  Its reader callback is ours, so all
-   four are seen there: a pair belongs to the line read last, a header is
-   taken from the raw line, and a line that had to be a pair but led to no
-   callback before the next is read can't be one.
+/* text_ini.c - INI parser with source positions.
+
+   inih calls back for each pair, but it does not report the line of a pair,
+   empty sections or any invalid line after the first, and it truncates
+   section names at 49 bytes.  The reader callback makes up for that: a pair
+   belongs to the line read last, headers are parsed from the raw line, and a
+   line that should be a pair but caused no callback is invalid.
    Needs: text_ini.h, inih, jansson (UTF-8 check).  */
 
 #include "text_ini.h"
@@ -24,12 +23,12 @@
   struct mq_error_list *errors;
   const char *next;
   const char *end;
-  const char *raw; /* the line read last */
+  const char *raw; /* last line read */
   size_t raw_len;
-  size_t indent; /* blanks at its beginning */
-  uint32_t line; /* its number */
-  bool pair_due; /* it must be a pair, and none was seen yet */
-  bool skipping; /* below a header that can't be read */
+  size_t indent; /* leading blanks */
+  uint32_t line; /* line number */
+  bool pair_due; /* a pair callback is expected */
+  bool skipping; /* below an invalid header */
 };
 
 /* Errors.  */
@@ -48,7 +47,7 @@
   return true;
 }
 
-/* The byte after the last whole UTF-8 character of TEXT.  */
+/* Length of TEXT up to the last complete UTF-8 character.  */
 static size_t
 complete_characters_len (const char *text, size_t len)
 {
@@ -59,8 +58,8 @@
   return start > 0 && (unsigned char)text[start - 1] >= 0xc0 ? start - 1 : len;
 }
 
-/* Error texts are cut at a fixed length; a character cut in two would make
-   the JSON form of the error unreadable.  */
+/* Error texts are truncated at a fixed length; a partial UTF-8 character
+   would make the JSON of the error invalid.  */
 static void
 trim_partial_character (char text[MQ_SUBJECT_MAX])
 {
@@ -72,7 +71,7 @@
 
 void
 mq_error_list_add (struct mq_error_list *list, enum mq_error_type type,
-                   struct mq_text_position place, const char *subject,
+                   struct mq_text_position position, const char *subject,
                    const char *allowed)
 {
   struct mq_text_errors *errors = list->errors;
@@ -90,8 +89,8 @@
   mq_error_set (error, type, subject, allowed);
   trim_partial_character (error->subject);
   trim_partial_character (error->allowed);
-  error->line = place.line;
-  error->column = place.column;
+  error->line = position.line;
+  error->column = position.column;
 }
 
 static int
@@ -100,7 +99,7 @@
   const struct mq_error *a = left;
   const struct mq_error *b = right;
 
-  /* "more follow" stays at the end.  */
+  /* Sort the "more follow" entry last.  */
   if ((a->type == MQ_ERR_TOO_LARGE) != (b->type == MQ_ERR_TOO_LARGE))
     return a->type == MQ_ERR_TOO_LARGE ? 1 : -1;
   if (a->line != b->line)
@@ -128,19 +127,19 @@
   return c == ' ' || c == '\t' || c == '\r' || c == '\f' || c == '\v';
 }
 
-/* The line is never shown: it may hold a secret.  */
+/* Does not include the line itself, which may contain a secret.  */
 static void
 report_syntax (struct ini_reader *reader, size_t offset, const char *subject,
                const char *allowed)
 {
-  struct mq_text_position place = { reader->line, (uint32_t)offset + 1 };
+  struct mq_text_position position = { reader->line, (uint32_t)offset + 1 };
 
-  mq_error_list_add (reader->errors, MQ_ERR_TEXT_SYNTAX, place, subject,
+  mq_error_list_add (reader->errors, MQ_ERR_TEXT_SYNTAX, position, subject,
                      allowed);
 }
 
 static void
-take_line (struct ini_reader *reader)
+load_line (struct ini_reader *reader)
 {
   const char *start = reader->next;
   size_t left = (size_t)(reader->end - start);
@@ -206,7 +205,7 @@
   return &sections[count];
 }
 
-/* Offset of the bracket that closes the header, 0 when there is none.  */
+/* Offset of the closing bracket of the header, 0 if none.  */
 static size_t
 find_bracket (const struct ini_reader *reader)
 {
@@ -267,7 +266,7 @@
   split_header (reader, reader->indent + 1, bracket);
 }
 
-/* Callbacks of the library.  */
+/* inih callbacks.  */
 
 /* Guards against a line that the library passes over in silence (it only
    returns the number of the first): it would look accepted and have no
@@ -292,8 +291,8 @@
     reader->pair_due = true;
 }
 
-/* The indentation is not given on: the library would take an indented line
-   for a continuation of the value before.  */
+/* Strips indentation; inih treats an indented line as a continuation of the
+   previous value.  */
 static char *
 read_next_line (char *buffer, int size, void *stream)
 {
@@ -303,7 +302,7 @@
   close_line (reader);
   if (reader->next >= reader->end)
     return NULL;
-  take_line (reader);
+  load_line (reader);
   if (reader->raw_len > reader->indent && !line_is_readable (reader))
     {
       if (reader->raw[reader->indent] == '[')
@@ -372,7 +371,7 @@
 {
   struct ini_reader *reader = user;
 
-  (void)section; /* cut at 49 bytes by the library */
+  (void)section; /* truncated by inih */
   reader->pair_due = false;
   if (key[0] == '\0')
     report_syntax (reader, reader->indent, "no key before '='", "KEY = VALUE");
--- a/src/core/text/text_ini.h
+++ b/src/core/text/text_ini.h
@@ -1,7 +1,7 @@
-/* text_ini.h - an INI text as sections and pairs with their positions.
+/* text_ini.h - INI parser with source positions.
 
-   The library reads each line; this module counts the lines, keeps the
-   columns and collects every error, so that one pass names them all.
+   inih parses each line; this module tracks lines and columns and collects
+   all errors in one pass.
    Needs: inih (on a buffer), text.h.  */
 
 #ifndef MQ_TEXT_INI_H
@@ -11,11 +11,11 @@
 
 /**
  * struct mq_ini_pair - one "key = value" line
- * @key: the key, never empty
- * @value: its value without blanks at both ends and without comments
- * @line: number of its line from 1
- * @column: byte at which the key begins, from 1
- * @value_column: byte at which the value begins, from 1
+ * @key: never empty
+ * @value: trimmed, without comments
+ * @line: from 1
+ * @column: byte offset of the key in the line, from 1
+ * @value_column: byte offset of the value in the line, from 1
  */
 struct mq_ini_pair
 {
@@ -27,12 +27,12 @@
 };
 
 /**
- * struct mq_ini_section - one "[type name]" line and the pairs below it
- * @type: its first word
- * @name: the rest of the header, empty when there is none
- * @line: number of its line from 1
- * @name_column: byte at which the name begins, from 1
- * @pairs: in the order of the text
+ * struct mq_ini_section - a "[type name]" header and its pairs
+ * @type: first word of the header
+ * @name: rest of the header, may be empty
+ * @line: from 1
+ * @name_column: byte offset of the name in the line, from 1
+ * @pairs: in source order
  */
 struct mq_ini_section
 {
@@ -51,9 +51,9 @@
 };
 
 /**
- * struct mq_error_list - errors as they are found
- * @ctx: owner of the items
- * @errors: what has been found, not yet in line order
+ * struct mq_error_list - collects errors during parsing
+ * @ctx: talloc parent of the items
+ * @errors: errors found so far, in any order
  */
 struct mq_error_list
 {
@@ -61,26 +61,26 @@
   struct mq_text_errors *errors;
 };
 
-/* A place in a text: line and column from 1.  */
+/* Source position; line and column start at 1.  */
 struct mq_text_position
 {
   uint32_t line;
   uint32_t column;
 };
 
-/* Keeps MQ_TEXT_ERRORS_MAX errors at most; the last then says so.  */
+/* Keeps at most MQ_TEXT_ERRORS_MAX errors; the last one then reports that
+   the list is truncated.  */
 void mq_error_list_add (struct mq_error_list *list, enum mq_error_type type,
                         struct mq_text_position place, const char *subject,
                         const char *allowed);
-/* Puts the errors in line order.  */
 void mq_error_list_sort (struct mq_error_list *list);
 
-/* The sections of SOURCE below CTX.  Lines that can't be read are left out
-   and listed in ERRORS.  NULL when memory is out, or, with an error, when
-   SOURCE is too large.  */
+/* Parses SOURCE; the result is allocated below CTX.  Invalid lines are skipped
+   and reported in ERRORS.  Returns NULL when out of memory, or with an error
+   if SOURCE is too large.  */
 struct mq_ini *mq_ini_read (TALLOC_CTX *ctx, const char *source, size_t len,
                             struct mq_error_list *errors);
-/* First pair of SECTION with KEY, NULL when there is none.  */
+/* First pair of SECTION with KEY, NULL if absent.  */
 const struct mq_ini_pair *mq_ini_find (const struct mq_ini_section *section,
                                        const char *key);
 
--- a/src/core/text/text_keys.c
+++ b/src/core/text/text_keys.c
@@ -1,4 +1,4 @@
-/* text_keys.c - tables of keys: headers, keys and values of a section.
+/* text_keys.c - key table of the configuration text, and section parsing.
 
    Needs: text_keys.h, text_values.h, text_hint.h.  */
 
@@ -301,27 +301,27 @@
 /* Headers.  */
 
 static struct mq_text_position
-header_place (const struct mq_ini_section *section)
+header_position (const struct mq_ini_section *section)
 {
-  struct mq_text_position place = { section->line, section->name_column };
+  struct mq_text_position position = { section->line, section->name_column };
 
-  return place;
+  return position;
 }
 
 static struct mq_text_position
-key_place (const struct mq_ini_pair *pair)
+key_position (const struct mq_ini_pair *pair)
 {
-  struct mq_text_position place = { pair->line, pair->column };
+  struct mq_text_position position = { pair->line, pair->column };
 
-  return place;
+  return position;
 }
 
 static struct mq_text_position
-value_place (const struct mq_ini_pair *pair)
+value_position (const struct mq_ini_pair *pair)
 {
-  struct mq_text_position place = { pair->line, pair->value_column };
+  struct mq_text_position position = { pair->line, pair->value_column };
 
-  return place;
+  return position;
 }
 
 static const struct mq_key_section *
@@ -346,7 +346,7 @@
     mq_hint_add (&hint, table->sections[i].type);
   mq_hint_format (&hint, allowed);
   mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_SECTION,
-                     header_place (section),
+                     header_position (section),
                      section->type[0] == '\0' ? "[]" : section->type, allowed);
 }
 
@@ -384,7 +384,8 @@
                             : MQ_NAME_ALLOWED;
     }
   if (type != MQ_ERR_NONE)
-    mq_error_list_add (errors, type, header_place (section), subject, allowed);
+    mq_error_list_add (errors, type, header_position (section), subject,
+                       allowed);
   return type == MQ_ERR_NONE;
 }
 
@@ -404,26 +405,25 @@
 }
 
 static void
-report_doubled (const struct mq_ini_section *first,
-                const struct mq_ini_section *second,
-                struct mq_error_list *errors)
+report_duplicate (const struct mq_ini_section *first,
+                  const struct mq_ini_section *second,
+                  struct mq_error_list *errors)
 {
   char *subject = talloc_asprintf (errors->ctx, "[%s%s%s]", second->type,
                                    *second->name ? " " : "", second->name);
   char *allowed
       = talloc_asprintf (errors->ctx, "first given in line %u", first->line);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, header_place (second),
+  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, header_position (second),
                      subject, allowed);
   talloc_free (subject);
   talloc_free (allowed);
 }
 
-/* A doubled section is left out: its keys would be reported against a
-   section that the text does not mean.  */
+/* Reports and skips duplicate sections.  Their keys are not checked.  */
 static void
-check_doubled (const struct mq_ini *ini, const struct mq_key_section **rows,
-               struct mq_error_list *errors)
+check_duplicates (const struct mq_ini *ini, const struct mq_key_section **rows,
+                  struct mq_error_list *errors)
 {
   size_t *order = talloc_array (rows, size_t, ini->section_count);
   size_t count = 0;
@@ -443,7 +443,7 @@
 
       if (strcmp (a->type, b->type) == 0 && strcmp (a->name, b->name) == 0)
         {
-          report_doubled (a, b, errors);
+          report_duplicate (a, b, errors);
           rows[order[i]] = NULL;
         }
       else
@@ -491,7 +491,7 @@
       else if (check_header (row, section, errors))
         rows[i] = row;
     }
-  check_doubled (ini, rows, errors);
+  check_duplicates (ini, rows, errors);
   check_missing_sections (table, ini, errors);
   return rows;
 }
@@ -504,7 +504,7 @@
   return strcmp (key->section, section) == 0 && (key->kinds & kinds) != 0;
 }
 
-/* Every kind of the mask has the key.  */
+/* True when all kinds in the mask accept the key.  */
 static bool
 key_is_common (const struct mq_key *key, const char *section, uint32_t kinds)
 {
@@ -525,7 +525,7 @@
     if (key_belongs (&table->keys[i], section->type, kinds))
       mq_hint_add (&hint, table->keys[i].name);
   mq_hint_format (&hint, allowed);
-  mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_KEY, key_place (pair),
+  mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_KEY, key_position (pair),
                      pair->key, allowed);
 }
 
@@ -558,7 +558,7 @@
     subject = talloc_strdup (errors->ctx, pair->key);
   if (key->type == MQ_KEY_CHOICE)
     write_choices (key, pair->value, near);
-  mq_error_list_add (errors, type, value_place (pair), subject,
+  mq_error_list_add (errors, type, value_position (pair), subject,
                      key->type == MQ_KEY_CHOICE ? near : allowed);
   talloc_free (allowed);
   talloc_free (subject);
@@ -572,7 +572,7 @@
   char *allowed
       = talloc_asprintf (errors->ctx, "first given in line %u", first->line);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, key_place (pair),
+  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, key_position (pair),
                      pair->key, allowed);
   talloc_free (allowed);
 }
@@ -587,7 +587,7 @@
       *section->name == '\0' ? "" : " ", section->name);
   char *allowed = mq_key_allowed (errors->ctx, key);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_MISSING, header_place (section),
+  mq_error_list_add (errors, MQ_ERR_TEXT_MISSING, header_position (section),
                      subject, allowed);
   talloc_free (subject);
   talloc_free (allowed);
--- a/src/core/text/text_values.c
+++ b/src/core/text/text_values.c
@@ -1,4 +1,4 @@
-/* text_values.c - the value of one key, as written and as kept.
+/* text_values.c - parsing and formatting of key values.
 
    Needs: text_values.h.  */
 
@@ -43,7 +43,7 @@
   return true;
 }
 
-/* Digits only: no sign, no blanks, no other base.  */
+/* Accepts decimal digits only, without sign or blanks.  */
 static bool
 read_number (const char *text, uint64_t *number, const char **end)
 {
@@ -89,8 +89,8 @@
   return read_port (text);
 }
 
-/* Brackets, colons and digits are checked, not the whole grammar: the
-   process says at its start whether it can use the address.  */
+/* Checks the characters but not the full grammar; the process validates the
+   address at startup.  */
 static bool
 is_ipv6_port (const char *text)
 {
@@ -268,7 +268,7 @@
   return key->type != MQ_KEY_HEX_32;
 }
 
-/* Printing.  */
+/* Formatting.  */
 
 static char *
 print_choices (TALLOC_CTX *ctx, const struct mq_key *key)
--- a/src/core/text/text_values.h
+++ b/src/core/text/text_values.h
@@ -1,4 +1,4 @@
-/* text_values.h - the value of one key, as written and as kept.
+/* text_values.h - parsing and formatting of key values.
 
    Needs: text_keys.h.  */
 
@@ -10,15 +10,16 @@
 enum mq_value_result
 {
   MQ_VALUE_OK,
-  MQ_VALUE_MALFORMED,   /* not written as the type wants it */
-  MQ_VALUE_OUT_OF_RANGE /* a number, but too small or too great */
+  MQ_VALUE_MALFORMED,   /* invalid syntax for the type */
+  MQ_VALUE_OUT_OF_RANGE /* number too small or too large */
 };
 
-/* Reads WRITTEN into the field of KEY in TARGET; strings below CTX.  */
+/* Parses WRITTEN into the field of KEY in TARGET; strings are allocated below
+   CTX.  */
 enum mq_value_result mq_value_read (TALLOC_CTX *ctx, const struct mq_key *key,
                                     const char *written, void *target);
-/* True when the value may be shown: a key pasted in place of its hash must
-   not reach a screen or a log.  */
+/* False if the value must not be displayed or logged: an operator may have
+   pasted a secret key instead of its hash.  */
 bool mq_value_is_public (const struct mq_key *key);
 
 #endif
--- a/tests/fuzz/fuzz_text.c
+++ b/tests/fuzz/fuzz_text.c
@@ -1,4 +1,4 @@
-/* fuzz_text.c - operators' texts (mq_text_parse).
+/* fuzz_text.c - fuzzing of mq_text_parse.
 
    Needs: fuzz.h, text.h.  */
 
--- a/tests/test_histogram.c
+++ b/tests/test_histogram.c
@@ -1,5 +1,5 @@
-/* test_histogram.c - quantiles within the stated error, and series that
-   lose no program.
+/* test_histogram.c - error bound of quantiles, latency series, and policy
+   names.
 
    Needs: criterion, histogram.h, latency.h.  */
 
@@ -20,10 +20,10 @@
 
 #define COUNT(array) (sizeof (array) / sizeof (array)[0])
 
-/* Widths over which values are drawn; heavy-tailed over all of them.  */
+/* Ranges of random test values, including heavy-tailed ones.  */
 static const struct
 {
-  const char *story;
+  const char *name;
   uint32_t least_bit;
   uint32_t most_bit;
 } spreads[] = {
@@ -78,7 +78,7 @@
           uint64_t off = given > exact ? given - exact : exact - given;
 
           cr_expect (off * 2 * MQ_HISTOGRAM_STEPS <= exact,
-                     "%s: p%u is %lu, exactly %lu", spreads[s].story,
+                     "%s: p%u is %lu, exactly %lu", spreads[s].name,
                      permilles[i], given, exact);
         }
       cr_expect_eq (histogram.max, values[VALUES - 1]);
@@ -122,8 +122,8 @@
   cr_expect_eq (histogram.max, UINT64_MAX);
 }
 
-/* An operators' text of many services comes and goes: the table is bounded,
-   and what no longer fits is counted under the empty name, not dropped.  */
+/* When the series table is full, programs of further services must be counted
+   under the empty name.  */
 Test (latency, no_program_is_left_out)
 {
   struct mq_latency *latency = mq_latency_create (NULL);
@@ -145,8 +145,8 @@
   talloc_free (latency);
 }
 
-/* The settings name a policy by the word that place.h gives; when the two
-   differed, an entry host with a baseline policy did not start.  */
+/* Policy names in the settings must match those of place.h, or an entry host
+   with a baseline policy does not start.  */
 Test (policies, settings_and_placement_use_the_same_words)
 {
   static const char *const words[]
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -1,6 +1,6 @@
-/* test_spread.c - how a configuration reaches every process.
+/* test_spread.c - distribution of the configuration.
 
-   Virtual time, seeded: each verdict is the same every time.
+   Deterministic: uses virtual time and seeded random numbers.
    Needs: criterion, spread.h.  */
 
 #include "core/id.h"
@@ -37,8 +37,8 @@
 }
 
 static void
-give_row (struct mq_spread *spread, uint64_t now_us, uint64_t id,
-          struct mq_row *row, struct mq_actions *actions)
+input_row (struct mq_spread *spread, uint64_t now_us, uint64_t id,
+           struct mq_row *row, struct mq_actions *actions)
 {
   struct mq_store_result result = { .id = id, .status = MQ_STORE_OK };
   struct mq_spread_input input = { .type = MQ_SPREAD_STORE, .now_us = now_us };
@@ -50,8 +50,8 @@
 }
 
 static void
-give_peer (struct mq_spread *spread, uint64_t now_us, uint32_t peer, bool up,
-           struct mq_actions *actions)
+input_peer (struct mq_spread *spread, uint64_t now_us, uint32_t peer, bool up,
+            struct mq_actions *actions)
 {
   struct mq_spread_input input = { .now_us = now_us, .peer = peer };
 
@@ -60,9 +60,9 @@
 }
 
 static void
-give_config (struct mq_spread *spread, uint64_t now_us, uint32_t peer,
-             enum mq_message_type type, uint64_t version, const char *text,
-             struct mq_actions *actions)
+input_config (struct mq_spread *spread, uint64_t now_us, uint32_t peer,
+              enum mq_message_type type, uint64_t version, const char *text,
+              struct mq_actions *actions)
 {
   struct mq_message message = { .type = type, .config_version = version };
   struct mq_spread_input input
@@ -75,17 +75,17 @@
 }
 
 static void
-give_tick (struct mq_spread *spread, uint64_t now_us,
-           struct mq_actions *actions)
+input_tick (struct mq_spread *spread, uint64_t now_us,
+            struct mq_actions *actions)
 {
   struct mq_spread_input input = { .type = MQ_SPREAD_TICK, .now_us = now_us };
 
   mq_spread_handle (spread, &input, actions);
 }
 
-/* Handle of the last peer that was asked, 0 when none was.  */
+/* Handle of the last peer that was sent CONFIG_GET, 0 if none.  */
 static uint32_t
-asked (const struct mq_actions *actions)
+queried_peer (const struct mq_actions *actions)
 {
   uint32_t peer = 0;
 
@@ -96,9 +96,8 @@
   return peer;
 }
 
-/* A process hears of versions in every order: late rows of the table, a
-   peer that is behind, the same text twice.  Whatever comes, what is in
-   force never goes back, and an impossible row or text changes nothing.  */
+/* The accepted version must never decrease when rows and texts arrive late,
+   twice or from outdated peers, and invalid ones must be ignored.  */
 
 enum source
 {
@@ -177,9 +176,9 @@
 };
 
 static void
-take_step (struct mq_spread *spread, TALLOC_CTX *ctx,
-           const struct rise_step *step, uint64_t place,
-           struct mq_actions *actions)
+apply_step (struct mq_spread *spread, TALLOC_CTX *ctx,
+            const struct rise_step *step, uint64_t place,
+            struct mq_actions *actions)
 {
   const char *key
       = step->source == FROM_OTHER_ROW ? MQ_CONFIG_KEY "-old" : MQ_CONFIG_KEY;
@@ -190,15 +189,15 @@
     {
     case FROM_ROW:
     case FROM_OTHER_ROW:
-      give_row (spread, place * MS, 0, &row, actions);
+      input_row (spread, place * MS, 0, &row, actions);
       break;
     case FROM_TEXT:
-      give_config (spread, place * MS, 1, MQ_MSG_CONFIG_TEXT, step->version,
-                   step->text, actions);
+      input_config (spread, place * MS, 1, MQ_MSG_CONFIG_TEXT, step->version,
+                    step->text, actions);
       break;
     case FROM_HAVE:
-      give_config (spread, place * MS, 1, MQ_MSG_CONFIG_HAVE, step->version,
-                   "", actions);
+      input_config (spread, place * MS, 1, MQ_MSG_CONFIG_HAVE, step->version,
+                    "", actions);
       break;
     }
 }
@@ -212,13 +211,13 @@
       struct mq_actions *actions = mq_actions_create (ctx);
       const struct mq_spread_counters *counters;
 
-      give_peer (spread, 0, 1, true, actions);
+      input_peer (spread, 0, 1, true, actions);
       for (size_t j = 0; j < rise_cases[i].count; j++)
         {
           const struct rise_step *step = &rise_cases[i].steps[j];
           const char *text;
 
-          take_step (spread, ctx, step, j, actions);
+          apply_step (spread, ctx, step, j, actions);
           text = mq_spread_text (spread);
           cr_assert_eq (mq_spread_version (spread), step->expect_version,
                         "%s, step %zu", rise_cases[i].name, j);
@@ -237,49 +236,48 @@
     }
 }
 
-/* A restarted process finds the store down.  The first peer that it asks
-   for the configuration is mute, dies, or is as empty as itself: it goes on
-   to the other one and comes into force from that.  */
+/* With the store down, a process whose first peer fails to provide the
+   configuration must get it from the next peer.  */
 
 enum get_fault
 {
-  PEER_MUTE,
-  PEER_DIES,
+  PEER_UNRESPONSIVE,
+  PEER_DISCONNECTS,
   PEER_EMPTY,
-  PEER_BEHIND /* it showed 6 and gives 2 */
+  PEER_BEHIND /* reports version 6 but sends 2 */
 };
 
 static const struct
 {
   const char *name;
   enum get_fault fault;
-  uint64_t after_us; /* when the other peer must have been asked */
+  uint64_t after_us; /* deadline for querying the other peer */
 } get_cases[] = {
-  { "mute", PEER_MUTE, (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS *MS },
-  { "dies", PEER_DIES, 0 },
+  { "mute", PEER_UNRESPONSIVE, (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS *MS },
+  { "dies", PEER_DISCONNECTS, 0 },
   { "empty", PEER_EMPTY, 0 },
   { "behind", PEER_BEHIND, 0 },
 };
 
 static void
-break_peer (struct mq_spread *spread, enum get_fault fault, uint32_t peer,
-            struct mq_actions *actions)
+inject_peer_fault (struct mq_spread *spread, enum get_fault fault,
+                   uint32_t peer, struct mq_actions *actions)
 {
   uint64_t timeout_us = (uint64_t)MQ_CONFIG_GET_TIMEOUT_MS * MS;
 
   switch (fault)
     {
-    case PEER_MUTE:
-      give_tick (spread, timeout_us, actions);
+    case PEER_UNRESPONSIVE:
+      input_tick (spread, timeout_us, actions);
       break;
-    case PEER_DIES:
-      give_peer (spread, 0, peer, false, actions);
+    case PEER_DISCONNECTS:
+      input_peer (spread, 0, peer, false, actions);
       break;
     case PEER_EMPTY:
-      give_config (spread, 0, peer, MQ_MSG_CONFIG_HAVE, 0, "", actions);
+      input_config (spread, 0, peer, MQ_MSG_CONFIG_HAVE, 0, "", actions);
       break;
     case PEER_BEHIND:
-      give_config (spread, 0, peer, MQ_MSG_CONFIG_TEXT, 2, "two", actions);
+      input_config (spread, 0, peer, MQ_MSG_CONFIG_TEXT, 2, "two", actions);
       break;
     }
 }
@@ -294,27 +292,28 @@
       uint32_t first;
       uint32_t second;
 
-      give_tick (spread, 0, actions);
-      give_peer (spread, 0, 1, true, actions);
-      give_peer (spread, 0, 2, true, actions);
-      first = asked (actions);
+      input_tick (spread, 0, actions);
+      input_peer (spread, 0, 1, true, actions);
+      input_peer (spread, 0, 2, true, actions);
+      first = queried_peer (actions);
       cr_assert_neq (first, 0, "%s", get_cases[i].name);
-      give_config (spread, 0, 1, MQ_MSG_CONFIG_HAVE, 6, "", actions);
-      give_config (spread, 0, 2, MQ_MSG_CONFIG_HAVE, 6, "", actions);
-      cr_assert_eq (asked (actions), first, "one question at a time");
+      input_config (spread, 0, 1, MQ_MSG_CONFIG_HAVE, 6, "", actions);
+      input_config (spread, 0, 2, MQ_MSG_CONFIG_HAVE, 6, "", actions);
+      cr_assert_eq (queried_peer (actions), first,
+                    "at most one pending request");
       mq_actions_clear (actions);
-      break_peer (spread, get_cases[i].fault, first, actions);
-      second = asked (actions);
+      inject_peer_fault (spread, get_cases[i].fault, first, actions);
+      second = queried_peer (actions);
       cr_assert_eq (second, 3 - first, "%s", get_cases[i].name);
-      give_config (spread, get_cases[i].after_us, second, MQ_MSG_CONFIG_TEXT,
-                   6, "six", actions);
+      input_config (spread, get_cases[i].after_us, second, MQ_MSG_CONFIG_TEXT,
+                    6, "six", actions);
       cr_assert_eq (mq_spread_version (spread), 6, "%s", get_cases[i].name);
       talloc_free (ctx);
     }
 }
 
-/* A whole site in virtual time: every host connected to every other, a
-   store that can be down for some.  */
+/* Simulation of a site: all hosts are connected to each other, and the store
+   may be unavailable to some.  */
 
 struct site_message
 {
@@ -331,7 +330,7 @@
   TALLOC_CTX *ctx;
   struct mq_spread *spreads[SITE_HOSTS];
   uint64_t polls[SITE_HOSTS];
-  uint64_t told[SITE_HOSTS][SITE_HOSTS]; /* CONFIG_HAVE of the row, by pair */
+  uint64_t told[SITE_HOSTS][SITE_HOSTS]; /* CONFIG_HAVE messages per pair */
   uint64_t raised_us[SITE_HOSTS];
   struct site_message *wire;
   size_t wire_count;
@@ -340,12 +339,12 @@
   uint64_t now_us;
 };
 
-/* Peer handles: the index of the host and one.  */
+/* The peer handle is the host index plus one.  */
 static void
 site_carry (struct site *site, size_t from, struct mq_actions *actions)
 {
   struct mq_actions *more = mq_actions_create (site->ctx);
-  size_t told_now = 0;
+  size_t notified_now = 0;
 
   for (size_t i = 0; i < actions->count; i++)
     {
@@ -382,10 +381,11 @@
       if (message->type == MQ_MSG_CONFIG_HAVE && message->version > 0)
         {
           site->told[from][message->to]++;
-          told_now++;
+          notified_now++;
         }
     }
-  cr_expect_leq (told_now, MQ_CONFIG_NOTIFY_PEERS, "too many told at a time");
+  cr_expect_leq (notified_now, MQ_CONFIG_NOTIFY_PEERS,
+                 "too many peers notified at once");
   if (more->count > 0)
     site_carry (site, from, more);
   talloc_free (more);
@@ -407,9 +407,9 @@
       memmove (&site->wire[i], &site->wire[i + 1],
                (--site->wire_count - i) * sizeof message);
       actions = mq_actions_create (site->ctx);
-      give_config (site->spreads[message.to], site->now_us,
-                   (uint32_t)message.from + 1, message.type, message.version,
-                   message.text, actions);
+      input_config (site->spreads[message.to], site->now_us,
+                    (uint32_t)message.from + 1, message.type, message.version,
+                    message.text, actions);
       site_carry (site, message.to, actions);
       talloc_free (actions);
     }
@@ -426,7 +426,7 @@
           struct mq_actions *actions = mq_actions_create (site->ctx);
 
           if (mq_spread_next_tick (site->spreads[i]) <= site->now_us)
-            give_tick (site->spreads[i], site->now_us, actions);
+            input_tick (site->spreads[i], site->now_us, actions);
           site_carry (site, i, actions);
           talloc_free (actions);
           if (site->raised_us[i] == 0
@@ -462,15 +462,14 @@
       mq_spread_handle (site->spreads[i], &input, actions);
       for (size_t j = 0; j < SITE_HOSTS; j++)
         if (j != i)
-          give_peer (site->spreads[i], 0, (uint32_t)j + 1, true, actions);
+          input_peer (site->spreads[i], 0, (uint32_t)j + 1, true, actions);
     }
   talloc_free (actions);
   return site;
 }
 
-/* An operator applies a change.  A few hosts of each data centre read it,
-   all others hear of it from them within seconds; nobody is told twice by
-   the same peer.  Reads of the store stay with those few.  */
+/* A new version must reach all hosts within seconds, with no duplicate
+   notification from a peer and with frequent store reads only by pollers.  */
 Test (spread, reaches_every_host)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -485,7 +484,7 @@
     if (site->polls[i] > 5)
       fast_pollers[i % 3]++;
   for (size_t i = 0; i < SITE_HOSTS; i += 5)
-    cr_expect_leq (site->polls[i], 5, "a leaving host polls no more");
+    cr_expect_leq (site->polls[i], 5, "a leaving host must not poll");
   memset (site->told, 0, sizeof site->told);
   site->row = make_row (site, MQ_CONFIG_KEY, 2, 1, "one");
   site_run (site, 33000ULL * MS);
@@ -493,16 +492,16 @@
     {
       cr_expect_eq (mq_spread_version (site->spreads[i]), 1, "host %zu", i);
       for (size_t j = 0; j < SITE_HOSTS; j++)
-        cr_expect_leq (site->told[i][j], 1, "%zu told %zu twice", i, j);
+        cr_expect_leq (site->told[i][j], 1, "host %zu notified host %zu twice",
+                       i, j);
     }
   for (size_t i = 0; i < 3; i++)
     cr_expect_leq (fast_pollers[i], MQ_CONFIG_POLLERS);
   talloc_free (ctx);
 }
 
-/* The store is down and all but one host are replaced at once: the one that
-   has the configuration is enough, and the store's return changes
-   nothing.  */
+/* With the store down, new hosts must get the configuration from the only
+   host that has it, and keep it when the store recovers.  */
 Test (spread, one_peer_is_enough)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -510,7 +509,7 @@
   struct mq_actions *actions = mq_actions_create (ctx);
 
   site->row = make_row (site, MQ_CONFIG_KEY, 1, 3, "three");
-  give_row (site->spreads[7], 0, 0, &site->row, actions);
+  input_row (site->spreads[7], 0, 0, &site->row, actions);
   site_carry (site, 7, actions);
   site_run (site, 3000ULL * MS);
   for (size_t i = 0; i < SITE_HOSTS; i++)
--- a/tests/test_text.c
+++ b/tests/test_text.c
@@ -1,4 +1,4 @@
-/* test_text.c - parsing and checking the operators' text.
+/* test_text.c - parsing and validation of the configuration text.
 
    Needs: text.h, text_fixture.h, Criterion.  */
 
@@ -20,12 +20,12 @@
   uint32_t column;
   enum mq_error_type type;
   const char *subject;
-  const char *allowed; /* part of it, NULL: anything */
+  const char *allowed; /* substring, NULL for any */
 };
 
 #define EXPECTED_MAX 6
 
-/* A text and all the errors that it must give, in line order.  */
+/* An invalid text and all errors expected, in line order.  */
 struct bad_text
 {
   const char *name;
@@ -330,9 +330,8 @@
   talloc_free (ctx);
 }
 
-/* A long section name comes whole: the library cuts it at 49 bytes, so two
-   services that differ only after that would be taken for one, and calls of
-   the one would go to the other.  */
+/* inih truncates section names at 49 bytes; services that differ only after
+   that must not be mixed up.  */
 Test (text, long_names_are_not_cut)
 {
   char name[MQ_NAME_MAX + 1] = "";
@@ -359,8 +358,8 @@
   talloc_free (ctx);
 }
 
-/* A line over the library's buffer would be taken for two lines: the rest of
-   a long prompt that happens to hold '=' would become a key.  */
+/* inih splits a line longer than its buffer, so the rest of a long prompt
+   could be parsed as a key.  Such lines must be rejected.  */
 Test (text, line_length)
 {
   static const struct
@@ -414,7 +413,7 @@
   memset (large, '\n', MQ_TEXT_MAX_BYTES + 1);
   cr_expect_null (mq_text_parse (ctx, large, MQ_TEXT_MAX_BYTES + 1, &errors));
   cr_expect_eq (errors.items[0].type, MQ_ERR_TOO_LARGE);
-  /* Errors without end: the list is bounded and says so.  */
+  /* The error list is bounded and reports that it is truncated.  */
   memset (large, 'x', MQ_TEXT_MAX_BYTES);
   for (size_t i = 0; i < MQ_TEXT_MAX_BYTES; i += 2)
     large[i] = '\n';
@@ -475,8 +474,8 @@
     }
 }
 
-/* Every key can be found by its name, has a help line, and its default is a
-   value that it allows.  */
+/* Every key must be found by name, have help and effect texts, and a valid
+   default unless it is required.  */
 Test (text, table_of_keys)
 {
   const struct mq_key_table *table = mq_text_keys ();
@@ -493,7 +492,7 @@
     }
 }
 
-/* Changes SOURCE in place as a slip of the hand would.  */
+/* Applies random edits to SOURCE in place; returns the new length.  */
 static size_t
 mutate (char *source, size_t len, uint64_t *random)
 {
@@ -509,18 +508,18 @@
         span = (uint32_t)len - at;
       switch (mq_random_below (random, 4))
         {
-        case 0: /* another byte */
+        case 0: /* replace a byte */
           source[at] = bytes[mq_random_below (random, sizeof bytes - 1)];
           break;
-        case 1: /* something left out */
+        case 1: /* delete a span */
           memmove (source + at, source + at + span, len - at - span);
           len -= span;
           break;
-        case 2: /* something copied over */
+        case 2: /* overwrite with a copy of a span */
           memmove (source + mq_random_below (random, (uint32_t)(len - span)),
                    source + at, span);
           break;
-        default: /* the end cut off */
+        default: /* truncate */
           if (mq_random_below (random, 10) == 0 && at > 0)
             len = at;
           break;
@@ -538,8 +537,8 @@
   cr_assert_neq (error->subject[0], '\0');
 }
 
-/* Whatever is given: a text whose parts fit together, or at least one error,
-   each with a place and a subject, in line order.  */
+/* Any input must give a consistent text, or at least one error; errors have a
+   position and a subject and are in line order.  */
 Test (text, mutated_examples)
 {
   uint64_t random = 20250101;
@@ -566,7 +565,7 @@
       refused += text == NULL;
       talloc_free (ctx);
     }
-  /* Both ends were reached, so the rounds tell something.  */
+  /* Both outcomes must occur often enough to be tested.  */
   cr_expect_gt (whole, 100);
   cr_expect_gt (refused, 1000);
 }
--- a/tests/test_text_diff.c
+++ b/tests/test_text_diff.c
@@ -1,4 +1,4 @@
-/* test_text_diff.c - differences between two operators' texts.
+/* test_text_diff.c - differences between two configuration texts.
 
    Needs: text_diff.h, text_fixture.h, jansson, Criterion.  */
 
@@ -27,7 +27,7 @@
 
 struct diff_case
 {
-  const char *before; /* NULL: none in force; sections after the site */
+  const char *before; /* sections after [site]; NULL if no configuration */
   const char *after;
   struct expected changes[CHANGES_MAX];
   bool refused;
@@ -36,7 +36,7 @@
 static const struct diff_case cases[] = {
   { AGENT, AGENT, { { 0 } }, false },
   { NULL, "", { { "+ [site]", "first text" } }, false },
-  /* Order, comments and defaults written out are no difference.  */
+  /* Order, comments and explicit defaults are not differences.  */
   { AGENT TOOL,
     TOOL "; c\n" AGENT "priority = interactive\n",
     { { 0 } },
@@ -181,7 +181,7 @@
   talloc_free (ctx);
 }
 
-/* From nothing to an example and back to nothing names each section once.  */
+/* Adding or removing a whole example must report each section.  */
 Test (text_diff, examples)
 {
   for (size_t i = 0; fixture_examples[i] != NULL; i++)
--- a/tests/text_fixture.c
+++ b/tests/text_fixture.c
@@ -1,4 +1,4 @@
-/* text_fixture.c - what the tests of operators' texts share.
+/* text_fixture.c - helpers for tests of configuration texts.
 
    Needs: text_fixture.h.  */
 
--- a/tests/text_fixture.h
+++ b/tests/text_fixture.h
@@ -1,4 +1,4 @@
-/* text_fixture.h - what the tests of operators' texts share.
+/* text_fixture.h - helpers for tests of configuration texts.
 
    Needs: text.h, Criterion.  */
 
@@ -7,17 +7,17 @@
 
 #include "core/text/text.h"
 
-/* Smallest whole text; sections may be put after it.  */
+/* Smallest [site] section; other sections may follow.  */
 #define FIXTURE_SITE "[site]\nname = s\n"
 #define FIXTURE_MODEL "[service m]\nkind = model\nmodel = x\n"
 
-/* The examples of the repository, NULL at the end.  */
+/* Paths of the example texts, NULL-terminated.  */
 extern const char *const fixture_examples[];
 
-/* Whole file below CTX, zero-terminated; fails the test when it can't be
-   read.  */
+/* Reads a file into a zero-terminated buffer below CTX; fails the test on
+   error.  */
 char *fixture_read (TALLOC_CTX *ctx, const char *file, size_t *len);
-/* Checked text of SOURCE; fails the test when it has an error.  */
+/* Parses SOURCE; fails the test on error.  */
 struct mq_text *fixture_parse (TALLOC_CTX *ctx, const char *source);
 
 #endif
