--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -6,18 +6,15 @@
 #define MQ_LIMITS_H
 
 /* Input limits.  */
-#define MQ_BODY_MAX_BYTES (4U << 20)     /* request body of a caller */
-#define MQ_HEADERS_MAX_BYTES (16U << 10) /* request headers of a caller */
-#define MQ_FRAME_MAX_BYTES (8U << 20)    /* frame between processes */
-#define MQ_CONNECTIONS_MAX 4096U         /* caller connections per process */
-#define MQ_STREAM_BUFFER_BYTES                                                \
-  (1U << 20) /* unsent data per streaming caller */
-#define MQ_SEND_BUFFER_BYTES                                                  \
-  (128U << 10)                       /* kernel part of that (SO_SNDBUF)       \
-                                      */
-#define MQ_TEXT_MAX_BYTES (1U << 20) /* configuration text */
-#define MQ_TEXT_LINE_MAX 198U        /* bytes in one line of it */
-#define MQ_TEXT_ERRORS_MAX 1000U     /* errors listed per parse */
+#define MQ_BODY_MAX_BYTES (4U << 20)      /* request body of a caller */
+#define MQ_HEADERS_MAX_BYTES (16U << 10)  /* request headers of a caller */
+#define MQ_FRAME_MAX_BYTES (8U << 20)     /* frame between processes */
+#define MQ_CONNECTIONS_MAX 4096U          /* caller connections per process */
+#define MQ_STREAM_BUFFER_BYTES (1U << 20) /* unsent, per caller */
+#define MQ_SEND_BUFFER_BYTES (128U << 10) /* SO_SNDBUF, part of that */
+#define MQ_TEXT_MAX_BYTES (1U << 20)      /* configuration text */
+#define MQ_TEXT_LINE_MAX 198U             /* bytes in one line of it */
+#define MQ_TEXT_ERRORS_MAX 1000U          /* errors listed per parse */
 
 /* HTTP.  The client closes idle connections before the server does, so that
    requests are rarely sent on a connection that is being closed.  */
@@ -32,8 +29,7 @@
 #define MQ_CONNECT_RETRY_MS 200U /* initial reconnect backoff */
 #define MQ_CONNECT_RETRY_MAX_MS 3000U
 #define MQ_HANDSHAKE_MS 2000U
-#define MQ_PEER_UNSENT_BYTES                                                  \
-  (32U << 20) /* send queue per peer; closed above */
+#define MQ_PEER_UNSENT_BYTES (32U << 20)    /* send queue; closed above */
 #define MQ_PEER_UNAUTHENTICATED_MAX 256U    /* unauthenticated connections */
 #define MQ_PEER_UNAUTHENTICATED_BYTES 1024U /* their largest frame */
 #define MQ_FRAME_MEMORY_BYTES (32U << 20)   /* memory of one decoded frame */
@@ -57,11 +53,9 @@
 #define MQ_BALANCE_MS 250U       /* interval between released partitions */
 #define MQ_TARGET_KEEP_MS 10000U /* retention of an unlisted target */
 #define MQ_COMMIT_RECORDS_MAX 512U
-#define MQ_COMMIT_INLINE_BYTES                                                \
-  (64U << 10)                       /* larger values go to an object          \
-                                     */
-#define MQ_CHECKPOINT_RECORDS 2000U /* records between checkpoints */
-#define MQ_STORE_TIMEOUT_MS 3000U   /* then the result is LOST */
+#define MQ_COMMIT_INLINE_BYTES (64U << 10) /* larger: in an object */
+#define MQ_CHECKPOINT_RECORDS 2000U        /* records between checkpoints */
+#define MQ_STORE_TIMEOUT_MS 3000U          /* then the result is LOST */
 #define MQ_STORE_RETRY_MS 100U
 #define MQ_STORE_RETRY_MAX_MS 2000U
 
@@ -85,10 +79,8 @@
 #define MQ_FRONT_CHECK_MS 500U /* check interval for a changed owner */
 
 /* HTTP API.  */
-#define MQ_API_KEY_MAX 255U /* bytes of an Idempotency-Key */
-#define MQ_API_WAIT_MAX_MS                                                    \
-  3600000U                          /* wait limit if the service is unknown   \
-                                     */
+#define MQ_API_KEY_MAX 255U         /* bytes of an Idempotency-Key */
+#define MQ_API_WAIT_MAX_MS 3600000U /* if the service is unknown */
 #define MQ_CONFIG_WAIT_MS 1000U     /* wait for a newer configuration */
 #define MQ_CONFIG_WAITERS_MAX 1024U /* requests in that wait */
 #define MQ_ENTRY_STOP_POLL_MS 50U   /* poll interval during shutdown */
@@ -107,20 +99,15 @@
 #define MQ_GATE_EVICT_RETRY_MS 200U
 #define MQ_GATE_AGEING_MS 2000U /* wait until priority rises one class */
 #define MQ_GATE_PROGRAMS_MAX 65536U
-#define MQ_GATE_PROGRAM_KEEP_MS 600000U /* retention of an idle program */
-#define MQ_GATE_PROGRAM_KEEP_MIN_MS                                           \
-  30000U /* the same when the table is full */
-#define MQ_GATE_OUTCOME_BYTES_MAX                                             \
-  (32U << 20)                               /* bodies of retained outcomes    \
-                                             */
-#define MQ_GATE_QUEUE_BYTES_MAX (32U << 20) /* queued bodies per worker */
+#define MQ_GATE_PROGRAM_KEEP_MS 600000U    /* retention of an idle program */
+#define MQ_GATE_PROGRAM_KEEP_MIN_MS 30000U /* if the table is full */
+#define MQ_GATE_OUTCOME_BYTES_MAX (32U << 20) /* retained bodies */
+#define MQ_GATE_QUEUE_BYTES_MAX (32U << 20)   /* queued bodies per worker */
 #define MQ_GATE_EVICT_RETRY_MAX_MS 5000U
 #define MQ_GATE_LEASE_MS 10000U       /* until an owner sets one */
 #define MQ_GATE_LEASE_GRACE_MS 10000U /* for cache found without a lease */
 #define MQ_GATE_ORDERS_MAX 64U        /* remembered per worker */
-#define MQ_GATE_LOAD_BYTES_S                                                  \
-  8192U /* LOAD messages to all peers, per second                             \
-         */
+#define MQ_GATE_LOAD_BYTES_S 8192U    /* LOAD to all peers, per second */
 
 /* Workers.  */
 #define MQ_WORKER_CACHE_POLL_MS 1000U /* poll interval of the engine cache */
@@ -131,20 +118,16 @@
 #define MQ_WORKER_STREAM_MAX_BYTES (64U << 20) /* streamed response */
 
 /* Configuration.  */
-#define MQ_CONFIG_POLL_MS 1000U       /* hosts selected as pollers */
-#define MQ_CONFIG_POLL_SLOW_MS 60000U /* other hosts */
-#define MQ_CONFIG_POLLERS 2U          /* per data centre */
-#define MQ_CONFIG_STARTUP_RETRY_MAX_MS                                        \
-  4000U /* backoff limit before the first version */
-#define MQ_CONFIG_GET_TIMEOUT_MS 1000U /* then another peer is queried */
-#define MQ_CONFIG_NOTIFY_PEERS 8U      /* peers notified per group */
-#define MQ_CONFIG_NOTIFY_MS                                                   \
-  50U /* initial interval between groups; doubles                             \
-       */
+#define MQ_CONFIG_POLL_MS 1000U              /* hosts selected as pollers */
+#define MQ_CONFIG_POLL_SLOW_MS 60000U        /* other hosts */
+#define MQ_CONFIG_POLLERS 2U                 /* per data centre */
+#define MQ_CONFIG_STARTUP_RETRY_MAX_MS 4000U /* before the first */
+#define MQ_CONFIG_GET_TIMEOUT_MS 1000U       /* then another peer is queried */
+#define MQ_CONFIG_NOTIFY_PEERS 8U            /* peers notified per group */
+#define MQ_CONFIG_NOTIFY_MS 50U /* first interval between groups; doubles */
 
 /* Metrics.  */
-#define MQ_LATENCY_SERIES_MAX 256U /* first and follow-up counted separately  \
-                                    */
+#define MQ_LATENCY_SERIES_MAX 256U /* first and follow-up separate */
 
 /* Traces.  */
 #define MQ_SPANS_MAX 4096U /* spans buffered per process */
--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -126,7 +126,7 @@
   index = service_index (draft, on);
   if (already_depends (service, index))
     add_error (draft, MQ_ERR_TEXT_DUPLICATE, position, name,
-               "each service once in depends");
+               "each service at most once in depends");
   else
     service->depends[service->depend_count++] = index;
 }
@@ -250,7 +250,8 @@
   subject
       = talloc_asprintf_append (subject, "%s", text->services[repeated].name);
   add_error (search->draft, MQ_ERR_TEXT_CYCLE,
-             key_or_header (section, "depends"), subject, "no circles");
+             key_or_header (section, "depends"), subject,
+             "no dependency cycles");
   talloc_free (subject);
 }
 
@@ -447,7 +448,7 @@
       add_error (
           draft, MQ_ERR_TEXT_DUPLICATE,
           key_or_header (draft->organisation_sections[at], "key_sha256"),
-          subject, "a key of its own for each organisation");
+          subject, "a different key for each organisation");
       talloc_free (subject);
     }
 }
--- a/src/core/text/text_diff.c
+++ b/src/core/text/text_diff.c
@@ -215,7 +215,7 @@
   switch (service->kind)
     {
     case MQ_SERVICE_AGENT:
-      return "programs of it may be opened from now on";
+      return "its programs may be opened from now on";
     case MQ_SERVICE_MODEL:
     case MQ_SERVICE_PLAIN:
       break;
--- a/src/core/text/text_keys.c
+++ b/src/core/text/text_keys.c
@@ -16,8 +16,8 @@
 #define PLAIN MQ_KIND_BIT (MQ_SERVICE_PLAIN)
 #define TOOL MQ_KIND_BIT (MQ_SERVICE_TOOL)
 
-#define AT_ONCE "holds for calls from now on"
-#define NEW_PROGRAMS "holds for programs that are opened from now on"
+#define AT_ONCE "applies to calls from now on"
+#define NEW_PROGRAMS "applies to programs opened from now on"
 
 static const struct mq_key_choice kind_choices[]
     = { { "agent", MQ_SERVICE_AGENT },
@@ -41,7 +41,7 @@
     .required = true,
     .offset = offsetof (struct mq_text, site),
     .help = "name of the site",
-    .effect = "only shown" },
+    .effect = "affects only what is displayed" },
   { .section = "site",
     .name = "partitions",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -51,7 +51,7 @@
     .fallback = "16",
     .offset = offsetof (struct mq_text, partitions),
     .help = "number of partitions of programs, fixed for the life of a site",
-    .effect = "refused: programs under way would no longer be found" },
+    .effect = "refused: running programs would no longer be found" },
   { .section = "site",
     .name = "lease_ms",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -62,7 +62,8 @@
     .offset = offsetof (struct mq_text, lease_ms),
     .help = "an owner of partitions that is silent for longer may be taken "
             "over",
-    .effect = "changes how soon silent owners are taken over" },
+    .effect = "changes how soon the partitions of a failed owner are taken "
+              "over" },
   { .section = "site",
     .name = "cache_lease_ms",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -73,7 +74,7 @@
     .offset = offsetof (struct mq_text, cache_lease_ms),
     .help = "engine cache of a program that is not renewed for longer is "
             "evicted",
-    .effect = "holds for cache leases that are renewed from now on" },
+    .effect = "applies to cache leases renewed from now on" },
   /* [organisation NAME] */
   { .section = "organisation",
     .name = "key_sha256",
@@ -102,7 +103,8 @@
     .fallback = "1000",
     .offset = offsetof (struct mq_organisation, max_programs),
     .help = "programs under way at a time",
-    .effect = "programs under way go on; new ones are refused above it" },
+    .effect
+    = "running programs continue; new ones are refused above the limit" },
   /* [service NAME] */
   { .section = "service",
     .name = "kind",
@@ -121,7 +123,7 @@
     .offset = offsetof (struct mq_service, depends),
     .help = "services that its programs may call, exactly one model among "
             "them",
-    .effect = "programs under way can't call a service that was removed" },
+    .effect = "running programs can't call a service that was removed" },
   { .section = "service",
     .name = "budget_tokens",
     .kinds = AGENT,
@@ -172,7 +174,7 @@
     .fallback = "",
     .offset = offsetof (struct mq_service, prompt),
     .help = "text that begins every history, one key for each line",
-    .effect = NEW_PROGRAMS "; the common prefix is computed again" },
+    .effect = NEW_PROGRAMS "; the common prefix is recomputed" },
   { .section = "service",
     .name = "model",
     .kinds = MODEL,
