--- a/src/core/gate/gate_load.c
+++ b/src/core/gate/gate_load.c
@@ -111,7 +111,7 @@
 mq_gate_load_due (const struct mq_gate *gate)
 {
   uint64_t interval_us = min_interval_us (gate);
-  uint64_t heartbeat_us = MQ_GATE_LOAD_BEAT_MS * MQ_US_PER_MS;
+  uint64_t heartbeat_us = MQ_GATE_LOAD_INTERVAL_MS * MQ_US_PER_MS;
 
   if (!gate->load_dirty && heartbeat_us > interval_us)
     interval_us = heartbeat_us;
--- a/src/core/gate/gate_programs.c
+++ b/src/core/gate/gate_programs.c
@@ -149,9 +149,9 @@
 
 /* Frees idle records once no late copy of a call can arrive.  Copies arrive
    only over open connections, which deliver in order and are closed after
-   MQ_SILENT_MS without a heartbeat.  The clock active_us counts a suspension
-   of this process as one second at most, and MQ_GATE_PROGRAM_KEEP_MS is far
-   longer than MQ_SILENT_MS.  */
+   MQ_PEER_TIMEOUT_MS without a heartbeat.  The clock active_us counts a
+   suspension of this process as one second at most, and
+   MQ_GATE_PROGRAM_KEEP_MS is far longer than MQ_PEER_TIMEOUT_MS.  */
 void
 mq_gate_programs_expire (struct mq_gate *gate)
 {
@@ -163,7 +163,7 @@
 ensure_capacity (struct mq_gate *gate)
 {
   while (gate->programs.count >= MQ_GATE_PROGRAMS_MAX)
-    if (!free_oldest (gate, MQ_GATE_PROGRAM_LEAST_MS))
+    if (!free_oldest (gate, MQ_GATE_PROGRAM_KEEP_MIN_MS))
       return false;
   return true;
 }
--- a/src/core/owner/front.c
+++ b/src/core/owner/front.c
@@ -18,7 +18,7 @@
 mq_front_create (TALLOC_CTX *ctx, const struct mq_front_lookup *lookup,
                  uint64_t seed)
 {
-  struct mq_front *front = mq_must (talloc_zero (ctx, struct mq_front));
+  struct mq_front *front = mq_check_alloc (talloc_zero (ctx, struct mq_front));
 
   front->lookup = *lookup;
   front->random = seed;
@@ -78,7 +78,7 @@
     {
       front->capacity
           = front->capacity == 0 ? INITIAL_CAPACITY : 2 * front->capacity;
-      front->requests = mq_must (talloc_realloc (
+      front->requests = mq_check_alloc (talloc_realloc (
           front, front->requests, struct front_request *, front->capacity));
     }
   memmove (&front->requests[position + 1], &front->requests[position],
@@ -136,12 +136,12 @@
       front->peer_capacity = front->peer_capacity == 0
                                  ? INITIAL_CAPACITY
                                  : 2 * front->peer_capacity;
-      front->peers = mq_must (talloc_realloc (
+      front->peers = mq_check_alloc (talloc_realloc (
           front, front->peers, struct front_peer, front->peer_capacity));
     }
   entry = &front->peers[front->peer_count++];
   entry->peer = peer;
-  entry->address = mq_must (talloc_strdup (front, address));
+  entry->address = mq_check_alloc (talloc_strdup (front, address));
 }
 
 static const char *
@@ -209,7 +209,8 @@
 
   event.call = call;
   event.number = call << CALL_SHIFT;
-  event.body = mq_must (talloc_asprintf (actions, "{\"call\":%u}", call));
+  event.body
+      = mq_check_alloc (talloc_asprintf (actions, "{\"call\":%u}", call));
   front->counters.resets++;
   front_send_event (actions, &event);
 }
@@ -248,7 +249,7 @@
 front_set_text (void *ctx, char **text, const char *value)
 {
   talloc_free (*text);
-  *text = value == NULL ? NULL : mq_must (talloc_strdup (ctx, value));
+  *text = value == NULL ? NULL : mq_check_alloc (talloc_strdup (ctx, value));
 }
 
 /* Sends the request to the owner named by a redirect, else to the owner by
@@ -305,7 +306,7 @@
                     MQ_RAN_NOT_RUN);
       return;
     }
-  request = mq_must (talloc_zero (front, struct front_request));
+  request = mq_check_alloc (talloc_zero (front, struct front_request));
   request->handle = input->handle;
   request->partition = input->partition;
   request->deadline_us = input->deadline_us;
--- a/src/core/owner/owner_durable.c
+++ b/src/core/owner/owner_durable.c
@@ -25,7 +25,7 @@
           at = &segment->next;
           continue;
         }
-      request = owner_add_store_request (owner, MQ_STORE_DROP,
+      request = owner_add_store_request (owner, MQ_STORE_DELETE,
                                          owner_new_id (owner));
       request->key = talloc_strdup (owner->actions, segment->object);
       *at = segment->next;
@@ -41,7 +41,7 @@
   if (key == NULL || key[0] == '\0')
     return;
   request
-      = owner_add_store_request (owner, MQ_STORE_DROP, owner_new_id (owner));
+      = owner_add_store_request (owner, MQ_STORE_DELETE, owner_new_id (owner));
   request->key = talloc_strdup (owner->actions, key);
 }
 
--- a/src/core/owner/owner_peers.c
+++ b/src/core/owner/owner_peers.c
@@ -37,7 +37,7 @@
          && peers_is_renewing (owner, sibling);
 }
 
-/* Excludes hosts whose row was not renewed for MQ_OWNER_FORGET_MS.  Rows of
+/* Excludes hosts whose row was not renewed for MQ_OWNER_EXPIRY_MS.  Rows of
    dead hosts are never removed and would otherwise fill the eligible set, so
    that live hosts could not own partitions.  */
 static bool
@@ -45,7 +45,7 @@
 {
   return sibling->row_known && !sibling->leaving
          && owner->now_us - sibling->counter_us
-                <= 1000ULL * MQ_OWNER_FORGET_MS;
+                <= 1000ULL * MQ_OWNER_EXPIRY_MS;
 }
 
 static void
--- a/src/core/owner/owner_settle.c
+++ b/src/core/owner/owner_settle.c
@@ -145,7 +145,7 @@
 {
   struct call *call = running->call;
   uint64_t down_ms = (owner->now_us - call->down_us) / 1000;
-  bool gone = !call->target->listed && down_ms >= MQ_GONE_MS;
+  bool gone = !call->target->listed && down_ms >= MQ_TARGET_GONE_MS;
 
   if (call->idempotent)
     {
@@ -155,7 +155,7 @@
       calls_retry_call (owner, running, 0);
       return;
     }
-  if (gone || down_ms >= 2ULL * MQ_GONE_MS)
+  if (gone || down_ms >= 2ULL * MQ_TARGET_GONE_MS)
     calls_fail_unknown (owner, running);
 }
 
--- a/src/core/text/text_keys.c
+++ b/src/core/text/text_keys.c
@@ -1,4 +1,4 @@
-/* text_keys.c - tables of keys: headers, keys and values of a section.
+/* text_keys.c - key table of the configuration text, and section parsing.
 
    Needs: text_keys.h, text_values.h, text_hint.h.  */
 
@@ -16,8 +16,8 @@
 #define PLAIN MQ_KIND_BIT (MQ_SERVICE_PLAIN)
 #define TOOL MQ_KIND_BIT (MQ_SERVICE_TOOL)
 
-#define AT_ONCE "holds for calls from now on"
-#define NEW_PROGRAMS "holds for programs that are opened from now on"
+#define AT_ONCE "applies to calls from now on"
+#define NEW_PROGRAMS "applies to programs opened from now on"
 
 static const struct mq_key_choice kind_choices[]
     = { { "agent", MQ_SERVICE_AGENT },
@@ -41,7 +41,7 @@
     .required = true,
     .offset = offsetof (struct mq_text, site),
     .help = "name of the site",
-    .effect = "only shown" },
+    .effect = "affects only what is displayed" },
   { .section = "site",
     .name = "partitions",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -51,7 +51,7 @@
     .fallback = "16",
     .offset = offsetof (struct mq_text, partitions),
     .help = "number of partitions of programs, fixed for the life of a site",
-    .effect = "refused: programs under way would no longer be found" },
+    .effect = "refused: running programs would no longer be found" },
   { .section = "site",
     .name = "lease_ms",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -62,7 +62,8 @@
     .offset = offsetof (struct mq_text, lease_ms),
     .help = "an owner of partitions that is silent for longer may be taken "
             "over",
-    .effect = "changes how soon silent owners are taken over" },
+    .effect = "changes how soon the partitions of a failed owner are taken "
+              "over" },
   { .section = "site",
     .name = "cache_lease_ms",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -73,7 +74,7 @@
     .offset = offsetof (struct mq_text, cache_lease_ms),
     .help = "engine cache of a program that is not renewed for longer is "
             "evicted",
-    .effect = "holds for cache leases that are renewed from now on" },
+    .effect = "applies to cache leases renewed from now on" },
   /* [organisation NAME] */
   { .section = "organisation",
     .name = "key_sha256",
@@ -102,7 +103,8 @@
     .fallback = "1000",
     .offset = offsetof (struct mq_organisation, max_programs),
     .help = "programs under way at a time",
-    .effect = "programs under way go on; new ones are refused above it" },
+    .effect
+    = "running programs continue; new ones are refused above the limit" },
   /* [service NAME] */
   { .section = "service",
     .name = "kind",
@@ -121,7 +123,7 @@
     .offset = offsetof (struct mq_service, depends),
     .help = "services that its programs may call, exactly one model among "
             "them",
-    .effect = "programs under way can't call a service that was removed" },
+    .effect = "running programs can't call a service that was removed" },
   { .section = "service",
     .name = "budget_tokens",
     .kinds = AGENT,
@@ -172,7 +174,7 @@
     .fallback = "",
     .offset = offsetof (struct mq_service, prompt),
     .help = "text that begins every history, one key for each line",
-    .effect = NEW_PROGRAMS "; the common prefix is computed again" },
+    .effect = NEW_PROGRAMS "; the common prefix is recomputed" },
   { .section = "service",
     .name = "model",
     .kinds = MODEL,
@@ -300,28 +302,28 @@
 
 /* Headers.  */
 
-static struct mq_place
-header_place (const struct mq_ini_section *section)
+static struct mq_text_position
+header_position (const struct mq_ini_section *section)
 {
-  struct mq_place place = { section->line, section->name_column };
+  struct mq_text_position position = { section->line, section->name_column };
 
-  return place;
+  return position;
 }
 
-static struct mq_place
-key_place (const struct mq_ini_pair *pair)
+static struct mq_text_position
+key_position (const struct mq_ini_pair *pair)
 {
-  struct mq_place place = { pair->line, pair->column };
+  struct mq_text_position position = { pair->line, pair->column };
 
-  return place;
+  return position;
 }
 
-static struct mq_place
-value_place (const struct mq_ini_pair *pair)
+static struct mq_text_position
+value_position (const struct mq_ini_pair *pair)
 {
-  struct mq_place place = { pair->line, pair->value_column };
+  struct mq_text_position position = { pair->line, pair->value_column };
 
-  return place;
+  return position;
 }
 
 static const struct mq_key_section *
@@ -341,12 +343,12 @@
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, section->type);
+  mq_hint_init (&hint, section->type);
   for (size_t i = 0; i < table->section_count; i++)
-    mq_hint_offer (&hint, table->sections[i].type);
-  mq_hint_write (&hint, allowed);
+    mq_hint_add (&hint, table->sections[i].type);
+  mq_hint_format (&hint, allowed);
   mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_SECTION,
-                     header_place (section),
+                     header_position (section),
                      section->type[0] == '\0' ? "[]" : section->type, allowed);
 }
 
@@ -384,7 +386,8 @@
                             : MQ_NAME_ALLOWED;
     }
   if (type != MQ_ERR_NONE)
-    mq_error_list_add (errors, type, header_place (section), subject, allowed);
+    mq_error_list_add (errors, type, header_position (section), subject,
+                       allowed);
   return type == MQ_ERR_NONE;
 }
 
@@ -404,26 +407,25 @@
 }
 
 static void
-report_doubled (const struct mq_ini_section *first,
-                const struct mq_ini_section *second,
-                struct mq_error_list *errors)
+report_duplicate (const struct mq_ini_section *first,
+                  const struct mq_ini_section *second,
+                  struct mq_error_list *errors)
 {
   char *subject = talloc_asprintf (errors->ctx, "[%s%s%s]", second->type,
                                    *second->name ? " " : "", second->name);
   char *allowed
       = talloc_asprintf (errors->ctx, "first given in line %u", first->line);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, header_place (second),
+  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, header_position (second),
                      subject, allowed);
   talloc_free (subject);
   talloc_free (allowed);
 }
 
-/* A doubled section is left out: its keys would be reported against a
-   section that the text does not mean.  */
+/* Reports and skips duplicate sections.  Their keys are not checked.  */
 static void
-check_doubled (const struct mq_ini *ini, const struct mq_key_section **rows,
-               struct mq_error_list *errors)
+check_duplicates (const struct mq_ini *ini, const struct mq_key_section **rows,
+                  struct mq_error_list *errors)
 {
   size_t *order = talloc_array (rows, size_t, ini->section_count);
   size_t count = 0;
@@ -443,7 +445,7 @@
 
       if (strcmp (a->type, b->type) == 0 && strcmp (a->name, b->name) == 0)
         {
-          report_doubled (a, b, errors);
+          report_duplicate (a, b, errors);
           rows[order[i]] = NULL;
         }
       else
@@ -456,7 +458,7 @@
 check_missing_sections (const struct mq_key_table *table,
                         const struct mq_ini *ini, struct mq_error_list *errors)
 {
-  struct mq_place start = { 1, 1 };
+  struct mq_text_position start = { 1, 1 };
 
   for (size_t i = 0; i < table->section_count; i++)
     {
@@ -491,7 +493,7 @@
       else if (check_header (row, section, errors))
         rows[i] = row;
     }
-  check_doubled (ini, rows, errors);
+  check_duplicates (ini, rows, errors);
   check_missing_sections (table, ini, errors);
   return rows;
 }
@@ -504,7 +506,7 @@
   return strcmp (key->section, section) == 0 && (key->kinds & kinds) != 0;
 }
 
-/* Every kind of the mask has the key.  */
+/* True when all kinds in the mask accept the key.  */
 static bool
 key_is_common (const struct mq_key *key, const char *section, uint32_t kinds)
 {
@@ -520,12 +522,12 @@
   struct mq_hint hint;
   char allowed[MQ_SUBJECT_MAX];
 
-  mq_hint_begin (&hint, pair->key);
+  mq_hint_init (&hint, pair->key);
   for (size_t i = 0; i < table->key_count; i++)
     if (key_belongs (&table->keys[i], section->type, kinds))
-      mq_hint_offer (&hint, table->keys[i].name);
-  mq_hint_write (&hint, allowed);
-  mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_KEY, key_place (pair),
+      mq_hint_add (&hint, table->keys[i].name);
+  mq_hint_format (&hint, allowed);
+  mq_error_list_add (errors, MQ_ERR_TEXT_UNKNOWN_KEY, key_position (pair),
                      pair->key, allowed);
 }
 
@@ -535,10 +537,10 @@
 {
   struct mq_hint hint;
 
-  mq_hint_begin (&hint, word);
+  mq_hint_init (&hint, word);
   for (const struct mq_key_choice *c = key->choices; c->word != NULL; c++)
-    mq_hint_offer (&hint, c->word);
-  mq_hint_write (&hint, allowed);
+    mq_hint_add (&hint, c->word);
+  mq_hint_format (&hint, allowed);
 }
 
 static void
@@ -558,7 +560,7 @@
     subject = talloc_strdup (errors->ctx, pair->key);
   if (key->type == MQ_KEY_CHOICE)
     write_choices (key, pair->value, near);
-  mq_error_list_add (errors, type, value_place (pair), subject,
+  mq_error_list_add (errors, type, value_position (pair), subject,
                      key->type == MQ_KEY_CHOICE ? near : allowed);
   talloc_free (allowed);
   talloc_free (subject);
@@ -572,7 +574,7 @@
   char *allowed
       = talloc_asprintf (errors->ctx, "first given in line %u", first->line);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, key_place (pair),
+  mq_error_list_add (errors, MQ_ERR_TEXT_DUPLICATE, key_position (pair),
                      pair->key, allowed);
   talloc_free (allowed);
 }
@@ -587,7 +589,7 @@
       *section->name == '\0' ? "" : " ", section->name);
   char *allowed = mq_key_allowed (errors->ctx, key);
 
-  mq_error_list_add (errors, MQ_ERR_TEXT_MISSING, header_place (section),
+  mq_error_list_add (errors, MQ_ERR_TEXT_MISSING, header_position (section),
                      subject, allowed);
   talloc_free (subject);
   talloc_free (allowed);
--- a/src/router/router_inactivity.c
+++ b/src/router/router_inactivity.c
@@ -116,7 +116,7 @@
                       const struct mq_inactivity_options *options)
 {
   struct mq_inactivity *inactivity
-      = mq_must (talloc_zero (ctx, struct mq_inactivity));
+      = mq_check_alloc (talloc_zero (ctx, struct mq_inactivity));
 
   inactivity->options = *options;
   inactivity->ev = ev;
--- a/src/router/router_permit.c
+++ b/src/router/router_permit.c
@@ -108,13 +108,13 @@
 mq_permits_create (struct mq_router *router)
 {
   struct mq_permits *permits
-      = mq_must (talloc_zero (router, struct mq_permits));
+      = mq_check_alloc (talloc_zero (router, struct mq_permits));
 
   permits->router = router;
   permits->run = mq_clock_random ();
   permits->unconfirmed_hosts = UINT64_MAX;
   permits->issuer = mq_quota_issuer_create (permits);
-  permits->shares = mq_must (mq_idmap_create (permits));
+  permits->shares = mq_check_alloc (mq_idmap_create (permits));
   return permits;
 }
 
@@ -139,7 +139,7 @@
 
   if (contact != NULL)
     return contact;
-  contact = mq_must (talloc_zero (permits, struct contact));
+  contact = mq_check_alloc (talloc_zero (permits, struct contact));
   contact->address = mq_text_copy (contact, address);
   contact->quota.answered_ms = mq_clock_boot_ms ();
   contact->next = permits->contacts;
@@ -160,12 +160,12 @@
 static struct share *
 get_share (struct mq_permits *permits, const char *name)
 {
-  struct mq_id id = mq_id_text_hash (name);
+  struct mq_id id = mq_id_from_text (name);
   struct share *share = mq_idmap_find (permits->shares, id, 0);
 
   if (share != NULL)
     return share;
-  share = mq_must (talloc_zero (permits, struct share));
+  share = mq_check_alloc (talloc_zero (permits, struct share));
   share->permits = permits;
   share->name = mq_text_copy (share, name);
   share->slot = mq_reserve_slot (name);
@@ -231,7 +231,7 @@
          void *user)
 {
   struct mq_permit *permit
-      = mq_must (talloc_zero (share->permits, struct mq_permit));
+      = mq_check_alloc (talloc_zero (share->permits, struct mq_permit));
   struct mq_permit **at = &share->first;
 
   *permit = (struct mq_permit){ .share = share,
@@ -303,7 +303,7 @@
                         bool begins, uint32_t *retry_ms)
 {
   const struct share *share = mq_idmap_find (router->permits->shares,
-                                             mq_id_text_hash (org->name), 0);
+                                             mq_id_from_text (org->name), 0);
   uint64_t now = mq_clock_boot_ms ();
 
   if (share == NULL || !mq_quota_is_exhausted (&share->quota, begins, now))
@@ -380,7 +380,7 @@
 static void
 send_due (struct mq_permits *permits, struct contact *contact, uint64_t now)
 {
-  struct mq_quota_request *wants = mq_must (talloc_zero_array (
+  struct mq_quota_request *wants = mq_check_alloc (talloc_zero_array (
       permits, struct mq_quota_request, ORGS_PER_MESSAGE_MAX));
   uint64_t id = now << SEQUENCE_BITS
                 | (++permits->sequence & ((1U << SEQUENCE_BITS) - 1));
@@ -544,7 +544,7 @@
              bool in_time, uint64_t now)
 {
   struct share *share = mq_idmap_find (
-      permits->shares, mq_id_text_hash (gift->organisation), 0);
+      permits->shares, mq_id_from_text (gift->organisation), 0);
 
   if (share == NULL)
     return;
@@ -556,7 +556,7 @@
       return;
     }
   if (share->issuer == NULL || strcmp (share->issuer, address) != 0)
-    mq_text_set (share, &share->issuer, address);
+    mq_text_replace (share, &share->issuer, address);
   mq_quota_apply_grant (&share->quota, gift, reply->issuer_run_id,
                         message_sent_ms (reply->id), now);
   grant_queued (share, gift, reply->id);
@@ -642,7 +642,7 @@
   uint64_t now = mq_clock_boot_ms ();
   uint64_t acked_ms
       = request->issuer_run_id == permits->run ? request->acked_ms : 0;
-  struct mq_quota_grant *gifts = mq_must (
+  struct mq_quota_grant *gifts = mq_check_alloc (
       talloc_array (ctx, struct mq_quota_grant, request->want_count + 1));
 
   mq_quota_record_ack (permits->issuer, request->run_id, acked_ms, now);
@@ -665,7 +665,7 @@
 request_locally (struct mq_permits *permits,
                  const struct mq_relay_quota_request *request)
 {
-  TALLOC_CTX *ctx = mq_must (talloc_new (permits));
+  TALLOC_CTX *ctx = mq_check_alloc (talloc_new (permits));
   struct mq_relay_quota_reply reply = build_reply (ctx, permits, request);
 
   mq_permits_on_reply (&reply, mq_relay_address (permits->router->relay),
@@ -678,7 +678,7 @@
                        struct mq_relay_link *link, void *user)
 {
   struct mq_router *router = user;
-  TALLOC_CTX *ctx = mq_must (talloc_new (router));
+  TALLOC_CTX *ctx = mq_check_alloc (talloc_new (router));
   struct mq_relay_quota_reply reply
       = build_reply (ctx, router->permits, request);
 
@@ -697,7 +697,7 @@
   struct mq_router *router = user;
   struct mq_permits *permits = router->permits;
   uint64_t now = mq_clock_boot_ms ();
-  struct mq_quota_request *wants = mq_must (talloc_zero_array (
+  struct mq_quota_request *wants = mq_check_alloc (talloc_zero_array (
       permits, struct mq_quota_request, mq_idmap_count (permits->shares) + 1));
   struct mq_relay_quota_request request = { .run_id = permits->run,
                                             .wants = wants,
@@ -757,7 +757,7 @@
       found[count++] = share;
   for (size_t i = 0; i < count; i++)
     {
-      mq_idmap_remove (permits->shares, mq_id_text_hash (found[i]->name), 0);
+      mq_idmap_remove (permits->shares, mq_id_from_text (found[i]->name), 0);
       talloc_free (found[i]);
     }
 }
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -34,8 +34,8 @@
 #define SECOND 1000000ULL
 
 /* Virtual times, in microseconds.  */
-#define HEARTBEAT_INTERVAL_US (MQ_BEAT_MS * MS)
-#define PEER_TIMEOUT_US (MQ_SILENT_MS * MS)
+#define HEARTBEAT_INTERVAL_US (MQ_HEARTBEAT_MS * MS)
+#define PEER_TIMEOUT_US (MQ_PEER_TIMEOUT_MS * MS)
 #define STORE_TIMEOUT_US (MQ_STORE_TIMEOUT_MS * MS)
 #define HOSTS_READ_US (1 * SECOND)
 #define LIST_LAG_US (1500 * MS)
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -134,7 +134,7 @@
 is_write (const struct mq_store_request *request)
 {
   return request->kind == MQ_STORE_TXN || request->kind == MQ_STORE_PUT
-         || request->kind == MQ_STORE_DROP;
+         || request->kind == MQ_STORE_DELETE;
 }
 
 /* Stops the run at a write that is far larger than any expected one; the state
@@ -369,7 +369,7 @@
 inject_ignored_removal (struct world *world, const struct world_event *event)
 {
   if (world->cell->plant != PLANT_REMOVAL_SKIPPED
-      || event->request->kind != MQ_STORE_DROP)
+      || event->request->kind != MQ_STORE_DELETE)
     return false;
   push_failure (world, event, MQ_STORE_OK, TABLE_DELAY_MIN_US);
   return true;
