--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -1,4 +1,4 @@
-/* text_check.c - deliver_reordered-section validation of a configuration text.
+/* text_check.c - cross-section validation of a configuration text.
 
    Needs: text_check.h, text_hint.h.  */
 
--- a/src/core/text/text_check.h
+++ b/src/core/text/text_check.h
@@ -1,4 +1,4 @@
-/* text_check.h - deliver_reordered-section validation of a configuration text.
+/* text_check.h - cross-section validation of a configuration text.
 
    Needs: text_keys.h.  */
 
