--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -270,7 +270,7 @@
   open_side (&side, "sender", 1);
   mq_peer_net_set_version (side.net, 40000);
   snprintf (address, sizeof address, "127.0.0.1:%u", port);
-  mq_peer_net_keep (side.net, address);
+  mq_peer_net_add_address (side.net, address);
   while (side.peer == 0)
     tevent_loop_once (side.ev);
   before = *mq_peer_net_counters (side.net);
@@ -342,7 +342,7 @@
       net = mq_peer_net_create (ev, ev, &options, &callbacks, NULL);
       if (net == NULL)
         exit (1);
-      mq_peer_net_keep (net, address);
+      mq_peer_net_add_address (net, address);
     }
   while (true)
     tevent_loop_once (ev);
--- a/src/core/gate/gate_runs.c
+++ b/src/core/gate/gate_runs.c
@@ -22,7 +22,7 @@
 }
 
 static struct gate_run *
-find_run (struct mq_gate *gate, uint32_t slot)
+find_ready_conn_of_peer (struct mq_gate *gate, uint32_t slot)
 {
   struct gate_link *link = mq_gate_map_find (
       &gate->runs, hash_slot (gate, slot), same_slot, &slot);
@@ -39,7 +39,8 @@
 {
   do
     gate->last_slot++;
-  while (gate->last_slot == 0 || find_run (gate, gate->last_slot) != NULL);
+  while (gate->last_slot == 0
+         || find_ready_conn_of_peer (gate, gate->last_slot) != NULL);
   return gate->last_slot;
 }
 
@@ -180,7 +181,7 @@
 void
 mq_gate_take_token (struct mq_gate *gate, const struct mq_gate_token *token)
 {
-  struct gate_run *run = find_run (gate, token->slot);
+  struct gate_run *run = find_ready_conn_of_peer (gate, token->slot);
   uint32_t index;
 
   if (run == NULL)
@@ -225,7 +226,7 @@
 void
 mq_gate_take_done (struct mq_gate *gate, const struct mq_gate_done *done)
 {
-  struct gate_run *run = find_run (gate, done->slot);
+  struct gate_run *run = find_ready_conn_of_peer (gate, done->slot);
   struct gate_worker *worker;
 
   if (run == NULL)
--- a/src/daemon/kept_hosts.c
+++ b/src/daemon/kept_hosts.c
@@ -27,14 +27,14 @@
 
   for (size_t i = 0; i < kept->count; i++)
     if (!is_listed (hosts, kept->addresses[i]))
-      mq_peer_net_release (net, kept->addresses[i]);
+      mq_peer_net_remove_address (net, kept->addresses[i]);
   for (size_t i = 0; i < hosts->count; i++)
     {
       const struct mq_host *host = &hosts->items[i];
 
       if (!wanted (host, data))
         continue;
-      mq_peer_net_keep (net, host->address);
+      mq_peer_net_add_address (net, host->address);
       addresses[count++] = mq_text_copy (addresses, host->address);
     }
   talloc_free (kept->addresses);
--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -14,7 +14,7 @@
 #include <unistd.h>
 
 /* Lines that wait for a write.  */
-#define GATHER_BYTES ((size_t)64 << 10)
+#define OUTPUT_BUFFER_BYTES ((size_t)64 << 10)
 #define FLUSH_BYTES ((size_t)8 << 10)
 #define FLUSH_MS 50U
 /* Room kept at the end of a line for its closing.  */
@@ -101,7 +101,7 @@
 }
 
 uint64_t
-mq_json_log_strays (const struct mq_json_log *log)
+mq_json_log_unknown_keys (const struct mq_json_log *log)
 {
   return log->strays;
 }
@@ -127,10 +127,10 @@
     }
   if (log->lines >= MQ_JSON_LOG_LINES_S)
     return false;
-  if (weight == MQ_JSON_PLAIN && log->plain >= MQ_JSON_LOG_PLAIN_S)
+  if (weight == MQ_JSON_LOW_PRIORITY && log->plain >= MQ_JSON_LOG_PLAIN_S)
     return false;
   log->lines++;
-  if (weight == MQ_JSON_PLAIN)
+  if (weight == MQ_JSON_LOW_PRIORITY)
     log->plain++;
   return true;
 }
@@ -149,7 +149,7 @@
                enum mq_json_weight weight, enum mq_log_event event)
 {
   const struct mq_log_row *row = mq_log_row (event);
-  uint64_t day_ms = mq_clock_day_ms ();
+  uint64_t day_ms = mq_clock_wall_ms ();
   int len;
 
   line->log = log;
@@ -278,7 +278,7 @@
   memcpy (line->text + line->len, "}\n", 2);
   line->len += 2;
   if (!mq_buffer_append (log, &log->gathered, line->text, line->len,
-                         GATHER_BYTES))
+                         OUTPUT_BUFFER_BYTES))
     {
       log->dropped++;
       return;
--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -23,8 +23,8 @@
 
 enum mq_json_weight
 {
-  MQ_JSON_PLAIN, /* a success; dropped first */
-  MQ_JSON_NOTE   /* a refusal, a failure, a change of state */
+  MQ_JSON_LOW_PRIORITY, /* a success; dropped first */
+  MQ_JSON_HIGH_PRIORITY /* a refusal, a failure, a change of state */
 };
 
 /* EV NULL: each line is written at once.  */
@@ -37,7 +37,7 @@
 uint64_t mq_json_log_written (const struct mq_json_log *log);
 uint64_t mq_json_log_dropped (const struct mq_json_log *log);
 /* Keys that the schema does not have for their event; they are left out.  */
-uint64_t mq_json_log_strays (const struct mq_json_log *log);
+uint64_t mq_json_log_unknown_keys (const struct mq_json_log *log);
 
 /* A line that is being put together; what does not fit is left out.  */
 struct mq_json_line
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -58,7 +58,7 @@
       || (size_t)state->change >= sizeof state_rows / sizeof state_rows[0])
     return;
   row = &state_rows[state->change];
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, row->event);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, row->event);
   if (row->number_key != NULL)
     mq_json_number (&line, row->number_key, state->number);
   if (state->subject != NULL && state->subject[0] != '\0')
@@ -73,7 +73,7 @@
 
   if (process_log == NULL)
     return;
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, event);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, event);
   mq_json_error (&line, error);
   mq_json_end (&line);
 }
@@ -85,7 +85,7 @@
 
   if (process_log == NULL)
     return;
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, MQ_LOG_LISTENING);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, MQ_LOG_LISTENING);
   mq_json_text (&line, "http", http);
   mq_json_text (&line, "peer", peer);
   mq_json_end (&line);
--- a/src/log/spans.c
+++ b/src/log/spans.c
@@ -21,7 +21,7 @@
 #define SPAN_NAME_BYTES 32
 
 /**
- * struct kept_span - one hop as it is kept
+ * struct stored_span - one hop as it is kept
  * @name: which hop
  * @trace: trace id, empty when there is no trace
  * @parent: id of the span above, empty when there is no trace
@@ -31,7 +31,7 @@
  * @end_us: wall-clock
  * @error: how the hop ended
  */
-struct kept_span
+struct stored_span
 {
   char name[SPAN_NAME_BYTES];
   char trace[TRACE_DIGITS + 1];
@@ -56,7 +56,7 @@
   const char *host;
   const char *data_centre;
   uint64_t added;
-  struct kept_span kept[MQ_SPANS_MAX];
+  struct stored_span kept[MQ_SPANS_MAX];
 };
 
 struct mq_spans *
@@ -106,7 +106,7 @@
 void
 mq_spans_add (struct mq_spans *spans, const struct mq_span *span)
 {
-  struct kept_span *kept = &spans->kept[spans->added % MQ_SPANS_MAX];
+  struct stored_span *kept = &spans->kept[spans->added % MQ_SPANS_MAX];
   uint64_t offset_us = wall_clock_offset_us ();
 
   memset (kept, 0, sizeof *kept);
@@ -126,7 +126,7 @@
 }
 
 static json_t *
-span_json (const struct mq_spans *spans, const struct kept_span *kept)
+span_json (const struct mq_spans *spans, const struct stored_span *kept)
 {
   char program[MQ_ID_TEXT];
 
@@ -150,7 +150,7 @@
 
   for (; at < spans->added; at++)
     {
-      const struct kept_span *kept = &spans->kept[at % MQ_SPANS_MAX];
+      const struct stored_span *kept = &spans->kept[at % MQ_SPANS_MAX];
 
       if (kept->program.hi == program.hi)
         json_array_append_new (list, span_json (spans, kept));
--- a/src/net/clock.c
+++ b/src/net/clock.c
@@ -35,7 +35,7 @@
 }
 
 uint64_t
-mq_clock_day_ms (void)
+mq_clock_wall_ms (void)
 {
   return read_us (CLOCK_REALTIME) / 1000U;
 }
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -13,7 +13,7 @@
 /* The same, counting that time too: for leases.  */
 uint64_t mq_clock_boot_ms (void);
 /* Time of day, milliseconds since 1970; for logs alone.  */
-uint64_t mq_clock_day_ms (void);
+uint64_t mq_clock_wall_ms (void);
 /* Never 0: that stands for "any" where a boot id is meant.  */
 uint64_t mq_clock_random (void);
 
--- a/src/net/frame.c
+++ b/src/net/frame.c
@@ -214,7 +214,7 @@
 }
 
 bool
-mq_frame_reader_rest (struct mq_frame_reader *reader)
+mq_frame_reader_save_partial (struct mq_frame_reader *reader)
 {
   size_t left = reader->end - reader->start;
   const uint8_t *from = reader->view + reader->start;
--- a/src/net/frame.h
+++ b/src/net/frame.h
@@ -42,7 +42,8 @@
 };
 
 struct mq_frame_reader *mq_frame_reader_create (TALLOC_CTX *ctx);
-/* DATA is borrowed until mq_frame_reader_rest.  False: memory is out.  */
+/* DATA is borrowed until mq_frame_reader_save_partial.  False: memory is out.
+ */
 bool mq_frame_reader_feed (struct mq_frame_reader *reader, const uint8_t *data,
                            size_t len);
 /* Next frame of at most BOUND bytes, borrowed until _rest.  */
@@ -50,6 +51,6 @@
                                          size_t bound, const uint8_t **data,
                                          size_t *len);
 /* Keeps the part of a frame that is left over.  False: memory is out.  */
-bool mq_frame_reader_rest (struct mq_frame_reader *reader);
+bool mq_frame_reader_save_partial (struct mq_frame_reader *reader);
 
 #endif
--- a/src/net/handshake.c
+++ b/src/net/handshake.c
@@ -13,7 +13,7 @@
                "role on the wire");
 
 /* A Hello as it was sent, and the nonce in it.  */
-struct sent_hello
+struct hello_bytes
 {
   uint8_t *data;
   size_t len;
@@ -24,8 +24,8 @@
 {
   enum mq_handshake_side side;
   const uint8_t *site_key;
-  struct sent_hello own;
-  struct sent_hello peer;
+  struct hello_bytes own;
+  struct hello_bytes peer;
   struct mq_peer_info info;
 };
 
@@ -46,7 +46,7 @@
 {
   Mq__Envelope envelope = MQ__ENVELOPE__INIT;
   Mq__Hello hello = MQ__HELLO__INIT;
-  struct sent_hello *own = &handshake->own;
+  struct hello_bytes *own = &handshake->own;
 
   hello.protocol = MQ_PEER_PROTOCOL;
   hello.host = (char *)self->host;
@@ -68,7 +68,7 @@
                      const struct mq_peer_info *self)
 {
   struct mq_handshake *handshake = talloc_zero (ctx, struct mq_handshake);
-  struct sent_hello *own;
+  struct hello_bytes *own;
 
   if (handshake == NULL)
     return NULL;
@@ -98,7 +98,7 @@
 }
 
 static const char *
-find_hello_fault (const Mq__Hello *hello)
+find_invalid_hello_field (const Mq__Hello *hello)
 {
   if (hello->protocol != MQ_PEER_PROTOCOL)
     return "protocol";
@@ -116,10 +116,10 @@
 }
 
 static bool
-keep_hello (struct mq_handshake *handshake, const Mq__Hello *hello,
-            const uint8_t *data, size_t len)
+store_hello (struct mq_handshake *handshake, const Mq__Hello *hello,
+             const uint8_t *data, size_t len)
 {
-  struct sent_hello *peer = &handshake->peer;
+  struct hello_bytes *peer = &handshake->peer;
   struct mq_peer_info *info = &handshake->info;
 
   memcpy (peer->nonce, hello->nonce.data, sizeof peer->nonce);
@@ -142,10 +142,10 @@
   const char *fault = "hello";
 
   if (envelope != NULL && envelope->body_case == MQ__ENVELOPE__BODY_HELLO)
-    fault = find_hello_fault (envelope->hello);
+    fault = find_invalid_hello_field (envelope->hello);
   if (fault != NULL)
     mq_error_set (error, MQ_ERR_BAD_FRAME, fault, NULL);
-  else if (!keep_hello (handshake, envelope->hello, data, len))
+  else if (!store_hello (handshake, envelope->hello, data, len))
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "hello", NULL);
       fault = "memory";
@@ -156,7 +156,7 @@
 
 /* The length goes first: no two pairs of Hellos give the same bytes.  */
 static int
-add_hello (gnutls_hmac_hd_t mac, const struct sent_hello *hello)
+add_hello (gnutls_hmac_hd_t mac, const struct hello_bytes *hello)
 {
   uint8_t len[4] = { (uint8_t)(hello->len >> 24), (uint8_t)(hello->len >> 16),
                      (uint8_t)(hello->len >> 8), (uint8_t)hello->len };
@@ -167,7 +167,7 @@
 
 static int
 add_parts (gnutls_hmac_hd_t mac, enum mq_handshake_side side,
-           const struct sent_hello *connect, const struct sent_hello *accept)
+           const struct hello_bytes *connect, const struct hello_bytes *accept)
 {
   static const char *const tags[] = { "connect", "accept" };
   int failed = gnutls_hmac (mac, tags[side], strlen (tags[side]) + 1);
--- a/src/net/http_lane.c
+++ b/src/net/http_lane.c
@@ -23,7 +23,7 @@
   struct mq_tcp *tcp;
   struct mq_http_reader *reader;
   struct mq_lane_events events;
-  mq_lane_gone *gone;
+  mq_lane_closed *gone;
   void *gone_user;
   struct mq_buffer waiting;
   bool open;
@@ -189,8 +189,8 @@
 
 struct mq_http_lane *
 mq_http_lane_open (TALLOC_CTX *ctx, struct tevent_context *ev,
-                   const char *address, uint32_t silent_ms, mq_lane_gone *gone,
-                   void *user, struct mq_error *error)
+                   const char *address, uint32_t silent_ms,
+                   mq_lane_closed *gone, void *user, struct mq_error *error)
 {
   struct mq_http_lane *lane = talloc_zero (ctx, struct mq_http_lane);
   struct mq_tcp_owner owner = {
--- a/src/net/http_lane.h
+++ b/src/net/http_lane.h
@@ -40,14 +40,13 @@
 };
 
 /* Told when a lane that nobody uses has ended; it is then to be destroyed.  */
-typedef void mq_lane_gone (struct mq_http_lane *lane, void *user);
+typedef void mq_lane_closed (struct mq_http_lane *lane, void *user);
 
 /* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open.  */
-struct mq_http_lane *mq_http_lane_open (TALLOC_CTX *ctx,
-                                        struct tevent_context *ev,
-                                        const char *address,
-                                        uint32_t silent_ms, mq_lane_gone *gone,
-                                        void *user, struct mq_error *error);
+struct mq_http_lane *
+mq_http_lane_open (TALLOC_CTX *ctx, struct tevent_context *ev,
+                   const char *address, uint32_t silent_ms,
+                   mq_lane_closed *gone, void *user, struct mq_error *error);
 void mq_http_lane_destroy (struct mq_http_lane *lane);
 /* Sends a request: HEAD with its empty line, then BODY.  */
 void mq_http_lane_send (struct mq_http_lane *lane,
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -396,7 +396,7 @@
 }
 
 bool
-mq_http_reader_within (const struct mq_http_reader *reader)
+mq_http_reader_in_message (const struct mq_http_reader *reader)
 {
   return reader->begun;
 }
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -84,7 +84,7 @@
 /* The connection has ended.  False when that cuts a message off.  */
 bool mq_http_reader_finish (struct mq_http_reader *reader);
 /* Some bytes of a message have come in, and not all.  */
-bool mq_http_reader_within (const struct mq_http_reader *reader);
+bool mq_http_reader_in_message (const struct mq_http_reader *reader);
 /* The message is whole and the next one is waited for.  */
 bool mq_http_reader_at_end (const struct mq_http_reader *reader);
 /* Goes on to the next message of the connection.  */
--- a/src/net/http_request.c
+++ b/src/net/http_request.c
@@ -56,7 +56,7 @@
   request->answered = true;
   if (request->response == NULL)
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return;
     }
   request->status = (unsigned int)status;
@@ -94,7 +94,7 @@
       MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, stream_read, request, NULL);
   if (request->response == NULL)
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return;
     }
   request->streaming = true;
@@ -114,7 +114,7 @@
   if (!mq_buffer_append (request, &request->unsent, data, len,
                          request->server->stream_buffer_max))
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return false;
     }
   mq_request_resume (request);
@@ -136,7 +136,7 @@
 void
 mq_http_abort (struct mq_http_request *request)
 {
-  mq_request_give_up (request);
+  mq_request_abort_connection (request);
   user_done (request);
 }
 
@@ -188,7 +188,7 @@
 
   (void)ev;
   (void)im;
-  mq_request_tell_closed (request);
+  mq_request_notify_closed (request);
   talloc_free (request);
 }
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -138,7 +138,7 @@
    back to us and is told to close; else it waits for the socket, which the
    shutdown makes ready with an error.  */
 void
-mq_request_give_up (struct mq_http_request *request)
+mq_request_abort_connection (struct mq_http_request *request)
 {
   if (request->broken)
     return;
@@ -178,7 +178,7 @@
   (void)now;
   request->watch_poll = NULL;
   if (socket_ended (request->fd))
-    mq_request_give_up (request);
+    mq_request_abort_connection (request);
   else
     poll_later (request);
 }
@@ -206,7 +206,7 @@
   (void)flags;
   if (socket_ended (request->fd))
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return;
     }
   TALLOC_FREE (request->watch);
@@ -277,7 +277,7 @@
 }
 
 void
-mq_request_tell_closed (struct mq_http_request *request)
+mq_request_notify_closed (struct mq_http_request *request)
 {
   mq_http_closed *closed = request->closed;
 
@@ -309,7 +309,7 @@
   TALLOC_FREE (request->watch);
   TALLOC_FREE (request->watch_poll);
   if (request->closed != NULL || !request->handled)
-    mq_request_tell_closed (request);
+    mq_request_notify_closed (request);
   if (request->answered)
     talloc_free (request);
 }
@@ -470,8 +470,8 @@
       struct mq_http_request *request = server->requests;
 
       request_unlink (request);
-      mq_request_give_up (request);
-      mq_request_tell_closed (request);
+      mq_request_abort_connection (request);
+      mq_request_notify_closed (request);
     }
   TALLOC_FREE (server->fde);
   TALLOC_FREE (server->timer);
--- a/src/net/http_state.h
+++ b/src/net/http_state.h
@@ -119,8 +119,8 @@
 /* Lets the library ask again.  */
 void mq_request_resume (struct mq_http_request *request);
 /* Ends a request whose answer can't be given.  */
-void mq_request_give_up (struct mq_http_request *request);
+void mq_request_abort_connection (struct mq_http_request *request);
 /* Tells the user, once, that the request has ended.  */
-void mq_request_tell_closed (struct mq_http_request *request);
+void mq_request_notify_closed (struct mq_http_request *request);
 
 #endif
--- a/src/net/listen.c
+++ b/src/net/listen.c
@@ -46,7 +46,7 @@
 }
 
 bool
-mq_address_is_sound (const char *address)
+mq_address_is_valid (const char *address)
 {
   struct addrinfo *found = resolve (address);
 
--- a/src/net/listen.h
+++ b/src/net/listen.h
@@ -15,7 +15,7 @@
    there or has failed.  -1 as for mq_listen_open.  */
 int mq_connect_begin (const char *address, struct mq_error *error);
 /* ADDRESS is "IP:PORT" in numbers.  */
-bool mq_address_is_sound (const char *address);
+bool mq_address_is_valid (const char *address);
 /* Port that FD is bound to, 0 when it can't be told.  */
 uint16_t mq_listen_port (int fd);
 
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -24,9 +24,9 @@
 {
   TICK_MIN_MS = 5,
   TICK_MAX_MS = 50,
-  TICKS_PER_BEAT = 8,
+  TICKS_PER_HEARTBEAT = 8,
   LISTEN_BACKLOG = 1024,
-  ACCEPTS_PER_TURN = 64,
+  ACCEPTS_PER_EVENT = 64,
   US_PER_MS = 1000,
   NS_PER_MS = 1000000,
   MS_PER_S = 1000
@@ -45,13 +45,13 @@
 }
 
 void
-mq_peer_enter (struct mq_peer_net *net)
+mq_peer_begin_handler (struct mq_peer_net *net)
 {
   net->depth++;
 }
 
 void
-mq_peer_leave (struct mq_peer_net *net)
+mq_peer_end_handler (struct mq_peer_net *net)
 {
   net->depth--;
   if (net->depth > 0)
@@ -63,7 +63,7 @@
 }
 
 static uint32_t
-jitter_pause (struct mq_peer_net *net, uint32_t pause_ms)
+jittered_backoff (struct mq_peer_net *net, uint32_t pause_ms)
 {
   uint32_t half = pause_ms / 2;
 
@@ -71,11 +71,12 @@
 }
 
 /* The next pause is set before the outcome is known; start_ready resets it
-   by way of tick_kept.  */
+   by way of tick_address.  */
 static void
-dial_kept (struct mq_peer_net *net, struct mq_kept *kept, uint64_t now_ms)
+dial_address (struct mq_peer_net *net, struct mq_peer_address *kept,
+              uint64_t now_ms)
 {
-  kept->due_ms = now_ms + jitter_pause (net, kept->pause_ms);
+  kept->due_ms = now_ms + jittered_backoff (net, kept->pause_ms);
   kept->pause_ms *= 2;
   if (kept->pause_ms > MQ_CONNECT_RETRY_MAX_MS)
     kept->pause_ms = MQ_CONNECT_RETRY_MAX_MS;
@@ -83,7 +84,8 @@
 }
 
 static void
-tick_kept (struct mq_peer_net *net, struct mq_kept *kept, uint64_t now_ms)
+tick_address (struct mq_peer_net *net, struct mq_peer_address *kept,
+              uint64_t now_ms)
 {
   if (kept->ready != NULL)
     {
@@ -95,16 +97,17 @@
     return;
   /* Just lost: hosts that lost the same peer don't come back all at once. */
   if (kept->due_ms == 0)
-    kept->due_ms = now_ms + jitter_pause (net, kept->pause_ms);
+    kept->due_ms = now_ms + jittered_backoff (net, kept->pause_ms);
   if (now_ms >= kept->due_ms)
-    dial_kept (net, kept, now_ms);
+    dial_address (net, kept, now_ms);
 }
 
 static void
-tick_all_kept (struct mq_peer_net *net, uint64_t now_ms)
+tick_all_addresses (struct mq_peer_net *net, uint64_t now_ms)
 {
-  for (struct mq_kept *kept = net->kept; kept != NULL; kept = kept->next)
-    tick_kept (net, kept, now_ms);
+  for (struct mq_peer_address *kept = net->kept; kept != NULL;
+       kept = kept->next)
+    tick_address (net, kept, now_ms);
 }
 
 static void
@@ -121,7 +124,7 @@
 }
 
 static void
-close_doomed (struct mq_peer_net *net)
+close_scheduled (struct mq_peer_net *net)
 {
   struct mq_conn *conn = net->conns;
 
@@ -139,13 +142,13 @@
 {
   flush_dirty (net);
   if (net->doom_due)
-    close_doomed (net);
+    close_scheduled (net);
   if (net->settle_due && !net->dead)
-    mq_conn_settle_waiting (net);
+    mq_conn_select_waiting (net);
   if (net->dial_due && !net->dead)
     {
       net->dial_due = false;
-      tick_all_kept (net, mq_clock_ms ());
+      tick_all_addresses (net, mq_clock_ms ());
     }
 }
 
@@ -156,10 +159,10 @@
 
   (void)ev;
   (void)work;
-  mq_peer_enter (net);
+  mq_peer_begin_handler (net);
   net->work_due = false;
   do_work (net);
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 void
@@ -181,7 +184,7 @@
    not listen: that time counts neither as silence of its peers nor against
    their handshakes.  */
 static void
-forgive_pause (struct mq_peer_net *net, uint64_t now_ms)
+exclude_process_pause (struct mq_peer_net *net, uint64_t now_ms)
 {
   uint64_t pause_ms = now_ms - net->now_ms;
 
@@ -220,20 +223,20 @@
   (void)flags;
   if (read (net->clock_fd, &expirations, sizeof expirations) < 0)
     return;
-  mq_peer_enter (net);
-  forgive_pause (net, now_ms);
+  mq_peer_begin_handler (net);
+  exclude_process_pause (net, now_ms);
   net->now_ms = now_ms;
   TEVENT_FD_READABLE (net->listen_event);
   tick_conns (net, now_ms);
   if (!net->dead)
-    tick_all_kept (net, now_ms);
-  mq_peer_leave (net);
+    tick_all_addresses (net, now_ms);
+  mq_peer_end_handler (net);
 }
 
 /* Connections that never prove the key must not shut out those that will:
    over the bound the oldest of them goes, which had the most time.  */
 static void
-close_oldest_unproven (struct mq_peer_net *net)
+close_oldest_unauthenticated (struct mq_peer_net *net)
 {
   struct mq_conn *oldest = NULL;
 
@@ -252,7 +255,7 @@
   if (conn == NULL)
     return;
   if (net->unproven > MQ_PEER_UNPROVEN_MAX)
-    close_oldest_unproven (net);
+    close_oldest_unauthenticated (net);
   mq_conn_start_handshake (conn);
 }
 
@@ -266,8 +269,8 @@
   (void)ev;
   (void)event;
   (void)flags;
-  mq_peer_enter (net);
-  for (int i = 0; i < ACCEPTS_PER_TURN && fd >= 0; i++)
+  mq_peer_begin_handler (net);
+  for (int i = 0; i < ACCEPTS_PER_EVENT && fd >= 0; i++)
     {
       fd = accept4 (net->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd >= 0)
@@ -277,7 +280,7 @@
      accepting waits for the next tick.  */
   if (fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS))
     TEVENT_FD_NOT_READABLE (net->listen_event);
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 static bool
@@ -374,7 +377,7 @@
 static uint32_t
 choose_tick (uint32_t beat_ms)
 {
-  uint32_t tick = beat_ms / TICKS_PER_BEAT;
+  uint32_t tick = beat_ms / TICKS_PER_HEARTBEAT;
 
   if (tick < TICK_MIN_MS)
     return TICK_MIN_MS;
@@ -476,14 +479,14 @@
 }
 
 void
-mq_peer_net_keep (struct mq_peer_net *net, const char *address)
+mq_peer_net_add_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept;
+  struct mq_peer_address *kept;
 
   if (net->dead || strcmp (address, net->self.address) == 0
-      || mq_table_find_kept (net, address) != NULL)
+      || mq_table_find_peer_address (net, address) != NULL)
     return;
-  kept = talloc_zero (net, struct mq_kept);
+  kept = talloc_zero (net, struct mq_peer_address);
   if (kept == NULL)
     return;
   kept->address = talloc_strdup (kept, address);
@@ -495,15 +498,15 @@
   kept->pause_ms = MQ_CONNECT_RETRY_MS;
   kept->due_ms = 1;
   kept->ready = mq_table_find_address (net, address);
-  mq_table_add_kept (net, kept);
+  mq_table_add_peer_address (net, kept);
   net->dial_due = true;
   mq_peer_schedule (net);
 }
 
 static bool
-is_kept (const struct mq_conn *conn)
+has_peer_address (const struct mq_conn *conn)
 {
-  const struct mq_kept *kept = conn->net->kept;
+  const struct mq_peer_address *kept = conn->net->kept;
 
   while (kept != NULL && kept->ready != conn)
     kept = kept->next;
@@ -517,27 +520,27 @@
 static void
 drain_conn (struct mq_conn *conn)
 {
-  mq_table_hide (conn);
+  mq_table_remove_by_address (conn);
   conn->kept = NULL;
   conn->state = MQ_CONN_DRAINING;
   mq_conn_mark_dirty (conn);
 }
 
 void
-mq_peer_net_release (struct mq_peer_net *net, const char *address)
+mq_peer_net_remove_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept = mq_table_find_kept (net, address);
+  struct mq_peer_address *kept = mq_table_find_peer_address (net, address);
   struct mq_conn *ready;
 
   if (net->dead || kept == NULL)
     return;
-  mq_table_remove_kept (net, kept);
+  mq_table_remove_peer_address (net, kept);
   if (kept->dialling != NULL)
     mq_conn_close (kept->dialling, MQ_ERR_NONE);
   ready = kept->ready;
   if (ready != NULL && ready->kept == kept)
     ready->kept = NULL;
-  if (ready != NULL && ready->dialled && !is_kept (ready))
+  if (ready != NULL && ready->dialled && !has_peer_address (ready))
     drain_conn (ready);
   talloc_free (kept);
 }
@@ -553,7 +556,7 @@
 /* Closed by the next turn of the loop: down is never called from inside a
    send.  */
 static void
-doom_conn (struct mq_conn *conn, enum mq_error_type why)
+schedule_close (struct mq_conn *conn, enum mq_error_type why)
 {
   conn->doom = why;
   conn->net->doom_due = true;
@@ -569,7 +572,7 @@
   /* A peer that reads too slowly would take this host's memory.  */
   if (mq_frame_writer_unsent (conn->writer) + len > MQ_PEER_UNSENT_BYTES)
     {
-      doom_conn (conn, MQ_ERR_SLOW_READER);
+      schedule_close (conn, MQ_ERR_SLOW_READER);
       return false;
     }
   return mq_conn_queue (conn, data, len, control);
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -61,10 +61,10 @@
 void mq_peer_net_destroy (struct mq_peer_net *net);
 uint16_t mq_peer_net_port (const struct mq_peer_net *net);
 /* Keeps a connection to ADDRESS, making it anew when it is lost, until
-   mq_peer_net_release.  Idempotent.  An incoming connection from the same
-   address counts, so two hosts share one.  */
-void mq_peer_net_keep (struct mq_peer_net *net, const char *address);
-void mq_peer_net_release (struct mq_peer_net *net, const char *address);
+   mq_peer_net_remove_address.  Idempotent.  An incoming connection from the
+   same address counts, so two hosts share one.  */
+void mq_peer_net_add_address (struct mq_peer_net *net, const char *address);
+void mq_peer_net_remove_address (struct mq_peer_net *net, const char *address);
 /* Handle of the ready connection to ADDRESS, 0 when there is none.  */
 uint32_t mq_peer_net_find (const struct mq_peer_net *net, const char *address);
 /* False when PEER is gone or its unsent bytes are over the bound.  */
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -87,7 +87,7 @@
 }
 
 static bool
-is_unproven (const struct mq_conn *conn)
+is_unauthenticated (const struct mq_conn *conn)
 {
   return !conn->dialled && conn->handle == 0;
 }
@@ -101,7 +101,7 @@
   *conn->link = conn->next;
   if (conn->next != NULL)
     conn->next->link = conn->link;
-  if (is_unproven (conn))
+  if (is_unauthenticated (conn))
     net->unproven--;
   if (conn->kept != NULL && conn->kept->dialling == conn)
     conn->kept->dialling = NULL;
@@ -296,7 +296,7 @@
   while (take_next (conn))
     ;
   conn->reading = false;
-  if (is_alive (conn) && !mq_frame_reader_rest (conn->reader))
+  if (is_alive (conn) && !mq_frame_reader_save_partial (conn->reader))
     mq_conn_close (conn, MQ_ERR_NO_MEMORY);
 }
 
@@ -346,7 +346,7 @@
 
   (void)ev;
   (void)event;
-  mq_peer_enter (net);
+  mq_peer_begin_handler (net);
   if (conn->state == MQ_CONN_CONNECTING)
     finish_connect (conn);
   else
@@ -356,7 +356,7 @@
       if (flags & TEVENT_FD_READ)
         read_bytes (conn);
     }
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 static void
@@ -369,7 +369,7 @@
   if (conn->next != NULL)
     conn->next->link = &conn->next;
   net->conns = conn;
-  if (is_unproven (conn))
+  if (is_unauthenticated (conn))
     net->unproven++;
 }
 
@@ -445,7 +445,7 @@
 }
 
 void
-mq_conn_dial (struct mq_peer_net *net, struct mq_kept *kept)
+mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *kept)
 {
   int fd = open_socket (kept->address);
   struct mq_conn *conn;
@@ -472,7 +472,7 @@
 }
 
 static void
-queue_beat (struct mq_conn *conn)
+queue_heartbeat (struct mq_conn *conn)
 {
   struct mq_message beat = { .type = MQ_MSG_NONE };
   uint8_t *data;
@@ -504,7 +504,7 @@
       || mq_frame_writer_unsent (conn->writer) > 0)
     return;
   if (now_ms + net->tick_ms > conn->sent_ms + net->beat_ms)
-    queue_beat (conn);
+    queue_heartbeat (conn);
   else
     mq_frame_writer_trim (conn->writer);
 }
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -66,7 +66,7 @@
   int fd;
   struct tevent_fd *event;
   enum mq_conn_state state;
-  struct mq_kept *kept;
+  struct mq_peer_address *kept;
   bool dialled;
   uint64_t serial;
   uint32_t handle;
@@ -85,7 +85,7 @@
 };
 
 /**
- * struct mq_kept - an address to which a connection is kept
+ * struct mq_peer_address - an address to which a connection is kept
  * @next: next address kept
  * @next_by_address: chain of the table by address
  * @address: "IP:PORT"
@@ -94,10 +94,10 @@
  * @due_ms: when to dial next
  * @pause_ms: pause after the next failure, doubled each time
  */
-struct mq_kept
+struct mq_peer_address
 {
-  struct mq_kept *next;
-  struct mq_kept *next_by_address;
+  struct mq_peer_address *next;
+  struct mq_peer_address *next_by_address;
   const char *address;
   struct mq_conn *ready;
   struct mq_conn *dialling;
@@ -168,10 +168,10 @@
   struct mq_conn *conns;
   struct mq_conn *closed;
   struct mq_conn *dirty;
-  struct mq_kept *kept;
+  struct mq_peer_address *kept;
   struct mq_conn *by_handle[MQ_PEER_BUCKETS];
   struct mq_conn *by_address[MQ_PEER_BUCKETS];
-  struct mq_kept *kept_by_address[MQ_PEER_BUCKETS];
+  struct mq_peer_address *kept_by_address[MQ_PEER_BUCKETS];
   uint64_t last_serial;
   uint32_t last_handle;
   uint32_t unproven;
@@ -186,14 +186,14 @@
 /* Every handler of an event runs between these two.  Between them nothing
    is freed, so a callback may close connections or destroy the net; after
    one, NET->dead and the state of the connection have to be looked at.  */
-void mq_peer_enter (struct mq_peer_net *net);
-void mq_peer_leave (struct mq_peer_net *net);
+void mq_peer_begin_handler (struct mq_peer_net *net);
+void mq_peer_end_handler (struct mq_peer_net *net);
 /* Flushes, closes and dials in the next turn of the loop.  */
 void mq_peer_schedule (struct mq_peer_net *net);
 
 /* peer_conn.c: takes over FD, NULL (and FD closed) when memory is out.  */
 struct mq_conn *mq_conn_create (struct mq_peer_net *net, int fd, bool dialled);
-void mq_conn_dial (struct mq_peer_net *net, struct mq_kept *kept);
+void mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *kept);
 /* Closes CONN; for one that was up, calls down with WHY.  */
 void mq_conn_close (struct mq_conn *conn, enum mq_error_type why);
 /* Queues a frame, false when memory is out.  */
@@ -216,20 +216,23 @@
                               size_t len);
 void mq_conn_refuse (struct mq_conn *conn, const struct mq_error *error);
 /* Connections that wait take the place of those that were closed.  */
-void mq_conn_settle_waiting (struct mq_peer_net *net);
+void mq_conn_select_waiting (struct mq_peer_net *net);
 
 /* peer_table.c */
 void mq_table_add (struct mq_conn *conn);
 void mq_table_remove (struct mq_conn *conn);
 /* No longer found by address, still by handle.  */
-void mq_table_hide (struct mq_conn *conn);
+void mq_table_remove_by_address (struct mq_conn *conn);
 struct mq_conn *mq_table_find_handle (const struct mq_peer_net *net,
                                       uint32_t handle);
 struct mq_conn *mq_table_find_address (const struct mq_peer_net *net,
                                        const char *address);
-struct mq_kept *mq_table_find_kept (const struct mq_peer_net *net,
-                                    const char *address);
-void mq_table_add_kept (struct mq_peer_net *net, struct mq_kept *kept);
-void mq_table_remove_kept (struct mq_peer_net *net, struct mq_kept *kept);
+struct mq_peer_address *
+mq_table_find_peer_address (const struct mq_peer_net *net,
+                            const char *address);
+void mq_table_add_peer_address (struct mq_peer_net *net,
+                                struct mq_peer_address *kept);
+void mq_table_remove_peer_address (struct mq_peer_net *net,
+                                   struct mq_peer_address *kept);
 
 #endif
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -78,7 +78,7 @@
 
 /* Another connection to the same run that is up, NULL when none.  */
 static struct mq_conn *
-find_run (const struct mq_conn *conn)
+find_ready_conn_of_peer (const struct mq_conn *conn)
 {
   struct mq_conn *other = conn->net->conns;
 
@@ -91,7 +91,7 @@
 
 /* Under the host's name or address stood another run: it is gone.  */
 static bool
-is_replaced (const struct mq_conn *old, const struct mq_conn *conn)
+is_superseded_conn (const struct mq_conn *old, const struct mq_conn *conn)
 {
   return old != conn && old->state == MQ_CONN_READY
          && (strcmp (old->info.host, conn->info.host) == 0
@@ -99,18 +99,18 @@
 }
 
 static struct mq_conn *
-find_replaced (const struct mq_conn *conn)
+find_superseded_conn (const struct mq_conn *conn)
 {
   struct mq_conn *old = conn->net->conns;
 
-  while (old != NULL && !is_replaced (old, conn))
+  while (old != NULL && !is_superseded_conn (old, conn))
     old = old->next;
   return old;
 }
 
 /* CONN is up, so those under way to the same run have lost.  */
 static bool
-is_rival (const struct mq_conn *other, const struct mq_conn *conn)
+is_duplicate_conn (const struct mq_conn *other, const struct mq_conn *conn)
 {
   if (other == conn || other->state >= MQ_CONN_READY)
     return false;
@@ -121,13 +121,13 @@
 }
 
 static void
-close_rivals (struct mq_conn *conn)
+close_duplicate_conns (struct mq_conn *conn)
 {
   struct mq_conn *other = conn->net->conns;
 
   while (other != NULL)
     {
-      if (is_rival (other, conn))
+      if (is_duplicate_conn (other, conn))
         mq_conn_close (other, MQ_ERR_NONE);
       other = other->next;
     }
@@ -154,7 +154,7 @@
   if (conn->kept != NULL)
     conn->kept->dialling = NULL;
   mq_table_add (conn);
-  close_rivals (conn);
+  close_duplicate_conns (conn);
   net->counters.connections_made++;
   if (net->callbacks.up != NULL)
     net->callbacks.up (conn->handle, &conn->info, net->callbacks.user);
@@ -164,17 +164,17 @@
    on a new connection while the old one still looks open here: down of the
    old is told before up of the new, and nothing more is read from the old. */
 static void
-take_up (struct mq_conn *conn)
+make_ready (struct mq_conn *conn)
 {
   struct mq_peer_net *net = conn->net;
-  struct mq_conn *old = find_replaced (conn);
+  struct mq_conn *old = find_superseded_conn (conn);
 
   while (old != NULL)
     {
       mq_conn_close (old, MQ_ERR_PEER_LOST);
       if (net->dead || conn->state == MQ_CONN_CLOSED)
         return;
-      old = find_replaced (conn);
+      old = find_superseded_conn (conn);
     }
   start_ready (conn);
 }
@@ -183,7 +183,7 @@
 accept_conn (struct mq_conn *conn)
 {
   if (send_proof (conn))
-    take_up (conn);
+    make_ready (conn);
 }
 
 /* A run that ended before this connection was made can't come back: its
@@ -191,7 +191,7 @@
 static bool
 is_outdated (const struct mq_conn *conn)
 {
-  const struct mq_conn *old = find_replaced (conn);
+  const struct mq_conn *old = find_superseded_conn (conn);
 
   return old != NULL && old->serial > conn->serial;
 }
@@ -203,7 +203,7 @@
 static void
 choose_conn (struct mq_conn *conn)
 {
-  if (find_run (conn) != NULL)
+  if (find_ready_conn_of_peer (conn) != NULL)
     conn->state = MQ_CONN_WAITING;
   else if (is_outdated (conn))
     mq_conn_close (conn, MQ_ERR_PEER_LOST);
@@ -212,7 +212,7 @@
 }
 
 void
-mq_conn_settle_waiting (struct mq_peer_net *net)
+mq_conn_select_waiting (struct mq_peer_net *net)
 {
   struct mq_conn *conn = net->conns;
 
@@ -237,9 +237,9 @@
 /* An address under which a peer is already connected by another: nothing
    more to dial.  */
 static bool
-join_run (struct mq_conn *conn)
+reuse_ready_conn (struct mq_conn *conn)
 {
-  struct mq_conn *other = find_run (conn);
+  struct mq_conn *other = find_ready_conn_of_peer (conn);
 
   if (conn->kept == NULL || other == NULL)
     return false;
@@ -268,7 +268,7 @@
       refuse_self (conn);
       return;
     }
-  if (join_run (conn))
+  if (reuse_ready_conn (conn))
     return;
   conn->state = MQ_CONN_PROOF;
   if (!is_leader (conn))
@@ -289,7 +289,7 @@
   else if (is_leader (conn))
     choose_conn (conn);
   else
-    take_up (conn);
+    make_ready (conn);
 }
 
 static void
--- a/src/net/peer_table.c
+++ b/src/net/peer_table.c
@@ -25,7 +25,7 @@
 }
 
 void
-mq_table_hide (struct mq_conn *conn)
+mq_table_remove_by_address (struct mq_conn *conn)
 {
   struct mq_conn **at
       = &conn->net->by_address[hash_address (conn->info.address)];
@@ -34,7 +34,8 @@
     at = &(*at)->next_by_address;
   if (*at != NULL)
     *at = conn->next_by_address;
-  for (struct mq_kept *kept = conn->net->kept; kept != NULL; kept = kept->next)
+  for (struct mq_peer_address *kept = conn->net->kept; kept != NULL;
+       kept = kept->next)
     if (kept->ready == conn)
       kept->ready = NULL;
 }
@@ -45,13 +46,13 @@
   struct mq_peer_net *net = conn->net;
   size_t by_handle = conn->handle % MQ_PEER_BUCKETS;
   size_t by_address = hash_address (conn->info.address);
-  struct mq_kept *kept;
+  struct mq_peer_address *kept;
 
   conn->next_by_handle = net->by_handle[by_handle];
   net->by_handle[by_handle] = conn;
   conn->next_by_address = net->by_address[by_address];
   net->by_address[by_address] = conn;
-  kept = mq_table_find_kept (net, conn->info.address);
+  kept = mq_table_find_peer_address (net, conn->info.address);
   if (kept != NULL)
     kept->ready = conn;
   if (conn->kept != NULL)
@@ -62,7 +63,7 @@
 mq_table_remove (struct mq_conn *conn)
 {
   remove_handle (conn);
-  mq_table_hide (conn);
+  mq_table_remove_by_address (conn);
 }
 
 struct mq_conn *
@@ -78,7 +79,7 @@
 struct mq_conn *
 mq_table_find_address (const struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept = mq_table_find_kept (net, address);
+  struct mq_peer_address *kept = mq_table_find_peer_address (net, address);
   struct mq_conn *conn;
 
   if (kept != NULL && kept->ready != NULL)
@@ -89,10 +90,10 @@
   return conn;
 }
 
-struct mq_kept *
-mq_table_find_kept (const struct mq_peer_net *net, const char *address)
+struct mq_peer_address *
+mq_table_find_peer_address (const struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept = net->kept_by_address[hash_address (address)];
+  struct mq_peer_address *kept = net->kept_by_address[hash_address (address)];
 
   while (kept != NULL && strcmp (kept->address, address) != 0)
     kept = kept->next_by_address;
@@ -100,7 +101,8 @@
 }
 
 void
-mq_table_add_kept (struct mq_peer_net *net, struct mq_kept *kept)
+mq_table_add_peer_address (struct mq_peer_net *net,
+                           struct mq_peer_address *kept)
 {
   size_t bucket = hash_address (kept->address);
 
@@ -111,9 +113,11 @@
 }
 
 void
-mq_table_remove_kept (struct mq_peer_net *net, struct mq_kept *kept)
+mq_table_remove_peer_address (struct mq_peer_net *net,
+                              struct mq_peer_address *kept)
 {
-  struct mq_kept **at = &net->kept_by_address[hash_address (kept->address)];
+  struct mq_peer_address **at
+      = &net->kept_by_address[hash_address (kept->address)];
 
   while (*at != kept)
     at = &(*at)->next_by_address;
--- a/src/router/relay_link.c
+++ b/src/router/relay_link.c
@@ -58,7 +58,8 @@
       if (link->dead)
         return true;
     }
-  return next == MQ_NEXT_PARTIAL && mq_frame_reader_rest (link->reader);
+  return next == MQ_NEXT_PARTIAL
+         && mq_frame_reader_save_partial (link->reader);
 }
 
 static void
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -15,7 +15,7 @@
 #define COUNTERS_MS 10000U
 /* A timer that comes so late is told of in the log: the shortest time-out
    towards others is as long.  */
-#define HELD_UP_MS 100U
+#define STALLED_MS 100U
 
 static void set_sweep (struct mq_router *router);
 
@@ -24,7 +24,7 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, event);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY, event);
   mq_json_text (&line, "data_centre", router->settings->data_centre);
   mq_json_text (&line, "http", router->settings->http);
   mq_json_number (&line, "requests", router->request_count);
@@ -81,9 +81,10 @@
   struct mq_json_line line;
 
   mq_histogram_add (&router->held_up, held);
-  if (held < HELD_UP_MS)
+  if (held < STALLED_MS)
     return;
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_LOOP_HELD_UP);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_LOOP_HELD_UP);
   mq_json_number (&line, "held_ms", held);
   mq_json_end (&line);
 }
@@ -239,7 +240,7 @@
 uint64_t
 mq_router_log_strays (const struct mq_router *router)
 {
-  return mq_json_log_strays (router->log);
+  return mq_json_log_unknown_keys (router->log);
 }
 
 uint16_t
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -181,7 +181,7 @@
 
   caller->closing = true;
   caller->answering = true;
-  mq_json_begin (&line, caller->router->log, MQ_JSON_NOTE,
+  mq_json_begin (&line, caller->router->log, MQ_JSON_HIGH_PRIORITY,
                  MQ_LOG_MESSAGE_REFUSED);
   mq_json_number (&line, "reason", refusal);
   mq_json_end (&line);
@@ -267,7 +267,7 @@
             caller->closing = true;
           return;
         }
-      if (!mq_http_reader_within (caller->reader))
+      if (!mq_http_reader_in_message (caller->reader))
         {
           caller->arrived_ms = mq_clock_ms ();
           mq_http_reader_set_head_max (
@@ -536,7 +536,8 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CALLER_CLOSED);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CALLER_CLOSED);
   mq_json_number (&line, "rested_ms", rested_ms);
   mq_json_number (&line, "idle_ms", idle_ms);
   mq_json_end (&line);
@@ -575,7 +576,7 @@
 {
   if (!may_judge (caller))
     return;
-  if (mq_http_reader_within (caller->reader))
+  if (mq_http_reader_in_message (caller->reader))
     {
       if (caller->head == NULL && now - caller->arrived_ms > limits->header_ms)
         refuse_message (caller, MQ_REFUSE_SLOW_HEAD);
@@ -628,7 +629,7 @@
        caller = next)
     {
       next = caller->next;
-      if (may_judge (caller) && !mq_http_reader_within (caller->reader))
+      if (may_judge (caller) && !mq_http_reader_in_message (caller->reader))
         close_rested (caller);
     }
 }
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -61,7 +61,8 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CONFIG_UNREADABLE);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CONFIG_UNREADABLE);
   mq_json_number (&line, "version", 0);
   if (router->routes != NULL)
     mq_json_number (&line, "in_force", router->routes->version);
@@ -76,7 +77,8 @@
   struct mq_router *router = take->router;
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CONFIG_IN_FORCE);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CONFIG_IN_FORCE);
   mq_json_number (&line, "version", table->version);
   if (router->routes != NULL)
     mq_json_number (&line, "in_force", router->routes->version);
--- a/src/router/router_feed.c
+++ b/src/router/router_feed.c
@@ -25,7 +25,7 @@
   struct mq_json_line line;
 
   router->counters.worker_changes++;
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, event);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY, event);
   mq_json_text (&line, "worker", id);
   if (member != NULL)
     {
@@ -46,7 +46,8 @@
 
   mq_fleet_remove (router->fleet, id, 0);
   router->counters.worker_changes++;
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_WORKER_UNREADABLE);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_WORKER_UNREADABLE);
   mq_json_text (&line, "worker", id);
   mq_json_error (&line, error);
   mq_json_end (&line);
@@ -188,7 +189,7 @@
   if (down == router->table_down)
     return;
   router->table_down = down;
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE,
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
                  down ? MQ_LOG_TABLE_DOWN : MQ_LOG_TABLE_UP);
   mq_json_number (&line, "hosts", mq_relay_host_count (router->relay));
   mq_json_number (&line, "relayed", mq_relay_asked (router->relay));
--- a/src/router/router_hosts.c
+++ b/src/router/router_hosts.c
@@ -44,7 +44,7 @@
                                  .remove = true };
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_HOST_LOST);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY, MQ_LOG_HOST_LOST);
   mq_json_text (&line, "other", row->key);
   mq_json_end (&line);
   mq_rows_commit (router->rows, &entry, 1, on_removed, router);
--- a/src/router/router_program.c
+++ b/src/router/router_program.c
@@ -105,8 +105,8 @@
         {
           /* A record that can't be read proves nothing: as if all spent.  */
           record = (struct mq_budget_record){ .spent = UINT32_MAX };
-          mq_json_begin (&line, program->turns->router->log, MQ_JSON_NOTE,
-                         MQ_LOG_BUDGET_UNREADABLE);
+          mq_json_begin (&line, program->turns->router->log,
+                         MQ_JSON_HIGH_PRIORITY, MQ_LOG_BUDGET_UNREADABLE);
           mq_json_text (&line, "run", program->id);
           mq_json_number (&line, "version", version);
           mq_json_end (&line);
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -118,7 +118,7 @@
   struct mq_router *router = request->router;
   const struct mq_refusal_row *row = mq_refusal_row (refusal);
 
-  request_log_end (request, MQ_JSON_NOTE, row->name, row->status);
+  request_log_end (request, MQ_JSON_HIGH_PRIORITY, row->name, row->status);
   if (row->status >= 500 && row->status != 503)
     router->counters.failed++;
   if (refusal == MQ_REFUSE_STORE && mq_ledger_down (router->ledger))
@@ -138,7 +138,8 @@
   struct mq_caller *caller = request->caller;
 
   request->router->counters.broken++;
-  request_log_end (request, MQ_JSON_NOTE, why, request->answer.status);
+  request_log_end (request, MQ_JSON_HIGH_PRIORITY, why,
+                   request->answer.status);
   request_close (request);
   mq_caller_break (caller);
 }
@@ -175,7 +176,7 @@
 {
   struct mq_json_line line;
 
-  log_head (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+  log_head (&line, request, MQ_JSON_HIGH_PRIORITY, MQ_LOG_TRY_FAILED);
   mq_json_text (&line, "worker", worker_id (request));
   mq_json_text (&line, "how", mq_attempt_end_name (end));
   mq_json_number (&line, "status", (uint64_t)request->answer.status);
@@ -262,8 +263,9 @@
                    && strcmp (request->head->method, "HEAD") != 0;
 
   request_note_served (request);
-  request_log_end (request, status >= 500 ? MQ_JSON_NOTE : MQ_JSON_PLAIN,
-                   "served", status);
+  request_log_end (
+      request, status >= 500 ? MQ_JSON_HIGH_PRIORITY : MQ_JSON_LOW_PRIORITY,
+      "served", status);
   talloc_steal (router, fields.data);
   talloc_steal (router, body.data);
   request_close (request);
@@ -614,7 +616,7 @@
 mq_request_caller_left (struct mq_request *request)
 {
   request->router->counters.left++;
-  request_log_end (request, MQ_JSON_PLAIN, "caller_left",
+  request_log_end (request, MQ_JSON_LOW_PRIORITY, "caller_left",
                    request->answer.status);
   if (request->try != NULL && mq_try_silent_ms (request->try) >= LEFT_TELLS_MS)
     stop_try (request, MQ_OUTCOME_FAILED);
--- a/src/router/router_stream.c
+++ b/src/router/router_stream.c
@@ -122,7 +122,8 @@
 
   note_record (request);
   request_note_served (request);
-  request_log_end (request, MQ_JSON_PLAIN, "served", request->answer.status);
+  request_log_end (request, MQ_JSON_LOW_PRIORITY, "served",
+                   request->answer.status);
   request_close (request);
   mq_caller_end (caller);
 }
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -71,7 +71,8 @@
       size_t part = len - at < step ? len - at : step;
 
       good = mq_frame_reader_feed (reader, data + at, part)
-             && read_frames (reader, &read) && mq_frame_reader_rest (reader);
+             && read_frames (reader, &read)
+             && mq_frame_reader_save_partial (reader);
     }
   /* The same bytes as one message, which the fuzzer reaches more easily.  */
   check_message (data, len);
--- a/tests/router_site.c
+++ b/tests/router_site.c
@@ -197,7 +197,7 @@
 }
 
 static const struct worker_run *
-find_run (const struct worker_server *worker, const char *id)
+find_ready_conn_of_peer (const struct worker_server *worker, const char *id)
 {
   const struct worker_run *found = NULL;
 
@@ -214,9 +214,9 @@
 
   for (int i = 0; i < EDGE_WORKERS && found == NULL; i++)
     {
-      found = find_run (site->llm[i], id);
+      found = find_ready_conn_of_peer (site->llm[i], id);
       if (found == NULL)
-        found = find_run (site->app[i], id);
+        found = find_ready_conn_of_peer (site->app[i], id);
     }
   return found;
 }
--- a/tests/test_handshake.c
+++ b/tests/test_handshake.c
@@ -400,7 +400,7 @@
 
   for (size_t i = 0; i < IDLE_CLIENTS; i++)
     clients[i] = kit_client (node, "z", KEY);
-  mq_peer_net_keep (peer->net, node->address);
+  mq_peer_net_add_address (peer->net, node->address);
   while (kit_client_receive (clients[0]))
     ;
   cr_expect_eq (mq_peer_net_counters (node->net)->handshakes_refused, 0);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -20,7 +20,7 @@
 #define HELD_MAX 256
 #define BODY_MAX 10000
 /* A process that is held up, for longer than its calls may take.  */
-#define HELD_UP_MS 1200U
+#define STALLED_MS 1200U
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 
 /* One event loop with a server, a client and what they have told.  */
@@ -447,7 +447,7 @@
     {
       const char *name = rows[i].name;
       struct mq_http_send send_off
-          = { .method = "POST", .timeout_ms = HELD_UP_MS - 200 };
+          = { .method = "POST", .timeout_ms = STALLED_MS - 200 };
       struct outcome outcome = { 0 };
       int listening = mq_listen_open ("127.0.0.1:0", NULL);
       int fd = -1;
@@ -461,7 +461,7 @@
       hear_request (fd);
       cr_assert_eq (send (fd, answer, rows[i].len, MSG_NOSIGNAL),
                     (ssize_t)rows[i].len);
-      usleep (HELD_UP_MS * 1000);
+      usleep (STALLED_MS * 1000);
       WAIT (outcome.done > 0);
       cr_expect_eq (outcome.error, rows[i].error, "%s: %s", name,
                     mq_error_name (outcome.error));
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -58,7 +58,7 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   cr_expect_eq (mq_peer_net_find (a->net, b->address), a->peer);
@@ -99,8 +99,8 @@
 
   a->burst = BURST;
   b->burst = BURST;
-  mq_peer_net_keep (a->net, b->address);
-  mq_peer_net_keep (b->net, a->address);
+  mq_peer_net_add_address (a->net, b->address);
+  mq_peer_net_add_address (b->net, a->address);
   kit_wait_count (a, KIT_MESSAGE, BURST);
   kit_wait_count (b, KIT_MESSAGE, BURST);
   kit_run_frames (a, 5);
@@ -133,9 +133,9 @@
   struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
   kit_relay_hold (relay);
-  mq_peer_net_keep (a->net, kit_relay_address (relay));
+  mq_peer_net_add_address (a->net, kit_relay_address (relay));
   kit_wait_up (a);
-  mq_peer_net_keep (b->net, a->address);
+  mq_peer_net_add_address (b->net, a->address);
   /* b's Hello and Proof on its own connection, after those on a's.  */
   kit_run_frames (a, 2);
   cr_expect_eq (b->up, 0);
@@ -171,12 +171,12 @@
       struct kit_node *b = start_node (dial_cases[i].second, 2);
       struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
-      mq_peer_net_keep (a->net, b->address);
+      mq_peer_net_add_address (a->net, b->address);
       kit_wait_up (a);
-      mq_peer_net_keep (a->net, kit_relay_address (relay));
+      mq_peer_net_add_address (a->net, kit_relay_address (relay));
       kit_wait_found (a, kit_relay_address (relay));
       kit_wait_single (a);
-      mq_peer_net_release (a->net, b->address);
+      mq_peer_net_remove_address (a->net, b->address);
       kit_run_frames (a, 5);
       cr_expect_eq (mq_peer_net_find (a->net, kit_relay_address (relay)),
                     a->peer);
@@ -210,7 +210,7 @@
   struct kit_node *b = start_node (each->listener, 2);
   struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
-  mq_peer_net_keep (a->net, kit_relay_address (relay));
+  mq_peer_net_add_address (a->net, kit_relay_address (relay));
   kit_wait_up (a);
   kit_wait_up (b);
   kit_relay_silence (relay, each->to_listener, each->to_dialler);
@@ -257,13 +257,13 @@
       b[i] = kit_node (&options);
     }
   kit_relay_target (relay, mq_peer_net_port (b[0]->net));
-  mq_peer_net_keep (a->net, options.address);
+  mq_peer_net_add_address (a->net, options.address);
   kit_wait_up (a);
   kit_wait_up (b[0]);
   kit_relay_silence (relay, true, true);
   kit_destroy (b[0]);
   kit_relay_target (relay, mq_peer_net_port (b[1]->net));
-  mq_peer_net_keep (b[1]->net, a->address);
+  mq_peer_net_add_address (b[1]->net, a->address);
   kit_wait_count (a, KIT_UP, 2);
   cr_assert_eq (a->count, 3);
   cr_expect_eq (a->events[0].boot, 10);
@@ -313,7 +313,7 @@
   struct kit_options again = { .host = "b", .listen = b->address, .boot = 3 };
   struct kit_node *back;
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_destroy (b);
   kit_wait_down (a);
@@ -332,12 +332,12 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   for (uint32_t i = 0; i < BURST; i++)
     cr_assert (kit_send_token (a, i));
-  mq_peer_net_release (a->net, b->address);
+  mq_peer_net_remove_address (a->net, b->address);
   cr_expect_eq (a->up, 1);
   cr_expect_eq (mq_peer_net_find (a->net, b->address), 0);
   cr_expect_not (kit_send_token (a, BURST));
@@ -354,7 +354,7 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   for (uint32_t i = 0; i < BURST; i++)
     cr_assert (kit_send_token (a, i));
@@ -370,7 +370,7 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (size_t i = 0; i < sizeof versions / sizeof versions[0]; i++)
@@ -398,7 +398,7 @@
   const struct mq_peer_counters *out = mq_peer_net_counters (a->net);
   const struct mq_peer_counters *in = mq_peer_net_counters (b->net);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (uint32_t i = 0; i < 3; i++)
@@ -445,7 +445,7 @@
   struct mq_message token = { .type = MQ_MSG_TOKEN };
   char *text = talloc_zero_size (a, MQ_FRAME_MAX_BYTES + 1);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   memset (text, 'x', MQ_FRAME_MAX_BYTES);
   token.u.token.text = text;
@@ -512,7 +512,7 @@
   a->destroy[each->in] = true;
   a->free_ctx = each->free_ctx;
   b->burst = BURST;
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (b);
   if (each->in == KIT_DOWN)
     {
@@ -542,7 +542,7 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (int i = 0; i < 3; i++)
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -630,7 +630,8 @@
       json_t *json;
 
       open_log (&reader);
-      mq_json_begin (&line, reader.log, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+      mq_json_begin (&line, reader.log, MQ_JSON_HIGH_PRIORITY,
+                     MQ_LOG_TRY_FAILED);
       mq_json_text (&line, "id", values[i]);
       mq_json_text (&line, "run", NULL);
       mq_json_number (&line, "sent", 42);
@@ -646,7 +647,7 @@
       cr_assert_eq (json_integer_value (json_object_get (json, "sent")), 42);
       cr_assert_null (json_object_get (json, "run"));
       cr_assert_null (json_object_get (json, "no_such_key"));
-      cr_assert_eq (mq_json_log_strays (reader.log), 1);
+      cr_assert_eq (mq_json_log_unknown_keys (reader.log), 1);
       json_decref (json);
       close_log (&reader);
     }
@@ -663,7 +664,8 @@
     {
       struct mq_json_line line;
 
-      mq_json_begin (&line, reader.log, MQ_JSON_PLAIN, MQ_LOG_REQUEST_ENDED);
+      mq_json_begin (&line, reader.log, MQ_JSON_LOW_PRIORITY,
+                     MQ_LOG_REQUEST_ENDED);
       mq_json_end (&line);
     }
   cr_assert_geq (mq_json_log_dropped (reader.log), 1);
@@ -673,7 +675,8 @@
     {
       struct mq_json_line line;
 
-      mq_json_begin (&line, reader.log, MQ_JSON_NOTE, MQ_LOG_REQUEST_ENDED);
+      mq_json_begin (&line, reader.log, MQ_JSON_HIGH_PRIORITY,
+                     MQ_LOG_REQUEST_ENDED);
       mq_json_text (&line, "outcome",
                     "0123456789012345678901234567890123456789"
                     "0123456789012345678901234567890123456789");
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -19,7 +19,7 @@
 {
   WAIT_SECONDS = 30, /* generous: only a fault waits this long */
   NEVER = 1000000,
-  HELD_UP_MS = 1200, /* longer than a call may take */
+  STALLED_MS = 1200, /* longer than a call may take */
   SLOT = 7,
   WORKER = 3
 };
@@ -838,7 +838,7 @@
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" TEXT ("abc") END DONE;
   struct bench *bench = bench_create ();
-  struct mq_start start = make_start (ANSWER_40, HELD_UP_MS - 200);
+  struct mq_start start = make_start (ANSWER_40, STALLED_MS - 200);
   int listening = mq_listen_open ("127.0.0.1:0", NULL);
   int ends[ENDS] = { -1, -1, -1, -1 };
   int fd;
@@ -849,7 +849,7 @@
   cr_assert_eq (send (fd, answer, sizeof answer - 1, MSG_NOSIGNAL),
                 (ssize_t)sizeof answer - 1);
   shutdown (fd, SHUT_WR);
-  usleep (HELD_UP_MS * 1000);
+  usleep (STALLED_MS * 1000);
   wait_for (bench, &bench->dones, 1);
   cr_expect_eq (bench->done.error, MQ_ERR_NONE, "%s",
                 mq_error_name (bench->done.error));
