--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 ROUTER_SRC = $(wildcard src/router/*.c src/core/router/*.c src/core/organisation/*.c) proto/turn.pb-c.c proto/relay.pb-c.c \
              $(addprefix src/core/,error.c histogram.c id.c idmap.c memory.c) \
              $(addprefix src/core/text/,text_hint.c text_ini.c text_keys.c text_values.c) \
-             $(addprefix src/net/,base64.c buffer.c clock.c frame.c http_lane.c \
+             $(addprefix src/net/,base64.c buffer.c clock.c frame.c http_conn.c \
              http_message.c listen.c tcp.c timer.c) \
              $(addprefix src/log/,json_log.c log_schema.c metrics.c) \
              src/daemon/settings_file.c
--- a/src/core/gate/gate.c
+++ b/src/core/gate/gate.c
@@ -169,8 +169,8 @@
 }
 
 static void
-take_message (struct mq_gate *gate, uint32_t peer,
-              const struct mq_message *message)
+receive_conn_message (struct mq_gate *gate, uint32_t peer,
+                      const struct mq_message *message)
 {
   switch (message->type)
     {
@@ -277,7 +277,7 @@
       break;
     case MQ_GATE_MESSAGE:
       gate->moved = NULL;
-      take_message (gate, input->peer, input->u.message);
+      receive_conn_message (gate, input->peer, input->u.message);
       if (gate->moved != NULL)
         mq_gate_calls_follow (gate, gate->moved, input->peer);
       break;
--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -25,7 +25,7 @@
  * @second: the second that the counts below are for
  * @lines: lines of that second
  * @plain: of them, those on successes
- * @strays: keys that the schema does not have
+ * @unknown_key_count: keys that the schema does not have
  */
 struct mq_json_log
 {
@@ -40,7 +40,7 @@
   uint32_t plain;
   uint64_t written;
   uint64_t dropped;
-  uint64_t strays;
+  uint64_t unknown_key_count;
 };
 
 struct mq_json_log *
@@ -103,7 +103,7 @@
 uint64_t
 mq_json_log_unknown_keys (const struct mq_json_log *log)
 {
-  return log->strays;
+  return log->unknown_key_count;
 }
 
 static void
@@ -175,7 +175,7 @@
 {
   if (mq_log_has_key (line->event, key))
     return true;
-  line->log->strays++;
+  line->log->unknown_key_count++;
   return false;
 }
 
--- a/src/net/frame.c
+++ b/src/net/frame.c
@@ -47,7 +47,7 @@
 };
 
 static size_t
-double_room (size_t room, size_t need)
+double_capacity (size_t room, size_t need)
 {
   if (room < FIRST_ROOM)
     room = FIRST_ROOM;
@@ -80,7 +80,7 @@
       writer->end = used;
       return true;
     }
-  room = double_room (writer->room, writer->end + need);
+  room = double_capacity (writer->room, writer->end + need);
   data = talloc_realloc (writer, writer->data, uint8_t, room);
   if (data == NULL)
     return false;
@@ -149,13 +149,14 @@
 }
 
 static bool
-append_kept (struct mq_frame_reader *reader, const uint8_t *data, size_t len)
+append_partial (struct mq_frame_reader *reader, const uint8_t *data,
+                size_t len)
 {
   size_t need = reader->kept_len + len;
 
   if (need > reader->room)
     {
-      size_t room = double_room (reader->room, need);
+      size_t room = double_capacity (reader->room, need);
       uint8_t *kept = talloc_realloc (reader, reader->kept, uint8_t, room);
 
       if (kept == NULL)
@@ -179,7 +180,7 @@
       reader->end = len;
       return true;
     }
-  if (!append_kept (reader, data, len))
+  if (!append_partial (reader, data, len))
     return false;
   reader->view = reader->kept;
   reader->end = reader->kept_len;
@@ -232,7 +233,7 @@
       reader->kept_len = left;
     }
   else
-    done = append_kept (reader, from, left);
+    done = append_partial (reader, from, left);
   reader->view = NULL;
   reader->start = 0;
   reader->end = 0;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -13,8 +13,8 @@
 #include <strings.h>
 #include <time.h>
 
-/* Connections are aged in whole seconds; see trust_connections.  */
-#define TRUST_GRAIN_MS 2000U
+/* Connections are aged in whole seconds; see limit_connection_age.  */
+#define CONNECTION_AGE_MARGIN_MS 2000U
 
 /**
  * struct mq_http_client - one multi handle and its calls
@@ -23,12 +23,12 @@
  * @timer: curl's timeout, NULL when none is set
  * @soon: ends calls that failed before curl had them
  * @active: calls that curl has
- * @unstarted: calls sent from within curl, which takes none then
+ * @deferred_calls: calls sent from within curl, which takes none then
  * @ended: finished or cancelled calls, still to be told and freed
  * @silent_ms: when a kept connection was last found silent, 0: never
  * @running: inside drive, where nothing that curl may use is freed
  * @in_curl: inside curl itself
- * @doomed: destroyed; freed once drive is over
+ * @destroy_pending: destroyed; freed once drive is over
  */
 struct mq_http_client
 {
@@ -37,12 +37,12 @@
   struct mq_timer *timer;
   struct tevent_immediate *soon;
   struct mq_http_call *active;
-  struct mq_http_call *unstarted;
+  struct mq_http_call *deferred_calls;
   struct mq_http_call *ended;
   uint64_t silent_ms;
   bool running;
   bool in_curl;
-  bool doomed;
+  bool destroy_pending;
 };
 
 /**
@@ -138,7 +138,7 @@
 /* The end of a call.  */
 
 static enum mq_error_type
-error_of (const struct mq_http_call *call)
+curl_error_type (const struct mq_http_call *call)
 {
   if (call->failed != MQ_ERR_NONE)
     return call->failed;
@@ -172,13 +172,13 @@
    earlier call.  Others that are kept may be silent too, and each would cost
    one more call its timeout, so none older than this moment is used again.  */
 static void
-note_silence (struct mq_http_call *call)
+record_unresponsive_connection (struct mq_http_call *call)
 {
   long connects = 0;
 
   curl_easy_getinfo (call->easy, CURLINFO_NUM_CONNECTS, &connects);
-  if (error_of (call) == MQ_ERR_TIMEOUT && call->starts > 0 && connects == 0
-      && call->total == 0)
+  if (curl_error_type (call) == MQ_ERR_TIMEOUT && call->starts > 0
+      && connects == 0 && call->total == 0)
     call->client->silent_ms = mq_clock_ms ();
 }
 
@@ -187,15 +187,15 @@
    it, and some from just after it.  Once longer has passed than a connection
    is kept unused, those that are left have worked since.  */
 static void
-trust_connections (struct mq_http_client *client, CURL *easy)
+limit_connection_age (struct mq_http_client *client, CURL *easy)
 {
   uint64_t since = mq_clock_ms () - client->silent_ms;
 
   if (client->silent_ms == 0)
     return;
-  if (since > MQ_HTTP_REUSE_MS + TRUST_GRAIN_MS)
+  if (since > MQ_HTTP_REUSE_MS + CONNECTION_AGE_MARGIN_MS)
     client->silent_ms = 0;
-  else if (since < TRUST_GRAIN_MS)
+  else if (since < CONNECTION_AGE_MARGIN_MS)
     curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, 1L);
   else
     curl_easy_setopt (easy, CURLOPT_MAXLIFETIME_CONN,
@@ -216,10 +216,10 @@
 /* A request is known not to have been sent only when curl never came to the
    point of sending it (about_to_send); from then on it is in doubt.  */
 static void
-call_tell (struct mq_http_call *call)
+notify_call_end (struct mq_http_call *call)
 {
   mq_http_done *done = call->done;
-  struct mq_http_result result = { .error = error_of (call),
+  struct mq_http_result result = { .error = curl_error_type (call),
                                    .sent = call->starts > 0,
                                    .body = mq_buffer_text (&call->body),
                                    .len = call->body.len };
@@ -231,7 +231,7 @@
       curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &status);
       result.status = (int)status;
       result.retry_after_ms = retry_after_ms (call->easy);
-      note_silence (call);
+      record_unresponsive_connection (call);
     }
   call->done = NULL;
   if (done != NULL)
@@ -241,13 +241,13 @@
 static void
 end_calls (struct mq_http_client *client)
 {
-  while (client->ended != NULL && !client->doomed)
+  while (client->ended != NULL && !client->destroy_pending)
     {
       struct mq_http_call *call = client->ended;
 
       call_unlink (call);
       if (call->done != NULL)
-        call_tell (call);
+        notify_call_end (call);
       talloc_free (call);
     }
 }
@@ -291,7 +291,7 @@
   client->running = true;
   end_calls (client);
   client->running = false;
-  if (client->doomed)
+  if (client->destroy_pending)
     talloc_free (client);
 }
 
@@ -307,8 +307,8 @@
   curl_multi_socket_action (client->multi, fd, bits, &under_way);
   client->in_curl = false;
   collect_finished (client);
-  while (client->unstarted != NULL && !client->doomed)
-    start_call (client->unstarted);
+  while (client->deferred_calls != NULL && !client->destroy_pending)
+    start_call (client->deferred_calls);
   tell_ended (client);
 }
 
@@ -336,7 +336,7 @@
 
   (void)multi;
   TALLOC_FREE (client->timer);
-  if (timeout_ms < 0 || client->doomed)
+  if (timeout_ms < 0 || client->destroy_pending)
     return 0;
   client->timer = mq_timer_add (client, client->ev, (uint64_t)timeout_ms,
                                 timer_fired, client);
@@ -377,7 +377,7 @@
   struct client_socket *sock = assigned;
 
   (void)easy;
-  if (what == CURL_POLL_REMOVE || client->doomed)
+  if (what == CURL_POLL_REMOVE || client->destroy_pending)
     {
       talloc_free (sock);
       curl_multi_assign (client->multi, fd, NULL);
@@ -431,12 +431,12 @@
 
 /* Bytes of the answer.  Any return but their number makes curl give up.  */
 static size_t
-answer_part (char *data, size_t size, size_t count, void *user)
+on_response_data (char *data, size_t size, size_t count, void *user)
 {
   struct mq_http_call *call = user;
   size_t len = size * count;
 
-  if (call->done == NULL || call->client->doomed)
+  if (call->done == NULL || call->client->destroy_pending)
     return 0;
   if (len > call->body_max - call->total)
     {
@@ -447,7 +447,7 @@
   if (call->part != NULL)
     {
       call->part (data, len, call->user);
-      return call->done == NULL || call->client->doomed ? 0 : len;
+      return call->done == NULL || call->client->destroy_pending ? 0 : len;
     }
   if (mq_buffer_append (call, &call->body, data, len, call->body_max))
     return len;
@@ -469,7 +469,7 @@
 /* Control characters in a value that a caller chose would end the header and
    let the caller write headers, or a second request, of its own.  */
 static bool
-line_is_clean (const char *line)
+header_line_is_valid (const char *line)
 {
   for (; *line != '\0'; line++)
     if ((unsigned char)*line < ' ' && *line != '\t')
@@ -487,7 +487,7 @@
 
   for (; lines != NULL && *lines != NULL; lines++)
     {
-      if (!line_is_clean (*lines))
+      if (!header_line_is_valid (*lines))
         call->failed = MQ_ERR_BAD_REQUEST;
       if (strncasecmp (*lines, content_type, strlen (content_type)) == 0)
         typed = true;
@@ -533,7 +533,7 @@
   curl_easy_setopt (easy, CURLOPT_TCP_NODELAY, 1L);
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, (long)MQ_HTTP_CONNECT_MS);
   curl_easy_setopt (easy, CURLOPT_MAXAGE_CONN, (long)MQ_HTTP_REUSE_MS / 1000);
-  trust_connections (call->client, easy);
+  limit_connection_age (call->client, easy);
 }
 
 static void
@@ -542,7 +542,7 @@
   CURL *easy = call->easy;
 
   curl_easy_setopt (easy, CURLOPT_PRIVATE, call);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, answer_part);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_response_data);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (easy, CURLOPT_PREREQFUNCTION, about_to_send);
   curl_easy_setopt (easy, CURLOPT_PREREQDATA, call);
@@ -605,7 +605,7 @@
   if (call->failed != MQ_ERR_NONE)
     call_move (call, &client->ended);
   else if (client->in_curl)
-    call_move (call, &client->unstarted);
+    call_move (call, &client->deferred_calls);
   else
     start_call (call);
   if (client->ended != NULL && !client->running)
@@ -640,10 +640,10 @@
 static int
 client_freed (struct mq_http_client *client)
 {
-  client->doomed = true;
+  client->destroy_pending = true;
   if (client->running)
     return -1;
-  free_calls (&client->unstarted);
+  free_calls (&client->deferred_calls);
   free_calls (&client->active);
   free_calls (&client->ended);
   if (client->multi != NULL)
--- a/src/net/http_lane.c
+++ b/src/net/http_conn.c
@@ -2,11 +2,11 @@
 
    Needs: http_lane.h.  */
 
-#include "http_lane.h"
+#include "http_conn.h"
 #include "buffer.h"
 
 /**
- * struct mq_http_lane - one connection
+ * struct mq_http_conn - one connection
  * @waiting: request that is sent once the connection is there
  * @open: the connection is there
  * @used: a request is under way
@@ -18,12 +18,12 @@
  * @busy: callbacks under way
  * @dead: to be freed once none is
  */
-struct mq_http_lane
+struct mq_http_conn
 {
   struct mq_tcp *tcp;
   struct mq_http_reader *reader;
-  struct mq_lane_events events;
-  mq_lane_closed *gone;
+  struct mq_http_conn_callbacks events;
+  mq_http_conn_closed *gone;
   void *gone_user;
   struct mq_buffer waiting;
   bool open;
@@ -40,7 +40,7 @@
 static void
 on_head (const struct mq_http_head *head, void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
 
   if (lane->dead)
     return;
@@ -53,7 +53,7 @@
 static void
 on_body (const char *data, size_t len, void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
 
   if (!lane->dead && !lane->skip)
     lane->events.body (data, len, lane->events.user);
@@ -62,14 +62,14 @@
 static void
 on_end (void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
 
   lane->whole = true;
 }
 
 /* True when the lane is gone.  */
 static bool
-leave (struct mq_http_lane *lane)
+leave (struct mq_http_conn *lane)
 {
   lane->busy--;
   if (!lane->dead)
@@ -80,7 +80,7 @@
 }
 
 static void
-fail (struct mq_http_lane *lane, enum mq_lane_failure failure)
+fail (struct mq_http_conn *lane, enum mq_http_conn_failure failure)
 {
   lane->busy++;
   if (lane->used)
@@ -97,7 +97,7 @@
 /* The message that was read is whole: ours, or one to be skipped.  False when
    the lane is gone.  */
 static bool
-end_message (struct mq_http_lane *lane)
+end_message (struct mq_http_conn *lane)
 {
   bool skipped = lane->skip;
 
@@ -119,7 +119,7 @@
 static void
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
 
   (void)tcp;
   while (len > 0)
@@ -129,7 +129,7 @@
 
       if (!lane->used)
         {
-          fail (lane, MQ_LANE_DAMAGED);
+          fail (lane, MQ_HTTP_CONN_BAD_RESPONSE);
           return;
         }
       lane->busy++;
@@ -138,7 +138,7 @@
         return;
       if (error.type != MQ_ERR_NONE)
         {
-          fail (lane, MQ_LANE_DAMAGED);
+          fail (lane, MQ_HTTP_CONN_BAD_RESPONSE);
           return;
         }
       data += used;
@@ -151,13 +151,13 @@
 static void
 on_ended (struct mq_tcp *tcp, enum mq_tcp_end end, void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
   bool whole = false;
 
   (void)tcp;
   if (!lane->sent)
     {
-      fail (lane, MQ_LANE_UNREACHABLE);
+      fail (lane, MQ_HTTP_CONN_UNREACHABLE);
       return;
     }
   /* Only an orderly end can be the end of an answer without a length.  */
@@ -171,13 +171,13 @@
     }
   if (whole && !end_message (lane))
     return;
-  fail (lane, MQ_LANE_BROKEN);
+  fail (lane, MQ_HTTP_CONN_LOST);
 }
 
 static void
 on_opened (struct mq_tcp *tcp, void *user)
 {
-  struct mq_http_lane *lane = user;
+  struct mq_http_conn *lane = user;
 
   lane->open = true;
   if (lane->waiting.len == 0)
@@ -187,13 +187,14 @@
   mq_buffer_clear (&lane->waiting);
 }
 
-struct mq_http_lane *
-mq_http_lane_open (TALLOC_CTX *ctx, struct tevent_context *ev,
+struct mq_http_conn *
+mq_http_conn_open (TALLOC_CTX *ctx, struct tevent_context *ev,
                    const char *address, uint32_t silent_ms,
-                   mq_lane_closed *gone, void *user, struct mq_error *error)
+                   mq_http_conn_closed *gone, void *user,
+                   struct mq_error *error)
 {
-  struct mq_http_lane *lane = talloc_zero (ctx, struct mq_http_lane);
-  struct mq_tcp_owner owner = {
+  struct mq_http_conn *lane = talloc_zero (ctx, struct mq_http_conn);
+  struct mq_tcp_callbacks owner = {
     .opened = on_opened, .data = on_data, .ended = on_ended, .user = lane
   };
   struct mq_http_events events
@@ -217,7 +218,7 @@
 }
 
 void
-mq_http_lane_destroy (struct mq_http_lane *lane)
+mq_http_conn_destroy (struct mq_http_conn *lane)
 {
   if (lane == NULL || lane->dead)
     return;
@@ -231,10 +232,10 @@
 }
 
 void
-mq_http_lane_send (struct mq_http_lane *lane,
-                   const struct mq_lane_events *events, const char *head,
-                   size_t head_len, const void *body, size_t body_len,
-                   bool answer_has_no_body)
+mq_http_conn_send (struct mq_http_conn *lane,
+                   const struct mq_http_conn_callbacks *events,
+                   const char *head, size_t head_len, const void *body,
+                   size_t body_len, bool answer_has_no_body)
 {
   struct mq_buffer *out = &lane->waiting;
 
@@ -256,13 +257,13 @@
 }
 
 bool
-mq_http_lane_sent (const struct mq_http_lane *lane)
+mq_http_conn_has_sent (const struct mq_http_conn *lane)
 {
   return lane->sent;
 }
 
 bool
-mq_http_lane_is_new (const struct mq_http_lane *lane)
+mq_http_conn_is_new (const struct mq_http_conn *lane)
 {
   return !lane->has_served;
 }
@@ -273,14 +274,14 @@
    The socket is asked for both; what is left is an end that crosses the
    request on its way.  */
 bool
-mq_http_lane_reusable (const struct mq_http_lane *lane)
+mq_http_conn_is_reusable (const struct mq_http_conn *lane)
 {
   return lane->keep && !lane->used && !lane->dead
-         && mq_tcp_is_quiet (lane->tcp);
+         && mq_tcp_is_idle (lane->tcp);
 }
 
 void
-mq_http_lane_read (struct mq_http_lane *lane, bool on)
+mq_http_conn_set_reading (struct mq_http_conn *lane, bool on)
 {
-  mq_tcp_read (lane->tcp, on);
+  mq_tcp_set_reading (lane->tcp, on);
 }
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -191,7 +191,7 @@
 }
 
 static bool
-names_are_sound (const struct mq_http_head *head)
+header_names_are_valid (const struct mq_http_head *head)
 {
   for (size_t i = 0; i < head->field_count; i++)
     if (!is_name (head->fields[i].name))
@@ -204,7 +204,7 @@
    what one reader takes for a body another one takes for a request, and a
    caller could slip in a request under another's name.  */
 static bool
-framing_is_clear (const struct mq_http_reader *reader)
+framing_is_unambiguous (const struct mq_http_reader *reader)
 {
   const struct mq_http_head *head = &reader->head;
   size_t codings = mq_http_head_count (head, "Transfer-Encoding");
@@ -252,7 +252,7 @@
       reader->too_large = true;
       return -1;
     }
-  if (!names_are_sound (head) || !framing_is_clear (reader))
+  if (!header_names_are_valid (head) || !framing_is_unambiguous (reader))
     return -1;
   /* We never switch protocols: an Upgrade is a field like any other.  */
   if (parser->method != HTTP_CONNECT)
--- a/src/net/http_request.c
+++ b/src/net/http_request.c
@@ -34,11 +34,11 @@
 
 /* The user's last word; frees a request that was kept for it.  */
 static void
-user_done (struct mq_http_request *request)
+finish_user_request (struct mq_http_request *request)
 {
   request->answered = true;
   if (request->connection == NULL && request->closed == NULL
-      && !request->server->doomed)
+      && !request->server->destroy_pending)
     talloc_free (request);
 }
 
@@ -48,7 +48,7 @@
 {
   if (!may_answer (request))
     {
-      user_done (request);
+      finish_user_request (request);
       return;
     }
   request->response = MHD_create_response_from_buffer (
@@ -74,7 +74,7 @@
   struct mq_http_request *request = cls;
 
   (void)position;
-  if (request->broken || request->server->doomed)
+  if (request->broken || request->server->destroy_pending)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (request->unsent.len > 0)
     return (ssize_t)mq_buffer_take (&request->unsent, to, max);
@@ -130,14 +130,14 @@
       mq_request_resume (request);
       return;
     }
-  user_done (request);
+  finish_user_request (request);
 }
 
 void
 mq_http_abort (struct mq_http_request *request)
 {
   mq_request_abort_connection (request);
-  user_done (request);
+  finish_user_request (request);
 }
 
 /* What a request says.  */
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -101,7 +101,7 @@
   server->running = true;
   MHD_run (server->daemon);
   server->running = false;
-  if (server->doomed)
+  if (server->destroy_pending)
     {
       talloc_free (server);
       return;
@@ -388,7 +388,7 @@
 static enum MHD_Result
 answer_or_wait (struct mq_http_request *request)
 {
-  if (request->broken || request->server->doomed)
+  if (request->broken || request->server->destroy_pending)
     return MHD_NO;
   if (request->response != NULL)
     return queue_answer (request);
@@ -419,7 +419,7 @@
   struct mq_http_request *request = *con;
 
   (void)version;
-  if (server->doomed)
+  if (server->destroy_pending)
     return MHD_NO;
   if (request == NULL)
     {
@@ -464,7 +464,7 @@
 static int
 server_freed (struct mq_http_server *server)
 {
-  server->doomed = true;
+  server->destroy_pending = true;
   while (server->requests != NULL)
     {
       struct mq_http_request *request = server->requests;
@@ -561,7 +561,7 @@
    sent gets no answer.  So they are taken first.  One that has left again
    hides those behind it; one beyond the bound of connections is closed.  */
 static void
-let_in_waiting (struct mq_http_server *server)
+accept_backlog (struct mq_http_server *server)
 {
   const union MHD_DaemonInfo *info
       = MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_LISTEN_FD);
@@ -588,7 +588,7 @@
 {
   MHD_socket fd;
 
-  let_in_waiting (server);
+  accept_backlog (server);
   fd = MHD_quiesce_daemon (server->daemon);
   if (fd != MHD_INVALID_SOCKET)
     close (fd);
--- a/src/net/http_state.h
+++ b/src/net/http_state.h
@@ -29,7 +29,7 @@
  * @running: inside MHD_run, where the daemon can't be stopped
  * @has_room: a connection has ended since the last run
  * @closing: no longer accepts; answers close their connection
- * @doomed: destroyed; freed once MHD_run has returned
+ * @destroy_pending: destroyed; freed once MHD_run has returned
  */
 struct mq_http_server
 {
@@ -49,7 +49,7 @@
   bool running;
   bool has_room;
   bool closing;
-  bool doomed;
+  bool destroy_pending;
 };
 
 struct mq_http_header_line
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -111,13 +111,13 @@
 }
 
 static void
-flush_dirty (struct mq_peer_net *net)
+flush_scheduled (struct mq_peer_net *net)
 {
   while (net->dirty != NULL)
     {
       struct mq_conn *conn = net->dirty;
 
-      net->dirty = conn->next_dirty;
+      net->dirty = conn->next_to_flush;
       conn->dirty = false;
       mq_conn_flush (conn);
     }
@@ -128,11 +128,11 @@
 {
   struct mq_conn *conn = net->conns;
 
-  net->doom_due = false;
+  net->close_due = false;
   while (conn != NULL && !net->dead)
     {
-      if (conn->state != MQ_CONN_CLOSED && conn->doom != MQ_ERR_NONE)
-        mq_conn_close (conn, conn->doom);
+      if (conn->state != MQ_CONN_CLOSED && conn->close_reason != MQ_ERR_NONE)
+        mq_conn_close (conn, conn->close_reason);
       conn = conn->next;
     }
 }
@@ -140,10 +140,10 @@
 static void
 do_work (struct mq_peer_net *net)
 {
-  flush_dirty (net);
-  if (net->doom_due)
+  flush_scheduled (net);
+  if (net->close_due)
     close_scheduled (net);
-  if (net->settle_due && !net->dead)
+  if (net->select_due && !net->dead)
     mq_conn_select_waiting (net);
   if (net->dial_due && !net->dead)
     {
@@ -254,7 +254,7 @@
 
   if (conn == NULL)
     return;
-  if (net->unproven > MQ_PEER_UNPROVEN_MAX)
+  if (net->unauthenticated_count > MQ_PEER_UNPROVEN_MAX)
     close_oldest_unauthenticated (net);
   mq_conn_start_handshake (conn);
 }
@@ -375,9 +375,9 @@
 }
 
 static uint32_t
-choose_tick (uint32_t beat_ms)
+choose_tick (uint32_t heartbeat_interval_ms)
 {
-  uint32_t tick = beat_ms / TICKS_PER_HEARTBEAT;
+  uint32_t tick = heartbeat_interval_ms / TICKS_PER_HEARTBEAT;
 
   if (tick < TICK_MIN_MS)
     return TICK_MIN_MS;
@@ -433,9 +433,11 @@
   net->callbacks = *callbacks;
   net->listen_fd = -1;
   net->clock_fd = -1;
-  net->beat_ms = options->beat_ms ? options->beat_ms : MQ_BEAT_MS;
+  net->heartbeat_interval_ms = options->heartbeat_interval_ms
+                                   ? options->heartbeat_interval_ms
+                                   : MQ_BEAT_MS;
   net->silent_ms = options->silent_ms ? options->silent_ms : MQ_SILENT_MS;
-  net->tick_ms = choose_tick (net->beat_ms);
+  net->tick_ms = choose_tick (net->heartbeat_interval_ms);
   net->now_ms = mq_clock_ms ();
   memcpy (net->site_key, options->site_key, sizeof net->site_key);
   talloc_set_destructor (net, destroy_net);
@@ -523,7 +525,7 @@
   mq_table_remove_by_address (conn);
   conn->kept = NULL;
   conn->state = MQ_CONN_DRAINING;
-  mq_conn_mark_dirty (conn);
+  mq_conn_schedule_flush (conn);
 }
 
 void
@@ -558,8 +560,8 @@
 static void
 schedule_close (struct mq_conn *conn, enum mq_error_type why)
 {
-  conn->doom = why;
-  conn->net->doom_due = true;
+  conn->close_reason = why;
+  conn->net->close_due = true;
   mq_peer_schedule (conn->net);
 }
 
@@ -589,7 +591,7 @@
   bool sent;
 
   if (net->dead || conn == NULL || conn->state != MQ_CONN_READY
-      || conn->doom != MQ_ERR_NONE || conn->write_failed)
+      || conn->close_reason != MQ_ERR_NONE || conn->write_failed)
     return false;
   if (stamped.config_version == 0)
     stamped.config_version = net->version;
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -49,8 +49,8 @@
   const char *listen;       /* "IP:PORT", port 0: a free one */
   struct mq_peer_info self; /* address: NULL: the one listened at */
   uint8_t site_key[MQ_KEY_BYTES];
-  uint32_t beat_ms;   /* 0: MQ_BEAT_MS */
-  uint32_t silent_ms; /* 0: MQ_SILENT_MS */
+  uint32_t heartbeat_interval_ms; /* 0: MQ_BEAT_MS */
+  uint32_t silent_ms;             /* 0: MQ_SILENT_MS */
 };
 
 struct mq_peer_net *
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -81,7 +81,7 @@
 }
 
 static bool
-was_up (const struct mq_conn *conn)
+has_been_ready (const struct mq_conn *conn)
 {
   return conn->state == MQ_CONN_READY || conn->state == MQ_CONN_DRAINING;
 }
@@ -102,7 +102,7 @@
   if (conn->next != NULL)
     conn->next->link = conn->link;
   if (is_unauthenticated (conn))
-    net->unproven--;
+    net->unauthenticated_count--;
   if (conn->kept != NULL && conn->kept->dialling == conn)
     conn->kept->dialling = NULL;
   conn->kept = NULL;
@@ -114,7 +114,7 @@
 mq_conn_close (struct mq_conn *conn, enum mq_error_type why)
 {
   struct mq_peer_net *net = conn->net;
-  bool up = was_up (conn);
+  bool up = has_been_ready (conn);
 
   if (conn->state == MQ_CONN_CLOSED)
     return;
@@ -124,7 +124,7 @@
   close (conn->fd);
   conn->state = MQ_CONN_CLOSED;
   unlink_conn (conn);
-  net->settle_due = true;
+  net->select_due = true;
   mq_peer_schedule (net);
   if (!up)
     return;
@@ -135,7 +135,7 @@
 }
 
 void
-mq_conn_mark_dirty (struct mq_conn *conn)
+mq_conn_schedule_flush (struct mq_conn *conn)
 {
   struct mq_peer_net *net = conn->net;
 
@@ -143,7 +143,7 @@
   if (conn->dirty)
     return;
   conn->dirty = true;
-  conn->next_dirty = net->dirty;
+  conn->next_to_flush = net->dirty;
   net->dirty = conn;
 }
 
@@ -155,7 +155,7 @@
     return false;
   count_out (conn, len, control);
   conn->sent_ms = conn->net->now_ms;
-  mq_conn_mark_dirty (conn);
+  mq_conn_schedule_flush (conn);
   return true;
 }
 
@@ -215,7 +215,7 @@
 }
 
 static void
-take_message (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_conn_message (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_message *message = mq_codec_unpack (conn, data, len, NULL);
 
@@ -237,11 +237,11 @@
 }
 
 static void
-take_frame (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_frame (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
-  if (was_up (conn))
+  if (has_been_ready (conn))
     {
-      take_message (conn, data, len);
+      receive_conn_message (conn, data, len);
       return;
     }
   count_in (conn, len, true);
@@ -255,7 +255,7 @@
 
   conn->net->counters.frames_bad++;
   mq_error_set (&error, MQ_ERR_TOO_LARGE, "frame", NULL);
-  if (was_up (conn))
+  if (has_been_ready (conn))
     mq_conn_close (conn, MQ_ERR_BAD_FRAME);
   else
     mq_conn_refuse (conn, &error);
@@ -263,16 +263,17 @@
 
 /* The bound is asked for each frame: a Proof ends the strict one.  */
 static bool
-take_next (struct mq_conn *conn)
+receive_next_frame (struct mq_conn *conn)
 {
-  size_t bound = was_up (conn) ? MQ_FRAME_MAX_BYTES : MQ_PEER_UNPROVEN_BYTES;
+  size_t bound
+      = has_been_ready (conn) ? MQ_FRAME_MAX_BYTES : MQ_PEER_UNPROVEN_BYTES;
   const uint8_t *data;
   size_t len;
 
   switch (mq_frame_reader_next (conn->reader, bound, &data, &len))
     {
     case MQ_NEXT_FRAME:
-      take_frame (conn, data, len);
+      receive_frame (conn, data, len);
       return is_alive (conn);
     case MQ_NEXT_PARTIAL:
       return false;
@@ -284,7 +285,7 @@
 }
 
 static void
-take_bytes (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_bytes (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   conn->heard_ms = mq_clock_ms ();
   if (!mq_frame_reader_feed (conn->reader, data, len))
@@ -293,7 +294,7 @@
       return;
     }
   conn->reading = true;
-  while (take_next (conn))
+  while (receive_next_frame (conn))
     ;
   conn->reading = false;
   if (is_alive (conn) && !mq_frame_reader_save_partial (conn->reader))
@@ -313,7 +314,7 @@
   got = recv (conn->fd, bytes, sizeof bytes, 0);
   if (got > 0)
     {
-      take_bytes (conn, bytes, (size_t)got);
+      receive_bytes (conn, bytes, (size_t)got);
       return;
     }
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
@@ -370,7 +371,7 @@
     conn->next->link = &conn->next;
   net->conns = conn;
   if (is_unauthenticated (conn))
-    net->unproven++;
+    net->unauthenticated_count++;
 }
 
 struct mq_conn *
@@ -487,10 +488,10 @@
 
 /* A connection can go silent for good while both ends think it open, when
    something between them has lost track of it: TCP would show it after
-   minutes.  A live peer sends at least a beat every beat_ms, so a pause of
-   silent_ms means that nothing gets through.  */
+   minutes.  A live peer sends at least a beat every heartbeat_interval_ms, so
+   a pause of silent_ms means that nothing gets through.  */
 static void
-tick_up (struct mq_conn *conn, uint64_t now_ms)
+tick_ready (struct mq_conn *conn, uint64_t now_ms)
 {
   struct mq_peer_net *net = conn->net;
 
@@ -503,7 +504,7 @@
   if (conn->state != MQ_CONN_READY
       || mq_frame_writer_unsent (conn->writer) > 0)
     return;
-  if (now_ms + net->tick_ms > conn->sent_ms + net->beat_ms)
+  if (now_ms + net->tick_ms > conn->sent_ms + net->heartbeat_interval_ms)
     queue_heartbeat (conn);
   else
     mq_frame_writer_trim (conn->writer);
@@ -514,8 +515,8 @@
 {
   if (conn->state == MQ_CONN_CLOSED)
     return;
-  if (was_up (conn))
-    tick_up (conn, now_ms);
+  if (has_been_ready (conn))
+    tick_ready (conn, now_ms);
   else if (now_ms >= conn->opened_ms + MQ_HANDSHAKE_MS)
     expire_handshake (conn);
 }
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -31,7 +31,7 @@
  * @next: next older connection of the net
  * @link: what points to this one
  * @next_closed: next closed connection that is to be freed
- * @next_dirty: next connection with frames to flush
+ * @next_to_flush: next connection with frames to flush
  * @next_by_handle: chain of the table by handle, while READY or DRAINING
  * @next_by_address: chain of the table by address, while READY
  * @fd: its socket
@@ -49,7 +49,7 @@
  * @heard_ms: when bytes last came
  * @sent_ms: when a frame was last queued
  * @version: highest configuration version told to the user for this peer
- * @doom: why it is to be closed in the next turn, NONE when it is not
+ * @close_reason: why it is to be closed in the next turn, NONE when it is not
  * @dirty: is in the list of connections to flush
  * @reading: its frames are being delivered
  * @write_failed: nothing more can be sent; what came before is still read
@@ -60,7 +60,7 @@
   struct mq_conn *next;
   struct mq_conn **link;
   struct mq_conn *next_closed;
-  struct mq_conn *next_dirty;
+  struct mq_conn *next_to_flush;
   struct mq_conn *next_by_handle;
   struct mq_conn *next_by_address;
   int fd;
@@ -78,7 +78,7 @@
   uint64_t heard_ms;
   uint64_t sent_ms;
   uint64_t version;
-  enum mq_error_type doom;
+  enum mq_error_type close_reason;
   bool dirty;
   bool reading;
   bool write_failed;
@@ -115,7 +115,7 @@
  * @ev: event loop
  * @self: what our Hello says
  * @site_key: key of the site
- * @beat_ms: longest pause between frames sent
+ * @heartbeat_interval_ms: longest pause between frames sent
  * @silent_ms: longest pause between bytes heard
  * @tick_ms: period of the clock
  * @callbacks: the user's
@@ -125,8 +125,8 @@
  * @clock_event: its readiness
  * @work: runs once in the next turn of the loop when @work_due
  * @work_due: whether it is scheduled
- * @doom_due: a connection is to be closed in it
- * @settle_due: a connection was closed, one that waits may take its place
+ * @close_due: a connection is to be closed in it
+ * @select_due: a connection was closed, one that waits may take its place
  * @dial_due: an address was added
  * @now_ms: monotonic time of the last tick
  * @conns: newest first
@@ -135,10 +135,11 @@
  * @kept: addresses kept
  * @by_handle: READY and DRAINING connections
  * @by_address: READY connections by the address in their Hello
- * @kept_by_address: addresses kept
+ * @peer_address_buckets: addresses kept
  * @last_serial: last serial number given out
  * @last_handle: last handle given out
- * @unproven: accepted connections whose peer has not proved the key
+ * @unauthenticated_count: accepted connections whose peer has not proved the
+ * key
  * @version: told in every beat
  * @seed: of the jitter
  * @depth: handlers that run
@@ -151,7 +152,7 @@
   struct tevent_context *ev;
   struct mq_peer_info self;
   uint8_t site_key[MQ_KEY_BYTES];
-  uint32_t beat_ms;
+  uint32_t heartbeat_interval_ms;
   uint32_t silent_ms;
   uint32_t tick_ms;
   struct mq_peer_callbacks callbacks;
@@ -161,8 +162,8 @@
   struct tevent_fd *clock_event;
   struct tevent_immediate *work;
   bool work_due;
-  bool doom_due;
-  bool settle_due;
+  bool close_due;
+  bool select_due;
   bool dial_due;
   uint64_t now_ms;
   struct mq_conn *conns;
@@ -171,10 +172,10 @@
   struct mq_peer_address *kept;
   struct mq_conn *by_handle[MQ_PEER_BUCKETS];
   struct mq_conn *by_address[MQ_PEER_BUCKETS];
-  struct mq_peer_address *kept_by_address[MQ_PEER_BUCKETS];
+  struct mq_peer_address *peer_address_buckets[MQ_PEER_BUCKETS];
   uint64_t last_serial;
   uint32_t last_handle;
-  uint32_t unproven;
+  uint32_t unauthenticated_count;
   uint64_t version;
   uint64_t seed;
   uint32_t depth;
@@ -200,7 +201,7 @@
 bool mq_conn_queue (struct mq_conn *conn, const uint8_t *data, size_t len,
                     bool control);
 /* Flushed in the next turn of the loop.  */
-void mq_conn_mark_dirty (struct mq_conn *conn);
+void mq_conn_schedule_flush (struct mq_conn *conn);
 void mq_conn_flush (struct mq_conn *conn);
 /* Whether TYPE is control traffic, not callers' data.  */
 bool mq_conn_is_control (enum mq_message_type type);
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -148,7 +148,7 @@
   struct mq_peer_net *net = conn->net;
 
   if (!conn->dialled)
-    net->unproven--;
+    net->unauthenticated_count--;
   conn->handle = next_handle (net);
   conn->state = MQ_CONN_READY;
   if (conn->kept != NULL)
@@ -216,7 +216,7 @@
 {
   struct mq_conn *conn = net->conns;
 
-  net->settle_due = false;
+  net->select_due = false;
   while (conn != NULL && !net->dead)
     {
       if (conn->state == MQ_CONN_WAITING)
@@ -249,7 +249,7 @@
 }
 
 static void
-take_hello (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_hello (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_error error;
   const struct mq_peer_info *info
@@ -276,7 +276,7 @@
 }
 
 static void
-take_proof (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_proof (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_error error;
 
@@ -308,10 +308,10 @@
   switch (conn->state)
     {
     case MQ_CONN_HELLO:
-      take_hello (conn, data, len);
+      receive_hello (conn, data, len);
       break;
     case MQ_CONN_PROOF:
-      take_proof (conn, data, len);
+      receive_proof (conn, data, len);
       break;
     case MQ_CONN_CONNECTING:
     case MQ_CONN_WAITING:
--- a/src/net/peer_table.c
+++ b/src/net/peer_table.c
@@ -93,7 +93,8 @@
 struct mq_peer_address *
 mq_table_find_peer_address (const struct mq_peer_net *net, const char *address)
 {
-  struct mq_peer_address *kept = net->kept_by_address[hash_address (address)];
+  struct mq_peer_address *kept
+      = net->peer_address_buckets[hash_address (address)];
 
   while (kept != NULL && strcmp (kept->address, address) != 0)
     kept = kept->next_by_address;
@@ -106,8 +107,8 @@
 {
   size_t bucket = hash_address (kept->address);
 
-  kept->next_by_address = net->kept_by_address[bucket];
-  net->kept_by_address[bucket] = kept;
+  kept->next_by_address = net->peer_address_buckets[bucket];
+  net->peer_address_buckets[bucket] = kept;
   kept->next = net->kept;
   net->kept = kept;
 }
@@ -117,7 +118,7 @@
                               struct mq_peer_address *kept)
 {
   struct mq_peer_address **at
-      = &net->kept_by_address[hash_address (kept->address)];
+      = &net->peer_address_buckets[hash_address (kept->address)];
 
   while (*at != kept)
     at = &(*at)->next_by_address;
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -48,7 +48,7 @@
   struct tevent_fd *event;
   struct mq_timer *timer;
   struct tevent_immediate *failure;
-  struct mq_tcp_owner owner;
+  struct mq_tcp_callbacks owner;
   struct mq_buffer unsent;
   int fd;
   int busy;
@@ -104,8 +104,8 @@
 }
 
 static struct mq_tcp *
-make_tcp (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-          const struct mq_tcp_owner *owner, uint16_t flags)
+create_tcp (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
+            const struct mq_tcp_callbacks *owner, uint16_t flags)
 {
   struct mq_tcp *tcp = talloc_zero (ctx, struct mq_tcp);
 
@@ -127,15 +127,15 @@
 
 struct mq_tcp *
 mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-               const struct mq_tcp_owner *owner)
+               const struct mq_tcp_callbacks *owner)
 {
   set_options (fd, 0);
-  return make_tcp (ctx, ev, fd, owner, TEVENT_FD_READ);
+  return create_tcp (ctx, ev, fd, owner, TEVENT_FD_READ);
 }
 
 struct mq_tcp *
 mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev, const char *address,
-             uint32_t silent_ms, const struct mq_tcp_owner *owner,
+             uint32_t silent_ms, const struct mq_tcp_callbacks *owner,
              struct mq_error *error)
 {
   int fd = mq_connect_begin (address, error);
@@ -144,7 +144,7 @@
   if (fd < 0)
     return NULL;
   set_options (fd, silent_ms);
-  tcp = make_tcp (ctx, ev, fd, owner, TEVENT_FD_WRITE);
+  tcp = create_tcp (ctx, ev, fd, owner, TEVENT_FD_WRITE);
   if (tcp == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, address, NULL);
@@ -156,7 +156,7 @@
 }
 
 void
-mq_tcp_watch_silence (struct mq_tcp *tcp, uint32_t silent_ms)
+mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t silent_ms)
 {
   if (tcp->fd >= 0)
     set_options (tcp->fd, silent_ms);
@@ -221,7 +221,7 @@
 /* Gives what has arrived to the owner, as far as one read takes it.  What recv
    has returned: 0 at the end, below 0 with errno when there is nothing.  */
 static ssize_t
-take_arrived (struct mq_tcp *tcp)
+read_available (struct mq_tcp *tcp)
 {
   char bytes[READ_BYTES];
   ssize_t got;
@@ -252,7 +252,7 @@
   (void)immediate;
   begin_callback (tcp);
   while (tcp->failed_as == MQ_TCP_RESET && !tcp->dead && tcp->reading
-         && take_arrived (tcp) > 0)
+         && read_available (tcp) > 0)
     ;
   if (!end_callback (tcp))
     tell_ended (tcp, tcp->failed_as);
@@ -330,7 +330,7 @@
 }
 
 void
-mq_tcp_read (struct mq_tcp *tcp, bool on)
+mq_tcp_set_reading (struct mq_tcp *tcp, bool on)
 {
   if (tcp->reading == on)
     return;
@@ -365,7 +365,7 @@
 }
 
 bool
-mq_tcp_is_quiet (const struct mq_tcp *tcp)
+mq_tcp_is_idle (const struct mq_tcp *tcp)
 {
   char byte;
 
@@ -487,7 +487,7 @@
 static void
 on_readable (struct mq_tcp *tcp)
 {
-  ssize_t got = take_arrived (tcp);
+  ssize_t got = read_available (tcp);
 
   if (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
     return;
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -20,7 +20,7 @@
 };
 
 /**
- * struct mq_tcp_owner - who is told of a connection
+ * struct mq_tcp_callbacks - who is told of a connection
  * @opened: a connection that was asked for is there; may be NULL
  * @data: bytes came in
  * @drained: unsent bytes fell below half of the bound after mq_tcp_write said
@@ -31,7 +31,7 @@
  * All are called from the event loop, never from within a call of this
  * module; each may destroy the connection.
  */
-struct mq_tcp_owner
+struct mq_tcp_callbacks
 {
   void (*opened) (struct mq_tcp *tcp, void *user);
   void (*data) (struct mq_tcp *tcp, const char *data, size_t len, void *user);
@@ -48,28 +48,28 @@
 /* Takes over FD, an accepted socket.  NULL when memory is out; FD is then
    closed.  */
 struct mq_tcp *mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev,
-                              int fd, const struct mq_tcp_owner *owner);
+                              int fd, const struct mq_tcp_callbacks *owner);
 /* Connects to ADDRESS, "IP:PORT".  SILENT_MS: unacknowledged bytes, also the
    first ones, for so long end the connection.  NULL with ERROR set when it
    fails at once.  */
 struct mq_tcp *mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev,
                             const char *address, uint32_t silent_ms,
-                            const struct mq_tcp_owner *owner,
+                            const struct mq_tcp_callbacks *owner,
                             struct mq_error *error);
 /* Ends the connection when the other side does not acknowledge for SILENT_MS,
    or does not answer probes for about three seconds.  */
-void mq_tcp_watch_silence (struct mq_tcp *tcp, uint32_t silent_ms);
+void mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t silent_ms);
 /* True while unsent bytes are below MQ_TCP_HIGH_BYTES.  */
 bool mq_tcp_write (struct mq_tcp *tcp, const void *data, size_t len);
 /* Stops and starts reading; the end of a connection whose reading is stopped
    is noticed when it starts again.  */
-void mq_tcp_read (struct mq_tcp *tcp, bool on);
+void mq_tcp_set_reading (struct mq_tcp *tcp, bool on);
 /* Bytes of the other side have arrived and were not read yet, or a connection
    that was asked for is there and was not looked at yet.  */
 bool mq_tcp_has_unread (const struct mq_tcp *tcp);
 /* Nothing of the other side has arrived that was not read: no bytes, and not
    the connection's end.  */
-bool mq_tcp_is_quiet (const struct mq_tcp *tcp);
+bool mq_tcp_is_idle (const struct mq_tcp *tcp);
 /* Bytes wait for the other side to take some.  */
 bool mq_tcp_has_unsent (const struct mq_tcp *tcp);
 /* Sends what is unsent, then nothing more; what still comes in is dropped.
--- a/src/net/timer.c
+++ b/src/net/timer.c
@@ -16,16 +16,16 @@
    shortest time-out of this product is 100 ms.  */
 #define LATE_US 5000U
 
-struct hub;
+struct timer_queue;
 
 /**
  * struct mq_timer - one timer
- * @hub: NULL once it is due
+ * @timer_queue: NULL once it is due
  * @index: its place in the heap
  */
 struct mq_timer
 {
-  struct hub *hub;
+  struct timer_queue *timer_queue;
   size_t index;
   uint64_t due_us;
   mq_timer_handler *handler;
@@ -33,110 +33,113 @@
 };
 
 /**
- * struct hub - the timers of one event loop
+ * struct timer_queue - the timers of one event loop
  * @heap: a timer's due time is not after those of its children, which are at
  *        twice its index and one or two more
  * @armed_us: when the descriptor fires, NOT_ARMED: never
- * @look_us: begin of the look at the connections that is under way, 0: none
+ * @poll_round_us: begin of the look at the connections that is under way, 0:
+ * none
  */
-struct hub
+struct timer_queue
 {
-  struct hub *next;
+  struct timer_queue *next;
   struct tevent_context *ev;
   struct tevent_fd *event;
   struct mq_timer **heap;
   size_t count;
   size_t room;
   uint64_t armed_us;
-  uint64_t look_us;
+  uint64_t poll_round_us;
   int fd;
 };
 
-static struct hub *hubs;
+static struct timer_queue *hubs;
 
 static void
-place (struct hub *hub, size_t index, struct mq_timer *timer)
+place (struct timer_queue *timer_queue, size_t index, struct mq_timer *timer)
 {
-  hub->heap[index] = timer;
+  timer_queue->heap[index] = timer;
   timer->index = index;
 }
 
 static void
-sift_up (struct hub *hub, size_t index)
+sift_up (struct timer_queue *timer_queue, size_t index)
 {
-  struct mq_timer *timer = hub->heap[index];
+  struct mq_timer *timer = timer_queue->heap[index];
 
-  while (index > 0 && hub->heap[(index - 1) / 2]->due_us > timer->due_us)
+  while (index > 0
+         && timer_queue->heap[(index - 1) / 2]->due_us > timer->due_us)
     {
-      place (hub, index, hub->heap[(index - 1) / 2]);
+      place (timer_queue, index, timer_queue->heap[(index - 1) / 2]);
       index = (index - 1) / 2;
     }
-  place (hub, index, timer);
+  place (timer_queue, index, timer);
 }
 
 static void
-sift_down (struct hub *hub, size_t index)
+sift_down (struct timer_queue *timer_queue, size_t index)
 {
-  struct mq_timer *timer = hub->heap[index];
+  struct mq_timer *timer = timer_queue->heap[index];
 
   for (;;)
     {
       size_t child = index * 2 + 1;
 
-      if (child >= hub->count)
+      if (child >= timer_queue->count)
         break;
-      if (child + 1 < hub->count
-          && hub->heap[child + 1]->due_us < hub->heap[child]->due_us)
+      if (child + 1 < timer_queue->count
+          && timer_queue->heap[child + 1]->due_us
+                 < timer_queue->heap[child]->due_us)
         child++;
-      if (hub->heap[child]->due_us >= timer->due_us)
+      if (timer_queue->heap[child]->due_us >= timer->due_us)
         break;
-      place (hub, index, hub->heap[child]);
+      place (timer_queue, index, timer_queue->heap[child]);
       index = child;
     }
-  place (hub, index, timer);
+  place (timer_queue, index, timer);
 }
 
 static void
-remove_timer (struct hub *hub, struct mq_timer *timer)
+remove_timer (struct timer_queue *timer_queue, struct mq_timer *timer)
 {
   size_t index = timer->index;
-  struct mq_timer *last = hub->heap[--hub->count];
+  struct mq_timer *last = timer_queue->heap[--timer_queue->count];
 
-  timer->hub = NULL;
+  timer->timer_queue = NULL;
   if (last == timer)
     return;
-  place (hub, index, last);
-  sift_up (hub, index);
-  sift_down (hub, last->index);
+  place (timer_queue, index, last);
+  sift_up (timer_queue, index);
+  sift_down (timer_queue, last->index);
 }
 
 static int
 cancel_timer (struct mq_timer *timer)
 {
-  if (timer->hub != NULL)
-    remove_timer (timer->hub, timer);
+  if (timer->timer_queue != NULL)
+    remove_timer (timer->timer_queue, timer);
   return 0;
 }
 
 static void
-arm_at (struct hub *hub, uint64_t due_us)
+arm_at (struct timer_queue *timer_queue, uint64_t due_us)
 {
   struct itimerspec when = { .it_value = { 0, 0 } };
 
   when.it_value.tv_sec = (time_t)(due_us / 1000000U);
   when.it_value.tv_nsec = (long)(due_us % 1000000U) * 1000;
-  if (timerfd_settime (hub->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
-    hub->armed_us = due_us;
+  if (timerfd_settime (timer_queue->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
+    timer_queue->armed_us = due_us;
 }
 
 /* The descriptor is set only to come earlier; when it comes too early, since
    the timer that it was set for is gone, it is set again.  */
 static void
-arm (struct hub *hub)
+arm (struct timer_queue *timer_queue)
 {
-  if (hub->look_us == 0 && hub->count > 0
-      && hub->heap[0]->due_us < hub->armed_us)
-    arm_at (hub, hub->heap[0]->due_us);
+  if (timer_queue->poll_round_us == 0 && timer_queue->count > 0
+      && timer_queue->heap[0]->due_us < timer_queue->armed_us)
+    arm_at (timer_queue, timer_queue->heap[0]->due_us);
 }
 
 /* Failure: one handler keeps the loop from all others, a configuration of
@@ -150,10 +153,10 @@
    now: the kernel hands descriptors out in the order in which they became
    ready.  */
 static void
-begin_look (struct hub *hub, uint64_t now)
+begin_poll_round (struct timer_queue *timer_queue, uint64_t now)
 {
-  hub->look_us = now;
-  arm_at (hub, now);
+  timer_queue->poll_round_us = now;
+  arm_at (timer_queue, now);
 }
 
 static bool
@@ -163,11 +166,11 @@
 }
 
 static void
-run_first (struct hub *hub)
+run_first (struct timer_queue *timer_queue)
 {
-  struct mq_timer *timer = talloc_steal (hub, hub->heap[0]);
+  struct mq_timer *timer = talloc_steal (timer_queue, timer_queue->heap[0]);
 
-  remove_timer (hub, timer);
+  remove_timer (timer_queue, timer);
   timer->handler (timer->data);
   talloc_free (timer);
 }
@@ -178,89 +181,94 @@
 on_due (struct tevent_context *ev, struct tevent_fd *event, uint16_t flags,
         void *data)
 {
-  struct hub *hub = data;
+  struct timer_queue *timer_queue = data;
   uint64_t now = mq_clock_us ();
-  uint64_t seen_us = hub->look_us;
+  uint64_t seen_us = timer_queue->poll_round_us;
   uint64_t expired;
 
   (void)ev;
   (void)event;
   (void)flags;
-  if (read (hub->fd, &expired, sizeof expired) != (ssize_t)sizeof expired)
+  if (read (timer_queue->fd, &expired, sizeof expired)
+      != (ssize_t)sizeof expired)
     return;
-  hub->armed_us = NOT_ARMED;
-  hub->look_us = 0;
-  while (hub->count > 0 && hub->heap[0]->due_us <= now)
+  timer_queue->armed_us = NOT_ARMED;
+  timer_queue->poll_round_us = 0;
+  while (timer_queue->count > 0 && timer_queue->heap[0]->due_us <= now)
     {
-      if (must_wait (hub->heap[0], seen_us, now))
+      if (must_wait (timer_queue->heap[0], seen_us, now))
         {
-          begin_look (hub, now);
+          begin_poll_round (timer_queue, now);
           return;
         }
-      run_first (hub);
+      run_first (timer_queue);
     }
-  arm (hub);
+  arm (timer_queue);
 }
 
 static int
-end_hub (struct hub *hub)
+destroy_timer_queue (struct timer_queue *timer_queue)
 {
-  struct hub **at = &hubs;
+  struct timer_queue **at = &hubs;
 
-  while (*at != hub)
+  while (*at != timer_queue)
     at = &(*at)->next;
-  *at = hub->next;
-  for (size_t i = 0; i < hub->count; i++)
-    hub->heap[i]->hub = NULL;
-  TALLOC_FREE (hub->event);
-  close (hub->fd);
+  *at = timer_queue->next;
+  for (size_t i = 0; i < timer_queue->count; i++)
+    timer_queue->heap[i]->timer_queue = NULL;
+  TALLOC_FREE (timer_queue->event);
+  close (timer_queue->fd);
   return 0;
 }
 
-static struct hub *
-make_hub (struct tevent_context *ev)
+static struct timer_queue *
+create_timer_queue (struct tevent_context *ev)
 {
-  struct hub *hub = talloc_zero (ev, struct hub);
+  struct timer_queue *timer_queue = talloc_zero (ev, struct timer_queue);
 
-  if (hub == NULL)
+  if (timer_queue == NULL)
     return NULL;
-  hub->ev = ev;
-  hub->armed_us = NOT_ARMED;
-  hub->fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-  if (hub->fd < 0)
+  timer_queue->ev = ev;
+  timer_queue->armed_us = NOT_ARMED;
+  timer_queue->fd
+      = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
+  if (timer_queue->fd < 0)
     {
-      talloc_free (hub);
+      talloc_free (timer_queue);
       return NULL;
     }
-  hub->event = tevent_add_fd (ev, hub, hub->fd, TEVENT_FD_READ, on_due, hub);
-  hub->next = hubs;
-  hubs = hub;
-  talloc_set_destructor (hub, end_hub);
-  return hub;
+  timer_queue->event = tevent_add_fd (ev, timer_queue, timer_queue->fd,
+                                      TEVENT_FD_READ, on_due, timer_queue);
+  timer_queue->next = hubs;
+  hubs = timer_queue;
+  talloc_set_destructor (timer_queue, destroy_timer_queue);
+  return timer_queue;
 }
 
-static struct hub *
-get_hub (struct tevent_context *ev)
+static struct timer_queue *
+get_timer_queue (struct tevent_context *ev)
 {
-  for (struct hub *hub = hubs; hub != NULL; hub = hub->next)
-    if (hub->ev == ev)
-      return hub;
-  return make_hub (ev);
+  for (struct timer_queue *timer_queue = hubs; timer_queue != NULL;
+       timer_queue = timer_queue->next)
+    if (timer_queue->ev == ev)
+      return timer_queue;
+  return create_timer_queue (ev);
 }
 
 static bool
-make_room (struct hub *hub)
+make_room (struct timer_queue *timer_queue)
 {
-  size_t room = hub->room == 0 ? FIRST_ROOM : hub->room * 2;
+  size_t room = timer_queue->room == 0 ? FIRST_ROOM : timer_queue->room * 2;
   struct mq_timer **grown;
 
-  if (hub->count < hub->room)
+  if (timer_queue->count < timer_queue->room)
     return true;
-  grown = talloc_realloc (hub, hub->heap, struct mq_timer *, room);
+  grown = talloc_realloc (timer_queue, timer_queue->heap, struct mq_timer *,
+                          room);
   if (grown == NULL)
     return false;
-  hub->heap = grown;
-  hub->room = room;
+  timer_queue->heap = grown;
+  timer_queue->room = room;
   return true;
 }
 
@@ -268,21 +276,21 @@
 mq_timer_add (TALLOC_CTX *ctx, struct tevent_context *ev, uint64_t ms,
               mq_timer_handler *handler, void *data)
 {
-  struct hub *hub = get_hub (ev);
+  struct timer_queue *timer_queue = get_timer_queue (ev);
   struct mq_timer *timer = talloc_zero (ctx, struct mq_timer);
 
-  if (hub == NULL || timer == NULL || !make_room (hub))
+  if (timer_queue == NULL || timer == NULL || !make_room (timer_queue))
     {
       talloc_free (timer);
       return NULL;
     }
-  timer->hub = hub;
+  timer->timer_queue = timer_queue;
   timer->due_us = mq_clock_us () + ms * 1000U;
   timer->handler = handler;
   timer->data = data;
-  hub->heap[hub->count] = timer;
-  sift_up (hub, hub->count++);
+  timer_queue->heap[timer_queue->count] = timer;
+  sift_up (timer_queue, timer_queue->count++);
   talloc_set_destructor (timer, cancel_timer);
-  arm (hub);
+  arm (timer_queue);
   return timer;
 }
--- a/src/router/relay_link.c
+++ b/src/router/relay_link.c
@@ -37,7 +37,7 @@
 
 /* False when the bytes are no frames.  */
 static bool
-take_bytes (struct mq_relay_link *link, const char *data, size_t len)
+receive_bytes (struct mq_relay_link *link, const char *data, size_t len)
 {
   const uint8_t *bytes;
   size_t size;
@@ -70,7 +70,7 @@
 
   (void)tcp;
   link->busy = true;
-  good = take_bytes (link, data, len);
+  good = receive_bytes (link, data, len);
   link->busy = false;
   if (link->dead)
     talloc_free (link);
@@ -106,7 +106,7 @@
                     struct mq_error *error)
 {
   struct mq_relay_link *link = make_link (ctx, owner);
-  struct mq_tcp_owner tcp_owner
+  struct mq_tcp_callbacks tcp_owner
       = { .data = on_data, .ended = on_ended, .user = link };
 
   link->tcp = mq_tcp_open (ctx, ev, address, SILENT_MS, &tcp_owner, error);
@@ -121,7 +121,7 @@
                       const struct mq_relay_link_owner *owner)
 {
   struct mq_relay_link *link = make_link (ctx, owner);
-  struct mq_tcp_owner tcp_owner
+  struct mq_tcp_callbacks tcp_owner
       = { .data = on_data, .ended = on_ended, .user = link };
 
   link->tcp = mq_tcp_accept (ctx, ev, fd, &tcp_owner);
@@ -130,7 +130,7 @@
       talloc_free (link);
       return NULL;
     }
-  mq_tcp_watch_silence (link->tcp, SILENT_MS);
+  mq_tcp_set_peer_timeout (link->tcp, SILENT_MS);
   return link;
 }
 
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -247,7 +247,7 @@
 read_if_room (struct mq_caller *caller)
 {
   if (!caller->dead)
-    mq_tcp_read (caller->tcp, caller->ahead.len < AHEAD_BYTES);
+    mq_tcp_set_reading (caller->tcp, caller->ahead.len < AHEAD_BYTES);
 }
 
 /* One message's bytes, or those of several; what can't be used yet waits.  */
@@ -449,7 +449,7 @@
 add_caller (struct mq_router *router, int fd)
 {
   struct mq_caller *caller = talloc_zero (router, struct mq_caller);
-  struct mq_tcp_owner owner = {
+  struct mq_tcp_callbacks owner = {
     .data = on_data, .drained = on_drained, .ended = on_closed, .user = caller
   };
   struct mq_http_events events
--- a/src/router/router_pool.c
+++ b/src/router/router_pool.c
@@ -16,7 +16,7 @@
  */
 struct idle_lane
 {
-  struct mq_http_lane *lane;
+  struct mq_http_conn *lane;
   uint64_t stamp;
   uint64_t until_ms;
   struct idle_lane *next;
@@ -51,7 +51,7 @@
 static void
 close_idle (struct idle_lane *idle)
 {
-  mq_http_lane_destroy (idle->lane);
+  mq_http_conn_destroy (idle->lane);
   talloc_free (idle);
 }
 
@@ -103,7 +103,7 @@
 
 /* An idle connection ended: it is still in its list.  */
 static void
-on_gone (struct mq_http_lane *lane, void *user)
+on_gone (struct mq_http_conn *lane, void *user)
 {
   struct mq_pool *pool = user;
 
@@ -118,10 +118,10 @@
           close_idle (idle);
           return;
         }
-  mq_http_lane_destroy (lane);
+  mq_http_conn_destroy (lane);
 }
 
-struct mq_http_lane *
+struct mq_http_conn *
 mq_pool_take (struct mq_pool *pool, uint32_t worker, struct mq_error *error)
 {
   uint64_t now = mq_clock_ms ();
@@ -134,10 +134,11 @@
     }
   while ((idle = pool->idle[worker]) != NULL)
     {
-      struct mq_http_lane *lane = idle->lane;
+      struct mq_http_conn *lane = idle->lane;
 
       pool->idle[worker] = idle->next;
-      if (!is_fresh (pool, idle, worker, now) || !mq_http_lane_reusable (lane))
+      if (!is_fresh (pool, idle, worker, now)
+          || !mq_http_conn_is_reusable (lane))
         {
           close_idle (idle);
           continue;
@@ -146,24 +147,24 @@
       return lane;
     }
   pool->opened++;
-  return mq_http_lane_open (pool, pool->ev,
+  return mq_http_conn_open (pool, pool->ev,
                             mq_fleet_member (pool->fleet, worker)->address,
                             MQ_POOL_SILENT_MS, on_gone, pool, error);
 }
 
 void
-mq_pool_give (struct mq_pool *pool, uint32_t worker, struct mq_http_lane *lane,
+mq_pool_give (struct mq_pool *pool, uint32_t worker, struct mq_http_conn *lane,
               uint32_t idle_s)
 {
   uint32_t keep_ms = idle_s == 0 ? MQ_POOL_IDLE_MS : idle_s * 1000U;
   struct idle_lane *idle = NULL;
 
-  if (mq_http_lane_reusable (lane) && mq_fleet_usable (pool->fleet, worker)
+  if (mq_http_conn_is_reusable (lane) && mq_fleet_usable (pool->fleet, worker)
       && keep_ms > MQ_POOL_IDLE_MARGIN_MS)
     idle = talloc_zero (pool, struct idle_lane);
   if (idle == NULL)
     {
-      mq_http_lane_destroy (lane);
+      mq_http_conn_destroy (lane);
       return;
     }
   idle->lane = lane;
--- a/src/router/router_pool.h
+++ b/src/router/router_pool.h
@@ -6,7 +6,7 @@
 #define MQ_ROUTER_POOL_H
 
 #include "core/router/fleet.h"
-#include "net/http_lane.h"
+#include "net/http_conn.h"
 
 /* Bytes that a worker does not acknowledge for so long mean that it is gone.
    Within a region an acknowledgement takes a few milliseconds.  */
@@ -25,12 +25,12 @@
 void mq_pool_destroy (struct mq_pool *pool);
 /* A connection to WORKER, used before or new.  NULL with ERROR set when none
    can be had.  */
-struct mq_http_lane *mq_pool_take (struct mq_pool *pool, uint32_t worker,
+struct mq_http_conn *mq_pool_take (struct mq_pool *pool, uint32_t worker,
                                    struct mq_error *error);
 /* Gives LANE back after a whole answer; IDLE_S: how long the worker keeps it,
    0: not told.  Closes it when it can't be used again.  */
 void mq_pool_give (struct mq_pool *pool, uint32_t worker,
-                   struct mq_http_lane *lane, uint32_t idle_s);
+                   struct mq_http_conn *lane, uint32_t idle_s);
 /* Closes connections that are idle too long or whose worker has left.  */
 void mq_pool_sweep (struct mq_pool *pool);
 /* Connections opened since the start.  */
--- a/src/router/router_ready.c
+++ b/src/router/router_ready.c
@@ -127,7 +127,7 @@
   int fd
       = accept4 (router->ready_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   struct question *question;
-  struct mq_tcp_owner owner = { .data = on_data, .ended = on_ended };
+  struct mq_tcp_callbacks owner = { .data = on_data, .ended = on_ended };
   struct mq_http_events events
       = { .head = on_head, .body = on_body, .end = on_end };
 
--- a/src/router/router_try.c
+++ b/src/router/router_try.c
@@ -16,7 +16,7 @@
 struct mq_try
 {
   struct mq_try_options options;
-  struct mq_http_lane *lane;
+  struct mq_http_conn *lane;
   struct mq_silence *silence;
 };
 
@@ -34,7 +34,7 @@
     return;
   if (try->lane != NULL)
     {
-      mq_http_lane_destroy (try->lane);
+      mq_http_conn_destroy (try->lane);
       tell_fleet (try, outcome);
     }
   talloc_free (try);
@@ -142,22 +142,22 @@
 static bool
 closed_new (const struct mq_try *try)
 {
-  return try->options.answer->status == 0 && mq_http_lane_is_new (try->lane);
+  return try->options.answer->status == 0 && mq_http_conn_is_new (try->lane);
 }
 
 static void
-on_failed (enum mq_lane_failure failure, void *user)
+on_failed (enum mq_http_conn_failure failure, void *user)
 {
   switch (failure)
     {
-    case MQ_LANE_UNREACHABLE:
+    case MQ_HTTP_CONN_UNREACHABLE:
       end_try (user, MQ_ATTEMPT_UNREACHABLE, MQ_OUTCOME_UNREACHABLE);
       return;
-    case MQ_LANE_BROKEN:
+    case MQ_HTTP_CONN_LOST:
       end_try (user, MQ_ATTEMPT_BROKEN,
                closed_new (user) ? MQ_OUTCOME_UNREACHABLE : MQ_OUTCOME_FAILED);
       return;
-    case MQ_LANE_DAMAGED:
+    case MQ_HTTP_CONN_BAD_RESPONSE:
       end_broken (user);
       return;
     }
@@ -184,15 +184,15 @@
 send_message (struct mq_try *try)
 {
   const struct mq_try_options *options = &try->options;
-  struct mq_lane_events events = { .head = on_head,
-                                   .body = on_body,
-                                   .end = on_end,
-                                   .failed = on_failed,
-                                   .user = try };
+  struct mq_http_conn_callbacks events = { .head = on_head,
+                                           .body = on_body,
+                                           .end = on_end,
+                                           .failed = on_failed,
+                                           .user = try };
   struct mq_buffer out = { NULL, 0, 0, 0 };
 
   mq_send_head (try, &options->send, &out);
-  mq_http_lane_send (try->lane, &events, out.data + out.at, out.len,
+  mq_http_conn_send (try->lane, &events, out.data + out.at, out.len,
                      options->body.data, options->body.len,
                      strcmp (options->send.head->method, "HEAD") == 0);
   mq_buffer_clear (&out);
@@ -221,7 +221,7 @@
 bool
 mq_try_sent (const struct mq_try *try)
 {
-  return mq_http_lane_sent (try->lane);
+  return mq_http_conn_has_sent (try->lane);
 }
 
 void
@@ -234,7 +234,7 @@
 void
 mq_try_read (struct mq_try *try, bool on)
 {
-  mq_http_lane_read (try->lane, on);
+  mq_http_conn_set_reading (try->lane, on);
 }
 
 uint64_t
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -154,7 +154,7 @@
   net.self.address = options->address;
   net.self.data_centre = "plateau";
   net.self.boot = options->boot;
-  net.beat_ms = KIT_BEAT_MS;
+  net.heartbeat_interval_ms = KIT_BEAT_MS;
   net.silent_ms = options->silent_ms ? options->silent_ms : KIT_SILENT_MS;
   memset (net.site_key, options->key, sizeof net.site_key);
   node->ctx = talloc_new (node);
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -125,7 +125,7 @@
 {
   struct proxy *proxy = data;
   int fd = accept4 (proxy->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  struct mq_tcp_owner owner = { .data = on_data, .ended = on_ended };
+  struct mq_tcp_callbacks owner = { .data = on_data, .ended = on_ended };
   struct mq_error error = { .type = MQ_ERR_NONE };
   struct pair *pair;
   char address[32];
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -10,7 +10,7 @@
 #include "../../platform/standins/worker_server.h"
 #include "core/id.h"
 #include "net/buffer.h"
-#include "net/http_lane.h"
+#include "net/http_conn.h"
 #include "net/timer.h"
 #include "proxy.h"
 #include <sys/types.h>
@@ -84,7 +84,7 @@
   char input[32];
   char previous[32];
   struct mq_buffer history;
-  struct mq_http_lane *lane;
+  struct mq_http_conn *lane;
   struct mq_timer *timer;
   struct mq_timer *patience;
   int host;
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -74,7 +74,7 @@
 static void
 drop_lane (struct program *program)
 {
-  mq_http_lane_destroy (program->lane);
+  mq_http_conn_destroy (program->lane);
   program->lane = NULL;
 }
 
@@ -304,7 +304,7 @@
   struct program *program = user;
 
   TALLOC_FREE (program->patience);
-  if (!mq_http_lane_reusable (program->lane))
+  if (!mq_http_conn_is_reusable (program->lane))
     drop_lane (program);
   take_answer (program);
 }
@@ -321,7 +321,7 @@
 }
 
 static void
-on_failed (enum mq_lane_failure failure, void *user)
+on_failed (enum mq_http_conn_failure failure, void *user)
 {
   (void)failure;
   end_broken (user);
@@ -337,7 +337,7 @@
 }
 
 static void
-on_gone (struct mq_http_lane *lane, void *user)
+on_gone (struct mq_http_conn *lane, void *user)
 {
   struct program *program = user;
 
@@ -374,11 +374,11 @@
 send_step (struct program *program)
 {
   struct soak *soak = program->soak;
-  struct mq_lane_events events = { .head = on_head,
-                                   .body = on_body,
-                                   .end = on_end,
-                                   .failed = on_failed,
-                                   .user = program };
+  struct mq_http_conn_callbacks events = { .head = on_head,
+                                           .body = on_body,
+                                           .end = on_end,
+                                           .failed = on_failed,
+                                           .user = program };
   struct mq_error error = { .type = MQ_ERR_NONE };
   char address[32];
   char *head;
@@ -395,7 +395,7 @@
     {
       snprintf (address, sizeof address, "127.0.0.1:%u",
                 soak->hosts[program->host].http);
-      program->lane = mq_http_lane_open (soak->ev, soak->ev, address, 0,
+      program->lane = mq_http_conn_open (soak->ev, soak->ev, address, 0,
                                          on_gone, program, &error);
     }
   if (program->lane == NULL)
@@ -406,7 +406,7 @@
   head = make_head (program);
   program->patience
       = mq_timer_add (soak->ev, soak->ev, PATIENCE_MS, on_patience, program);
-  mq_http_lane_send (program->lane, &events, head, strlen (head),
+  mq_http_conn_send (program->lane, &events, head, strlen (head),
                      program->input, strlen (program->input), false);
   talloc_free (head);
 }
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -4,7 +4,7 @@
    Needs: Criterion, http_lane.h, router_pool.h, rows.h,
    timer.h.  */
 
-#include "net/http_lane.h"
+#include "net/http_conn.h"
 #include "net/listen.h"
 #include "router/router_pool.h"
 #include "router/rows.h"
@@ -117,32 +117,32 @@
 }
 
 static void
-on_failed (enum mq_lane_failure failure, void *user)
+on_failed (enum mq_http_conn_failure failure, void *user)
 {
   (void)failure;
   ((struct heard *)user)->failed = true;
 }
 
 static void
-on_gone (struct mq_http_lane *lane, void *user)
+on_gone (struct mq_http_conn *lane, void *user)
 {
   *(bool *)user = true;
-  mq_http_lane_destroy (lane);
+  mq_http_conn_destroy (lane);
 }
 
 static void
-ask (struct mq_http_lane *lane, struct heard *heard, size_t body_len)
+ask (struct mq_http_conn *lane, struct heard *heard, size_t body_len)
 {
-  struct mq_lane_events events = { .head = on_head,
-                                   .body = on_body,
-                                   .end = on_end,
-                                   .failed = on_failed,
-                                   .user = heard };
+  struct mq_http_conn_callbacks events = { .head = on_head,
+                                           .body = on_body,
+                                           .end = on_end,
+                                           .failed = on_failed,
+                                           .user = heard };
   char head[128];
   char *body = talloc_zero_size (ev, body_len + 1);
 
   snprintf (head, sizeof head, ASK "%zu\r\n\r\n", body_len);
-  mq_http_lane_send (lane, &events, head, strlen (head), body, body_len,
+  mq_http_conn_send (lane, &events, head, strlen (head), body, body_len,
                      false);
   talloc_free (body);
 }
@@ -194,13 +194,13 @@
       const struct stale_case *row = &stale_cases[i];
       struct mq_fleet *fleet;
       struct mq_pool *pool = make_pool (&fleet);
-      struct mq_http_lane *lane = mq_pool_take (pool, 0, NULL);
+      struct mq_http_conn *lane = mq_pool_take (pool, 0, NULL);
       struct heard heard = { 0 };
       int fd;
 
       ask (lane, &heard, 0);
       fd = take_connection ();
-      while (!mq_http_lane_sent (lane))
+      while (!mq_http_conn_has_sent (lane))
         tevent_loop_once (ev);
       hear (fd);
       say (fd, EMPTY);
@@ -216,7 +216,7 @@
                     (size_t)mq_pool_opened (pool));
       if (mq_pool_opened (pool) > 1)
         close (take_connection ());
-      mq_http_lane_destroy (lane);
+      mq_http_conn_destroy (lane);
       mq_pool_destroy (pool);
       mq_fleet_destroy (fleet);
       close (fd);
@@ -279,15 +279,15 @@
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   bool gone = false;
-  struct mq_http_lane *lane
-      = mq_http_lane_open (ev, ev, address, 0, on_gone, &gone, &error);
+  struct mq_http_conn *lane
+      = mq_http_conn_open (ev, ev, address, 0, on_gone, &gone, &error);
   struct heard heard = { 0 };
   int fd;
 
   cr_assert_not_null (lane);
   ask (lane, &heard, LARGE_BYTES);
   fd = take_connection ();
-  while (!mq_http_lane_sent (lane))
+  while (!mq_http_conn_has_sent (lane))
     tevent_loop_once (ev);
   hear (fd);
   say (fd, BUSY);
@@ -299,7 +299,7 @@
   cr_expect (heard.ended);
   cr_expect_not (heard.failed);
   if (!gone)
-    mq_http_lane_destroy (lane);
+    mq_http_conn_destroy (lane);
 }
 
 static void
@@ -341,7 +341,7 @@
 Test (lane, finished_connection_is_not_cut_while_it_is_read)
 {
   static char bytes[ANSWER_BYTES / 32];
-  struct mq_tcp_owner owner = { .data = on_data, .ended = on_tcp_ended };
+  struct mq_tcp_callbacks owner = { .data = on_data, .ended = on_tcp_ended };
   int to = mq_connect_begin (address, NULL);
   int from = take_connection ();
   int room = sizeof bytes;
