--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -18,26 +18,26 @@
 #define FLUSH_BYTES ((size_t)8 << 10)
 #define FLUSH_MS 50U
 /* Room kept at the end of a line for its closing.  */
-#define TAIL_BYTES ((size_t)4)
+#define LINE_END_BYTES ((size_t)4)
 
 /**
  * struct mq_json_log - what waits to be written
  * @second: the second that the counts below are for
  * @lines: lines of that second
- * @plain: of them, those on successes
+ * @low_priority_lines: of them, those on successes
  * @unknown_key_count: keys that the schema does not have
  */
 struct mq_json_log
 {
   struct tevent_context *ev;
   struct mq_timer *timer;
-  struct mq_buffer gathered;
+  struct mq_buffer output;
   const char *program;
   const char *host;
   int fd;
   uint64_t second;
   uint32_t lines;
-  uint32_t plain;
+  uint32_t low_priority_lines;
   uint64_t written;
   uint64_t dropped;
   uint64_t unknown_key_count;
@@ -65,7 +65,7 @@
 void
 mq_json_log_flush (struct mq_json_log *log)
 {
-  struct mq_buffer *out = &log->gathered;
+  struct mq_buffer *out = &log->output;
 
   while (out->len > 0)
     {
@@ -123,22 +123,23 @@
     {
       log->second = now_ms / 1000;
       log->lines = 0;
-      log->plain = 0;
+      log->low_priority_lines = 0;
     }
   if (log->lines >= MQ_JSON_LOG_LINES_S)
     return false;
-  if (weight == MQ_JSON_LOW_PRIORITY && log->plain >= MQ_JSON_LOG_PLAIN_S)
+  if (weight == MQ_JSON_LOW_PRIORITY
+      && log->low_priority_lines >= MQ_JSON_LOG_PLAIN_S)
     return false;
   log->lines++;
   if (weight == MQ_JSON_LOW_PRIORITY)
-    log->plain++;
+    log->low_priority_lines++;
   return true;
 }
 
 static void
 put (struct mq_json_line *line, const char *text, size_t len)
 {
-  if (line->len + len + TAIL_BYTES > sizeof line->text)
+  if (line->len + len + LINE_END_BYTES > sizeof line->text)
     return;
   memcpy (line->text + line->len, text, len);
   line->len += len;
@@ -155,8 +156,8 @@
   line->log = log;
   line->event = event;
   line->len = 0;
-  line->wanted = within_bound (log, weight, day_ms);
-  if (!line->wanted)
+  line->accepted = within_bound (log, weight, day_ms);
+  if (!line->accepted)
     {
       log->dropped++;
       return;
@@ -213,10 +214,11 @@
 {
   size_t len;
 
-  if (!line->wanted || value == NULL || !in_schema (line, key))
+  if (!line->accepted || value == NULL || !in_schema (line, key))
     return;
   len = strlen (value);
-  if (line->len + strlen (key) + len * 6 + TAIL_BYTES * 4 > sizeof line->text)
+  if (line->len + strlen (key) + len * 6 + LINE_END_BYTES * 4
+      > sizeof line->text)
     return;
   put_key (line, key);
   put (line, "\"", 1);
@@ -231,8 +233,8 @@
   char text[24];
   int len;
 
-  if (!line->wanted || !in_schema (line, key)
-      || line->len + strlen (key) + sizeof text + TAIL_BYTES * 2
+  if (!line->accepted || !in_schema (line, key)
+      || line->len + strlen (key) + sizeof text + LINE_END_BYTES * 2
              > sizeof line->text)
     return;
   len = snprintf (text, sizeof text, "%" PRIu64, value);
@@ -273,18 +275,18 @@
 {
   struct mq_json_log *log = line->log;
 
-  if (!line->wanted)
+  if (!line->accepted)
     return;
   memcpy (line->text + line->len, "}\n", 2);
   line->len += 2;
-  if (!mq_buffer_append (log, &log->gathered, line->text, line->len,
+  if (!mq_buffer_append (log, &log->output, line->text, line->len,
                          OUTPUT_BUFFER_BYTES))
     {
       log->dropped++;
       return;
     }
   log->written++;
-  if (log->ev == NULL || log->gathered.len >= FLUSH_BYTES)
+  if (log->ev == NULL || log->output.len >= FLUSH_BYTES)
     mq_json_log_flush (log);
   else if (log->timer == NULL)
     log->timer = mq_timer_add (log, log->ev, FLUSH_MS, on_flush, log);
--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -1,9 +1,9 @@
 /* json_log.h - one JSON object a line on standard output, bounded.
 
    A line is for a decision on a request or a change of what the process
-   believes.  Lines are gathered and written without ever waiting; what does
+   believes.  Lines are output and written without ever waiting; what does
    not fit the bound or the reader's pace is dropped and counted.  Lines on
-   plain successes give way before those on refusals and failures.
+   low_priority_lines successes give way before those on refusals and failures.
    Needs: log_schema.h, error.h, tevent.  */
 
 #ifndef MQ_JSON_LOG_H
@@ -13,8 +13,8 @@
 #include "log_schema.h"
 #include <tevent.h>
 
-/* Lines a second, and of them for plain successes: a host of 0.1 cores then
-   spends under 2% of itself on its log.  */
+/* Lines a second, and of them for low_priority_lines successes: a host of 0.1
+   cores then spends under 2% of itself on its log.  */
 #define MQ_JSON_LOG_LINES_S 300U
 #define MQ_JSON_LOG_PLAIN_S 40U
 #define MQ_JSON_LINE_BYTES 1024U
@@ -31,7 +31,7 @@
 struct mq_json_log *mq_json_log_create (TALLOC_CTX *ctx,
                                         struct tevent_context *ev, int fd,
                                         const char *program, const char *host);
-/* Writes what is gathered.  */
+/* Writes what is output.  */
 void mq_json_log_flush (struct mq_json_log *log);
 void mq_json_log_destroy (struct mq_json_log *log);
 uint64_t mq_json_log_written (const struct mq_json_log *log);
@@ -45,7 +45,7 @@
   struct mq_json_log *log;
   enum mq_log_event event;
   size_t len;
-  bool wanted;
+  bool accepted;
   char text[MQ_JSON_LINE_BYTES];
 };
 
--- a/src/log/spans.c
+++ b/src/log/spans.c
@@ -1,6 +1,6 @@
 /* spans.c - a bounded ring of the hops that this process saw.
 
-   Hosts have no disks: the newest MQ_SPANS_MAX spans are kept, in one array
+   Hosts have no disks: the newest MQ_SPANS_MAX spans are stored, in one array
    of fixed size, and operators' tools gather them from all hosts.
    Needs: jansson.  */
 
@@ -21,7 +21,7 @@
 #define SPAN_NAME_BYTES 32
 
 /**
- * struct stored_span - one hop as it is kept
+ * struct stored_span - one hop as it is stored
  * @name: which hop
  * @trace: trace id, empty when there is no trace
  * @parent: id of the span above, empty when there is no trace
@@ -49,14 +49,14 @@
  * @data_centre: written into every span
  * @added: spans added so far; the next one goes to this index modulo the
  *         ring's size
- * @kept: the ring
+ * @stored: the ring
  */
 struct mq_spans
 {
   const char *host;
   const char *data_centre;
   uint64_t added;
-  struct stored_span kept[MQ_SPANS_MAX];
+  struct stored_span ring[MQ_SPANS_MAX];
 };
 
 struct mq_spans *
@@ -106,37 +106,38 @@
 void
 mq_spans_add (struct mq_spans *spans, const struct mq_span *span)
 {
-  struct stored_span *kept = &spans->kept[spans->added % MQ_SPANS_MAX];
+  struct stored_span *stored = &spans->ring[spans->added % MQ_SPANS_MAX];
   uint64_t offset_us = wall_clock_offset_us ();
 
-  memset (kept, 0, sizeof *kept);
+  memset (stored, 0, sizeof *stored);
   if (span->name != NULL)
-    strncpy (kept->name, span->name, SPAN_NAME_BYTES - 1);
+    strncpy (stored->name, span->name, SPAN_NAME_BYTES - 1);
   if (is_traceparent (span->traceparent))
     {
-      memcpy (kept->trace, span->traceparent + TRACE_AT, TRACE_DIGITS);
-      memcpy (kept->parent, span->traceparent + PARENT_AT, PARENT_DIGITS);
+      memcpy (stored->trace, span->traceparent + TRACE_AT, TRACE_DIGITS);
+      memcpy (stored->parent, span->traceparent + PARENT_AT, PARENT_DIGITS);
     }
-  kept->program = span->program;
-  kept->call = span->call;
-  kept->start_us = span->start_us + offset_us;
-  kept->end_us = span->end_us + offset_us;
-  kept->error = span->error;
+  stored->program = span->program;
+  stored->call = span->call;
+  stored->start_us = span->start_us + offset_us;
+  stored->end_us = span->end_us + offset_us;
+  stored->error = span->error;
   spans->added++;
 }
 
 static json_t *
-span_json (const struct mq_spans *spans, const struct stored_span *kept)
+span_json (const struct mq_spans *spans, const struct stored_span *stored)
 {
   char program[MQ_ID_TEXT];
 
-  mq_id_format (kept->program, program);
+  mq_id_format (stored->program, program);
   return json_pack (
-      "{s:s, s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:s}", "name", kept->name,
-      "host", spans->host, "data_centre", spans->data_centre, "trace",
-      kept->trace, "parent", kept->parent, "program", program, "call",
-      (json_int_t)kept->call, "start_us", (json_int_t)kept->start_us, "end_us",
-      (json_int_t)kept->end_us, "error", mq_error_name (kept->error));
+      "{s:s, s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:s}", "name",
+      stored->name, "host", spans->host, "data_centre", spans->data_centre,
+      "trace", stored->trace, "parent", stored->parent, "program", program,
+      "call", (json_int_t)stored->call, "start_us",
+      (json_int_t)stored->start_us, "end_us", (json_int_t)stored->end_us,
+      "error", mq_error_name (stored->error));
 }
 
 char *
@@ -150,10 +151,10 @@
 
   for (; at < spans->added; at++)
     {
-      const struct stored_span *kept = &spans->kept[at % MQ_SPANS_MAX];
+      const struct stored_span *stored = &spans->ring[at % MQ_SPANS_MAX];
 
-      if (kept->program.hi == program.hi)
-        json_array_append_new (list, span_json (spans, kept));
+      if (stored->program.hi == program.hi)
+        json_array_append_new (list, span_json (spans, stored));
     }
   text = json_dumps (list, JSON_COMPACT);
   copy = text == NULL ? NULL : talloc_strdup (ctx, text);
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -11,12 +11,12 @@
 static bool
 grow (TALLOC_CTX *ctx, struct mq_buffer *buffer, size_t need)
 {
-  size_t room = buffer->room == 0 ? FIRST_BYTES : buffer->room;
+  size_t capacity = buffer->capacity == 0 ? FIRST_BYTES : buffer->capacity;
   char *grown;
 
-  while (room < need)
-    room *= 2;
-  grown = talloc_size (ctx, room);
+  while (capacity < need)
+    capacity *= 2;
+  grown = talloc_size (ctx, capacity);
   if (grown == NULL)
     return false;
   if (buffer->len > 0)
@@ -24,7 +24,7 @@
   talloc_free (buffer->data);
   buffer->data = grown;
   buffer->at = 0;
-  buffer->room = room;
+  buffer->capacity = capacity;
   return true;
 }
 
@@ -38,7 +38,7 @@
     return false;
   if (len == 0)
     return true;
-  if (buffer->at + need > buffer->room && !grow (ctx, buffer, need))
+  if (buffer->at + need > buffer->capacity && !grow (ctx, buffer, need))
     return false;
   memcpy (buffer->data + buffer->at + buffer->len, data, len);
   buffer->len += len;
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -13,14 +13,14 @@
  * @data: memory, below the context given to mq_buffer_append
  * @at: where the bytes begin in @data
  * @len: how many there are; a zero byte follows them
- * @room: bytes allocated
+ * @capacity: bytes allocated
  */
 struct mq_buffer
 {
   char *data;
   size_t at;
   size_t len;
-  size_t room;
+  size_t capacity;
 };
 
 /* False, with BUFFER as it was, when it would hold more than MAX bytes or
--- a/src/net/codec_pack.c
+++ b/src/net/codec_pack.c
@@ -1,6 +1,6 @@
-/* codec_pack.c - struct mq_message to protobuf.
+/* codec_pack.c - encodes struct mq_message as protobuf.
 
-   Packing borrows the message's strings.
+   Strings of the message are borrowed while it is encoded.
    Needs: protobuf-c, proto/peer.pb-c.h, codec.h.  */
 
 #include "../../proto/peer.pb-c.h"
@@ -43,7 +43,7 @@
 ASSERT_SAME (MQ__EVENT_TYPE__EVENT_FINAL, MQ_EVENT_FINAL);
 ASSERT_SAME (MQ__EVENT_TYPE__EVENT_REFUSED, MQ_EVENT_REFUSED);
 
-/* Room for the one body that a message has, while it is packed.  */
+/* Storage for the body of the envelope while it is encoded.  */
 struct wire_body
 {
   Mq__CallRef ref;
@@ -72,7 +72,8 @@
   } u;
 };
 
-/* Protobuf's strings are not const, but packing only reads them.  */
+/* protobuf-c declares strings without const but does not modify them when
+   encoding.  */
 static char *
 wire_text (const char *text)
 {
@@ -248,7 +249,8 @@
   to->answer = (Mq__SealAnswer)from->answer;
 }
 
-/* Array of COUNT pointers to COUNT items of SIZE bytes, which follow.  */
+/* Allocates an array of COUNT pointers followed by the COUNT items of SIZE
+   bytes that they point to.  */
 static void **
 create_items (TALLOC_CTX *tmp, size_t count, size_t size)
 {
@@ -397,8 +399,9 @@
   return to;
 }
 
-/* False when memory is out, a bound is passed or the type is no message's.
-   Each case sets the member of the envelope that BODY_CASE names.  */
+/* False if out of memory, an array exceeds its limit or the type has no
+   encoding. Each case sets the member of the envelope that BODY_CASE
+   names.  */
 static bool
 fill_envelope (TALLOC_CTX *tmp, Mq__Envelope *to, struct wire_body *body,
                const struct mq_message *from)
--- a/src/net/codec_unpack.c
+++ b/src/net/codec_unpack.c
@@ -1,8 +1,8 @@
-/* codec_unpack.c - protobuf to struct mq_message.
+/* codec_unpack.c - decodes protobuf into struct mq_message.
 
-   Unpacking puts all memory below the message, under a bound, and hands out
-   protobuf's own strings.  That enumerations agree with the wire is checked
-   in codec_pack.c.
+   All memory is owned by the message and limited in size; the strings of the
+   message are those that protobuf-c decoded. codec_pack.c checks that the
+   enumerations match the wire format.
    Needs: protobuf-c, proto/peer.pb-c.h, codec.h.  */
 
 #include "../../proto/peer.pb-c.h"
@@ -20,9 +20,9 @@
   EVENT_TYPE_COUNT = MQ_EVENT_REFUSED + 1
 };
 
-/* Memory of one frame.  A frame of empty items takes many times its bytes
-   when decoded: without a bound one frame of a broken peer could take all of
-   a host's memory.  Past the bound allocations fail and so does the frame.  */
+/* Memory limit of one frame. A frame of many empty items takes many times its
+   encoded size when decoded; the limit keeps a faulty peer from exhausting the
+   host's memory. Allocations beyond it fail, and the frame is rejected.  */
 struct frame_memory
 {
   TALLOC_CTX *ctx;
@@ -31,7 +31,7 @@
 
 enum
 {
-  ALLOCATION_BYTES = 96, /* what talloc adds to an allocation */
+  ALLOCATION_BYTES = 96, /* talloc's overhead per allocation */
   MEMORY_BASE_BYTES = 64 << 10,
   MEMORY_PER_BYTE = 16,
   POOL_BASE_BYTES = 1024,
@@ -66,7 +66,7 @@
   return bound < MQ_FRAME_MEMORY_BYTES ? bound : MQ_FRAME_MEMORY_BYTES;
 }
 
-/* One allocation for most frames: strings of a message are small and many. */
+/* Uses a memory pool, since the strings of a message are small and many.  */
 static struct mq_message *
 create_message (TALLOC_CTX *ctx, size_t len)
 {
@@ -87,8 +87,8 @@
   return value >= 0 && value < count;
 }
 
-/* A name that is in no table is refused: read as NONE, a peer's failure
-   would pass for an answer.  */
+/* Rejects unknown error names: decoded as NONE, a failure would look like a
+   success.  */
 static bool
 read_error (enum mq_error_type *to, const char *name)
 {
--- a/src/net/frame.c
+++ b/src/net/frame.c
@@ -1,4 +1,4 @@
-/* frame.c - frames of a 4-byte big-endian length on a byte stream.
+/* frame.c - frames with a 4-byte big-endian length on a byte stream.
 
    Needs: frame.h.  */
 
@@ -13,47 +13,46 @@
 };
 
 /**
- * struct mq_frame_writer - frames that wait to be sent
- * @data: room for them
- * @start: first unsent byte
- * @end: behind the last one
- * @room: bytes of @data
+ * struct mq_frame_writer - queue of encoded frames to send
+ * @start: offset of the first unsent byte in @data
+ * @end: offset behind the last byte
+ * @capacity: bytes allocated for @data
  */
 struct mq_frame_writer
 {
   uint8_t *data;
   size_t start;
   size_t end;
-  size_t room;
+  size_t capacity;
 };
 
 /**
- * struct mq_frame_reader - received bytes that are being cut
- * @view: bytes to cut: @kept, or those fed when nothing was kept
- * @start: first byte that is not yet cut
- * @end: behind the last byte of @view
- * @kept: own copy of a frame that has not come whole
- * @kept_len: its bytes
- * @room: bytes of @kept
+ * struct mq_frame_reader - splits received bytes into frames
+ * @view: bytes to parse: @partial, or the caller's if @partial was empty
+ * @start: offset of the first unparsed byte in @view
+ * @end: offset behind the last byte of @view
+ * @partial: copy of an incomplete frame
+ * @partial_len: bytes in @partial
+ * @capacity: bytes allocated for @partial
  */
 struct mq_frame_reader
 {
   const uint8_t *view;
   size_t start;
   size_t end;
-  uint8_t *kept;
-  size_t kept_len;
-  size_t room;
+  uint8_t *partial;
+  size_t partial_len;
+  size_t capacity;
 };
 
 static size_t
-double_capacity (size_t room, size_t need)
+double_capacity (size_t capacity, size_t need)
 {
-  if (room < FIRST_ROOM)
-    room = FIRST_ROOM;
-  while (room < need)
-    room *= 2;
-  return room;
+  if (capacity < FIRST_ROOM)
+    capacity = FIRST_ROOM;
+  while (capacity < need)
+    capacity *= 2;
+  return capacity;
 }
 
 struct mq_frame_writer *
@@ -66,26 +65,26 @@
 reserve_bytes (struct mq_frame_writer *writer, size_t need)
 {
   size_t used = writer->end - writer->start;
-  size_t room;
+  size_t capacity;
   uint8_t *data;
 
-  if (writer->room - writer->end >= need)
+  if (writer->capacity - writer->end >= need)
     return true;
-  /* Moving to the front must free a good part of the room; else a long
-     queue would be moved for every few frames.  */
-  if (writer->start >= used / 2 && writer->room - used >= need)
+  /* Compacts only if at least half of the used bytes is free, so that a long
+     queue is not moved for every few frames.  */
+  if (writer->start >= used / 2 && writer->capacity - used >= need)
     {
       memmove (writer->data, writer->data + writer->start, used);
       writer->start = 0;
       writer->end = used;
       return true;
     }
-  room = double_capacity (writer->room, writer->end + need);
-  data = talloc_realloc (writer, writer->data, uint8_t, room);
+  capacity = double_capacity (writer->capacity, writer->end + need);
+  data = talloc_realloc (writer, writer->data, uint8_t, capacity);
   if (data == NULL)
     return false;
   writer->data = data;
-  writer->room = room;
+  writer->capacity = capacity;
   return true;
 }
 
@@ -139,7 +138,7 @@
   if (writer->start < writer->end)
     return;
   TALLOC_FREE (writer->data);
-  writer->room = 0;
+  writer->capacity = 0;
 }
 
 struct mq_frame_reader *
@@ -152,20 +151,21 @@
 append_partial (struct mq_frame_reader *reader, const uint8_t *data,
                 size_t len)
 {
-  size_t need = reader->kept_len + len;
+  size_t need = reader->partial_len + len;
 
-  if (need > reader->room)
+  if (need > reader->capacity)
     {
-      size_t room = double_capacity (reader->room, need);
-      uint8_t *kept = talloc_realloc (reader, reader->kept, uint8_t, room);
+      size_t capacity = double_capacity (reader->capacity, need);
+      uint8_t *partial
+          = talloc_realloc (reader, reader->partial, uint8_t, capacity);
 
-      if (kept == NULL)
+      if (partial == NULL)
         return false;
-      reader->kept = kept;
-      reader->room = room;
+      reader->partial = partial;
+      reader->capacity = capacity;
     }
-  memcpy (reader->kept + reader->kept_len, data, len);
-  reader->kept_len = need;
+  memcpy (reader->partial + reader->partial_len, data, len);
+  reader->partial_len = need;
   return true;
 }
 
@@ -174,7 +174,7 @@
                       size_t len)
 {
   reader->start = 0;
-  if (reader->kept_len == 0)
+  if (reader->partial_len == 0)
     {
       reader->view = data;
       reader->end = len;
@@ -182,8 +182,8 @@
     }
   if (!append_partial (reader, data, len))
     return false;
-  reader->view = reader->kept;
-  reader->end = reader->kept_len;
+  reader->view = reader->partial;
+  reader->end = reader->partial_len;
   return true;
 }
 
@@ -223,14 +223,14 @@
 
   if (left == 0)
     {
-      TALLOC_FREE (reader->kept);
-      reader->room = 0;
-      reader->kept_len = 0;
+      TALLOC_FREE (reader->partial);
+      reader->capacity = 0;
+      reader->partial_len = 0;
     }
-  else if (reader->view == reader->kept)
+  else if (reader->view == reader->partial)
     {
-      memmove (reader->kept, from, left);
-      reader->kept_len = left;
+      memmove (reader->partial, from, left);
+      reader->partial_len = left;
     }
   else
     done = append_partial (reader, from, left);
--- a/src/net/frame.h
+++ b/src/net/frame.h
@@ -1,7 +1,7 @@
-/* frame.h - frames of a 4-byte big-endian length on a byte stream.
+/* frame.h - frames with a 4-byte big-endian length on a byte stream.
 
-   A writer gathers frames so that one send carries many; a reader cuts
-   received bytes into frames without copying those that came whole.
+   The writer batches frames into few send calls; the reader returns complete
+   frames without copying them.
    Needs: talloc, the C library's sockets.  */
 
 #ifndef MQ_FRAME_H
@@ -19,38 +19,40 @@
 
 enum mq_frame_flush
 {
-  MQ_FLUSH_DONE,    /* nothing is left */
-  MQ_FLUSH_BLOCKED, /* the socket takes no more now */
-  MQ_FLUSH_FAILED   /* the connection is broken, see errno */
+  MQ_FLUSH_DONE,    /* all bytes were sent */
+  MQ_FLUSH_BLOCKED, /* the send buffer is full */
+  MQ_FLUSH_FAILED   /* write error, see errno */
 };
 
 struct mq_frame_writer *mq_frame_writer_create (TALLOC_CTX *ctx);
-/* False when memory is out; the writer is then as before.  */
+/* False if out of memory; the writer is then unchanged.  */
 bool mq_frame_writer_add (struct mq_frame_writer *writer, const uint8_t *data,
                           size_t len);
 size_t mq_frame_writer_unsent (const struct mq_frame_writer *writer);
 enum mq_frame_flush mq_frame_writer_flush (struct mq_frame_writer *writer,
                                            int fd);
-/* Gives back the room of an empty writer.  */
+/* Frees the memory of an empty writer.  */
 void mq_frame_writer_trim (struct mq_frame_writer *writer);
 
 enum mq_frame_next
 {
   MQ_NEXT_FRAME,
-  MQ_NEXT_PARTIAL, /* feed more */
-  MQ_NEXT_BAD      /* empty or over the bound */
+  MQ_NEXT_PARTIAL, /* incomplete frame; feed more bytes */
+  MQ_NEXT_BAD      /* empty, or longer than the maximum */
 };
 
 struct mq_frame_reader *mq_frame_reader_create (TALLOC_CTX *ctx);
-/* DATA is borrowed until mq_frame_reader_save_partial.  False: memory is out.
- */
+/* Adds received bytes; DATA is borrowed until mq_frame_reader_save_partial.
+   False if out of memory.  */
 bool mq_frame_reader_feed (struct mq_frame_reader *reader, const uint8_t *data,
                            size_t len);
-/* Next frame of at most BOUND bytes, borrowed until _rest.  */
+/* Next frame of at most BOUND bytes, valid until
+   mq_frame_reader_save_partial.  */
 enum mq_frame_next mq_frame_reader_next (struct mq_frame_reader *reader,
                                          size_t bound, const uint8_t **data,
                                          size_t *len);
-/* Keeps the part of a frame that is left over.  False: memory is out.  */
+/* Copies an incomplete frame at the end of the input. False if out of
+   memory.  */
 bool mq_frame_reader_save_partial (struct mq_frame_reader *reader);
 
 #endif
--- a/src/net/handshake.c
+++ b/src/net/handshake.c
@@ -1,4 +1,4 @@
-/* handshake.c - how two processes prove the site key to each other.
+/* handshake.c - mutual authentication of two processes by the site key.
 
    Needs: handshake.h.  */
 
@@ -12,7 +12,7 @@
 _Static_assert((int)MQ__ROLE__TARGET == (int)MQ_HOST_TARGET,
                "role on the wire");
 
-/* A Hello as it was sent, and the nonce in it.  */
+/* Encoded bytes of a Hello, and the nonce in it.  */
 struct hello_bytes
 {
   uint8_t *data;
@@ -154,7 +154,8 @@
   return fault == NULL ? &handshake->info : NULL;
 }
 
-/* The length goes first: no two pairs of Hellos give the same bytes.  */
+/* Prefixes the length, so that no two different pairs of Hellos give the same
+   input.  */
 static int
 add_hello (gnutls_hmac_hd_t mac, const struct hello_bytes *hello)
 {
@@ -183,7 +184,7 @@
   return failed;
 }
 
-/* What SIDE has to prove in this handshake.  */
+/* MAC expected from SIDE in this handshake.  */
 static bool
 compute_proof (const struct mq_handshake *handshake,
                enum mq_handshake_side side, uint8_t proof[MQ_KEY_BYTES])
@@ -231,8 +232,8 @@
 
   if (!compute_proof (handshake, other_side (handshake->side), mac))
     return false;
-  /* In constant time: the time of a plain compare tells a guesser how many
-     bytes were right.  */
+  /* Constant-time comparison, so that timing does not reveal how many bytes of
+     a guess were correct.  */
   return proof->mac.len == sizeof mac
          && gnutls_memcmp (proof->mac.data, mac, sizeof mac) == 0;
 }
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -21,7 +21,7 @@
  * @ev: event loop
  * @multi: curl's side
  * @timer: curl's timeout, NULL when none is set
- * @soon: ends calls that failed before curl had them
+ * @immediate: ends calls that failed before curl had them
  * @active: calls that curl has
  * @deferred_calls: calls sent from within curl, which takes none then
  * @ended: finished or cancelled calls, still to be told and freed
@@ -35,7 +35,7 @@
   struct tevent_context *ev;
   CURLM *multi;
   struct mq_timer *timer;
-  struct tevent_immediate *soon;
+  struct tevent_immediate *immediate;
   struct mq_http_call *active;
   struct mq_http_call *deferred_calls;
   struct mq_http_call *ended;
@@ -322,7 +322,8 @@
 }
 
 static void
-run_soon (struct tevent_context *ev, struct tevent_immediate *im, void *data)
+run_immediate (struct tevent_context *ev, struct tevent_immediate *im,
+               void *data)
 {
   (void)ev;
   (void)im;
@@ -609,7 +610,8 @@
   else
     start_call (call);
   if (client->ended != NULL && !client->running)
-    tevent_schedule_immediate (client->soon, client->ev, run_soon, client);
+    tevent_schedule_immediate (client->immediate, client->ev, run_immediate,
+                               client);
   return call;
 }
 
@@ -683,8 +685,8 @@
     }
   client->ev = ev;
   talloc_set_destructor (client, client_freed);
-  client->soon = tevent_create_immediate (client);
-  if (client->soon == NULL || !set_up_multi (client))
+  client->immediate = tevent_create_immediate (client);
+  if (client->immediate == NULL || !set_up_multi (client))
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "curl", NULL);
       talloc_free (client);
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -23,8 +23,8 @@
   struct mq_tcp *tcp;
   struct mq_http_reader *reader;
   struct mq_http_conn_callbacks events;
-  mq_http_conn_closed *gone;
-  void *gone_user;
+  mq_http_conn_closed *on_closed;
+  void *closed_user;
   struct mq_buffer waiting;
   bool open;
   bool used;
@@ -40,77 +40,77 @@
 static void
 on_head (const struct mq_http_head *head, void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
 
-  if (lane->dead)
+  if (conn->dead)
     return;
-  lane->keep = head->keep_alive && !head->until_close;
+  conn->keep = head->keep_alive && !head->until_close;
   /* 1xx: the answer itself comes later.  */
-  lane->skip
-      = head->status < 200 || !lane->events.head (head, lane->events.user);
+  conn->skip
+      = head->status < 200 || !conn->events.head (head, conn->events.user);
 }
 
 static void
 on_body (const char *data, size_t len, void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
 
-  if (!lane->dead && !lane->skip)
-    lane->events.body (data, len, lane->events.user);
+  if (!conn->dead && !conn->skip)
+    conn->events.body (data, len, conn->events.user);
 }
 
 static void
 on_end (void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
 
-  lane->whole = true;
+  conn->whole = true;
 }
 
-/* True when the lane is gone.  */
+/* True when the conn is on_closed.  */
 static bool
-leave (struct mq_http_conn *lane)
+leave (struct mq_http_conn *conn)
 {
-  lane->busy--;
-  if (!lane->dead)
+  conn->busy--;
+  if (!conn->dead)
     return false;
-  if (lane->busy == 0)
-    talloc_free (lane);
+  if (conn->busy == 0)
+    talloc_free (conn);
   return true;
 }
 
 static void
-fail (struct mq_http_conn *lane, enum mq_http_conn_failure failure)
+fail (struct mq_http_conn *conn, enum mq_http_conn_failure failure)
 {
-  lane->busy++;
-  if (lane->used)
+  conn->busy++;
+  if (conn->used)
     {
-      lane->used = false;
-      lane->keep = false;
-      lane->events.failed (failure, lane->events.user);
+      conn->used = false;
+      conn->keep = false;
+      conn->events.failed (failure, conn->events.user);
     }
   else
-    lane->gone (lane, lane->gone_user);
-  leave (lane);
+    conn->on_closed (conn, conn->closed_user);
+  leave (conn);
 }
 
 /* The message that was read is whole: ours, or one to be skipped.  False when
-   the lane is gone.  */
+   the conn is on_closed.  */
 static bool
-end_message (struct mq_http_conn *lane)
+end_message (struct mq_http_conn *conn)
 {
-  bool skipped = lane->skip;
+  bool skipped = conn->skip;
 
-  lane->whole = false;
-  lane->skip = false;
-  mq_http_reader_next (lane->reader);
+  conn->whole = false;
+  conn->skip = false;
+  mq_http_reader_next (conn->reader);
   if (skipped)
     return true;
-  lane->used = false;
-  lane->has_served = true;
-  lane->busy++;
-  lane->events.end (lane->events.user);
-  return !leave (lane);
+  conn->used = false;
+  conn->has_served = true;
+  conn->busy++;
+  conn->events.end (conn->events.user);
+  return !leave (conn);
 }
 
 /* Bytes that come while no request is under way belong to nobody: the server
@@ -119,7 +119,7 @@
 static void
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
 
   (void)tcp;
   while (len > 0)
@@ -127,23 +127,23 @@
       struct mq_error error = { .type = MQ_ERR_NONE };
       size_t used;
 
-      if (!lane->used)
+      if (!conn->used)
         {
-          fail (lane, MQ_HTTP_CONN_BAD_RESPONSE);
+          fail (conn, MQ_HTTP_CONN_BAD_RESPONSE);
           return;
         }
-      lane->busy++;
-      used = mq_http_reader_feed (lane->reader, data, len, &error);
-      if (leave (lane))
+      conn->busy++;
+      used = mq_http_reader_feed (conn->reader, data, len, &error);
+      if (leave (conn))
         return;
       if (error.type != MQ_ERR_NONE)
         {
-          fail (lane, MQ_HTTP_CONN_BAD_RESPONSE);
+          fail (conn, MQ_HTTP_CONN_BAD_RESPONSE);
           return;
         }
       data += used;
       len -= used;
-      if (lane->whole && !end_message (lane))
+      if (conn->whole && !end_message (conn))
         return;
     }
 }
@@ -151,121 +151,121 @@
 static void
 on_ended (struct mq_tcp *tcp, enum mq_tcp_end end, void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
   bool whole = false;
 
   (void)tcp;
-  if (!lane->sent)
+  if (!conn->sent)
     {
-      fail (lane, MQ_HTTP_CONN_UNREACHABLE);
+      fail (conn, MQ_HTTP_CONN_UNREACHABLE);
       return;
     }
   /* Only an orderly end can be the end of an answer without a length.  */
-  if (lane->used && end == MQ_TCP_EOF)
+  if (conn->used && end == MQ_TCP_EOF)
     {
-      lane->busy++;
-      lane->keep = false;
-      whole = mq_http_reader_finish (lane->reader) && lane->whole;
-      if (leave (lane))
+      conn->busy++;
+      conn->keep = false;
+      whole = mq_http_reader_finish (conn->reader) && conn->whole;
+      if (leave (conn))
         return;
     }
-  if (whole && !end_message (lane))
+  if (whole && !end_message (conn))
     return;
-  fail (lane, MQ_HTTP_CONN_LOST);
+  fail (conn, MQ_HTTP_CONN_LOST);
 }
 
 static void
 on_opened (struct mq_tcp *tcp, void *user)
 {
-  struct mq_http_conn *lane = user;
+  struct mq_http_conn *conn = user;
 
-  lane->open = true;
-  if (lane->waiting.len == 0)
+  conn->open = true;
+  if (conn->waiting.len == 0)
     return;
-  lane->sent = true;
-  mq_tcp_write (tcp, lane->waiting.data + lane->waiting.at, lane->waiting.len);
-  mq_buffer_clear (&lane->waiting);
+  conn->sent = true;
+  mq_tcp_write (tcp, conn->waiting.data + conn->waiting.at, conn->waiting.len);
+  mq_buffer_clear (&conn->waiting);
 }
 
 struct mq_http_conn *
 mq_http_conn_open (TALLOC_CTX *ctx, struct tevent_context *ev,
                    const char *address, uint32_t silent_ms,
-                   mq_http_conn_closed *gone, void *user,
+                   mq_http_conn_closed *on_closed, void *user,
                    struct mq_error *error)
 {
-  struct mq_http_conn *lane = talloc_zero (ctx, struct mq_http_conn);
+  struct mq_http_conn *conn = talloc_zero (ctx, struct mq_http_conn);
   struct mq_tcp_callbacks owner = {
-    .opened = on_opened, .data = on_data, .ended = on_ended, .user = lane
+    .opened = on_opened, .data = on_data, .ended = on_ended, .user = conn
   };
   struct mq_http_events events
-      = { .head = on_head, .body = on_body, .end = on_end, .user = lane };
+      = { .head = on_head, .body = on_body, .end = on_end, .user = conn };
 
-  if (lane == NULL)
+  if (conn == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, address, NULL);
       return NULL;
     }
-  lane->gone = gone;
-  lane->gone_user = user;
-  lane->reader = mq_http_reader_create (lane, MQ_HTTP_ANSWER, &events);
-  lane->tcp = mq_tcp_open (lane, ev, address, silent_ms, &owner, error);
-  if (lane->tcp == NULL || lane->reader == NULL)
+  conn->on_closed = on_closed;
+  conn->closed_user = user;
+  conn->reader = mq_http_reader_create (conn, MQ_HTTP_ANSWER, &events);
+  conn->tcp = mq_tcp_open (conn, ev, address, silent_ms, &owner, error);
+  if (conn->tcp == NULL || conn->reader == NULL)
     {
-      talloc_free (lane);
+      talloc_free (conn);
       return NULL;
     }
-  return lane;
+  return conn;
 }
 
 void
-mq_http_conn_destroy (struct mq_http_conn *lane)
+mq_http_conn_destroy (struct mq_http_conn *conn)
 {
-  if (lane == NULL || lane->dead)
+  if (conn == NULL || conn->dead)
     return;
-  lane->dead = true;
+  conn->dead = true;
   /* The connection may be in a callback of its own: it frees itself.  */
-  talloc_steal (NULL, lane->tcp);
-  mq_tcp_destroy (lane->tcp);
-  lane->tcp = NULL;
-  if (lane->busy == 0)
-    talloc_free (lane);
+  talloc_steal (NULL, conn->tcp);
+  mq_tcp_destroy (conn->tcp);
+  conn->tcp = NULL;
+  if (conn->busy == 0)
+    talloc_free (conn);
 }
 
 void
-mq_http_conn_send (struct mq_http_conn *lane,
+mq_http_conn_send (struct mq_http_conn *conn,
                    const struct mq_http_conn_callbacks *events,
                    const char *head, size_t head_len, const void *body,
                    size_t body_len, bool answer_has_no_body)
 {
-  struct mq_buffer *out = &lane->waiting;
+  struct mq_buffer *out = &conn->waiting;
 
-  lane->events = *events;
-  lane->used = true;
-  lane->keep = false;
-  lane->whole = false;
-  lane->skip = false;
+  conn->events = *events;
+  conn->used = true;
+  conn->keep = false;
+  conn->whole = false;
+  conn->skip = false;
   if (answer_has_no_body)
-    mq_http_reader_no_body (lane->reader);
+    mq_http_reader_no_body (conn->reader);
   /* One buffer, so that head and body leave in one segment.  */
-  mq_buffer_append (lane, out, head, head_len, SIZE_MAX);
-  mq_buffer_append (lane, out, body, body_len, SIZE_MAX);
-  if (!lane->open)
+  mq_buffer_append (conn, out, head, head_len, SIZE_MAX);
+  mq_buffer_append (conn, out, body, body_len, SIZE_MAX);
+  if (!conn->open)
     return;
-  lane->sent = true;
-  mq_tcp_write (lane->tcp, out->data + out->at, out->len);
+  conn->sent = true;
+  mq_tcp_write (conn->tcp, out->data + out->at, out->len);
   mq_buffer_clear (out);
 }
 
 bool
-mq_http_conn_has_sent (const struct mq_http_conn *lane)
+mq_http_conn_has_sent (const struct mq_http_conn *conn)
 {
-  return lane->sent;
+  return conn->sent;
 }
 
 bool
-mq_http_conn_is_new (const struct mq_http_conn *lane)
+mq_http_conn_is_new (const struct mq_http_conn *conn)
 {
-  return !lane->has_served;
+  return !conn->has_served;
 }
 
 /* Failure: the server ends a kept connection, and that lies unread while this
@@ -274,14 +274,14 @@
    The socket is asked for both; what is left is an end that crosses the
    request on its way.  */
 bool
-mq_http_conn_is_reusable (const struct mq_http_conn *lane)
+mq_http_conn_is_reusable (const struct mq_http_conn *conn)
 {
-  return lane->keep && !lane->used && !lane->dead
-         && mq_tcp_is_idle (lane->tcp);
+  return conn->keep && !conn->used && !conn->dead
+         && mq_tcp_is_idle (conn->tcp);
 }
 
 void
-mq_http_conn_set_reading (struct mq_http_conn *lane, bool on)
+mq_http_conn_set_reading (struct mq_http_conn *conn, bool on)
 {
-  mq_tcp_set_reading (lane->tcp, on);
+  mq_tcp_set_reading (conn->tcp, on);
 }
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -24,11 +24,11 @@
  * struct mq_http_conn_callbacks - who is told of an answer
  * @head: its head; false: it belongs to another request, wait for ours
  * @body: some of its body
- * @end: it is whole; the lane may be used again at once
- * @failed: it won't be; the lane is to be destroyed
+ * @end: it is whole; the conn may be used again at once
+ * @failed: it won't be; the conn is to be destroyed
  * @user: given to all of them
  *
- * Each may destroy the lane.
+ * Each may destroy the conn.
  */
 struct mq_http_conn_callbacks
 {
@@ -39,30 +39,30 @@
   void *user;
 };
 
-/* Told when a lane that nobody uses has ended; it is then to be destroyed.  */
-typedef void mq_http_conn_closed (struct mq_http_conn *lane, void *user);
+/* Told when a conn that nobody uses has ended; it is then to be destroyed.  */
+typedef void mq_http_conn_closed (struct mq_http_conn *conn, void *user);
 
 /* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open.  */
 struct mq_http_conn *mq_http_conn_open (TALLOC_CTX *ctx,
                                         struct tevent_context *ev,
                                         const char *address,
                                         uint32_t silent_ms,
-                                        mq_http_conn_closed *gone, void *user,
-                                        struct mq_error *error);
-void mq_http_conn_destroy (struct mq_http_conn *lane);
+                                        mq_http_conn_closed *on_closed,
+                                        void *user, struct mq_error *error);
+void mq_http_conn_destroy (struct mq_http_conn *conn);
 /* Sends a request: HEAD with its empty line, then BODY.  */
-void mq_http_conn_send (struct mq_http_conn *lane,
+void mq_http_conn_send (struct mq_http_conn *conn,
                         const struct mq_http_conn_callbacks *events,
                         const char *head, size_t head_len, const void *body,
                         size_t body_len, bool answer_has_no_body);
 /* Some bytes of the request were given to the network.  */
-bool mq_http_conn_has_sent (const struct mq_http_conn *lane);
+bool mq_http_conn_has_sent (const struct mq_http_conn *conn);
 /* No answer has ended on it yet.  */
-bool mq_http_conn_is_new (const struct mq_http_conn *lane);
+bool mq_http_conn_is_new (const struct mq_http_conn *conn);
 /* The answer is whole and the server keeps the connection: neither bytes nor
    an end of it lie unread.  Asked again before each use.  */
-bool mq_http_conn_is_reusable (const struct mq_http_conn *lane);
+bool mq_http_conn_is_reusable (const struct mq_http_conn *conn);
 /* Stops and starts taking in the answer.  */
-void mq_http_conn_set_reading (struct mq_http_conn *lane, bool on);
+void mq_http_conn_set_reading (struct mq_http_conn *conn, bool on);
 
 #endif
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -29,7 +29,8 @@
 static void close_listener (struct mq_http_server *server);
 
 static void
-run_soon (struct tevent_context *ev, struct tevent_immediate *im, void *data)
+run_immediate (struct tevent_context *ev, struct tevent_immediate *im,
+               void *data)
 {
   (void)ev;
   (void)im;
@@ -39,7 +40,8 @@
 static void
 run_again (struct mq_http_server *server)
 {
-  tevent_schedule_immediate (server->soon, server->ev, run_soon, server);
+  tevent_schedule_immediate (server->immediate, server->ev, run_immediate,
+                             server);
 }
 
 static void
@@ -56,7 +58,7 @@
 }
 
 /* A timer that fires early only runs the daemon once more, so one that is
-   soon enough is left as it is.  */
+   immediate enough is left as it is.  */
 static void
 arm_timer (struct mq_http_server *server)
 {
@@ -475,7 +477,7 @@
     }
   TALLOC_FREE (server->fde);
   TALLOC_FREE (server->timer);
-  TALLOC_FREE (server->soon);
+  TALLOC_FREE (server->immediate);
   if (server->running)
     return -1;
   if (server->daemon != NULL)
@@ -534,13 +536,13 @@
                                   : options->stream_buffer_max;
   bound_send_buffers (fd);
   server->port = mq_listen_port (fd);
-  server->soon = tevent_create_immediate (server);
+  server->immediate = tevent_create_immediate (server);
   talloc_set_destructor (server, server_freed);
   server->daemon = start_daemon (
       server, fd, connections == 0 ? MQ_CONNECTIONS_MAX : connections);
   if (server->daemon == NULL)
     close (fd);
-  if (server->daemon == NULL || server->soon == NULL
+  if (server->daemon == NULL || server->immediate == NULL
       || !attach_daemon (server))
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, options->address, NULL);
--- a/src/net/http_state.h
+++ b/src/net/http_state.h
@@ -19,7 +19,7 @@
  * @fde: the daemon's epoll descriptor
  * @timer: the daemon's timeout, NULL when none is set
  * @timer_at: when @timer fires
- * @soon: runs the daemon after an answer from outside of it, and again
+ * @immediate: runs the daemon after an answer from outside of it, and again
  * @handler: told each whole request
  * @data: given to @handler
  * @body_max: bound on a body
@@ -38,7 +38,7 @@
   struct tevent_fd *fde;
   struct tevent_timer *timer;
   struct timeval timer_at;
-  struct tevent_immediate *soon;
+  struct tevent_immediate *immediate;
   mq_http_handler *handler;
   void *data;
   size_t body_max;
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -1,7 +1,7 @@
-/* peer.c - connections between the system's processes.
+/* peer.c - TCP connections between the processes of the system.
 
-   The net itself: its life, the addresses it keeps, its clock and the
-   user's calls.
+   Creates and destroys the network, accepts and dials connections, and
+   implements the public functions of peer.h.
    Needs: peer_net.h, codec.h, id.h.  */
 
 #include "peer.h"
@@ -63,51 +63,54 @@
 }
 
 static uint32_t
-jittered_backoff (struct mq_peer_net *net, uint32_t pause_ms)
+jittered_backoff (struct mq_peer_net *net, uint32_t backoff_ms)
 {
-  uint32_t half = pause_ms / 2;
+  uint32_t half = backoff_ms / 2;
 
   return half + mq_random_below (&net->seed, half + 1);
 }
 
-/* The next pause is set before the outcome is known; start_ready resets it
-   by way of tick_address.  */
+/* Doubles the backoff before the result of the attempt is known; tick_address
+   resets it once a connection is ready.  */
 static void
-dial_address (struct mq_peer_net *net, struct mq_peer_address *kept,
+dial_address (struct mq_peer_net *net, struct mq_peer_address *peer_address,
               uint64_t now_ms)
 {
-  kept->due_ms = now_ms + jittered_backoff (net, kept->pause_ms);
-  kept->pause_ms *= 2;
-  if (kept->pause_ms > MQ_CONNECT_RETRY_MAX_MS)
-    kept->pause_ms = MQ_CONNECT_RETRY_MAX_MS;
-  mq_conn_dial (net, kept);
+  peer_address->due_ms
+      = now_ms + jittered_backoff (net, peer_address->backoff_ms);
+  peer_address->backoff_ms *= 2;
+  if (peer_address->backoff_ms > MQ_CONNECT_RETRY_MAX_MS)
+    peer_address->backoff_ms = MQ_CONNECT_RETRY_MAX_MS;
+  mq_conn_dial (net, peer_address);
 }
 
 static void
-tick_address (struct mq_peer_net *net, struct mq_peer_address *kept,
+tick_address (struct mq_peer_net *net, struct mq_peer_address *peer_address,
               uint64_t now_ms)
 {
-  if (kept->ready != NULL)
+  if (peer_address->ready != NULL)
     {
-      kept->pause_ms = MQ_CONNECT_RETRY_MS;
-      kept->due_ms = 0;
+      peer_address->backoff_ms = MQ_CONNECT_RETRY_MS;
+      peer_address->due_ms = 0;
       return;
     }
-  if (kept->dialling != NULL)
+  if (peer_address->dialling != NULL)
     return;
-  /* Just lost: hosts that lost the same peer don't come back all at once. */
-  if (kept->due_ms == 0)
-    kept->due_ms = now_ms + jittered_backoff (net, kept->pause_ms);
-  if (now_ms >= kept->due_ms)
-    dial_address (net, kept, now_ms);
+  /* The connection was lost since the last tick. The jitter spreads out the
+     reconnects of hosts that lost the same peer.  */
+  if (peer_address->due_ms == 0)
+    peer_address->due_ms
+        = now_ms + jittered_backoff (net, peer_address->backoff_ms);
+  if (now_ms >= peer_address->due_ms)
+    dial_address (net, peer_address, now_ms);
 }
 
 static void
 tick_all_addresses (struct mq_peer_net *net, uint64_t now_ms)
 {
-  for (struct mq_peer_address *kept = net->kept; kept != NULL;
-       kept = kept->next)
-    tick_address (net, kept, now_ms);
+  for (struct mq_peer_address *peer_address = net->peer_address;
+       peer_address != NULL; peer_address = peer_address->next)
+    tick_address (net, peer_address, now_ms);
 }
 
 static void
@@ -180,9 +183,8 @@
   return time_ms + pause_ms < now_ms ? time_ms + pause_ms : now_ms;
 }
 
-/* A process that was stopped for a while has heard nothing because it did
-   not listen: that time counts neither as silence of its peers nor against
-   their handshakes.  */
+/* Excludes the time in which this process was stopped from the receive and
+   handshake timeouts, since it could not read from its peers then.  */
 static void
 exclude_process_pause (struct mq_peer_net *net, uint64_t now_ms)
 {
@@ -233,8 +235,8 @@
   mq_peer_end_handler (net);
 }
 
-/* Connections that never prove the key must not shut out those that will:
-   over the bound the oldest of them goes, which had the most time.  */
+/* Closes the oldest unauthenticated connection, so that idle connections
+   cannot keep peers with a valid site key from connecting.  */
 static void
 close_oldest_unauthenticated (struct mq_peer_net *net)
 {
@@ -276,8 +278,9 @@
       if (fd >= 0)
         accept_fd (net, fd);
     }
-  /* Out of descriptors the socket stays readable, and the loop would spin:
-     accepting waits for the next tick.  */
+  /* When descriptors or buffers are exhausted the socket stays readable. Stops
+     listening for events until the next tick, so that the event loop does not
+     spin.  */
   if (fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS))
     TEVENT_FD_NOT_READABLE (net->listen_event);
   mq_peer_end_handler (net);
@@ -310,8 +313,8 @@
   struct timespec tick = { .tv_nsec = (long)net->tick_ms * (long)NS_PER_MS };
   struct itimerspec every = { .it_interval = tick, .it_value = tick };
 
-  /* Not one of tevent's timers: they follow the wall clock, and one that is
-     set back would stop the beats.  */
+  /* tevent timers follow the wall clock; setting it back would delay the
+     heartbeats.  */
   net->clock_fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   return net->clock_fd >= 0
          && timerfd_settime (net->clock_fd, 0, &every, NULL) == 0;
@@ -348,7 +351,8 @@
   return ntohs (bound.v4.sin_port);
 }
 
-/* The address listened at, with the port that port 0 turned into.  */
+/* Address of the listening socket, with the actual port where port 0 was
+   requested.  */
 static char *
 format_address (struct mq_peer_net *net, const char *listen_at)
 {
@@ -409,8 +413,9 @@
   gnutls_memset (net->site_key, 0, sizeof net->site_key);
 }
 
-/* Destroyed from a callback, the net is in use further up the stack: it is
-   shut at once and its memory goes when the handler leaves.  */
+/* When called from a callback, closes all sockets at once but returns -1 to
+   keep the memory, which is still in use further up the stack.
+   mq_peer_end_handler frees it.  */
 static int
 destroy_net (struct mq_peer_net *net)
 {
@@ -483,24 +488,24 @@
 void
 mq_peer_net_add_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_peer_address *kept;
+  struct mq_peer_address *peer_address;
 
   if (net->dead || strcmp (address, net->self.address) == 0
       || mq_table_find_peer_address (net, address) != NULL)
     return;
-  kept = talloc_zero (net, struct mq_peer_address);
-  if (kept == NULL)
+  peer_address = talloc_zero (net, struct mq_peer_address);
+  if (peer_address == NULL)
     return;
-  kept->address = talloc_strdup (kept, address);
-  if (kept->address == NULL)
+  peer_address->address = talloc_strdup (peer_address, address);
+  if (peer_address->address == NULL)
     {
-      talloc_free (kept);
+      talloc_free (peer_address);
       return;
     }
-  kept->pause_ms = MQ_CONNECT_RETRY_MS;
-  kept->due_ms = 1;
-  kept->ready = mq_table_find_address (net, address);
-  mq_table_add_peer_address (net, kept);
+  peer_address->backoff_ms = MQ_CONNECT_RETRY_MS;
+  peer_address->due_ms = 1;
+  peer_address->ready = mq_table_find_address (net, address);
+  mq_table_add_peer_address (net, peer_address);
   net->dial_due = true;
   mq_peer_schedule (net);
 }
@@ -508,22 +513,22 @@
 static bool
 has_peer_address (const struct mq_conn *conn)
 {
-  const struct mq_peer_address *kept = conn->net->kept;
+  const struct mq_peer_address *peer_address = conn->net->peer_address;
 
-  while (kept != NULL && kept->ready != conn)
-    kept = kept->next;
-  return kept != NULL;
+  while (peer_address != NULL && peer_address->ready != conn)
+    peer_address = peer_address->next;
+  return peer_address != NULL;
 }
 
-/* The side that dialled closes, when it keeps the connection no longer: our
-   queue goes out, then the end of our direction, and what the peer still
-   sends is delivered until its own end.  So no frame is lost.  A peer that
-   keeps this host dials in its turn.  */
+/* Only the dialling side closes a released connection. It sends its queued
+   frames, shuts down its sending direction and delivers what it receives until
+   the peer closes as well, so that no frame is lost. A peer that still wants
+   the connection dials a new one.  */
 static void
 drain_conn (struct mq_conn *conn)
 {
   mq_table_remove_by_address (conn);
-  conn->kept = NULL;
+  conn->peer_address = NULL;
   conn->state = MQ_CONN_DRAINING;
   mq_conn_schedule_flush (conn);
 }
@@ -531,20 +536,21 @@
 void
 mq_peer_net_remove_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_peer_address *kept = mq_table_find_peer_address (net, address);
+  struct mq_peer_address *peer_address
+      = mq_table_find_peer_address (net, address);
   struct mq_conn *ready;
 
-  if (net->dead || kept == NULL)
+  if (net->dead || peer_address == NULL)
     return;
-  mq_table_remove_peer_address (net, kept);
-  if (kept->dialling != NULL)
-    mq_conn_close (kept->dialling, MQ_ERR_NONE);
-  ready = kept->ready;
-  if (ready != NULL && ready->kept == kept)
-    ready->kept = NULL;
+  mq_table_remove_peer_address (net, peer_address);
+  if (peer_address->dialling != NULL)
+    mq_conn_close (peer_address->dialling, MQ_ERR_NONE);
+  ready = peer_address->ready;
+  if (ready != NULL && ready->peer_address == peer_address)
+    ready->peer_address = NULL;
   if (ready != NULL && ready->dialled && !has_peer_address (ready))
     drain_conn (ready);
-  talloc_free (kept);
+  talloc_free (peer_address);
 }
 
 uint32_t
@@ -555,8 +561,8 @@
   return conn == NULL ? 0 : conn->handle;
 }
 
-/* Closed by the next turn of the loop: down is never called from inside a
-   send.  */
+/* Closes CONN in the next iteration of the event loop, so that the down
+   callback is never called from within a send.  */
 static void
 schedule_close (struct mq_conn *conn, enum mq_error_type why)
 {
@@ -571,7 +577,7 @@
 {
   if (len > MQ_FRAME_MAX_BYTES)
     return false;
-  /* A peer that reads too slowly would take this host's memory.  */
+  /* Bounds the memory used for a peer that reads too slowly.  */
   if (mq_frame_writer_unsent (conn->writer) + len > MQ_PEER_UNSENT_BYTES)
     {
       schedule_close (conn, MQ_ERR_SLOW_READER);
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -1,11 +1,10 @@
-/* peer.h - connections between the system's processes.
+/* peer.h - TCP connections between the processes of the system.
 
-   TCP with frames of a 4-byte big-endian length and a protobuf envelope
-   (codec.h).  Both sides prove the site key (HMAC-SHA256 over both nonces
-   and roles) before any other frame.  Beats go both ways; a connection that
-   hears nothing for MQ_SILENT_MS is closed and made anew.  Bytes and frames
-   of control messages (LEASE, LOAD, CONFIG_*, beats, HANDOVER) are counted
-   apart from callers' data.
+   Each frame has a 4-byte big-endian length and a protobuf envelope (codec.h).
+   Both sides authenticate with the site key (handshake.h) before any other
+   frame. Both sides send heartbeats; a connection on which nothing was
+   received for the peer timeout is closed and dialled again. Control messages
+   (see mq_conn_is_control) are counted separately from callers' data.
    Needs: tevent, gnutls, codec.h, message.h.  */
 
 #ifndef MQ_PEER_H
@@ -18,12 +17,12 @@
 struct mq_peer_net;
 
 /**
- * struct mq_peer_info - who is at the other end, proved by the site key
- * @host: its host name
- * @address: "IP:PORT" where it listens for peers
- * @data_centre: where it stands
+ * struct mq_peer_info - identity of a process, authenticated by the site key
+ * @host: host name
+ * @address: "IP:PORT" at which the process listens for peers
+ * @data_centre: name of its data centre
  * @role: entry or target host
- * @boot: random id of its run
+ * @boot: random id of this run of the process
  */
 struct mq_peer_info
 {
@@ -34,7 +33,7 @@
   uint64_t boot;
 };
 
-/* Handles are never 0 and never used again in one run of a process.  */
+/* Peer handles are never 0 and are not reused while the process runs.  */
 struct mq_peer_callbacks
 {
   void (*up) (uint32_t peer, const struct mq_peer_info *info, void *user);
@@ -46,8 +45,8 @@
 
 struct mq_peer_options
 {
-  const char *listen;       /* "IP:PORT", port 0: a free one */
-  struct mq_peer_info self; /* address: NULL: the one listened at */
+  const char *listen;       /* "IP:PORT"; port 0: any free port */
+  struct mq_peer_info self; /* address NULL: the listening address */
   uint8_t site_key[MQ_KEY_BYTES];
   uint32_t heartbeat_interval_ms; /* 0: MQ_BEAT_MS */
   uint32_t silent_ms;             /* 0: MQ_SILENT_MS */
@@ -60,17 +59,18 @@
                     struct mq_error *error);
 void mq_peer_net_destroy (struct mq_peer_net *net);
 uint16_t mq_peer_net_port (const struct mq_peer_net *net);
-/* Keeps a connection to ADDRESS, making it anew when it is lost, until
-   mq_peer_net_remove_address.  Idempotent.  An incoming connection from the
-   same address counts, so two hosts share one.  */
+/* Connects to ADDRESS, and reconnects after a loss, until
+   mq_peer_net_remove_address. Idempotent. A connection accepted from the same
+   address is used as well, so that two hosts share one.  */
 void mq_peer_net_add_address (struct mq_peer_net *net, const char *address);
 void mq_peer_net_remove_address (struct mq_peer_net *net, const char *address);
-/* Handle of the ready connection to ADDRESS, 0 when there is none.  */
+/* Handle of the ready connection to ADDRESS, 0 if there is none.  */
 uint32_t mq_peer_net_find (const struct mq_peer_net *net, const char *address);
-/* False when PEER is gone or its unsent bytes are over the bound.  */
+/* False if PEER is not connected, the message cannot be packed or the unsent
+   bytes exceed their limit.  */
 bool mq_peer_net_send (struct mq_peer_net *net, uint32_t peer,
                        const struct mq_message *message);
-/* Version told to peers in every beat.  */
+/* Sets the configuration version that heartbeats report to peers.  */
 void mq_peer_net_set_version (struct mq_peer_net *net, uint64_t version);
 
 struct mq_peer_counters
@@ -83,8 +83,9 @@
 };
 const struct mq_peer_counters *
 mq_peer_net_counters (const struct mq_peer_net *net);
-/* Why a handshake was last refused: BAD_PEER (wrong proof), BAD_FRAME,
-   TOO_LARGE or TIMEOUT; NONE when none was.  */
+/* Reason of the last rejected handshake: BAD_PEER (authentication failed or
+   own process), BAD_FRAME, TOO_LARGE, TIMEOUT or NO_MEMORY; NONE if there was
+   none.  */
 const struct mq_error *mq_peer_net_refusal (const struct mq_peer_net *net);
 
 #endif
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -1,6 +1,7 @@
-/* peer_conn.c - the socket of one connection between processes.
+/* peer_conn.c - one connection between two processes.
 
-   Reads frames, hands them on, gathers and sends frames, beats, and closes.
+   Reads and delivers frames, queues and sends frames and heartbeats, and
+   closes the connection.
    Needs: peer_net.h, codec.h.  */
 
 #include "peer_net.h"
@@ -97,15 +98,15 @@
 {
   struct mq_peer_net *net = conn->net;
 
-  /* CONN->next stays: a walk over the list that stands here goes on.  */
+  /* CONN->next stays valid for a loop that is currently at CONN.  */
   *conn->link = conn->next;
   if (conn->next != NULL)
     conn->next->link = conn->link;
   if (is_unauthenticated (conn))
     net->unauthenticated_count--;
-  if (conn->kept != NULL && conn->kept->dialling == conn)
-    conn->kept->dialling = NULL;
-  conn->kept = NULL;
+  if (conn->peer_address != NULL && conn->peer_address->dialling == conn)
+    conn->peer_address->dialling = NULL;
+  conn->peer_address = NULL;
   conn->next_closed = net->closed;
   net->closed = conn;
 }
@@ -176,8 +177,8 @@
       TEVENT_FD_WRITEABLE (conn->event);
       break;
     case MQ_FLUSH_FAILED:
-      /* The peer closed, but answers that it sent before may still wait to
-         be read: the reading side closes when it has come to their end.  */
+      /* The peer has closed, but frames that it sent before may still be
+         unread. read_bytes closes the connection at the end of the input.  */
       conn->write_failed = true;
       TEVENT_FD_NOT_WRITEABLE (conn->event);
       break;
@@ -199,7 +200,8 @@
     callbacks->message (conn->handle, message, callbacks->user);
 }
 
-/* Versions only rise: a higher one is told once, whichever frame had it.  */
+/* Reports a configuration version once, by whichever frame carried it; lower
+   versions are ignored.  */
 static void
 deliver_version (struct mq_conn *conn, uint64_t version)
 {
@@ -261,7 +263,8 @@
     mq_conn_refuse (conn, &error);
 }
 
-/* The bound is asked for each frame: a Proof ends the strict one.  */
+/* Determines the size limit for each frame anew, since a valid Proof raises
+   it.  */
 static bool
 receive_next_frame (struct mq_conn *conn)
 {
@@ -307,8 +310,8 @@
   uint8_t bytes[READ_BYTES];
   ssize_t got;
 
-  /* A callback that runs the loop must not read behind the frame that it
-     was given.  */
+  /* A callback may run the event loop; the frames after the one being
+     delivered must not be read then.  */
   if (conn->reading)
     return;
   got = recv (conn->fd, bytes, sizeof bytes, 0);
@@ -407,7 +410,7 @@
   return conn;
 }
 
-/* Numbers only: no name is looked up, which could wait.  */
+/* Accepts numeric addresses only, since a name lookup could block.  */
 struct addrinfo *
 mq_conn_parse_address (const char *address)
 {
@@ -446,9 +449,9 @@
 }
 
 void
-mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *kept)
+mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *peer_address)
 {
-  int fd = open_socket (kept->address);
+  int fd = open_socket (peer_address->address);
   struct mq_conn *conn;
 
   if (fd < 0)
@@ -456,8 +459,8 @@
   conn = mq_conn_create (net, fd, true);
   if (conn == NULL)
     return;
-  conn->kept = kept;
-  kept->dialling = conn;
+  conn->peer_address = peer_address;
+  peer_address->dialling = conn;
 }
 
 static void
@@ -486,10 +489,9 @@
   talloc_free (data);
 }
 
-/* A connection can go silent for good while both ends think it open, when
-   something between them has lost track of it: TCP would show it after
-   minutes.  A live peer sends at least a beat every heartbeat_interval_ms, so
-   a pause of silent_ms means that nothing gets through.  */
+/* A connection may be dead while both ends consider it open, and TCP may take
+   minutes to report it. A live peer sends at least its heartbeats, so that a
+   connection without any input for the peer timeout is dead.  */
 static void
 tick_ready (struct mq_conn *conn, uint64_t now_ms)
 {
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -1,8 +1,9 @@
-/* peer_net.h - what the parts of the peer link share; for src/net only.
+/* peer_net.h - internal state and functions of the peer connections; for
+   src/net only.
 
-   peer.c holds the net, the addresses kept and the clock; peer_conn.c the
-   socket of one connection; peer_settle.c the handshake and the choice
-   between connections; peer_table.c the lookups.
+   peer.c manages the network, the listening socket and the dialled addresses;
+   peer_conn.c one connection; peer_settle.c the handshake and the selection
+   among duplicate connections; peer_table.c the lookup tables.
    Needs: peer.h, frame.h, handshake.h.  */
 
 #ifndef MQ_PEER_NET_H
@@ -16,43 +17,40 @@
 
 enum mq_conn_state
 {
-  MQ_CONN_CONNECTING, /* dialled, TCP has not answered */
-  MQ_CONN_HELLO,      /* the peer's Hello is awaited */
-  MQ_CONN_PROOF,      /* the peer's Proof is awaited */
-  MQ_CONN_WAITING,    /* proved, behind another connection of the same run */
-  MQ_CONN_READY,      /* up */
-  MQ_CONN_DRAINING,   /* released: our last frames are out or under way */
-  MQ_CONN_CLOSED      /* freed when no handler runs any more */
+  MQ_CONN_CONNECTING, /* TCP connect in progress */
+  MQ_CONN_HELLO,      /* waiting for the peer's Hello */
+  MQ_CONN_PROOF,      /* waiting for the peer's Proof */
+  MQ_CONN_WAITING,    /* authenticated; duplicate of a ready connection */
+  MQ_CONN_READY,      /* handshake complete */
+  MQ_CONN_DRAINING,   /* released: sending the queued frames, then until EOF */
+  MQ_CONN_CLOSED      /* freed once no handler is running */
 };
 
 /**
  * struct mq_conn - one TCP connection
- * @net: net it belongs to
- * @next: next older connection of the net
- * @link: what points to this one
+ * @next: next older connection of the network
+ * @link: pointer to this connection in the list of the network
  * @next_closed: next closed connection that is to be freed
  * @next_to_flush: next connection with frames to flush
- * @next_by_handle: chain of the table by handle, while READY or DRAINING
- * @next_by_address: chain of the table by address, while READY
- * @fd: its socket
+ * @next_by_handle: hash chain by handle, while READY or DRAINING
+ * @next_by_address: hash chain by address, while READY
  * @event: readiness of @fd
- * @state: how far it is
- * @kept: address for which it was dialled; NULL: accepted, or released
- * @dialled: this side dialled
- * @serial: rises with every connection of the net
+ * @peer_address: address for which it was dialled; NULL if accepted or
+ *                released
+ * @dialled: this side opened the connection
+ * @serial: sequence number in the network; newer connections have higher ones
  * @handle: handle given to the user, 0 until READY
- * @handshake: its Hellos and Proofs; @info hangs below it
- * @info: who is at the other end, from the Hello on
- * @reader: received bytes
- * @writer: frames to send
- * @opened_ms: when it was dialled or accepted
- * @heard_ms: when bytes last came
- * @sent_ms: when a frame was last queued
- * @version: highest configuration version told to the user for this peer
- * @close_reason: why it is to be closed in the next turn, NONE when it is not
- * @dirty: is in the list of connections to flush
+ * @handshake: owns the strings of @info
+ * @info: identity of the peer, set by its Hello
+ * @opened_ms: time of the dial or accept, monotonic clock
+ * @heard_ms: time of the last received bytes, monotonic clock
+ * @sent_ms: time at which a frame was last queued, monotonic clock
+ * @version: highest configuration version of the peer reported to the user
+ * @close_reason: reason to close the connection in the next iteration of the
+ *                event loop, NONE if it stays open
+ * @dirty: in the list of connections to flush
  * @reading: its frames are being delivered
- * @write_failed: nothing more can be sent; what came before is still read
+ * @write_failed: nothing more can be sent; received frames are still delivered
  */
 struct mq_conn
 {
@@ -66,7 +64,7 @@
   int fd;
   struct tevent_fd *event;
   enum mq_conn_state state;
-  struct mq_peer_address *kept;
+  struct mq_peer_address *peer_address;
   bool dialled;
   uint64_t serial;
   uint32_t handle;
@@ -85,14 +83,13 @@
 };
 
 /**
- * struct mq_peer_address - an address to which a connection is kept
- * @next: next address kept
- * @next_by_address: chain of the table by address
+ * struct mq_peer_address - an address to which a connection is maintained
+ * @next_by_address: hash chain by address
  * @address: "IP:PORT"
- * @ready: the READY connection that serves it, NULL when none
- * @dialling: connection under way, NULL when none
- * @due_ms: when to dial next
- * @pause_ms: pause after the next failure, doubled each time
+ * @ready: READY connection to the peer, NULL if there is none
+ * @dialling: connection attempt in progress, NULL if there is none
+ * @due_ms: time of the next attempt, monotonic clock; 0 if not scheduled
+ * @backoff_ms: delay after the next failed attempt, doubled each time
  */
 struct mq_peer_address
 {
@@ -102,7 +99,7 @@
   struct mq_conn *ready;
   struct mq_conn *dialling;
   uint64_t due_ms;
-  uint32_t pause_ms;
+  uint32_t backoff_ms;
 };
 
 enum
@@ -112,40 +109,30 @@
 
 /**
  * struct mq_peer_net - all connections of this process with its peers
- * @ev: event loop
- * @self: what our Hello says
- * @site_key: key of the site
- * @heartbeat_interval_ms: longest pause between frames sent
- * @silent_ms: longest pause between bytes heard
- * @tick_ms: period of the clock
- * @callbacks: the user's
- * @listen_fd: listening socket
- * @listen_event: its readiness
- * @clock_fd: timerfd of the clock
- * @clock_event: its readiness
- * @work: runs once in the next turn of the loop when @work_due
- * @work_due: whether it is scheduled
- * @close_due: a connection is to be closed in it
- * @select_due: a connection was closed, one that waits may take its place
+ * @self: identity sent in the Hello
+ * @heartbeat_interval_ms: maximum time between frames sent
+ * @silent_ms: time without received bytes after which a connection is closed
+ * @tick_ms: period of the timer
+ * @clock_fd: timerfd of the periodic timer
+ * @work: deferred work in the next iteration of the event loop
+ * @work_due: @work is scheduled
+ * @close_due: a connection has a close_reason
+ * @select_due: a connection was closed; a WAITING one may replace it
  * @dial_due: an address was added
  * @now_ms: monotonic time of the last tick
  * @conns: newest first
  * @closed: connections to be freed when @depth is 0
  * @dirty: connections with frames to flush
- * @kept: addresses kept
+ * @peer_address: list of the addresses to which connections are maintained
  * @by_handle: READY and DRAINING connections
  * @by_address: READY connections by the address in their Hello
- * @peer_address_buckets: addresses kept
- * @last_serial: last serial number given out
- * @last_handle: last handle given out
- * @unauthenticated_count: accepted connections whose peer has not proved the
- * key
- * @version: told in every beat
- * @seed: of the jitter
- * @depth: handlers that run
- * @dead: destroyed by a callback, freed when @depth is 0
- * @counters: for the user
- * @refusal: why a handshake was last refused
+ * @peer_address_buckets: hash table of the list @peer_address
+ * @unauthenticated_count: accepted connections that have not authenticated yet
+ * @version: configuration version sent in heartbeats
+ * @seed: state of the random numbers for the jitter
+ * @depth: number of nested handlers
+ * @dead: destroyed by a callback; freed when @depth is 0
+ * @refusal: reason of the last rejected handshake
  */
 struct mq_peer_net
 {
@@ -169,7 +156,7 @@
   struct mq_conn *conns;
   struct mq_conn *closed;
   struct mq_conn *dirty;
-  struct mq_peer_address *kept;
+  struct mq_peer_address *peer_address;
   struct mq_conn *by_handle[MQ_PEER_BUCKETS];
   struct mq_conn *by_address[MQ_PEER_BUCKETS];
   struct mq_peer_address *peer_address_buckets[MQ_PEER_BUCKETS];
@@ -184,45 +171,50 @@
   struct mq_error refusal;
 };
 
-/* Every handler of an event runs between these two.  Between them nothing
-   is freed, so a callback may close connections or destroy the net; after
-   one, NET->dead and the state of the connection have to be looked at.  */
+/* Each event handler runs between these two calls. No connection is freed
+   between them, so that callbacks may close connections or destroy the
+   network. After a callback, check NET->dead and the state of the
+   connection.  */
 void mq_peer_begin_handler (struct mq_peer_net *net);
 void mq_peer_end_handler (struct mq_peer_net *net);
-/* Flushes, closes and dials in the next turn of the loop.  */
+/* Schedules the deferred work (flush, close, select, dial) for the next
+   iteration of the event loop.  */
 void mq_peer_schedule (struct mq_peer_net *net);
 
-/* peer_conn.c: takes over FD, NULL (and FD closed) when memory is out.  */
+/* peer_conn.c. Takes ownership of FD; NULL, with FD closed, if out of
+   memory.  */
 struct mq_conn *mq_conn_create (struct mq_peer_net *net, int fd, bool dialled);
-void mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *kept);
-/* Closes CONN; for one that was up, calls down with WHY.  */
+void mq_conn_dial (struct mq_peer_net *net,
+                   struct mq_peer_address *peer_address);
+/* Closes CONN and, if its handshake was complete, calls down with WHY.  */
 void mq_conn_close (struct mq_conn *conn, enum mq_error_type why);
-/* Queues a frame, false when memory is out.  */
+/* Queues a frame; false if out of memory.  */
 bool mq_conn_queue (struct mq_conn *conn, const uint8_t *data, size_t len,
                     bool control);
-/* Flushed in the next turn of the loop.  */
+/* Flushes CONN in the next iteration of the event loop.  */
 void mq_conn_schedule_flush (struct mq_conn *conn);
 void mq_conn_flush (struct mq_conn *conn);
-/* Whether TYPE is control traffic, not callers' data.  */
+/* True if TYPE is control traffic, false for callers' data.  */
 bool mq_conn_is_control (enum mq_message_type type);
-/* Numbers only, "IP:PORT"; for freeaddrinfo.  NULL when it is none.  */
+/* Parses a numeric "IP:PORT"; NULL if invalid. Free with freeaddrinfo.  */
 struct addrinfo *mq_conn_parse_address (const char *address);
-/* Closes, beats or does nothing, by the time.  */
+/* Checks the timeouts of CONN and sends a heartbeat if one is due.  */
 void mq_conn_tick (struct mq_conn *conn, uint64_t now_ms);
 
 /* peer_settle.c */
 void mq_conn_start_handshake (struct mq_conn *conn);
-/* A frame that comes before CONN is up.  */
+/* Handles a frame received before the handshake is complete.  */
 void mq_conn_handshake_frame (struct mq_conn *conn, const uint8_t *data,
                               size_t len);
 void mq_conn_refuse (struct mq_conn *conn, const struct mq_error *error);
-/* Connections that wait take the place of those that were closed.  */
+/* Selects WAITING connections in place of those that were closed.  */
 void mq_conn_select_waiting (struct mq_peer_net *net);
 
 /* peer_table.c */
 void mq_table_add (struct mq_conn *conn);
 void mq_table_remove (struct mq_conn *conn);
-/* No longer found by address, still by handle.  */
+/* Removes CONN from the address table only; it is still found by its
+   handle.  */
 void mq_table_remove_by_address (struct mq_conn *conn);
 struct mq_conn *mq_table_find_handle (const struct mq_peer_net *net,
                                       uint32_t handle);
@@ -232,8 +224,8 @@
 mq_table_find_peer_address (const struct mq_peer_net *net,
                             const char *address);
 void mq_table_add_peer_address (struct mq_peer_net *net,
-                                struct mq_peer_address *kept);
+                                struct mq_peer_address *peer_address);
 void mq_table_remove_peer_address (struct mq_peer_net *net,
-                                   struct mq_peer_address *kept);
+                                   struct mq_peer_address *peer_address);
 
 #endif
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -1,10 +1,10 @@
-/* peer_settle.c - the handshake of a connection, and which one is used.
+/* peer_settle.c - handshake of a connection, and selection among duplicates.
 
-   Of two hosts the one with the smaller name leads.  It sends its Proof
-   last, and only on the connection that it chose; the other side is up when
-   that Proof comes.  So there is one decision, made at one place, before any
-   other frame: two hosts that dial each other at once end with one
-   connection and lose no frame.
+   Of two hosts, the one whose name sorts first is the leader. It sends its
+   Proof last, and only on the connection that it selects; the other side is
+   ready when it receives that Proof. One side thus decides before any other
+   frame is sent: two hosts that dial each other at the same time end up with
+   one connection and lose no frame.
    Needs: peer_net.h.  */
 
 #include "peer_net.h"
@@ -76,7 +76,8 @@
   return false;
 }
 
-/* Another connection to the same run that is up, NULL when none.  */
+/* Ready connection to the same run of the peer's process, NULL if there is
+   none.  */
 static struct mq_conn *
 find_ready_conn_of_peer (const struct mq_conn *conn)
 {
@@ -89,7 +90,8 @@
   return other;
 }
 
-/* Under the host's name or address stood another run: it is gone.  */
+/* True if OLD is a ready connection with the host name or address of CONN's
+   peer.  */
 static bool
 is_superseded_conn (const struct mq_conn *old, const struct mq_conn *conn)
 {
@@ -108,7 +110,8 @@
   return old;
 }
 
-/* CONN is up, so those under way to the same run have lost.  */
+/* True if OTHER is a connection attempt to the peer with which CONN is
+   ready.  */
 static bool
 is_duplicate_conn (const struct mq_conn *other, const struct mq_conn *conn)
 {
@@ -116,8 +119,8 @@
     return false;
   if (other->info.host != NULL)
     return is_same_run (&other->info, &conn->info);
-  return other->kept != NULL
-         && strcmp (other->kept->address, conn->info.address) == 0;
+  return other->peer_address != NULL
+         && strcmp (other->peer_address->address, conn->info.address) == 0;
 }
 
 static void
@@ -151,8 +154,8 @@
     net->unauthenticated_count--;
   conn->handle = next_handle (net);
   conn->state = MQ_CONN_READY;
-  if (conn->kept != NULL)
-    conn->kept->dialling = NULL;
+  if (conn->peer_address != NULL)
+    conn->peer_address->dialling = NULL;
   mq_table_add (conn);
   close_duplicate_conns (conn);
   net->counters.connections_made++;
@@ -160,9 +163,9 @@
     net->callbacks.up (conn->handle, &conn->info, net->callbacks.user);
 }
 
-/* A peer that was restarted, or whose connection the leader gave up, comes
-   on a new connection while the old one still looks open here: down of the
-   old is told before up of the new, and nothing more is read from the old. */
+/* A peer that restarted or abandoned a connection connects again while the old
+   connection still looks open here. Reports the old one down before the new
+   one up and reads nothing more from the old one.  */
 static void
 make_ready (struct mq_conn *conn)
 {
@@ -186,8 +189,8 @@
     make_ready (conn);
 }
 
-/* A run that ended before this connection was made can't come back: its
-   late handshake must not push out its successor.  */
+/* True if CONN is older than the ready connection of the same host or address:
+   a late handshake of an earlier run must not replace its successor.  */
 static bool
 is_outdated (const struct mq_conn *conn)
 {
@@ -196,10 +199,10 @@
   return old != NULL && old->serial > conn->serial;
 }
 
-/* The leader's choice.  While a connection to the same run is up the new
-   one waits: either the peer has dialled before it heard that the first was
-   chosen, and closes this one; or the first has failed at the peer, and
-   fails here too before long.  */
+/* Selects a connection on the leader. While a connection to the same run is
+   ready the new one waits: either the peer dialled before it learned of the
+   selection and will close the new one, or the ready one has failed at the
+   peer and will fail here as well.  */
 static void
 choose_conn (struct mq_conn *conn)
 {
@@ -234,16 +237,16 @@
   mq_conn_refuse (conn, &error);
 }
 
-/* An address under which a peer is already connected by another: nothing
-   more to dial.  */
+/* If the peer is already connected under another address, uses that connection
+   and closes CONN.  */
 static bool
 reuse_ready_conn (struct mq_conn *conn)
 {
   struct mq_conn *other = find_ready_conn_of_peer (conn);
 
-  if (conn->kept == NULL || other == NULL)
+  if (conn->peer_address == NULL || other == NULL)
     return false;
-  conn->kept->ready = other;
+  conn->peer_address->ready = other;
   mq_conn_close (conn, MQ_ERR_NONE);
   return true;
 }
@@ -262,7 +265,7 @@
       return;
     }
   conn->info = *info;
-  /* Our own Hello sent back, or our own port dialled.  */
+  /* The Hello was reflected, or this process dialled its own port.  */
   if (is_same_run (info, &conn->net->self))
     {
       refuse_self (conn);
--- a/src/net/peer_table.c
+++ b/src/net/peer_table.c
@@ -1,6 +1,6 @@
-/* peer_table.c - lookups of connections and kept addresses.
+/* peer_table.c - lookup of connections and dialled addresses.
 
-   Chained hash tables; a connection's handle is its own hash.
+   Chained hash tables; the hash of a connection is its handle.
    Needs: peer_net.h, id.h.  */
 
 #include "peer_net.h"
@@ -34,10 +34,10 @@
     at = &(*at)->next_by_address;
   if (*at != NULL)
     *at = conn->next_by_address;
-  for (struct mq_peer_address *kept = conn->net->kept; kept != NULL;
-       kept = kept->next)
-    if (kept->ready == conn)
-      kept->ready = NULL;
+  for (struct mq_peer_address *peer_address = conn->net->peer_address;
+       peer_address != NULL; peer_address = peer_address->next)
+    if (peer_address->ready == conn)
+      peer_address->ready = NULL;
 }
 
 void
@@ -46,17 +46,17 @@
   struct mq_peer_net *net = conn->net;
   size_t by_handle = conn->handle % MQ_PEER_BUCKETS;
   size_t by_address = hash_address (conn->info.address);
-  struct mq_peer_address *kept;
+  struct mq_peer_address *peer_address;
 
   conn->next_by_handle = net->by_handle[by_handle];
   net->by_handle[by_handle] = conn;
   conn->next_by_address = net->by_address[by_address];
   net->by_address[by_address] = conn;
-  kept = mq_table_find_peer_address (net, conn->info.address);
-  if (kept != NULL)
-    kept->ready = conn;
-  if (conn->kept != NULL)
-    conn->kept->ready = conn;
+  peer_address = mq_table_find_peer_address (net, conn->info.address);
+  if (peer_address != NULL)
+    peer_address->ready = conn;
+  if (conn->peer_address != NULL)
+    conn->peer_address->ready = conn;
 }
 
 void
@@ -79,11 +79,12 @@
 struct mq_conn *
 mq_table_find_address (const struct mq_peer_net *net, const char *address)
 {
-  struct mq_peer_address *kept = mq_table_find_peer_address (net, address);
+  struct mq_peer_address *peer_address
+      = mq_table_find_peer_address (net, address);
   struct mq_conn *conn;
 
-  if (kept != NULL && kept->ready != NULL)
-    return kept->ready;
+  if (peer_address != NULL && peer_address->ready != NULL)
+    return peer_address->ready;
   conn = net->by_address[hash_address (address)];
   while (conn != NULL && strcmp (conn->info.address, address) != 0)
     conn = conn->next_by_address;
@@ -93,38 +94,38 @@
 struct mq_peer_address *
 mq_table_find_peer_address (const struct mq_peer_net *net, const char *address)
 {
-  struct mq_peer_address *kept
+  struct mq_peer_address *peer_address
       = net->peer_address_buckets[hash_address (address)];
 
-  while (kept != NULL && strcmp (kept->address, address) != 0)
-    kept = kept->next_by_address;
-  return kept;
+  while (peer_address != NULL && strcmp (peer_address->address, address) != 0)
+    peer_address = peer_address->next_by_address;
+  return peer_address;
 }
 
 void
 mq_table_add_peer_address (struct mq_peer_net *net,
-                           struct mq_peer_address *kept)
+                           struct mq_peer_address *peer_address)
 {
-  size_t bucket = hash_address (kept->address);
+  size_t bucket = hash_address (peer_address->address);
 
-  kept->next_by_address = net->peer_address_buckets[bucket];
-  net->peer_address_buckets[bucket] = kept;
-  kept->next = net->kept;
-  net->kept = kept;
+  peer_address->next_by_address = net->peer_address_buckets[bucket];
+  net->peer_address_buckets[bucket] = peer_address;
+  peer_address->next = net->peer_address;
+  net->peer_address = peer_address;
 }
 
 void
 mq_table_remove_peer_address (struct mq_peer_net *net,
-                              struct mq_peer_address *kept)
+                              struct mq_peer_address *peer_address)
 {
   struct mq_peer_address **at
-      = &net->peer_address_buckets[hash_address (kept->address)];
+      = &net->peer_address_buckets[hash_address (peer_address->address)];
 
-  while (*at != kept)
+  while (*at != peer_address)
     at = &(*at)->next_by_address;
-  *at = kept->next_by_address;
-  at = &net->kept;
-  while (*at != kept)
+  *at = peer_address->next_by_address;
+  at = &net->peer_address;
+  while (*at != peer_address)
     at = &(*at)->next;
-  *at = kept->next;
+  *at = peer_address->next;
 }
--- a/src/net/timer.c
+++ b/src/net/timer.c
@@ -20,12 +20,12 @@
 
 /**
  * struct mq_timer - one timer
- * @timer_queue: NULL once it is due
+ * @queue: NULL once it is due
  * @index: its place in the heap
  */
 struct mq_timer
 {
-  struct timer_queue *timer_queue;
+  struct timer_queue *queue;
   size_t index;
   uint64_t due_us;
   mq_timer_handler *handler;
@@ -47,99 +47,97 @@
   struct tevent_fd *event;
   struct mq_timer **heap;
   size_t count;
-  size_t room;
+  size_t capacity;
   uint64_t armed_us;
   uint64_t poll_round_us;
   int fd;
 };
 
-static struct timer_queue *hubs;
+static struct timer_queue *timer_queues;
 
 static void
-place (struct timer_queue *timer_queue, size_t index, struct mq_timer *timer)
+place (struct timer_queue *queue, size_t index, struct mq_timer *timer)
 {
-  timer_queue->heap[index] = timer;
+  queue->heap[index] = timer;
   timer->index = index;
 }
 
 static void
-sift_up (struct timer_queue *timer_queue, size_t index)
+sift_up (struct timer_queue *queue, size_t index)
 {
-  struct mq_timer *timer = timer_queue->heap[index];
+  struct mq_timer *timer = queue->heap[index];
 
-  while (index > 0
-         && timer_queue->heap[(index - 1) / 2]->due_us > timer->due_us)
+  while (index > 0 && queue->heap[(index - 1) / 2]->due_us > timer->due_us)
     {
-      place (timer_queue, index, timer_queue->heap[(index - 1) / 2]);
+      place (queue, index, queue->heap[(index - 1) / 2]);
       index = (index - 1) / 2;
     }
-  place (timer_queue, index, timer);
+  place (queue, index, timer);
 }
 
 static void
-sift_down (struct timer_queue *timer_queue, size_t index)
+sift_down (struct timer_queue *queue, size_t index)
 {
-  struct mq_timer *timer = timer_queue->heap[index];
+  struct mq_timer *timer = queue->heap[index];
 
   for (;;)
     {
       size_t child = index * 2 + 1;
 
-      if (child >= timer_queue->count)
+      if (child >= queue->count)
         break;
-      if (child + 1 < timer_queue->count
-          && timer_queue->heap[child + 1]->due_us
-                 < timer_queue->heap[child]->due_us)
+      if (child + 1 < queue->count
+          && queue->heap[child + 1]->due_us < queue->heap[child]->due_us)
         child++;
-      if (timer_queue->heap[child]->due_us >= timer->due_us)
+      if (queue->heap[child]->due_us >= timer->due_us)
         break;
-      place (timer_queue, index, timer_queue->heap[child]);
+      place (queue, index, queue->heap[child]);
       index = child;
     }
-  place (timer_queue, index, timer);
+  place (queue, index, timer);
 }
 
 static void
-remove_timer (struct timer_queue *timer_queue, struct mq_timer *timer)
+remove_timer (struct timer_queue *queue, struct mq_timer *timer)
 {
   size_t index = timer->index;
-  struct mq_timer *last = timer_queue->heap[--timer_queue->count];
+  struct mq_timer *last = queue->heap[--queue->count];
 
-  timer->timer_queue = NULL;
+  timer->queue = NULL;
   if (last == timer)
     return;
-  place (timer_queue, index, last);
-  sift_up (timer_queue, index);
-  sift_down (timer_queue, last->index);
+  place (queue, index, last);
+  sift_up (queue, index);
+  sift_down (queue, last->index);
 }
 
 static int
 cancel_timer (struct mq_timer *timer)
 {
-  if (timer->timer_queue != NULL)
-    remove_timer (timer->timer_queue, timer);
+  if (timer->queue != NULL)
+    remove_timer (timer->queue, timer);
   return 0;
 }
 
 static void
-arm_at (struct timer_queue *timer_queue, uint64_t due_us)
+arm_at (struct timer_queue *queue, uint64_t due_us)
 {
   struct itimerspec when = { .it_value = { 0, 0 } };
 
   when.it_value.tv_sec = (time_t)(due_us / 1000000U);
   when.it_value.tv_nsec = (long)(due_us % 1000000U) * 1000;
-  if (timerfd_settime (timer_queue->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
-    timer_queue->armed_us = due_us;
+  if (timerfd_settime (queue->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
+    queue->armed_us = due_us;
 }
 
 /* The descriptor is set only to come earlier; when it comes too early, since
    the timer that it was set for is gone, it is set again.  */
 static void
-arm (struct timer_queue *timer_queue)
+arm (struct timer_queue *queue)
 {
-  if (timer_queue->poll_round_us == 0 && timer_queue->count > 0
-      && timer_queue->heap[0]->due_us < timer_queue->armed_us)
-    arm_at (timer_queue, timer_queue->heap[0]->due_us);
+  if (queue->poll_round_us == 0 && queue->count > 0
+      && queue->heap[0]->due_us < queue->armed_us)
+    arm_at (queue, queue->heap[0]->due_us);
 }
 
 /* Failure: one handler keeps the loop from all others, a configuration of
@@ -153,10 +151,10 @@
    now: the kernel hands descriptors out in the order in which they became
    ready.  */
 static void
-begin_poll_round (struct timer_queue *timer_queue, uint64_t now)
+begin_poll_round (struct timer_queue *queue, uint64_t now)
 {
-  timer_queue->poll_round_us = now;
-  arm_at (timer_queue, now);
+  queue->poll_round_us = now;
+  arm_at (queue, now);
 }
 
 static bool
@@ -166,11 +164,11 @@
 }
 
 static void
-run_first (struct timer_queue *timer_queue)
+run_first (struct timer_queue *queue)
 {
-  struct mq_timer *timer = talloc_steal (timer_queue, timer_queue->heap[0]);
+  struct mq_timer *timer = talloc_steal (queue, queue->heap[0]);
 
-  remove_timer (timer_queue, timer);
+  remove_timer (queue, timer);
   timer->handler (timer->data);
   talloc_free (timer);
 }
@@ -181,94 +179,91 @@
 on_due (struct tevent_context *ev, struct tevent_fd *event, uint16_t flags,
         void *data)
 {
-  struct timer_queue *timer_queue = data;
+  struct timer_queue *queue = data;
   uint64_t now = mq_clock_us ();
-  uint64_t seen_us = timer_queue->poll_round_us;
+  uint64_t seen_us = queue->poll_round_us;
   uint64_t expired;
 
   (void)ev;
   (void)event;
   (void)flags;
-  if (read (timer_queue->fd, &expired, sizeof expired)
-      != (ssize_t)sizeof expired)
+  if (read (queue->fd, &expired, sizeof expired) != (ssize_t)sizeof expired)
     return;
-  timer_queue->armed_us = NOT_ARMED;
-  timer_queue->poll_round_us = 0;
-  while (timer_queue->count > 0 && timer_queue->heap[0]->due_us <= now)
+  queue->armed_us = NOT_ARMED;
+  queue->poll_round_us = 0;
+  while (queue->count > 0 && queue->heap[0]->due_us <= now)
     {
-      if (must_wait (timer_queue->heap[0], seen_us, now))
+      if (must_wait (queue->heap[0], seen_us, now))
         {
-          begin_poll_round (timer_queue, now);
+          begin_poll_round (queue, now);
           return;
         }
-      run_first (timer_queue);
+      run_first (queue);
     }
-  arm (timer_queue);
+  arm (queue);
 }
 
 static int
-destroy_timer_queue (struct timer_queue *timer_queue)
+destroy_timer_queue (struct timer_queue *queue)
 {
-  struct timer_queue **at = &hubs;
+  struct timer_queue **at = &timer_queues;
 
-  while (*at != timer_queue)
+  while (*at != queue)
     at = &(*at)->next;
-  *at = timer_queue->next;
-  for (size_t i = 0; i < timer_queue->count; i++)
-    timer_queue->heap[i]->timer_queue = NULL;
-  TALLOC_FREE (timer_queue->event);
-  close (timer_queue->fd);
+  *at = queue->next;
+  for (size_t i = 0; i < queue->count; i++)
+    queue->heap[i]->queue = NULL;
+  TALLOC_FREE (queue->event);
+  close (queue->fd);
   return 0;
 }
 
 static struct timer_queue *
 create_timer_queue (struct tevent_context *ev)
 {
-  struct timer_queue *timer_queue = talloc_zero (ev, struct timer_queue);
+  struct timer_queue *queue = talloc_zero (ev, struct timer_queue);
 
-  if (timer_queue == NULL)
+  if (queue == NULL)
     return NULL;
-  timer_queue->ev = ev;
-  timer_queue->armed_us = NOT_ARMED;
-  timer_queue->fd
-      = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-  if (timer_queue->fd < 0)
+  queue->ev = ev;
+  queue->armed_us = NOT_ARMED;
+  queue->fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
+  if (queue->fd < 0)
     {
-      talloc_free (timer_queue);
+      talloc_free (queue);
       return NULL;
     }
-  timer_queue->event = tevent_add_fd (ev, timer_queue, timer_queue->fd,
-                                      TEVENT_FD_READ, on_due, timer_queue);
-  timer_queue->next = hubs;
-  hubs = timer_queue;
-  talloc_set_destructor (timer_queue, destroy_timer_queue);
-  return timer_queue;
+  queue->event
+      = tevent_add_fd (ev, queue, queue->fd, TEVENT_FD_READ, on_due, queue);
+  queue->next = timer_queues;
+  timer_queues = queue;
+  talloc_set_destructor (queue, destroy_timer_queue);
+  return queue;
 }
 
 static struct timer_queue *
 get_timer_queue (struct tevent_context *ev)
 {
-  for (struct timer_queue *timer_queue = hubs; timer_queue != NULL;
-       timer_queue = timer_queue->next)
-    if (timer_queue->ev == ev)
-      return timer_queue;
+  for (struct timer_queue *queue = timer_queues; queue != NULL;
+       queue = queue->next)
+    if (queue->ev == ev)
+      return queue;
   return create_timer_queue (ev);
 }
 
 static bool
-make_room (struct timer_queue *timer_queue)
+make_room (struct timer_queue *queue)
 {
-  size_t room = timer_queue->room == 0 ? FIRST_ROOM : timer_queue->room * 2;
+  size_t capacity = queue->capacity == 0 ? FIRST_ROOM : queue->capacity * 2;
   struct mq_timer **grown;
 
-  if (timer_queue->count < timer_queue->room)
+  if (queue->count < queue->capacity)
     return true;
-  grown = talloc_realloc (timer_queue, timer_queue->heap, struct mq_timer *,
-                          room);
+  grown = talloc_realloc (queue, queue->heap, struct mq_timer *, capacity);
   if (grown == NULL)
     return false;
-  timer_queue->heap = grown;
-  timer_queue->room = room;
+  queue->heap = grown;
+  queue->capacity = capacity;
   return true;
 }
 
@@ -276,21 +271,21 @@
 mq_timer_add (TALLOC_CTX *ctx, struct tevent_context *ev, uint64_t ms,
               mq_timer_handler *handler, void *data)
 {
-  struct timer_queue *timer_queue = get_timer_queue (ev);
+  struct timer_queue *queue = get_timer_queue (ev);
   struct mq_timer *timer = talloc_zero (ctx, struct mq_timer);
 
-  if (timer_queue == NULL || timer == NULL || !make_room (timer_queue))
+  if (queue == NULL || timer == NULL || !make_room (queue))
     {
       talloc_free (timer);
       return NULL;
     }
-  timer->timer_queue = timer_queue;
+  timer->queue = queue;
   timer->due_us = mq_clock_us () + ms * 1000U;
   timer->handler = handler;
   timer->data = data;
-  timer_queue->heap[timer_queue->count] = timer;
-  sift_up (timer_queue, timer_queue->count++);
+  queue->heap[queue->count] = timer;
+  sift_up (queue, queue->count++);
   talloc_set_destructor (timer, cancel_timer);
-  arm (timer_queue);
+  arm (queue);
   return timer;
 }
