--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -207,7 +207,7 @@
     }
   conn->on_closed = on_closed;
   conn->closed_user = user;
-  conn->reader = mq_http_reader_create (conn, MQ_HTTP_ANSWER, &events);
+  conn->reader = mq_http_reader_create (conn, MQ_HTTP_RESPONSE, &events);
   conn->tcp = mq_tcp_open (conn, ev, address, silent_ms, &owner, error);
   if (conn->tcp == NULL || conn->reader == NULL)
     {
@@ -235,7 +235,7 @@
 mq_http_conn_send (struct mq_http_conn *conn,
                    const struct mq_http_conn_callbacks *events,
                    const char *head, size_t head_len, const void *body,
-                   size_t body_len, bool answer_has_no_body)
+                   size_t body_len, bool response_has_no_body)
 {
   struct mq_buffer *out = &conn->waiting;
 
@@ -244,7 +244,7 @@
   conn->keep = false;
   conn->whole = false;
   conn->skip = false;
-  if (answer_has_no_body)
+  if (response_has_no_body)
     mq_http_reader_no_body (conn->reader);
   /* One buffer, so that head and body leave in one segment.  */
   mq_buffer_append (conn, out, head, head_len, SIZE_MAX);
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -54,7 +54,7 @@
 void mq_http_conn_send (struct mq_http_conn *conn,
                         const struct mq_http_conn_callbacks *events,
                         const char *head, size_t head_len, const void *body,
-                        size_t body_len, bool answer_has_no_body);
+                        size_t body_len, bool response_has_no_body);
 /* Some bytes of the request were given to the network.  */
 bool mq_http_conn_has_sent (const struct mq_http_conn *conn);
 /* No answer has ended on it yet.  */
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -25,10 +25,10 @@
   struct mq_http_head head;
   char *text;
   size_t text_len;
-  size_t text_room;
+  size_t text_capacity;
   size_t *offsets;
   size_t field_count;
-  size_t field_room;
+  size_t field_capacity;
   size_t target_at;
   size_t head_bytes;
   size_t head_max;
@@ -55,9 +55,10 @@
 static bool
 add_text (struct mq_http_reader *reader, const char *text, size_t len)
 {
-  if (reader->text_len + len + 1 > reader->text_room)
+  if (reader->text_len + len + 1 > reader->text_capacity)
     {
-      size_t room = reader->text_room == 0 ? FIRST_TEXT : reader->text_room;
+      size_t room
+          = reader->text_capacity == 0 ? FIRST_TEXT : reader->text_capacity;
       char *grown;
 
       while (room < reader->text_len + len + 1)
@@ -66,7 +67,7 @@
       if (grown == NULL)
         return false;
       reader->text = grown;
-      reader->text_room = room;
+      reader->text_capacity = room;
     }
   memcpy (reader->text + reader->text_len, text, len);
   reader->text_len += len;
@@ -88,16 +89,16 @@
 {
   size_t need = (reader->field_count + 1) * 2;
 
-  if (need > reader->field_room)
+  if (need > reader->field_capacity)
     {
-      size_t room = reader->field_room == 0 ? FIRST_FIELDS * 2
-                                            : reader->field_room * 2;
+      size_t room = reader->field_capacity == 0 ? FIRST_FIELDS * 2
+                                                : reader->field_capacity * 2;
       size_t *grown = talloc_realloc (reader, reader->offsets, size_t, room);
 
       if (grown == NULL)
         return false;
       reader->offsets = grown;
-      reader->field_room = room;
+      reader->field_capacity = room;
     }
   reader->offsets[reader->field_count * 2] = reader->text_len;
   reader->field_count++;
@@ -222,7 +223,7 @@
 {
   const struct mq_http_head *head = &reader->head;
 
-  return reader->side == MQ_HTTP_ANSWER && !reader->no_body && !head->chunked
+  return reader->side == MQ_HTTP_RESPONSE && !reader->no_body && !head->chunked
          && !head->has_length && head->status >= 200 && head->status != 204
          && head->status != 304;
 }
@@ -335,7 +336,7 @@
 
 /* Counts the bytes of the head, so that one without an end is noticed.  */
 static bool
-head_fits (struct mq_http_reader *reader, size_t len)
+head_is_within_limit (struct mq_http_reader *reader, size_t len)
 {
   if (!reader->in_head)
     {
@@ -372,7 +373,7 @@
                     http_errno_name (failure), NULL);
       return used < len ? used : len - 1;
     }
-  if (!head_fits (reader, len))
+  if (!head_is_within_limit (reader, len))
     {
       mq_error_set (error, MQ_ERR_TOO_LARGE, "the head", NULL);
       return 0;
@@ -443,7 +444,7 @@
 
 /* NAME is one of the words of LIST, which commas part.  */
 static bool
-list_names (const char *list, const char *name)
+list_contains (const char *list, const char *name)
 {
   size_t name_len = strlen (name);
 
@@ -478,7 +479,7 @@
       return true;
   for (size_t i = 0; i < head->field_count; i++)
     if (strcasecmp (head->fields[i].name, "Connection") == 0
-        && list_names (head->fields[i].value, name))
+        && list_contains (head->fields[i].value, name))
       return true;
   return false;
 }
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -45,7 +45,7 @@
 enum mq_http_side
 {
   MQ_HTTP_REQUEST,
-  MQ_HTTP_ANSWER
+  MQ_HTTP_RESPONSE
 };
 
 /**
--- a/src/net/http_request.c
+++ b/src/net/http_request.c
@@ -27,7 +27,7 @@
 
 /* False when REQUEST can't be answered (any more).  */
 static bool
-may_answer (struct mq_http_request *request)
+can_respond (struct mq_http_request *request)
 {
   return !request->broken && !request->answered && !request->streaming;
 }
@@ -46,7 +46,7 @@
 mq_http_respond (struct mq_http_request *request, int status,
                  const char *content_type, const void *body, size_t len)
 {
-  if (!may_answer (request))
+  if (!can_respond (request))
     {
       finish_user_request (request);
       return;
@@ -88,7 +88,7 @@
 mq_http_stream_begin (struct mq_http_request *request, int status,
                       const char *content_type)
 {
-  if (!may_answer (request))
+  if (!can_respond (request))
     return;
   request->response = MHD_create_response_from_callback (
       MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, stream_read, request, NULL);
@@ -181,8 +181,8 @@
 }
 
 static void
-closed_late (struct tevent_context *ev, struct tevent_immediate *im,
-             void *data)
+notify_closed_later (struct tevent_context *ev, struct tevent_immediate *im,
+                     void *data)
 {
   struct mq_http_request *request = data;
 
@@ -200,7 +200,8 @@
   request->closed_data = data;
   if (request->connection == NULL && closed != NULL)
     tevent_schedule_immediate (tevent_create_immediate (request),
-                               request->server->ev, closed_late, request);
+                               request->server->ev, notify_closed_later,
+                               request);
 }
 
 void
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -21,7 +21,7 @@
    and the answer's header.  Headers of MQ_HEADERS_MAX_BYTES fit; one that
    fills it gets 431.  */
 #define CONNECTION_BYTES ((size_t)2 * MQ_HEADERS_MAX_BYTES)
-#define LEFT_POLL_MS 1000
+#define DISCONNECT_POLL_MS 1000
 
 /* The daemon inside the event loop.  */
 
@@ -159,7 +159,7 @@
    ourselves.  A caller that shuts down its sending side only and then waits
    is taken to have left as well: callers of HTTP do not do that.  */
 static bool
-socket_ended (int fd)
+peer_has_disconnected (int fd)
 {
   struct pollfd poll_fd = { .fd = fd, .events = POLLRDHUP };
 
@@ -167,11 +167,11 @@
          && (poll_fd.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-static void poll_later (struct mq_http_request *request);
+static void schedule_disconnect_poll (struct mq_http_request *request);
 
 static void
-watch_polled (struct tevent_context *ev, struct tevent_timer *timer,
-              struct timeval now, void *data)
+on_disconnect_poll (struct tevent_context *ev, struct tevent_timer *timer,
+                    struct timeval now, void *data)
 {
   struct mq_http_request *request = data;
 
@@ -179,40 +179,40 @@
   (void)timer;
   (void)now;
   request->watch_poll = NULL;
-  if (socket_ended (request->fd))
+  if (peer_has_disconnected (request->fd))
     mq_request_abort_connection (request);
   else
-    poll_later (request);
+    schedule_disconnect_poll (request);
 }
 
 static void
-poll_later (struct mq_http_request *request)
+schedule_disconnect_poll (struct mq_http_request *request)
 {
   struct timeval at
-      = tevent_timeval_current_ofs (0, (uint32_t)LEFT_POLL_MS * 1000);
+      = tevent_timeval_current_ofs (0, (uint32_t)DISCONNECT_POLL_MS * 1000);
 
   request->watch_poll = tevent_add_timer (request->server->ev, request, at,
-                                          watch_polled, request);
+                                          on_disconnect_poll, request);
 }
 
 /* Bytes sent ahead (the next request) keep the socket readable, so from then
    on it is looked at by the clock.  */
 static void
-watch_ready (struct tevent_context *ev, struct tevent_fd *fde, uint16_t flags,
-             void *data)
+on_socket_readable (struct tevent_context *ev, struct tevent_fd *fde,
+                    uint16_t flags, void *data)
 {
   struct mq_http_request *request = data;
 
   (void)ev;
   (void)fde;
   (void)flags;
-  if (socket_ended (request->fd))
+  if (peer_has_disconnected (request->fd))
     {
       mq_request_abort_connection (request);
       return;
     }
   TALLOC_FREE (request->watch);
-  poll_later (request);
+  schedule_disconnect_poll (request);
 }
 
 void
@@ -221,8 +221,9 @@
   MHD_suspend_connection (request->connection);
   request->suspended = true;
   if (request->watch == NULL && request->watch_poll == NULL)
-    request->watch = tevent_add_fd (request->server->ev, request, request->fd,
-                                    TEVENT_FD_READ, watch_ready, request);
+    request->watch
+        = tevent_add_fd (request->server->ev, request, request->fd,
+                         TEVENT_FD_READ, on_socket_readable, request);
 }
 
 /* Requests.  */
@@ -338,7 +339,7 @@
 /* True when a body is announced that will not be read to its end: far over
    the bound, or over it and held back until we say to go on.  */
 static bool
-body_refused (struct mq_http_request *request)
+reject_body (struct mq_http_request *request)
 {
   const char *announced = mq_http_header (request, "Content-Length");
   size_t max = request->server->body_max;
@@ -373,7 +374,7 @@
 /* Answers.  */
 
 static enum MHD_Result
-queue_answer (struct mq_http_request *request)
+queue_response (struct mq_http_request *request)
 {
   struct MHD_Response *response = request->response;
   enum MHD_Result result;
@@ -388,12 +389,12 @@
 /* Queues an answer that is there, closes for one that can't come and waits
    for one that is to come.  */
 static enum MHD_Result
-answer_or_wait (struct mq_http_request *request)
+respond_or_suspend (struct mq_http_request *request)
 {
   if (request->broken || request->server->destroy_pending)
     return MHD_NO;
   if (request->response != NULL)
-    return queue_answer (request);
+    return queue_response (request);
   if (!request->queued)
     mq_request_suspend (request);
   return MHD_YES;
@@ -407,7 +408,7 @@
     respond_too_large (request);
   else
     request->server->handler (request, request->server->data);
-  return answer_or_wait (request);
+  return respond_or_suspend (request);
 }
 
 /* The library calls this for the header, for each part of the body, at the
@@ -429,7 +430,7 @@
       *con = request;
       if (request == NULL)
         return MHD_NO;
-      return body_refused (request) ? request_arrived (request) : MHD_YES;
+      return reject_body (request) ? request_arrived (request) : MHD_YES;
     }
   if (*len > 0)
     {
@@ -439,7 +440,7 @@
       return result;
     }
   if (request->handled)
-    return answer_or_wait (request);
+    return respond_or_suspend (request);
   return request_arrived (request);
 }
 
@@ -504,7 +505,7 @@
    thousands of them take the host's memory.  Sockets that are accepted take
    the size over from the listening one, which also ends its growth.  */
 static void
-bound_send_buffers (int fd)
+limit_send_buffers (int fd)
 {
   int bytes = MQ_SEND_BUFFER_BYTES;
 
@@ -534,7 +535,7 @@
   server->stream_buffer_max = options->stream_buffer_max == 0
                                   ? MQ_STREAM_BUFFER_BYTES
                                   : options->stream_buffer_max;
-  bound_send_buffers (fd);
+  limit_send_buffers (fd);
   server->port = mq_listen_port (fd);
   server->immediate = tevent_create_immediate (server);
   talloc_set_destructor (server, server_freed);
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -98,7 +98,7 @@
 static void on_timer (void *data);
 
 static struct mq_timer *
-timer_in (struct mq_tcp *tcp, uint32_t ms)
+start_tcp_timer (struct mq_tcp *tcp, uint32_t ms)
 {
   return mq_timer_add (tcp, tcp->ev, ms, on_timer, tcp);
 }
@@ -151,7 +151,7 @@
       return NULL;
     }
   tcp->opening = true;
-  tcp->timer = timer_in (tcp, CONNECT_MS);
+  tcp->timer = start_tcp_timer (tcp, CONNECT_MS);
   return tcp;
 }
 
@@ -339,7 +339,7 @@
 }
 
 static bool
-is_there (const struct mq_tcp *tcp)
+is_connected (const struct mq_tcp *tcp)
 {
   struct pollfd ready = { .fd = tcp->fd, .events = POLLOUT };
 
@@ -354,7 +354,7 @@
   if (tcp->fd < 0)
     return false;
   if (tcp->opening)
-    return is_there (tcp);
+    return is_connected (tcp);
   return recv (tcp->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
@@ -391,7 +391,7 @@
 }
 
 static void
-shut_if_sent (struct mq_tcp *tcp)
+shutdown_if_sent (struct mq_tcp *tcp)
 {
   if (!tcp->finishing || tcp->shut || tcp->unsent.len > 0)
     return;
@@ -407,7 +407,8 @@
 restart_linger (struct mq_tcp *tcp)
 {
   TALLOC_FREE (tcp->timer);
-  tcp->timer = timer_in (tcp, tcp->unsent.len > 0 ? STALL_MS : LINGER_MS);
+  tcp->timer
+      = start_tcp_timer (tcp, tcp->unsent.len > 0 ? STALL_MS : LINGER_MS);
 }
 
 void
@@ -417,7 +418,7 @@
     return;
   tcp->finishing = true;
   restart_linger (tcp);
-  shut_if_sent (tcp);
+  shutdown_if_sent (tcp);
   update_flags (tcp);
 }
 
@@ -440,7 +441,7 @@
   if (sent > 0 && tcp->finishing)
     restart_linger (tcp);
   update_flags (tcp);
-  shut_if_sent (tcp);
+  shutdown_if_sent (tcp);
 }
 
 /* False when the connection is gone.  */
--- a/src/net/timer.c
+++ b/src/net/timer.c
@@ -158,7 +158,7 @@
 }
 
 static bool
-must_wait (const struct mq_timer *timer, uint64_t seen_us, uint64_t now)
+must_defer (const struct mq_timer *timer, uint64_t seen_us, uint64_t now)
 {
   return timer->due_us > seen_us && timer->due_us + LATE_US < now;
 }
@@ -193,7 +193,7 @@
   queue->poll_round_us = 0;
   while (queue->count > 0 && queue->heap[0]->due_us <= now)
     {
-      if (must_wait (queue->heap[0], seen_us, now))
+      if (must_defer (queue->heap[0], seen_us, now))
         {
           begin_poll_round (queue, now);
           return;
--- a/tests/fuzz/fuzz_message.c
+++ b/tests/fuzz/fuzz_message.c
@@ -105,7 +105,7 @@
       talloc_free (ctx);
       return false;
     }
-  side = data[0] == 'R' ? MQ_HTTP_REQUEST : MQ_HTTP_ANSWER;
+  side = data[0] == 'R' ? MQ_HTTP_REQUEST : MQ_HTTP_RESPONSE;
   step = data[1] == 0 ? len : data[1];
   parts = read_messages (ctx, side, data + 2, len - 2, step);
   whole = read_messages (ctx, side, data + 2, len - 2, len);
