--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -1,4 +1,4 @@
-/* json_log.c - one JSON object a line on standard output, bounded.
+/* json_log.c - log of JSON lines with a rate limit.
 
    Needs: json_log.h, buffer.h, clock.h, timer.h.  */
 
@@ -13,19 +13,19 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines that wait for a write.  */
+/* Maximum bytes of buffered lines.  */
 #define OUTPUT_BUFFER_BYTES ((size_t)64 << 10)
 #define FLUSH_BYTES ((size_t)8 << 10)
 #define FLUSH_MS 50U
-/* Room kept at the end of a line for its closing.  */
+/* Bytes reserved for the end of a line.  */
 #define LINE_END_BYTES ((size_t)4)
 
 /**
- * struct mq_json_log - what waits to be written
- * @second: the second that the counts below are for
- * @lines: lines of that second
- * @low_priority_lines: of them, those on successes
- * @unknown_key_count: keys that the schema does not have
+ * struct mq_json_log - output buffer and rate limit
+ * @second: second to which @lines and @low_priority_lines refer
+ * @lines: lines accepted in that second
+ * @low_priority_lines: of these, low-priority ones
+ * @unknown_key_count: values omitted because the schema lacks their key
  */
 struct mq_json_log
 {
@@ -52,7 +52,7 @@
 
   if (log == NULL)
     return NULL;
-  /* A reader that stops reading must not stop the process.  */
+  /* A reader that stops reading must not block the process.  */
   if (flags >= 0)
     (void)fcntl (fd, F_SETFL, flags | O_NONBLOCK);
   log->ev = ev;
@@ -170,7 +170,7 @@
   line->len = (size_t)len;
 }
 
-/* Keeps the lines true to what is written down of them.  */
+/* Checks KEY against the schema and counts unknown ones.  */
 static bool
 in_schema (struct mq_json_line *line, const char *key)
 {
@@ -208,7 +208,8 @@
     put (line, (const char *)&c, 1);
 }
 
-/* A value is kept whole or left out, so that the line stays valid.  */
+/* Omits a value that does not fit as a whole, so that the line stays valid
+   JSON.  */
 void
 mq_json_text (struct mq_json_line *line, const char *key, const char *value)
 {
--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -1,9 +1,9 @@
-/* json_log.h - one JSON object a line on standard output, bounded.
+/* json_log.h - log of JSON lines with a rate limit.
 
-   A line is for a decision on a request or a change of what the process
-   believes.  Lines are output and written without ever waiting; what does
-   not fit the bound or the reader's pace is dropped and counted.  Lines on
-   low_priority_lines successes give way before those on refusals and failures.
+   Lines record decisions on requests and changes of state.  They are buffered
+   and written without blocking; lines over the rate limit or too fast for the
+   reader are dropped and counted, those on successes before those on refusals
+   and failures.
    Needs: log_schema.h, error.h, tevent.  */
 
 #ifndef MQ_JSON_LOG_H
@@ -13,8 +13,7 @@
 #include "log_schema.h"
 #include <tevent.h>
 
-/* Lines a second, and of them for low_priority_lines successes: a host of 0.1
-   cores then spends under 2% of itself on its log.  */
+/* Lines per second: in total, and of low priority.  */
 #define MQ_JSON_LOG_LINES_S 300U
 #define MQ_JSON_LOG_PLAIN_S 40U
 #define MQ_JSON_LINE_BYTES 1024U
@@ -23,11 +22,11 @@
 
 enum mq_json_weight
 {
-  MQ_JSON_LOW_PRIORITY, /* a success; dropped first */
-  MQ_JSON_HIGH_PRIORITY /* a refusal, a failure, a change of state */
+  MQ_JSON_LOW_PRIORITY, /* successes; dropped first */
+  MQ_JSON_HIGH_PRIORITY /* refusals, failures and changes of state */
 };
 
-/* EV NULL: each line is written at once.  */
+/* EV NULL: each line is written immediately.  */
 struct mq_json_log *mq_json_log_create (TALLOC_CTX *ctx,
                                         struct tevent_context *ev, int fd,
                                         const char *program, const char *host);
@@ -36,10 +35,11 @@
 void mq_json_log_destroy (struct mq_json_log *log);
 uint64_t mq_json_log_written (const struct mq_json_log *log);
 uint64_t mq_json_log_dropped (const struct mq_json_log *log);
-/* Keys that the schema does not have for their event; they are left out.  */
+/* Number of values omitted because the schema lacks their key for the
+   event.  */
 uint64_t mq_json_log_unknown_keys (const struct mq_json_log *log);
 
-/* A line that is being put together; what does not fit is left out.  */
+/* A line under construction; values that do not fit are omitted.  */
 struct mq_json_line
 {
   struct mq_json_log *log;
@@ -51,12 +51,12 @@
 
 void mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
                     enum mq_json_weight weight, enum mq_log_event event);
-/* NULL leaves the key out.  */
+/* VALUE NULL omits the key.  */
 void mq_json_text (struct mq_json_line *line, const char *key,
                    const char *value);
 void mq_json_number (struct mq_json_line *line, const char *key,
                      uint64_t value);
-/* What is wrong, where, and what is allowed.  */
+/* Adds the type, location and allowed value of ERROR.  */
 void mq_json_error (struct mq_json_line *line, const struct mq_error *error);
 void mq_json_end (struct mq_json_line *line);
 
--- a/src/log/latency_report.c
+++ b/src/log/latency_report.c
@@ -1,4 +1,4 @@
-/* latency_report.c - program latency as Prometheus text and as JSON.
+/* latency_report.c - program latencies as Prometheus text and as JSON.
 
    Needs: latency_report.h, metrics.h.  */
 
@@ -11,7 +11,7 @@
   US_PER_MS = 1000
 };
 
-/* From 1 ms to 72 min.  */
+/* Buckets from 1 ms to 72 min.  */
 static const struct mq_metrics_family family
     = { .name = "mimosa_program_latency_seconds",
         .help = "Request to final event, of programs whose caller waited here",
--- a/src/log/latency_report.h
+++ b/src/log/latency_report.h
@@ -1,4 +1,4 @@
-/* latency_report.h - program latency as Prometheus text and as JSON.
+/* latency_report.h - program latencies as Prometheus text and as JSON.
 
    Needs: latency.h, jansson.  */
 
@@ -8,11 +8,12 @@
 #include "core/latency.h"
 #include <jansson.h>
 
-/* Appends mimosa_program_latency_seconds, a histogram with a bound at each
-   power of two of microseconds from 1 ms to 1 h, and the programs that
-   ended otherwise, to *TEXT (talloc).  */
+/* Appends to *TEXT (talloc) the histogram mimosa_program_latency_seconds, with
+   power-of-two bucket bounds, and the programs that ended without an
+   answer.  */
 void mq_latency_metrics (char **text, const struct mq_latency *latency);
-/* [{"service":S,"follow_up":B,"count":N,"p50_ms":N,…}], a new reference.  */
+/* [{"service":S,"follow_up":B,"count":N,"p50_ms":N,…}]; the caller owns the
+   reference.  */
 json_t *mq_latency_json (const struct mq_latency *latency);
 
 #endif
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,18 +1,17 @@
-/* log.c - the log of a daemon of the product's own deployment.
+/* log.c - process log of a daemon.
 
    Needs: log.h, json_log.h.  */
 
 #include "log.h"
 #include <unistd.h>
 
-/* One a process: its parts have no handle in common.  */
+/* Global, since the modules of a process share no other state.  */
 static struct mq_json_log *process_log;
 
 /**
- * struct state_row - how a change of state is written
- * @event: of the line
- * @number_key: key of the line's number, NULL: it has none
- * @subject_key: key of the line's subject
+ * struct state_row - log line of a state change
+ * @number_key: key of the numeric value, NULL if there is none
+ * @subject_key: key of the subject
  */
 struct state_row
 {
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,7 @@
-/* log.h - the log of a daemon of the product's own deployment.
+/* log.h - process log of a daemon.
 
-   Lines of the schema on standard output, for changes of state only.  Secrets
-   never come here.
+   Writes the lines of log_schema.h to standard output, for changes of state
+   only.  Never logs secrets.
    Needs: json_log.h, action.h.  */
 
 #ifndef MQ_LOG_H
@@ -10,11 +10,12 @@
 #include "core/action.h"
 #include "json_log.h"
 
-/* Lines name PROGRAM and HOST from now on.  Before it there is no log.  */
+/* Opens the log; its lines name PROGRAM and HOST.  Before that nothing is
+   logged.  */
 void mq_log_open (const char *program, const char *host);
 void mq_log_state (const struct mq_state_line *line);
 void mq_log_failure (enum mq_log_event event, const struct mq_error *error);
-/* Where the process is reached.  */
+/* Logs the addresses at which the process listens.  */
 void mq_log_listening (const char *http, const char *peer);
 
 #endif
--- a/src/log/log_schema.c
+++ b/src/log/log_schema.c
@@ -1,4 +1,4 @@
-/* log_schema.c - the lines that any process writes to its log.
+/* log_schema.c - schema of the log lines of all processes.
 
    Needs: log_schema.h.  */
 
--- a/src/log/log_schema.h
+++ b/src/log/log_schema.h
@@ -1,8 +1,8 @@
-/* log_schema.h - the lines that any process writes to its log.
+/* log_schema.h - schema of the log lines of all processes.
 
-   One row for each event: its word, how much it matters, and the keys that it
-   may have beside those of every line: t (time of day, milliseconds), host,
-   program, level, event.  docs/OPERATIONS.md says what they mean.
+   One row for each event: its name, its level, and its keys besides those of
+   every line: t (time of day, milliseconds), host, program, level, event.
+   docs/OPERATIONS.md describes them.
    Needs: types.h.  */
 
 #ifndef MQ_LOG_SCHEMA_H
@@ -12,8 +12,8 @@
 
 enum mq_log_level
 {
-  MQ_LOG_ERROR,   /* somebody should look */
-  MQ_LOG_WARNING, /* something is lost or was refused */
+  MQ_LOG_ERROR,   /* needs an operator's attention */
+  MQ_LOG_WARNING, /* something was lost or rejected */
   MQ_LOG_NOTICE,  /* a change of state */
   MQ_LOG_INFO     /* a request */
 };
@@ -26,7 +26,7 @@
 #define MQ_LOG_PROBLEM                                                        \
   "error ran number line column subject allowed cause remedy"
 
-/* X (EVENT, its word, level, keys)  */
+/* X (EVENT, name, level, keys)  */
 #define MQ_LOG_EVENTS(X)                                                      \
   X (LISTENING, "listening", NOTICE, "http peer")                             \
   X (STARTED, "started", NOTICE, MQ_LOG_COUNTED)                              \
@@ -78,9 +78,8 @@
 
 /**
  * struct mq_log_row - one event of the schema
- * @word: as in the line
- * @level: how much it matters
- * @keys: separated by blanks
+ * @word: event name in the log line
+ * @keys: allowed keys, separated by blanks
  */
 struct mq_log_row
 {
@@ -91,7 +90,7 @@
 
 const struct mq_log_row *mq_log_row (enum mq_log_event event);
 const char *mq_log_level_name (enum mq_log_level level);
-/* A line of EVENT may have KEY.  */
+/* True if the schema allows KEY in lines of EVENT.  */
 bool mq_log_has_key (enum mq_log_event event, const char *key);
 
 #endif
--- a/src/log/metrics.c
+++ b/src/log/metrics.c
@@ -1,4 +1,4 @@
-/* metrics.c - counters and histograms as Prometheus text.
+/* metrics.c - counters, gauges and histograms as Prometheus text.
 
    Needs: talloc, /proc/self.  */
 
@@ -14,8 +14,8 @@
 #define TOTAL_SUFFIX "_total"
 #define STATM_BYTES 128
 
-/* By Prometheus's rule for names, a counter ends in "_total"; all else goes
-   up and down.  */
+/* By Prometheus naming rules a name that ends in "_total" is a counter; all
+   others are gauges.  */
 static const char *
 type_of (const char *name)
 {
@@ -27,7 +27,7 @@
   return "gauge";
 }
 
-/* A line that memory can't be had for is left out.  */
+/* Omits the line if out of memory.  */
 static void
 add_line (char **text, const char *prefix, const char *name, const char *help,
           const char *value)
@@ -123,7 +123,7 @@
   fclose (file);
 }
 
-/* The directory that is read is open itself and not counted.  */
+/* Excludes the descriptor that is open for reading the directory.  */
 static void
 add_open_files (char **text)
 {
--- a/src/log/metrics.h
+++ b/src/log/metrics.h
@@ -1,4 +1,4 @@
-/* metrics.h - counters and histograms as Prometheus text.
+/* metrics.h - counters, gauges and histograms as Prometheus text.
 
    Needs: histogram.h, talloc.  */
 
@@ -7,16 +7,18 @@
 
 #include "core/histogram.h"
 
-/* Appends "mimosa_PREFIX_NAME VALUE" with its HELP line to *TEXT (talloc).  */
+/* Appends "mimosa_PREFIX_NAME VALUE" with its HELP and TYPE lines to *TEXT
+   (talloc).  */
 void mq_metrics_add (char **text, const char *prefix, const char *name,
                      const char *help, uint64_t value);
 /**
- * struct mq_metrics_family - a histogram with one series for each label set
- * @name: whole, in seconds
+ * struct mq_metrics_family - a histogram with one series per label set
+ * @name: full metric name, in seconds
  * @help: one line
- * @per_second: units of the histograms in a second
- * @first_bit: the first bound is 2^@first_bit units, the next twice that
- * @last_bit: of the last bound but infinity
+ * @per_second: histogram units per second
+ * @first_bit: the first bucket bound is 2^@first_bit units; each further one
+ *             doubles
+ * @last_bit: the last finite bound is 2^@last_bit units
  */
 struct mq_metrics_family
 {
@@ -27,13 +29,13 @@
   uint32_t last_bit;
 };
 
-/* HELP and TYPE lines, before the first series.  */
+/* Appends the HELP and TYPE lines, before the first series.  */
 void mq_metrics_begin (char **text, const struct mq_metrics_family *family);
-/* A series with LABELS, as in the text and not empty.  */
+/* Appends a series.  LABELS: in Prometheus syntax, not empty.  */
 void mq_metrics_series (char **text, const struct mq_metrics_family *family,
                         const char *labels,
                         const struct mq_histogram *histogram);
-/* Processor time, memory and open files of this process.  */
+/* Appends processor time, memory and open files of this process.  */
 void mq_metrics_add_process (char **text);
 
 #endif
--- a/src/log/spans.c
+++ b/src/log/spans.c
@@ -1,7 +1,7 @@
-/* spans.c - a bounded ring of the hops that this process saw.
+/* spans.c - ring buffer of the trace spans of this process.
 
-   Hosts have no disks: the newest MQ_SPANS_MAX spans are stored, in one array
-   of fixed size, and operators' tools gather them from all hosts.
+   Hosts have no disks: the newest MQ_SPANS_MAX spans are kept in memory, and
+   operators' tools collect them from all hosts.
    Needs: jansson.  */
 
 #include "spans.h"
@@ -12,7 +12,8 @@
 #include <string.h>
 #include <time.h>
 
-/* "00-" TRACE "-" PARENT "-" FLAGS, in hexadecimal digits.  */
+/* W3C traceparent: "00-" TRACE "-" PARENT "-" FLAGS, in hexadecimal
+   digits.  */
 #define TRACE_AT 3
 #define TRACE_DIGITS 32
 #define PARENT_AT (TRACE_AT + TRACE_DIGITS + 1)
@@ -21,15 +22,13 @@
 #define SPAN_NAME_BYTES 32
 
 /**
- * struct stored_span - one hop as it is stored
- * @name: which hop
- * @trace: trace id, empty when there is no trace
- * @parent: id of the span above, empty when there is no trace
- * @program: program it concerns
- * @call: call it concerns, 0 when none
- * @start_us: wall-clock
- * @end_us: wall-clock
- * @error: how the hop ended
+ * struct stored_span - one span
+ * @trace: trace id, empty if there is none
+ * @parent: id of the parent span, empty if there is none
+ * @call: 0 if the span concerns no call
+ * @start_us: wall clock
+ * @end_us: wall clock
+ * @error: result of the operation
  */
 struct stored_span
 {
@@ -44,12 +43,11 @@
 };
 
 /**
- * struct mq_spans - the ring
+ * struct mq_spans - ring buffer
  * @host: written into every span
  * @data_centre: written into every span
- * @added: spans added so far; the next one goes to this index modulo the
- *         ring's size
- * @stored: the ring
+ * @added: number of spans added so far; the next one is stored at this index
+ *         modulo MQ_SPANS_MAX
  */
 struct mq_spans
 {
@@ -80,7 +78,7 @@
   talloc_free (spans);
 }
 
-/* What is to be added to this process's clock to get the wall-clock.  */
+/* Offset from the monotonic clock to the wall clock.  */
 static uint64_t
 wall_clock_offset_us (void)
 {
--- a/src/log/spans.h
+++ b/src/log/spans.h
@@ -1,4 +1,4 @@
-/* spans.h - a bounded ring of the hops that this process saw.
+/* spans.h - ring buffer of the trace spans of this process.
 
    Needs: action.h, jansson.  */
 
@@ -13,10 +13,10 @@
 struct mq_spans *mq_spans_create (TALLOC_CTX *ctx, const char *host,
                                   const char *data_centre);
 void mq_spans_destroy (struct mq_spans *spans);
-/* SPAN's times are those of CLOCK_MONOTONIC.  */
+/* The times of SPAN are those of CLOCK_MONOTONIC.  */
 void mq_spans_add (struct mq_spans *spans, const struct mq_span *span);
-/* JSON array, below CTX, of the spans of PROGRAM (and, as mq_id hi is
-   shared, of its sub-programs), times as wall-clock microseconds.  */
+/* JSON array, allocated on CTX, of the spans of PROGRAM and its sub-programs
+   (which share mq_id.hi), with times in wall-clock microseconds.  */
 char *mq_spans_json (TALLOC_CTX *ctx, const struct mq_spans *spans,
                      struct mq_id program);
 
--- a/src/net/base64.c
+++ b/src/net/base64.c
@@ -1,4 +1,4 @@
-/* base64.c - binary values in the platform's JSON.
+/* base64.c - base64 encoding of binary values in the platform's JSON.
 
    Needs: base64.h, nettle.  */
 
--- a/src/net/base64.h
+++ b/src/net/base64.h
@@ -1,4 +1,4 @@
-/* base64.h - binary values in the platform's JSON.
+/* base64.h - base64 encoding of binary values in the platform's JSON.
 
    Needs: nettle, talloc, store.h (struct mq_bytes).  */
 
@@ -7,9 +7,9 @@
 
 #include "core/store.h"
 
-/* Text below CTX; NULL when memory is out.  */
+/* Text allocated on CTX; NULL if out of memory.  */
 char *mq_base64_encode (TALLOC_CTX *ctx, struct mq_bytes value);
-/* VALUE below CTX; false when TEXT is not base64.  */
+/* Value allocated on CTX; false if TEXT is not valid base64.  */
 bool mq_base64_decode (TALLOC_CTX *ctx, const char *text,
                        struct mq_bytes *value);
 
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -1,4 +1,4 @@
-/* buffer.c - bytes that come in at one end and go out at the other.
+/* buffer.c - FIFO byte buffer.
 
    Needs: talloc.  */
 
@@ -7,7 +7,7 @@
 
 #define FIRST_BYTES ((size_t)4096)
 
-/* Moves the bytes to the front of new memory of at least NEED bytes.  */
+/* Moves the bytes to a new allocation of at least NEED bytes.  */
 static bool
 grow (TALLOC_CTX *ctx, struct mq_buffer *buffer, size_t need)
 {
--- a/src/net/clock.c
+++ b/src/net/clock.c
@@ -1,4 +1,4 @@
-/* clock.c - the steady clock and random numbers of a process.
+/* clock.c - clocks and random numbers.
 
    Needs: clock.h.  */
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,4 @@
-/* clock.h - the steady clock and random numbers of a process.
+/* clock.h - clocks and random numbers.
 
    Needs: the C library.  */
 
@@ -7,14 +7,14 @@
 
 #include <stdint.h>
 
-/* Steady clock; it does not count time in which the host is suspended.  */
+/* Monotonic clock, without time in which the host is suspended.  */
 uint64_t mq_clock_us (void);
 uint64_t mq_clock_ms (void);
-/* The same, counting that time too: for leases.  */
+/* Monotonic clock including suspended time; for leases.  */
 uint64_t mq_clock_boot_ms (void);
-/* Time of day, milliseconds since 1970; for logs alone.  */
+/* Time of day, milliseconds since 1970; for logs only.  */
 uint64_t mq_clock_wall_ms (void);
-/* Never 0: that stands for "any" where a boot id is meant.  */
+/* Random number other than 0, which means "any" in boot ids.  */
 uint64_t mq_clock_random (void);
 
 #endif
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,6 +1,7 @@
-/* http_client.c - libcurl's multi interface inside tevent.
+/* http_client.c - HTTP client: libcurl's multi interface on tevent.
 
-   curl says which sockets and timeouts it waits for, but for those of calls.
+   curl reports the sockets and timeouts that it waits for; the timeouts of
+   calls are own timers.
    Needs: libcurl, tevent, timer.h.  */
 
 #include "http_client.h"
@@ -13,22 +14,22 @@
 #include <strings.h>
 #include <time.h>
 
-/* Connections are aged in whole seconds; see limit_connection_age.  */
+/* Safety margin, since curl compares connection ages in whole seconds; see
+   limit_connection_age.  */
 #define CONNECTION_AGE_MARGIN_MS 2000U
 
 /**
- * struct mq_http_client - one multi handle and its calls
- * @ev: event loop
- * @multi: curl's side
- * @timer: curl's timeout, NULL when none is set
- * @immediate: ends calls that failed before curl had them
- * @active: calls that curl has
- * @deferred_calls: calls sent from within curl, which takes none then
- * @ended: finished or cancelled calls, still to be told and freed
- * @silent_ms: when a kept connection was last found silent, 0: never
- * @running: inside drive, where nothing that curl may use is freed
- * @in_curl: inside curl itself
- * @destroy_pending: destroyed; freed once drive is over
+ * struct mq_http_client - a curl multi handle and its calls
+ * @timer: curl's timeout, NULL if none is set
+ * @immediate: ends calls that failed before they were passed to curl
+ * @active: calls passed to curl
+ * @deferred_calls: calls made inside a curl callback, where none can be added
+ * @ended: finished or cancelled calls that are still to be reported and freed
+ * @silent_ms: time at which a reused connection last failed to respond,
+ *             monotonic clock; 0: never
+ * @running: inside drive; nothing that curl may use is freed
+ * @in_curl: inside a curl function
+ * @destroy_pending: destroyed; freed when drive returns
  */
 struct mq_http_client
 {
@@ -46,24 +47,21 @@
 };
 
 /**
- * struct mq_http_call - one request and its answer
- * @client: where it runs
- * @list: list of @client that it is in, NULL while its end is told
+ * struct mq_http_call - one request and its response
+ * @list: list of @client that contains the call, NULL while its end is
+ *        reported
  * @next: in @list
  * @previous: in @list
- * @easy: curl's side
- * @timer: ends the call as timed out, NULL: none
- * @headers: of the request
- * @part: told each part, NULL: collect
- * @done: told the end, NULL once cancelled
- * @user: given to both
- * @body: what was collected
- * @total: bytes of the answer, collected or not
- * @body_max: bound on @total
- * @repeatable: curl may send it again by itself
+ * @timer: timeout of the call, NULL if it has none
+ * @part: called for each part of the body; NULL: collect it in @body
+ * @done: called at the end; NULL once called or cancelled
+ * @user: argument of both
+ * @total: bytes of the response body received
+ * @body_max: limit of @total
+ * @repeatable: curl may resend the request by itself
  * @starts: how often curl was about to send the request
- * @failed: why we made curl give up, NONE when we did not
- * @result: how curl ended it
+ * @failed: reason for which the client aborted the call, NONE if it did not
+ * @result: curl's result
  */
 struct mq_http_call
 {
@@ -93,8 +91,6 @@
   struct tevent_fd *fde;
 };
 
-/* Lists of calls.  */
-
 static void
 call_unlink (struct mq_http_call *call)
 {
@@ -135,8 +131,6 @@
   return 0;
 }
 
-/* The end of a call.  */
-
 static enum mq_error_type
 curl_error_type (const struct mq_http_call *call)
 {
@@ -160,17 +154,17 @@
     case CURLE_URL_MALFORMAT:
       return MQ_ERR_BAD_REQUEST;
     case CURLE_UNSUPPORTED_PROTOCOL:
-      /* Of the URL, or of an answer that is not HTTP/1.  */
+      /* Unsupported URL scheme, or a response that is not HTTP/1.  */
       return call->starts == 0 ? MQ_ERR_BAD_REQUEST : MQ_ERR_IO;
     default:
       return MQ_ERR_IO;
     }
 }
 
-/* Open connections can go silent for good while new ones work.  It shows as a
-   timeout without a byte of answer on a connection that was kept from an
-   earlier call.  Others that are kept may be silent too, and each would cost
-   one more call its timeout, so none older than this moment is used again.  */
+/* Detects a reused connection that no longer responds: a timeout without any
+   byte of the response. Other idle connections may be dead too, and each would
+   cost another call its timeout, so that all older ones are then no longer
+   reused.  */
 static void
 record_unresponsive_connection (struct mq_http_call *call)
 {
@@ -182,10 +176,10 @@
     call->client->silent_ms = mq_clock_ms ();
 }
 
-/* curl compares the age of a connection in whole seconds: a bound one second
-   below the time since the silence leaves out every connection from before
-   it, and some from just after it.  Once longer has passed than a connection
-   is kept unused, those that are left have worked since.  */
+/* Excludes the connections that were open when a reused one failed to respond.
+   curl compares ages in whole seconds, so that the limit is one second lower
+   and also excludes some newer connections. After the maximum idle time all
+   connections are newer or have been used successfully since.  */
 static void
 limit_connection_age (struct mq_http_client *client, CURL *easy)
 {
@@ -213,8 +207,8 @@
   return seconds > UINT32_MAX / 1000 ? UINT32_MAX : (uint32_t)seconds * 1000;
 }
 
-/* A request is known not to have been sent only when curl never came to the
-   point of sending it (about_to_send); from then on it is in doubt.  */
+/* A request counts as not sent only if curl never reached about_to_send; after
+   that its effect is unknown.  */
 static void
 notify_call_end (struct mq_http_call *call)
 {
@@ -252,8 +246,6 @@
     }
 }
 
-/* curl inside the event loop.  */
-
 static void
 start_call (struct mq_http_call *call)
 {
@@ -284,7 +276,7 @@
     }
 }
 
-/* A client that is destroyed by it is freed last.  */
+/* Frees a client destroyed by a callback last.  */
 static void
 tell_ended (struct mq_http_client *client)
 {
@@ -295,8 +287,8 @@
     talloc_free (client);
 }
 
-/* Callbacks may send, cancel and destroy at will: what they end is freed when
-   curl has returned, what they send is started then.  */
+/* Callbacks may send, cancel and destroy. Calls that they end are freed, and
+   calls that they make are started, after curl has returned.  */
 static void
 drive (struct mq_http_client *client, curl_socket_t fd, int bits)
 {
@@ -360,10 +352,10 @@
   drive (sock->client, sock->fd, bits);
 }
 
-/* tevent hides errors from one that waits for writing only, as curl does
-   while it connects: a connection refused late would go unseen until curl's
-   next timer.  So a wait for writing is also one for reading, which shows
-   errors; there is nothing else to read before curl asks for it.  */
+/* tevent does not report errors to a descriptor that waits only for writing,
+   as curl's do while connecting, so that a refused connection would go
+   unnoticed until curl's next timeout. Waits for reading as well, which
+   reports errors.  */
 static uint16_t
 flags_of (int what)
 {
@@ -400,17 +392,13 @@
   return sock->fde == NULL ? -1 : 0;
 }
 
-/* A request and its answer.  */
+/* Called by curl each time it is about to send the request on a connection.
 
-/* curl comes here whenever it has a connection and is about to send.
-
-   The failure: a kept connection is closed by the other side just as the
-   request goes out.  curl then sends the request again on a new connection
-   by itself, whatever its method, and if the first one was read after all,
-   the call is done twice.  curl has no option against it, and giving up kept
-   connections would cost each call a connection; but the second sending has
-   to pass here, where it is stopped, and the call ends as PEER_LOST, sent.
-   tests/test_http.c has the case.  */
+   If the server closes a reused connection while the request is being sent,
+   curl resends it on a new connection, whatever its method, and the request
+   could run twice. curl has no option to prevent this, so the second attempt
+   is aborted here unless the request may be repeated; the call then fails with
+   PEER_LOST and sent set.  */
 static int
 about_to_send (void *user, char *peer_ip, char *own_ip, int peer_port,
                int own_port)
@@ -430,7 +418,8 @@
   return CURL_PREREQFUNC_OK;
 }
 
-/* Bytes of the answer.  Any return but their number makes curl give up.  */
+/* Returning anything but the number of bytes makes curl abort the
+   transfer.  */
 static size_t
 on_response_data (char *data, size_t size, size_t count, void *user)
 {
@@ -467,8 +456,8 @@
     call->headers = longer;
 }
 
-/* Control characters in a value that a caller chose would end the header and
-   let the caller write headers, or a second request, of its own.  */
+/* Rejects control characters, with which a value from a caller could inject
+   headers or a second request.  */
 static bool
 header_line_is_valid (const char *line)
 {
@@ -478,8 +467,8 @@
   return true;
 }
 
-/* An empty "Expect:" keeps curl from waiting a second for leave to send a
-   large body, an empty "Content-Type:" from calling it a form.  */
+/* An empty "Expect:" keeps curl from waiting for "100 Continue" before a large
+   body; an empty "Content-Type:" keeps it from declaring a form.  */
 static void
 set_headers (struct mq_http_call *call, const char *const *lines)
 {
@@ -564,9 +553,9 @@
     tell_ended (client);
 }
 
-/* Failure: this process is held up for longer than a call may take; curl looks
-   at the time before the socket, and the call ends as timed out beside its
-   whole answer.  Our timers come after what has arrived.  */
+/* Uses an own timer instead of curl's timeout: curl checks the time before the
+   socket, so that after a stall of this process a call would time out although
+   its whole response had arrived. Own timers run after pending input.  */
 static void
 limit_time (struct mq_http_call *call, uint32_t timeout_ms)
 {
@@ -627,8 +616,6 @@
     call_move (call, &client->ended);
 }
 
-/* Start and stop.  */
-
 static void
 free_calls (struct mq_http_call **list)
 {
@@ -636,9 +623,8 @@
     talloc_free (*list);
 }
 
-/* Calls under way are dropped without a callback.  Within drive curl and the
-   callbacks still use the client: it is kept (a destructor that returns -1)
-   and drive frees it.  */
+/* Drops active calls without a callback. Inside drive, curl and callbacks
+   still use the client: returning -1 keeps its memory, and drive frees it.  */
 static int
 client_freed (struct mq_http_client *client)
 {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-/* http_client.h - HTTP towards the platform, engines, services and tools.
+/* http_client.h - HTTP client for the platform, engines, services and tools.
 
    libcurl's multi interface driven by tevent in one thread.
    Needs: libcurl, tevent, error.h.  */
@@ -13,15 +13,15 @@
 struct mq_http_call;
 
 /**
- * struct mq_http_result - how a call ended
- * @error: NONE when a whole answer came, with any status; TIMEOUT, PEER_LOST,
- *         TOO_LARGE, NO_MEMORY, BAD_REQUEST (URL or header), else IO
- * @sent: the request may have reached the other side; with an error this
- *        means that its effect is unknown
- * @status: HTTP status, 0 when none
- * @body: answer, zero-terminated; empty when it was given in parts
- * @len: its length
- * @retry_after_ms: from Retry-After, 0 when absent
+ * struct mq_http_result - result of a call
+ * @error: NONE if a complete response was received, whatever its status;
+ *         TIMEOUT, PEER_LOST, TOO_LARGE, NO_MEMORY, BAD_REQUEST (invalid URL
+ *         or header), otherwise IO
+ * @sent: the request may have reached the server; with an error its effect is
+ *        then unknown
+ * @status: HTTP status, 0 if none was received
+ * @body: response body, zero-terminated; empty if it was passed in parts
+ * @retry_after_ms: from Retry-After, 0 if absent
  */
 struct mq_http_result
 {
@@ -37,17 +37,16 @@
 typedef void mq_http_done (const struct mq_http_result *result, void *user);
 
 /**
- * struct mq_http_send - one call
+ * struct mq_http_send - parameters of a call
  * @method: "GET", "POST", …
- * @url: whole URL
- * @headers: "Name: value" lines, NULL at the end; may be NULL
+ * @headers: "Name: value" lines, terminated by NULL; may be NULL
  * @body: may be NULL
- * @len: its length
- * @timeout_ms: for the whole call, 0: none
- * @body_max: give up with TOO_LARGE over this, 0: MQ_FRAME_MAX_BYTES
- * @part: called for each part of the answer as it comes; NULL: collect it
+ * @timeout_ms: for the whole call; 0: no timeout
+ * @body_max: larger response bodies fail with TOO_LARGE; 0: MQ_FRAME_MAX_BYTES
+ * @part: called for each part of the response body as it arrives; NULL:
+ *        collect it
  * @done: called once at the end, never from within mq_http_client_send
- * @user: given to both
+ * @user: argument of both
  */
 struct mq_http_send
 {
@@ -66,11 +65,12 @@
 struct mq_http_client *mq_http_client_create (TALLOC_CTX *ctx,
                                               struct tevent_context *ev,
                                               struct mq_error *error);
-/* Drops the calls under way without a callback.  */
+/* Drops active calls without a callback.  */
 void mq_http_client_destroy (struct mq_http_client *client);
 struct mq_http_call *mq_http_client_send (struct mq_http_client *client,
                                           const struct mq_http_send *send);
-/* Closes the connection; no callback follows.  Any callback may cancel.  */
+/* Closes the connection; no callback follows. May be called from any
+   callback.  */
 void mq_http_call_cancel (struct mq_http_call *call);
 
 #endif
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -1,22 +1,22 @@
-/* http_lane.c - a connection to an HTTP server, one request at a time.
+/* http_conn.c - client connection to an HTTP server, one request at a time.
 
-   Needs: http_lane.h.  */
+   Needs: http_conn.h.  */
 
 #include "http_conn.h"
 #include "buffer.h"
 
 /**
  * struct mq_http_conn - one connection
- * @waiting: request that is sent once the connection is there
- * @open: the connection is there
- * @used: a request is under way
- * @sent: some of it was given to the network
- * @skip: the answer that comes in belongs to another request
- * @keep: the server keeps the connection after the answer
- * @whole: the answer has ended
- * @has_served: an answer has ended on it
- * @busy: callbacks under way
- * @dead: to be freed once none is
+ * @waiting: request to be sent once the connection is established
+ * @open: the connection is established
+ * @used: a request is in progress
+ * @sent: at least a part of a request was passed to the kernel
+ * @skip: the response being read is interim or belongs to another request
+ * @keep: the server keeps the connection open after the response
+ * @whole: the response is complete
+ * @has_served: at least one response was completed
+ * @busy: number of callbacks in progress
+ * @dead: destroyed; freed when @busy is 0
  */
 struct mq_http_conn
 {
@@ -45,7 +45,7 @@
   if (conn->dead)
     return;
   conn->keep = head->keep_alive && !head->until_close;
-  /* 1xx: the answer itself comes later.  */
+  /* 1xx: an interim response; the final one follows.  */
   conn->skip
       = head->status < 200 || !conn->events.head (head, conn->events.user);
 }
@@ -67,7 +67,7 @@
   conn->whole = true;
 }
 
-/* True when the conn is on_closed.  */
+/* Ends a callback; true if it destroyed the connection.  */
 static bool
 leave (struct mq_http_conn *conn)
 {
@@ -94,8 +94,8 @@
   leave (conn);
 }
 
-/* The message that was read is whole: ours, or one to be skipped.  False when
-   the conn is on_closed.  */
+/* Handles the end of a response, expected or skipped. False if the connection
+   was destroyed.  */
 static bool
 end_message (struct mq_http_conn *conn)
 {
@@ -113,9 +113,9 @@
   return !leave (conn);
 }
 
-/* Bytes that come while no request is under way belong to nobody: the server
-   sent more than its answer, and what comes next could be taken for the
-   answer to the next request.  */
+/* Fails on input without a request in progress: the server sent more than its
+   response, and the rest could be taken for the response to the next
+   request.  */
 static void
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
@@ -160,7 +160,7 @@
       fail (conn, MQ_HTTP_CONN_UNREACHABLE);
       return;
     }
-  /* Only an orderly end can be the end of an answer without a length.  */
+  /* Only an orderly close can end a response without a length.  */
   if (conn->used && end == MQ_TCP_EOF)
     {
       conn->busy++;
@@ -223,7 +223,7 @@
   if (conn == NULL || conn->dead)
     return;
   conn->dead = true;
-  /* The connection may be in a callback of its own: it frees itself.  */
+  /* The TCP connection may be in a callback; it frees itself afterwards.  */
   talloc_steal (NULL, conn->tcp);
   mq_tcp_destroy (conn->tcp);
   conn->tcp = NULL;
@@ -246,7 +246,7 @@
   conn->skip = false;
   if (response_has_no_body)
     mq_http_reader_no_body (conn->reader);
-  /* One buffer, so that head and body leave in one segment.  */
+  /* One buffer, so that head and body go out in one segment.  */
   mq_buffer_append (conn, out, head, head_len, SIZE_MAX);
   mq_buffer_append (conn, out, body, body_len, SIZE_MAX);
   if (!conn->open)
@@ -268,11 +268,9 @@
   return !conn->has_served;
 }
 
-/* Failure: the server ends a kept connection, and that lies unread while this
-   host works off what came before.  The next request goes out on it, fails,
-   and counts as one that may have run; stray bytes are taken for its answer.
-   The socket is asked for both; what is left is an end that crosses the
-   request on its way.  */
+/* Checks the socket for unread input or a close by the server: a request sent
+   on such a connection would fail with unknown effect, or take stray bytes for
+   its response. A close that is still in transit cannot be detected.  */
 bool
 mq_http_conn_is_reusable (const struct mq_http_conn *conn)
 {
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -1,8 +1,7 @@
-/* http_lane.h - a connection to an HTTP server, one request at a time.
+/* http_conn.h - client connection to an HTTP server, one request at a time.
 
-   Tells for certain whether any byte of a request was given to the network,
-   and hands on what comes back as it comes.  It never sends a request again
-   by itself.
+   Reports whether any byte of a request was passed to the kernel, delivers the
+   response as it arrives and never resends a request by itself.
    Needs: tcp.h, http_message.h.  */
 
 #ifndef MQ_HTTP_CONN_H
@@ -16,19 +15,20 @@
 enum mq_http_conn_failure
 {
   MQ_HTTP_CONN_UNREACHABLE, /* no byte of the request was sent */
-  MQ_HTTP_CONN_LOST,        /* it was sent; the answer is missing or cut off */
-  MQ_HTTP_CONN_BAD_RESPONSE /* what came is no answer of HTTP */
+  MQ_HTTP_CONN_LOST,        /* sent; response missing or truncated */
+  MQ_HTTP_CONN_BAD_RESPONSE /* the response is not valid HTTP */
 };
 
 /**
- * struct mq_http_conn_callbacks - who is told of an answer
- * @head: its head; false: it belongs to another request, wait for ours
- * @body: some of its body
- * @end: it is whole; the conn may be used again at once
- * @failed: it won't be; the conn is to be destroyed
- * @user: given to all of them
+ * struct mq_http_conn_callbacks - receiver of a response
+ * @head: response head; returns false if it belongs to another request and is
+ *        to be skipped
+ * @body: a part of the body
+ * @end: the response is complete; the connection may be reused at once
+ * @failed: the response cannot be completed; destroy the connection
+ * @user: argument of all
  *
- * Each may destroy the conn.
+ * Each callback may destroy the connection.
  */
 struct mq_http_conn_callbacks
 {
@@ -39,10 +39,12 @@
   void *user;
 };
 
-/* Told when a conn that nobody uses has ended; it is then to be destroyed.  */
+/* Called when a connection without a request in progress has closed; the
+   callee destroys it.  */
 typedef void mq_http_conn_closed (struct mq_http_conn *conn, void *user);
 
-/* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open.  */
+/* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open. NULL with
+   ERROR set on failure.  */
 struct mq_http_conn *mq_http_conn_open (TALLOC_CTX *ctx,
                                         struct tevent_context *ev,
                                         const char *address,
@@ -50,19 +52,19 @@
                                         mq_http_conn_closed *on_closed,
                                         void *user, struct mq_error *error);
 void mq_http_conn_destroy (struct mq_http_conn *conn);
-/* Sends a request: HEAD with its empty line, then BODY.  */
+/* Sends a request: HEAD including its empty line, then BODY.  */
 void mq_http_conn_send (struct mq_http_conn *conn,
                         const struct mq_http_conn_callbacks *events,
                         const char *head, size_t head_len, const void *body,
                         size_t body_len, bool response_has_no_body);
-/* Some bytes of the request were given to the network.  */
+/* True once any byte of a request was passed to the kernel.  */
 bool mq_http_conn_has_sent (const struct mq_http_conn *conn);
-/* No answer has ended on it yet.  */
+/* True until the first response is complete.  */
 bool mq_http_conn_is_new (const struct mq_http_conn *conn);
-/* The answer is whole and the server keeps the connection: neither bytes nor
-   an end of it lie unread.  Asked again before each use.  */
+/* True if the response is complete, the server keeps the connection open and
+   no input or close is pending. To be checked before each reuse.  */
 bool mq_http_conn_is_reusable (const struct mq_http_conn *conn);
-/* Stops and starts taking in the answer.  */
+/* Pauses or resumes reading the response.  */
 void mq_http_conn_set_reading (struct mq_http_conn *conn, bool on);
 
 #endif
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -1,4 +1,4 @@
-/* http_message.c - HTTP/1.1 messages cut out of a stream of bytes.
+/* http_message.c - parser of HTTP/1.1 messages.
 
    Needs: http_message.h, http-parser.  */
 
@@ -8,14 +8,14 @@
 #include <string.h>
 #include <strings.h>
 
-#define FIRST_TEXT ((size_t)1024)
-#define FIRST_FIELDS ((size_t)16)
+#define INITIAL_TEXT_BYTES ((size_t)1024)
+#define INITIAL_FIELDS ((size_t)16)
 
 /**
- * struct mq_http_reader - the message that is being read
- * @text: names, values and the target, each with a zero byte after it
- * @offsets: of name and value of each field in @text
- * @part: what @text is being filled with
+ * struct mq_http_reader - the message being parsed
+ * @text: names, values and the request target, each zero-terminated
+ * @offsets: offsets in @text of the name and value of each field
+ * @part: which part of the head is being stored in @text
  */
 struct mq_http_reader
 {
@@ -57,24 +57,24 @@
 {
   if (reader->text_len + len + 1 > reader->text_capacity)
     {
-      size_t room
-          = reader->text_capacity == 0 ? FIRST_TEXT : reader->text_capacity;
+      size_t capacity = reader->text_capacity == 0 ? INITIAL_TEXT_BYTES
+                                                   : reader->text_capacity;
       char *grown;
 
-      while (room < reader->text_len + len + 1)
-        room *= 2;
-      grown = talloc_realloc (reader, reader->text, char, room);
+      while (capacity < reader->text_len + len + 1)
+        capacity *= 2;
+      grown = talloc_realloc (reader, reader->text, char, capacity);
       if (grown == NULL)
         return false;
       reader->text = grown;
-      reader->text_capacity = room;
+      reader->text_capacity = capacity;
     }
   memcpy (reader->text + reader->text_len, text, len);
   reader->text_len += len;
   return true;
 }
 
-/* Ends the part that is being filled with its zero byte.  */
+/* Zero-terminates the current part.  */
 static bool
 end_part (struct mq_http_reader *reader)
 {
@@ -91,14 +91,16 @@
 
   if (need > reader->field_capacity)
     {
-      size_t room = reader->field_capacity == 0 ? FIRST_FIELDS * 2
-                                                : reader->field_capacity * 2;
-      size_t *grown = talloc_realloc (reader, reader->offsets, size_t, room);
+      size_t capacity = reader->field_capacity == 0
+                            ? INITIAL_FIELDS * 2
+                            : reader->field_capacity * 2;
+      size_t *grown
+          = talloc_realloc (reader, reader->offsets, size_t, capacity);
 
       if (grown == NULL)
         return false;
       reader->offsets = grown;
-      reader->field_capacity = room;
+      reader->field_capacity = capacity;
     }
   reader->offsets[reader->field_count * 2] = reader->text_len;
   reader->field_count++;
@@ -131,7 +133,7 @@
 {
   struct mq_http_reader *reader = reader_of (parser);
 
-  /* Trailers come after the head was given out and are not passed on.  */
+  /* Trailers arrive after the head was delivered and are dropped.  */
   if (!reader->in_head)
     return 0;
   if (reader->part != PART_NAME)
@@ -178,9 +180,9 @@
   return true;
 }
 
-/* The parser lets blanks pass in a name.  "Content-Length : 5" is then a field
-   that we don't know and the next reader may know, so that the two of them see
-   the end of the message at different places.  */
+/* Rejects blanks in field names, which the parser accepts. "Content-Length :
+   5" would be unknown here but known to the next reader, and the two would
+   disagree on the end of the message.  */
 static bool
 is_name (const char *name)
 {
@@ -200,10 +202,9 @@
   return true;
 }
 
-/* A request is refused when its length could be read in two ways: a length
-   beside chunks, two lengths, or a transfer coding other than chunked.  Else
-   what one reader takes for a body another one takes for a request, and a
-   caller could slip in a request under another's name.  */
+/* Rejects a request of ambiguous length: Content-Length with chunked coding,
+   two lengths, or a transfer coding other than chunked. Otherwise a caller
+   could smuggle in a request that another reader takes for a body.  */
 static bool
 framing_is_unambiguous (const struct mq_http_reader *reader)
 {
@@ -217,7 +218,7 @@
   return coding == NULL || strcasecmp (coding, "chunked") == 0;
 }
 
-/* An answer whose head tells no length ends with its connection.  */
+/* True for a response without a length, which ends with the connection.  */
 static bool
 ends_with_connection (const struct mq_http_reader *reader)
 {
@@ -255,7 +256,7 @@
     }
   if (!header_names_are_valid (head) || !framing_is_unambiguous (reader))
     return -1;
-  /* We never switch protocols: an Upgrade is a field like any other.  */
+  /* Upgrade is ignored, since protocols are never switched.  */
   if (parser->method != HTTP_CONNECT)
     parser->upgrade = 0;
   reader->events.head (head, reader->events.user);
@@ -334,7 +335,7 @@
   reader->no_body = true;
 }
 
-/* Counts the bytes of the head, so that one without an end is noticed.  */
+/* Counts the bytes of the head; false if it exceeds its limit.  */
 static bool
 head_is_within_limit (struct mq_http_reader *reader, size_t len)
 {
@@ -442,7 +443,7 @@
   return count;
 }
 
-/* NAME is one of the words of LIST, which commas part.  */
+/* True if NAME occurs in the comma-separated LIST.  */
 static bool
 list_contains (const char *list, const char *name)
 {
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,7 +1,7 @@
-/* http_message.h - HTTP/1.1 messages cut out of a stream of bytes.
+/* http_message.h - parser of HTTP/1.1 messages.
 
-   One reader reads the messages of one connection, one after the other.  It
-   is strict: a message whose end could be understood in two ways is an error.
+   One reader parses the consecutive messages of one connection. It is strict:
+   a message whose length is ambiguous is an error.
    Needs: http-parser, error.h.  */
 
 #ifndef MQ_HTTP_MESSAGE_H
@@ -16,17 +16,16 @@
 };
 
 /**
- * struct mq_http_head - what stands before the body
- * @method: of a request
- * @target: of a request: path and query
- * @status: of an answer
- * @fields: in the order in which they came
- * @field_count: how many
- * @has_length: the body's length is told
- * @length: that length
- * @chunked: the body comes in chunks
+ * struct mq_http_head - head of a message
+ * @method: requests only
+ * @target: requests only: path and query
+ * @status: responses only
+ * @fields: in the order received
+ * @has_length: Content-Length is present
+ * @length: value of Content-Length
+ * @chunked: the body is chunked
  * @until_close: the body ends with the connection
- * @keep_alive: the connection can be used again after the message
+ * @keep_alive: the connection can be reused after the message
  */
 struct mq_http_head
 {
@@ -49,14 +48,14 @@
 };
 
 /**
- * struct mq_http_events - who is told of a message
- * @head: the head is whole; valid until the message ends
- * @body: some bytes of the body
- * @end: the message is whole; the reader takes no more bytes until
+ * struct mq_http_events - callbacks of a reader
+ * @head: the head is complete; valid until the message ends
+ * @body: a part of the body
+ * @end: the message is complete; no more bytes are accepted until
  *       mq_http_reader_next
- * @user: given to all of them
+ * @user: argument of all
  *
- * None may destroy the reader.
+ * No callback may destroy the reader.
  */
 struct mq_http_events
 {
@@ -72,32 +71,33 @@
 mq_http_reader_create (TALLOC_CTX *ctx, enum mq_http_side side,
                        const struct mq_http_events *events);
 void mq_http_reader_destroy (struct mq_http_reader *reader);
-/* Bytes that a head may have, 0: MQ_HEADERS_MAX_BYTES.  */
+/* Sets the maximum bytes of a head; 0: MQ_HEADERS_MAX_BYTES.  */
 void mq_http_reader_set_head_max (struct mq_http_reader *reader, size_t max);
-/* The answer that is read next has no body, whatever its head says.  */
+/* The next response has no body, whatever its head says (HEAD requests).  */
 void mq_http_reader_no_body (struct mq_http_reader *reader);
-/* Takes in bytes up to the end of the message and returns how many; fewer
-   than LEN after an error, TOO_LARGE for a head over its bound, BAD_REQUEST
-   for a malformed message, or when the message is whole.  */
+/* Parses bytes up to the end of the message and returns their number. It is
+   less than LEN if the message is complete, or after an error: TOO_LARGE for a
+   head over its limit, BAD_REQUEST for a malformed message.  */
 size_t mq_http_reader_feed (struct mq_http_reader *reader, const char *data,
                             size_t len, struct mq_error *error);
-/* The connection has ended.  False when that cuts a message off.  */
+/* To be called at the end of the connection; false if it truncates a
+   message.  */
 bool mq_http_reader_finish (struct mq_http_reader *reader);
-/* Some bytes of a message have come in, and not all.  */
+/* True if a message was received in part.  */
 bool mq_http_reader_in_message (const struct mq_http_reader *reader);
-/* The message is whole and the next one is waited for.  */
+/* True if a message is complete and mq_http_reader_next was not called
+   yet.  */
 bool mq_http_reader_at_end (const struct mq_http_reader *reader);
-/* Goes on to the next message of the connection.  */
+/* Continues with the next message of the connection.  */
 void mq_http_reader_next (struct mq_http_reader *reader);
 
-/* Value of the first field NAME, in any case; NULL when there is none.  */
+/* Value of the first field NAME, case-insensitive; NULL if absent.  */
 const char *mq_http_head_find (const struct mq_http_head *head,
                                const char *name);
 size_t mq_http_head_count (const struct mq_http_head *head, const char *name);
-/* The field concerns one connection and is not passed on: one that HTTP names
-   so, or one that the Connection field of HEAD names.  */
+/* True for hop-by-hop fields: those defined by HTTP and those listed in the
+   Connection field of HEAD.  */
 bool mq_http_field_is_hop (const struct mq_http_head *head, const char *name);
-/* Reason phrase of STATUS.  */
 const char *mq_http_reason (int status);
 
 #endif
--- a/src/net/http_request.c
+++ b/src/net/http_request.c
@@ -1,4 +1,4 @@
-/* http_request.c - what a request says, and its answers.
+/* http_request.c - accessors of a request, and its responses.
 
    Needs: http_state.h, buffer.h, libmicrohttpd.  */
 
@@ -8,8 +8,6 @@
 
 #define STREAM_BLOCK_BYTES ((size_t)16384)
 
-/* Answers.  */
-
 static void
 add_headers (struct mq_http_request *request, const char *content_type)
 {
@@ -25,14 +23,14 @@
     MHD_add_response_header (response, MHD_HTTP_HEADER_CONNECTION, "close");
 }
 
-/* False when REQUEST can't be answered (any more).  */
+/* False if the caller has left or the request was already answered.  */
 static bool
 can_respond (struct mq_http_request *request)
 {
   return !request->broken && !request->answered && !request->streaming;
 }
 
-/* The user's last word; frees a request that was kept for it.  */
+/* Marks REQUEST as answered; frees it if it outlived its connection.  */
 static void
 finish_user_request (struct mq_http_request *request)
 {
@@ -64,10 +62,10 @@
   mq_request_resume (request);
 }
 
-/* Streams.  A buffer grows with the reader's lag and is let go when the reader
-   has caught up, so that thousands of quiet streams hold no memory.  */
+/* The buffer of a stream is freed when the reader has caught up, so that idle
+   streams hold no memory.  */
 
-/* The library asks for more of the answer.  */
+/* Callback of libmicrohttpd: copies the next bytes of the stream.  */
 static ssize_t
 stream_read (void *cls, uint64_t position, char *to, size_t max)
 {
@@ -140,8 +138,6 @@
   finish_user_request (request);
 }
 
-/* What a request says.  */
-
 const char *
 mq_http_method (const struct mq_http_request *request)
 {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,8 +1,8 @@
-/* http_server.c - libmicrohttpd inside tevent.
+/* http_server.c - HTTP server: libmicrohttpd on tevent.
 
-   The daemon runs in external epoll mode: its epoll descriptor is one tevent
-   descriptor, its timeout one tevent timer.  A request that is not answered
-   within its handler is suspended and resumed by the answer.
+   The daemon runs in external epoll mode: its epoll descriptor is a tevent
+   descriptor, its timeout a tevent timer. A request that its handler does not
+   answer at once is suspended, and resumed by the response.
    Needs: libmicrohttpd, tevent, jansson.  */
 
 #include "http_server.h"
@@ -17,14 +17,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Memory of a connection: the header's bytes, the library's table of them
-   and the answer's header.  Headers of MQ_HEADERS_MAX_BYTES fit; one that
-   fills it gets 431.  */
+/* Memory of a connection: request header, its parsed form and response header.
+   Holds headers of MQ_HEADERS_MAX_BYTES; larger ones are answered with
+   431.  */
 #define CONNECTION_BYTES ((size_t)2 * MQ_HEADERS_MAX_BYTES)
 #define DISCONNECT_POLL_MS 1000
 
-/* The daemon inside the event loop.  */
-
 static void run_daemon (struct mq_http_server *server);
 static void close_listener (struct mq_http_server *server);
 
@@ -57,8 +55,8 @@
   run_daemon (server);
 }
 
-/* A timer that fires early only runs the daemon once more, so one that is
-   immediate enough is left as it is.  */
+/* Keeps a timer that fires early enough; an early one only runs the daemon
+   once more.  */
 static void
 arm_timer (struct mq_http_server *server)
 {
@@ -78,10 +76,10 @@
       = tevent_add_timer (server->ev, server, at, timer_fired, server);
 }
 
-/* At its bound of connections the library stops listening, and looks whether
-   it may listen again only at the start of a run.  With all other connections
-   quiet none would come, and callers would wait at a server that has room:
-   so the end of a connection makes one more run.  */
+/* At its connection limit libmicrohttpd stops accepting, and checks only at
+   the start of a run whether it can accept again. Requests another run when a
+   connection closes, since idle connections would not cause one and new
+   callers would wait.  */
 static void
 connection_changed (void *cls, struct MHD_Connection *connection,
                     void **socket_data,
@@ -136,9 +134,9 @@
   run_again (request->server);
 }
 
-/* Ends a request whose answer can't be given.  Suspended, the library comes
-   back to us and is told to close; else it waits for the socket, which the
-   shutdown makes ready with an error.  */
+/* Closes the connection of a request that cannot be answered. A suspended one
+   is resumed, and the library is told to close it; otherwise the shutdown
+   makes the socket ready with an error.  */
 void
 mq_request_abort_connection (struct mq_http_request *request)
 {
@@ -153,11 +151,10 @@
     shutdown (request->fd, SHUT_RDWR);
 }
 
-/* The library does not look at the socket of a suspended request, so a caller
-   that leaves would keep its request for as long as the answer takes.  Its
-   leaving shows as the end of the input (or an error), which we watch for
-   ourselves.  A caller that shuts down its sending side only and then waits
-   is taken to have left as well: callers of HTTP do not do that.  */
+/* True if the caller has disconnected. libmicrohttpd does not watch the socket
+   of a suspended request, whose work would continue for a caller that is gone.
+   A caller that shuts down only its sending side is treated as disconnected as
+   well.  */
 static bool
 peer_has_disconnected (int fd)
 {
@@ -195,8 +192,8 @@
                                           on_disconnect_poll, request);
 }
 
-/* Bytes sent ahead (the next request) keep the socket readable, so from then
-   on it is looked at by the clock.  */
+/* Pipelined bytes (the next request) keep the socket readable, so that it is
+   polled from then on.  */
 static void
 on_socket_readable (struct tevent_context *ev, struct tevent_fd *fde,
                     uint16_t flags, void *data)
@@ -226,8 +223,6 @@
                          TEVENT_FD_READ, on_socket_readable, request);
 }
 
-/* Requests.  */
-
 static int
 request_freed (struct mq_http_request *request)
 {
@@ -290,8 +285,8 @@
     closed (request, request->closed_data);
 }
 
-/* A user without an on_closed can't know that the caller has left: its
-   request is kept, cut off from the connection, until it answers.  */
+/* A user without on_closed does not learn of a disconnect: keeps the request,
+   detached from its connection, until it is answered.  */
 static void
 request_completed (void *cls, struct MHD_Connection *connection, void **con,
                    enum MHD_RequestTerminationCode code)
@@ -317,11 +312,9 @@
     talloc_free (request);
 }
 
-/* Bodies.  */
-
-/* A body over the bound is read to its end and dropped, so that the caller
-   gets to read the answer: closing on unread bytes would reset it away.  One
-   that goes on to more than twice the bound is cut off.  */
+/* Reads and discards a body over its limit, so that the caller can read the
+   response; closing with unread bytes would reset the connection. A body of
+   more than twice the limit is cut off.  */
 static enum MHD_Result
 body_part (struct mq_http_request *request, const char *data, size_t len)
 {
@@ -336,8 +329,8 @@
   return request->discarded / 2 > max ? MHD_NO : MHD_YES;
 }
 
-/* True when a body is announced that will not be read to its end: far over
-   the bound, or over it and held back until we say to go on.  */
+/* True if the announced body will not be read to its end: far over the limit,
+   or over it and held back by "Expect: 100-continue".  */
 static bool
 reject_body (struct mq_http_request *request)
 {
@@ -371,8 +364,6 @@
   free (text);
 }
 
-/* Answers.  */
-
 static enum MHD_Result
 queue_response (struct mq_http_request *request)
 {
@@ -386,8 +377,8 @@
   return result;
 }
 
-/* Queues an answer that is there, closes for one that can't come and waits
-   for one that is to come.  */
+/* Queues an available response, closes a connection that cannot be answered,
+   and otherwise suspends the request.  */
 static enum MHD_Result
 respond_or_suspend (struct mq_http_request *request)
 {
@@ -411,8 +402,8 @@
   return respond_or_suspend (request);
 }
 
-/* The library calls this for the header, for each part of the body, at the
-   body's end and after each resume before an answer is queued.  */
+/* Called by libmicrohttpd for the header, each part of the body, the end of
+   the body, and each resume until a response is queued.  */
 static enum MHD_Result
 access_handler (void *cls, struct MHD_Connection *connection, const char *url,
                 const char *method, const char *version, const char *data,
@@ -444,8 +435,6 @@
   return request_arrived (request);
 }
 
-/* Start and stop.  */
-
 static struct MHD_Daemon *
 start_daemon (struct mq_http_server *server, int fd, uint32_t connections)
 {
@@ -460,10 +449,9 @@
       MHD_OPTION_END);
 }
 
-/* Ends every request, tells its user and then stops the daemon.  Within
-   MHD_run the daemon can't be stopped: then users are told at once, and
-   run_daemon frees the server when MHD_run has returned (a destructor that
-   returns -1 keeps the memory).  */
+/* Ends all requests, notifies their users and stops the daemon. Inside MHD_run
+   the daemon cannot be stopped: the users are notified at once, returning -1
+   keeps the memory, and run_daemon frees the server.  */
 static int
 server_freed (struct mq_http_server *server)
 {
@@ -500,10 +488,9 @@
   return server->fde != NULL;
 }
 
-/* Failure: callers stop reading, and the bound on unsent bytes doesn't see
-   it, since the kernel lets a socket's send buffer grow to megabytes first;
-   thousands of them take the host's memory.  Sockets that are accepted take
-   the size over from the listening one, which also ends its growth.  */
+/* Limits the kernel's send buffers, which otherwise grow to megabytes per
+   connection and hide slow readers from the limit on unsent bytes. Accepted
+   sockets inherit the size from the listening one.  */
 static void
 limit_send_buffers (int fd)
 {
@@ -559,10 +546,9 @@
   talloc_free (server);
 }
 
-/* Failure: the kernel has let callers in whom the library has not taken yet,
-   and closing the listening socket resets their connections: what they have
-   sent gets no answer.  So they are taken first.  One that has left again
-   hides those behind it; one beyond the bound of connections is closed.  */
+/* Accepts the connections that wait in the kernel's backlog before the
+   listening socket is closed, which would reset them and lose their
+   requests.  */
 static void
 accept_backlog (struct mq_http_server *server)
 {
@@ -598,8 +584,8 @@
   run_again (server);
 }
 
-/* Within MHD_run the library is in the middle of its connections: then
-   run_daemon closes the listener when MHD_run has returned.  */
+/* Inside MHD_run the daemon's listener cannot be closed; run_daemon closes it
+   afterwards.  */
 void
 mq_http_server_stop_accepting (struct mq_http_server *server)
 {
--- a/src/net/http_state.h
+++ b/src/net/http_state.h
@@ -1,6 +1,6 @@
-/* http_state.h - what the parts of the HTTP server share; for src/net only.
+/* http_state.h - internal state of the HTTP server; for src/net only.
 
-   http_server.c joins the library to the event loop and takes requests;
+   http_server.c runs the daemon in the event loop and receives requests;
    http_request.c answers them.
    Needs: http_server.h, buffer.h, libmicrohttpd, tevent.  */
 
@@ -13,23 +13,20 @@
 #include <tevent.h>
 
 /**
- * struct mq_http_server - one listening socket and its requests
- * @ev: event loop
- * @daemon: libmicrohttpd's side
- * @fde: the daemon's epoll descriptor
- * @timer: the daemon's timeout, NULL when none is set
- * @timer_at: when @timer fires
- * @immediate: runs the daemon after an answer from outside of it, and again
- * @handler: told each whole request
- * @data: given to @handler
- * @body_max: bound on a body
- * @port: port listened at
- * @requests: those whose connection is there
- * @in_progress: how many
- * @running: inside MHD_run, where the daemon can't be stopped
- * @has_room: a connection has ended since the last run
- * @closing: no longer accepts; answers close their connection
- * @destroy_pending: destroyed; freed once MHD_run has returned
+ * struct mq_http_server - a listening socket and its requests
+ * @daemon: libmicrohttpd's daemon
+ * @fde: epoll descriptor of the daemon
+ * @timer: timeout of the daemon, NULL if none is set
+ * @timer_at: time at which @timer fires
+ * @immediate: runs the daemon in the next iteration of the event loop
+ * @handler: called for each complete request
+ * @data: argument of @handler
+ * @requests: requests whose connection is open
+ * @in_progress: number of requests in progress
+ * @running: inside MHD_run, where the daemon cannot be stopped
+ * @has_room: a connection has closed since the last run
+ * @closing: no longer accepts; responses close their connection
+ * @destroy_pending: destroyed; freed when MHD_run has returned
  */
 struct mq_http_server
 {
@@ -60,31 +57,27 @@
 };
 
 /**
- * struct mq_http_request - one request, from its header to its end
- * @server: where it came in
+ * struct mq_http_request - one request
  * @next: in @server->requests
  * @previous: in @server->requests
  * @connection: NULL once the request has ended
- * @fd: its socket
- * @method: of the request line
  * @path: without the query
- * @body: what came in so far
- * @discarded: bytes of a body over the bound that were read and dropped
- * @too_large: the body is over the bound
- * @handled: the handler was told
- * @suspended: waits for its answer or for more of it
- * @broken: the caller has left or is given up; no answer can reach it
- * @answered: the user has nothing more to say
+ * @body: bytes received so far
+ * @discarded: discarded bytes of a body over the limit
+ * @too_large: the body exceeds the limit
+ * @handled: the handler was called
+ * @suspended: waits for the response or more of it
+ * @broken: the caller has disconnected or was dropped; it cannot be answered
+ * @answered: the user has completed the response
  * @streaming: answered in parts
- * @queued: the answer is with the library
- * @response: answer not yet queued
- * @status: its HTTP status
- * @headers: extra headers of the answer
- * @unsent: a stream's bytes that the library has not taken yet
- * @closed: told once when the request ends
- * @closed_data: given to @closed
- * @watch: tells that the caller left while the library does not read
- * @watch_poll: does so when the caller has sent bytes ahead
+ * @queued: the response was passed to the library
+ * @response: response that is not queued yet
+ * @headers: additional response headers
+ * @unsent: bytes of a stream that the library has not read yet
+ * @closed: called once when the request ends
+ * @closed_data: argument of @closed
+ * @watch: detects a disconnect while the library does not read
+ * @watch_poll: polls for a disconnect once the caller has pipelined bytes
  */
 struct mq_http_request
 {
@@ -114,13 +107,12 @@
   struct tevent_timer *watch_poll;
 };
 
-/* Waits for the answer, or for more of it.  */
+/* Suspends the request until there is a response or more of it.  */
 void mq_request_suspend (struct mq_http_request *request);
-/* Lets the library ask again.  */
 void mq_request_resume (struct mq_http_request *request);
-/* Ends a request whose answer can't be given.  */
+/* Closes the connection of a request that cannot be answered.  */
 void mq_request_abort_connection (struct mq_http_request *request);
-/* Tells the user, once, that the request has ended.  */
+/* Calls on_closed, once.  */
 void mq_request_notify_closed (struct mq_http_request *request);
 
 #endif
--- a/src/net/listen.c
+++ b/src/net/listen.c
@@ -1,6 +1,6 @@
-/* listen.c - listening sockets at "IP:PORT".
+/* listen.c - sockets that listen at or connect to "IP:PORT".
 
-   Needs: sockets, the resolver for numbers only.  */
+   Needs: sockets, getaddrinfo for numeric addresses.  */
 
 #include "listen.h"
 #include <arpa/inet.h>
@@ -72,7 +72,7 @@
          || errno == EINPROGRESS;
 }
 
-/* A socket after USE; -1 with errno.  */
+/* Socket on which USE succeeded; -1 with errno.  */
 static int
 open_socket (const struct addrinfo *at,
              bool (*use) (int fd, const struct addrinfo *at))
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -1,4 +1,4 @@
-/* tcp.c - one TCP connection on the event loop.
+/* tcp.c - a TCP connection on the event loop.
 
    Needs: tcp.h, buffer.h, sockets.  */
 
@@ -13,19 +13,17 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* One read takes this much: the largest usual answer fits.  */
+/* Bytes per read.  */
 #define READ_BYTES ((size_t)16 << 10)
-/* A finished connection waits so long for the other side's end.  */
+/* Time that a finished connection waits for the peer to close.  */
 #define LINGER_MS 1000U
-/* One with unsent bytes waits so long for the other side to take some more:
-   five times the longest that a host was held up (0.9 s).  */
+/* Time that a finished connection with unsent bytes waits for the peer to
+   accept more.  */
 #define STALL_MS 5000U
-/* A connection that is not there after so long is given up.  Within a region
-   it takes a few milliseconds; where the other side's queue is full, the next
-   try of the kernel comes only after a second.  */
+/* Timeout of connect.  Shorter than the kernel's first SYN retry after one
+   second.  */
 #define CONNECT_MS 400U
-/* Probes on a connection without traffic, seconds and count: one whose other
-   side is gone without a word ends within three seconds.  */
+/* Keepalive probes detect a dead peer on an idle connection.  */
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_PAUSE_S 1
 #define KEEPALIVE_PROBES 2
@@ -33,14 +31,14 @@
 /**
  * struct mq_tcp - one connection
  * @fd: -1 once closed
- * @opening: the connection is not there yet
- * @reading: the owner wants bytes
- * @finishing: what comes in is dropped
- * @failed: a write failed; told by the event loop
- * @full: unsent bytes went over the high mark
- * @busy: callbacks under way
- * @dead: to be freed once no callback is under way
- * @unsent: bytes that the socket did not take
+ * @opening: connect is in progress
+ * @reading: the owner accepts input
+ * @finishing: input is discarded
+ * @failed: an error is still to be reported from the event loop
+ * @full: unsent bytes exceeded MQ_TCP_HIGH_BYTES
+ * @busy: number of callbacks in progress
+ * @dead: destroyed; freed when @busy is 0
+ * @unsent: bytes that the socket did not accept yet
  */
 struct mq_tcp
 {
@@ -84,7 +82,8 @@
   int probes = KEEPALIVE_PROBES;
   unsigned int silent = silent_ms;
 
-  /* Each of these only shortens a wait; a socket without them still works. */
+  /* All options are optional: without them the connection only reacts
+     later.  */
   (void)setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   if (silent_ms == 0)
     return;
@@ -168,7 +167,7 @@
   tcp->busy++;
 }
 
-/* True when the connection is gone.  */
+/* Ends a callback; true if it destroyed the connection.  */
 static bool
 end_callback (struct mq_tcp *tcp)
 {
@@ -218,8 +217,8 @@
   end_callback (tcp);
 }
 
-/* Gives what has arrived to the owner, as far as one read takes it.  What recv
-   has returned: 0 at the end, below 0 with errno when there is nothing.  */
+/* Reads once and passes the bytes to the owner.  Returns the result of recv: 0
+   at EOF, negative with errno if there is nothing to read.  */
 static ssize_t
 read_available (struct mq_tcp *tcp)
 {
@@ -237,11 +236,9 @@
   return got;
 }
 
-/* Failure: the other side answers early and ends the connection, while this
-   one still sends.  The write fails first, and the whole answer that lies
-   there is dropped: a request that was refused unread counts as one that may
-   have run.  The kernel keeps what came before a reset, so it is read before
-   the owner is told.  */
+/* Reads the remaining input before the error is reported: the peer may have
+   sent a response and closed while this side was still sending, and the kernel
+   keeps what arrived before a reset.  */
 static void
 on_failure (struct tevent_context *ev, struct tevent_immediate *immediate,
             void *data)
@@ -258,7 +255,8 @@
     tell_ended (tcp, tcp->failed_as);
 }
 
-/* The owner is told from the loop: it is in the middle of a call of ours.  */
+/* Reports the error from the event loop, since the owner may be inside a call
+   of this module.  */
 static void
 fail_later (struct mq_tcp *tcp, enum mq_tcp_end end)
 {
@@ -285,7 +283,7 @@
   tevent_fd_set_flags (tcp->event, flags);
 }
 
-/* Bytes that the socket took, -1 when it is broken.  */
+/* Returns the bytes that the socket accepted, -1 on error.  */
 static ssize_t
 send_some (struct mq_tcp *tcp, const void *data, size_t len)
 {
@@ -376,8 +374,8 @@
              && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-/* Either the connection did not come about in time, or the other side did not
-   end a finished one, or takes nothing of what is unsent.  */
+/* Timeout of connect or, on a finished connection, of the peer's close or of
+   the unsent bytes.  */
 static void
 on_timer (void *data)
 {
@@ -399,10 +397,8 @@
   (void)shutdown (tcp->fd, SHUT_WR);
 }
 
-/* Failure: the caller of a finished connection takes a long answer bit by bit,
-   and the connection is closed a second after the last byte was written here:
-   the answer ends in its middle.  The time counts from the last bytes that
-   went out.  */
+/* Restarts the timeout of a finished connection whenever bytes were sent, so
+   that a slow reader still receives its whole response.  */
 static void
 restart_linger (struct mq_tcp *tcp)
 {
@@ -444,7 +440,7 @@
   shutdown_if_sent (tcp);
 }
 
-/* False when the connection is gone.  */
+/* False if the connection was destroyed.  */
 static bool
 on_writable (struct mq_tcp *tcp)
 {
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -1,7 +1,7 @@
-/* tcp.h - one TCP connection on the event loop.
+/* tcp.h - a TCP connection on the event loop.
 
-   Bytes that come in are given to its owner at once; bytes that go out are
-   written at once and kept only where the other side is slow.
+   Input is passed to the owner at once; output is written at once and buffered
+   only if the peer is slow.
    Needs: tevent, buffer.h, error.h.  */
 
 #ifndef MQ_TCP_H
@@ -14,21 +14,21 @@
 
 enum mq_tcp_end
 {
-  MQ_TCP_EOF,      /* the other side has finished sending */
-  MQ_TCP_RESET,    /* broke off: reset, timed out or refused */
-  MQ_TCP_NO_MEMORY /* unsent bytes are over the bound */
+  MQ_TCP_EOF,      /* the peer has closed its sending direction */
+  MQ_TCP_RESET,    /* reset, timed out or refused */
+  MQ_TCP_NO_MEMORY /* unsent bytes exceed MQ_TCP_MAX_BYTES, or out of memory */
 };
 
 /**
- * struct mq_tcp_callbacks - who is told of a connection
- * @opened: a connection that was asked for is there; may be NULL
- * @data: bytes came in
- * @drained: unsent bytes fell below half of the bound after mq_tcp_write said
- *           that they were above it; may be NULL
- * @ended: nothing more comes; the owner is to destroy the connection
- * @user: given to all of them
+ * struct mq_tcp_callbacks - callbacks to the owner of a connection
+ * @opened: connect has succeeded; may be NULL
+ * @data: input was received
+ * @drained: unsent bytes fell below half of MQ_TCP_HIGH_BYTES after
+ *           mq_tcp_write returned false; may be NULL
+ * @ended: no more input follows; the owner must destroy the connection
+ * @user: argument of all
  *
- * All are called from the event loop, never from within a call of this
+ * All are called from the event loop, never from within a function of this
  * module; each may destroy the connection.
  */
 struct mq_tcp_callbacks
@@ -40,47 +40,45 @@
   void *user;
 };
 
-/* Unsent bytes above which the owner should stop producing.  */
+/* Unsent bytes above which the owner should stop writing.  */
 #define MQ_TCP_HIGH_BYTES ((size_t)128 << 10)
-/* Unsent bytes above which the connection is given up.  */
+/* Unsent bytes above which the connection is closed.  */
 #define MQ_TCP_MAX_BYTES ((size_t)8 << 20)
 
-/* Takes over FD, an accepted socket.  NULL when memory is out; FD is then
-   closed.  */
+/* Takes ownership of FD, an accepted socket.  NULL, with FD closed, if out of
+   memory.  */
 struct mq_tcp *mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev,
                               int fd, const struct mq_tcp_callbacks *owner);
-/* Connects to ADDRESS, "IP:PORT".  SILENT_MS: unacknowledged bytes, also the
-   first ones, for so long end the connection.  NULL with ERROR set when it
-   fails at once.  */
+/* Connects to ADDRESS, "IP:PORT".  The connection ends if sent bytes, or the
+   connect itself, are not acknowledged for SILENT_MS.  NULL with ERROR set on
+   an immediate failure.  */
 struct mq_tcp *mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev,
                             const char *address, uint32_t silent_ms,
                             const struct mq_tcp_callbacks *owner,
                             struct mq_error *error);
-/* Ends the connection when the other side does not acknowledge for SILENT_MS,
-   or does not answer probes for about three seconds.  */
+/* Ends the connection if the peer does not acknowledge sent bytes for
+   SILENT_MS or does not answer keepalive probes.  */
 void mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t silent_ms);
 /* True while unsent bytes are below MQ_TCP_HIGH_BYTES.  */
 bool mq_tcp_write (struct mq_tcp *tcp, const void *data, size_t len);
-/* Stops and starts reading; the end of a connection whose reading is stopped
-   is noticed when it starts again.  */
+/* Pauses or resumes reading.  While reading is paused, the end of the
+   connection is not detected.  */
 void mq_tcp_set_reading (struct mq_tcp *tcp, bool on);
-/* Bytes of the other side have arrived and were not read yet, or a connection
-   that was asked for is there and was not looked at yet.  */
+/* True if input has arrived that was not read yet, or a pending connect has
+   succeeded.  */
 bool mq_tcp_has_unread (const struct mq_tcp *tcp);
-/* Nothing of the other side has arrived that was not read: no bytes, and not
-   the connection's end.  */
+/* True if neither input nor the end of the connection is pending.  */
 bool mq_tcp_is_idle (const struct mq_tcp *tcp);
-/* Bytes wait for the other side to take some.  */
+/* True if output is buffered.  */
 bool mq_tcp_has_unsent (const struct mq_tcp *tcp);
-/* Sends what is unsent, then nothing more; what still comes in is dropped.
-   The connection destroys itself when the other side ends, a second after the
-   last byte went out, or when the other side takes nothing for five, so that
-   an answer is not lost to a reset for bytes that were not read.  */
+/* Sends the buffered output, then shuts down; further input is discarded so
+   that unread bytes do not cause a reset that loses the output.  The
+   connection destroys itself when the peer closes, one second after the last
+   byte was sent, or when the peer accepts nothing for five seconds.  */
 void mq_tcp_finish (struct mq_tcp *tcp);
-/* Closes at once.  */
 void mq_tcp_destroy (struct mq_tcp *tcp);
-/* Resets the connection, so that the other side can't take what it got for a
-   whole answer.  */
+/* Resets the connection, so that the peer does not take a truncated response
+   for a complete one.  */
 void mq_tcp_abort (struct mq_tcp *tcp);
 
 #endif
--- a/src/net/timer.c
+++ b/src/net/timer.c
@@ -1,7 +1,6 @@
-/* timer.c - timers by the steady clock on the event loop.
+/* timer.c - monotonic timers on the event loop.
 
-   All timers of an event loop share one timer descriptor and lie in a heap,
-   the next one on top.
+   All timers of an event loop share one timerfd and a binary heap.
    Needs: timer.h, timerfd.  */
 
 #include "timer.h"
@@ -11,17 +10,16 @@
 
 #define FIRST_ROOM ((size_t)64)
 #define NOT_ARMED UINT64_MAX
-/* Timers that come later than this wait for one look at the connections.  In
-   a loop that is not held up they are less than a millisecond late, and the
-   shortest time-out of this product is 100 ms.  */
+/* Delay after which a timer counts as late: pending input is then handled
+   before it.  */
 #define LATE_US 5000U
 
 struct timer_queue;
 
 /**
  * struct mq_timer - one timer
- * @queue: NULL once it is due
- * @index: its place in the heap
+ * @queue: NULL once the timer is due
+ * @index: position in the heap
  */
 struct mq_timer
 {
@@ -34,11 +32,10 @@
 
 /**
  * struct timer_queue - the timers of one event loop
- * @heap: a timer's due time is not after those of its children, which are at
- *        twice its index and one or two more
- * @armed_us: when the descriptor fires, NOT_ARMED: never
- * @poll_round_us: begin of the look at the connections that is under way, 0:
- * none
+ * @heap: binary min-heap by due time
+ * @armed_us: time for which @fd is set, monotonic clock; NOT_ARMED: none
+ * @poll_round_us: start of the poll round in progress, monotonic clock; 0:
+ *                 none
  */
 struct timer_queue
 {
@@ -130,8 +127,8 @@
     queue->armed_us = due_us;
 }
 
-/* The descriptor is set only to come earlier; when it comes too early, since
-   the timer that it was set for is gone, it is set again.  */
+/* Only ever sets the descriptor to an earlier time.  If the timer for which it
+   was set is cancelled, it fires too early and is set again.  */
 static void
 arm (struct timer_queue *queue)
 {
@@ -140,16 +137,12 @@
     arm_at (queue, queue->heap[0]->due_us);
 }
 
-/* Failure: one handler keeps the loop from all others, a configuration of
-   thousands of routes for half a second.  Answers and requests arrive
-   meanwhile, but the descriptor of the timers has been ready for longer: what
-   waits for them finds its time over, and a caller's connection is closed, or
-   another host taken for lost, beside bytes that lie unread.  So a timer that
-   comes late runs only when all connections were looked at since it was due;
-   one that fell due during the look waits for the next.  For a look the
-   descriptor is set to the present, which puts it behind all that is ready
-   now: the kernel hands descriptors out in the order in which they became
-   ready.  */
+/* Defers late timers until all ready descriptors were handled once.  After a
+   handler that blocked the loop, the timerfd may be ahead of descriptors with
+   unread input, and timeouts would fire although the awaited bytes have
+   arrived.  Setting the timerfd to the current time moves it behind all
+   descriptors that are ready now, since epoll reports them in the order in
+   which they became ready.  */
 static void
 begin_poll_round (struct timer_queue *queue, uint64_t now)
 {
@@ -173,8 +166,8 @@
   talloc_free (timer);
 }
 
-/* Timers that are set by the handlers wait for the next turn of the loop, so
-   that connections are looked at in between.  */
+/* Timers added by the handlers run in the next iteration of the event loop, so
+   that descriptors are handled in between.  */
 static void
 on_due (struct tevent_context *ev, struct tevent_fd *event, uint16_t flags,
         void *data)
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,10 +1,9 @@
-/* timer.h - timers by the steady clock on the event loop.
+/* timer.h - monotonic timers on the event loop.
 
-   tevent's own timers go by the time of day: when that is set back, they come
-   late by as much, and no time-out is kept; when it is set ahead, all of them
-   come at once and end what is in good order.  These use a timer descriptor
-   of the kernel's steady clock.  Timers that come late, the loop having been
-   held up, come after what has arrived at the connections until then.
+   tevent's own timers follow the time of day: setting the clock back delays
+   them, setting it ahead fires them all at once.  These use a timerfd on the
+   monotonic clock.  A timer that is late because the loop was blocked runs
+   after the input that arrived in the meantime.
    Needs: tevent, clock.h.  */
 
 #ifndef MQ_TIMER_H
@@ -17,8 +16,8 @@
 
 typedef void mq_timer_handler (void *data);
 
-/* Calls HANDLER once after MS milliseconds; the timer is then gone.  Freeing
-   it, or CTX, before that cancels it.  NULL when memory is out.  */
+/* Calls HANDLER once after MS milliseconds and then frees the timer.  Freeing
+   it or CTX before that cancels it.  NULL if out of memory.  */
 struct mq_timer *mq_timer_add (TALLOC_CTX *ctx, struct tevent_context *ev,
                                uint64_t ms, mq_timer_handler *handler,
                                void *data);
