--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -30,7 +30,7 @@
 struct mq_json_log *mq_json_log_create (TALLOC_CTX *ctx,
                                         struct tevent_context *ev, int fd,
                                         const char *program, const char *host);
-/* Writes what is output.  */
+/* Writes the buffered lines.  */
 void mq_json_log_flush (struct mq_json_log *log);
 void mq_json_log_destroy (struct mq_json_log *log);
 uint64_t mq_json_log_written (const struct mq_json_log *log);
--- a/tests/http_peer.c
+++ b/tests/http_peer.c
@@ -1,4 +1,4 @@
-/* http_peer.c - raw ends of HTTP connections.
+/* http_peer.c - raw endpoints of HTTP connections.
 
    Needs: sockets, listen.h.  */
 
@@ -13,7 +13,7 @@
 #include <unistd.h>
 
 #define REQUEST_BYTES 65536
-/* Little, so that a reader that stops is soon felt.  */
+/* Small, so that a reader that stops soon blocks the sender.  */
 #define RECEIVE_BYTES 4096
 
 struct peer_connection
@@ -34,7 +34,7 @@
   return 0;
 }
 
-/* Bytes of the first whole request, 0 when it has not come in yet.  */
+/* Length of the first complete request, 0 if it is incomplete.  */
 static size_t
 request_len (const char *text, size_t len)
 {
@@ -50,7 +50,7 @@
   return len >= total ? total : 0;
 }
 
-/* False when the connection is to be closed.  */
+/* False if the connection is to be closed.  */
 static bool
 take_step (struct peer_connection *connection, enum peer_step step)
 {
--- a/tests/http_peer.h
+++ b/tests/http_peer.h
@@ -1,5 +1,5 @@
-/* http_peer.h - raw ends of HTTP connections, for faults that a library
-   would not commit: a scripted server and plain client sockets.
+/* http_peer.h - raw endpoints of HTTP connections, for faults that an HTTP
+   library would not produce: a scripted server and client sockets.
 
    Needs: tevent.  */
 
@@ -11,15 +11,15 @@
 #include <stdint.h>
 #include <tevent.h>
 
-/* What the scripted server does with a request.  */
+/* Action of the scripted server for a request.  */
 enum peer_step
 {
-  PEER_ANSWER, /* 200 "ok", connection kept */
-  PEER_BUSY,   /* 429 with Retry-After: 2, connection kept */
-  PEER_CLOSE,  /* no answer */
-  PEER_RESET,  /* no answer, connection reset */
-  PEER_PART,   /* a part of the announced body, then closed */
-  PEER_CHUNK,  /* one chunk without the last one, then closed */
+  PEER_ANSWER, /* 200 "ok", keeps the connection */
+  PEER_BUSY,   /* 429 with Retry-After: 2, keeps the connection */
+  PEER_CLOSE,  /* no response */
+  PEER_RESET,  /* no response, reset */
+  PEER_PART,   /* part of the announced body, then closes */
+  PEER_CHUNK,  /* one chunk without the last one, then closes */
   PEER_LONG,   /* 64 KiB */
   PEER_GARBAGE,
   PEER_SILENT
@@ -30,12 +30,11 @@
 /**
  * struct http_peer - a scripted server
  * @fd: listening socket
- * @port: its port
- * @first: steps of the requests of each of the first connections
- * @first_count: how many connections are the first ones
- * @rest: step of every request of later connections
- * @connections: made so far
- * @requests: that came in whole
+ * @first: actions for the requests on each of the first connections
+ * @first_count: number of connections in @first
+ * @rest: action for every request on later connections
+ * @connections: accepted so far
+ * @requests: complete requests received
  */
 struct http_peer
 {
@@ -51,14 +50,15 @@
 struct http_peer *http_peer_create (struct tevent_context *ev);
 /* Loopback port that refuses connections.  */
 uint16_t refusing_port (void);
-/* Loopback port whose queue of connections is full, so that more of them
-   hang until FD is closed, and are refused from then on.  */
+/* Loopback port with a full accept backlog: further connects hang until FD is
+   closed, and are refused afterwards.  */
 uint16_t hanging_port (int *fd);
 
 int raw_open (uint16_t port);
-/* Sends what the socket takes now.  */
+/* Sends as much as the socket accepts now; returns the number of bytes.  */
 size_t raw_send (int fd, const char *data, size_t len);
-/* Appends to the zero-terminated TEXT; true once the other side closed.  */
+/* Appends input to the zero-terminated TEXT; true once the other side has
+   closed.  */
 bool raw_read (int fd, char *text, size_t room);
 void raw_close (int fd, bool reset);
 
--- a/tests/message_samples.c
+++ b/tests/message_samples.c
@@ -1,4 +1,4 @@
-/* message_samples.c - a message of every type with every field set.
+/* message_samples.c - sample messages of every type with every field set.
 
    Needs: message_samples.h.  */
 
--- a/tests/message_samples.h
+++ b/tests/message_samples.h
@@ -1,5 +1,5 @@
-/* message_samples.h - a message of every type with every field set, from one
-   table of fields that also compares and checks messages.
+/* message_samples.h - sample messages of every type with every field set, from
+   one table of fields that also compares and checks messages.
 
    Needs: message.h.  */
 
@@ -24,10 +24,8 @@
 };
 
 /**
- * struct sample_field - one field of one type of message
- * @type: type of the message
+ * struct sample_field - one field of a message type
  * @offset: in struct mq_message
- * @kind: its kind
  * @last: last value of an enumeration
  */
 struct sample_field
@@ -41,10 +39,11 @@
 extern const struct sample_field sample_fields[];
 extern const size_t sample_field_count;
 
-/* Every field of TYPE differs from 0 and from its neighbours.  */
+/* Creates a message whose fields all differ from 0 and from their
+   neighbours.  */
 struct mq_message *sample_message (TALLOC_CTX *ctx, enum mq_message_type type);
 bool sample_equal (const struct mq_message *a, const struct mq_message *b);
-/* Strings are there and enumerations in range.  */
+/* True if all strings are set and all enumerations are in range.  */
 bool sample_valid (const struct mq_message *message);
 
 #endif
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -1,5 +1,5 @@
-/* peer_kit.c - nets with a record of their callbacks, a relay and a bare
-   client, for the tests of the peer link.
+/* peer_kit.c - fixture for the tests of peer connections: networks with
+   recorded callbacks, a TCP relay and a raw client.
 
    Needs: peer_kit.h, Criterion.  */
 
@@ -41,8 +41,8 @@
   TALLOC_FREE (kit_ev);
 }
 
-/* A turn of the loop lasts a tick at most; a longer one is a pause of the
-   machine, which does not count.  */
+/* Time counted for one iteration: at most a tick, so that a pause of the
+   machine does not count against the timeout.  */
 static uint64_t
 run_turn (void)
 {
@@ -208,7 +208,7 @@
   kit_wait (is_down, node, NULL);
 }
 
-/* Callbacks of one type that are waited for.  */
+/* Condition: a number of callbacks of one type.  */
 struct awaited
 {
   enum kit_event_type type;
@@ -293,7 +293,7 @@
   int from;
   int to;
   bool silent;
-  bool held; /* stops after the first bytes */
+  bool held; /* forwards only the first bytes */
   struct tevent_fd *event;
 };
 
@@ -468,7 +468,7 @@
   cr_assert_eq (send (client->fd, data, len, MSG_NOSIGNAL), (ssize_t)len);
 }
 
-/* Reads single frames: the length first, then as much.  */
+/* Reads a single frame: the length first, then the body.  */
 static bool
 poll_frame (struct kit_client *client)
 {
--- a/tests/peer_kit.h
+++ b/tests/peer_kit.h
@@ -1,8 +1,8 @@
-/* peer_kit.h - nets with a record of their callbacks, a relay and a bare
-   client, for the tests of the peer link.
+/* peer_kit.h - fixture for the tests of peer connections: networks with
+   recorded callbacks, a TCP relay and a raw client.
 
-   Everything runs in one event loop; waits end on events, with a generous
-   limit.  Needs: peer.h, handshake.h, frame.h.  */
+   Everything runs in one event loop; waits end on events, with a long timeout.
+   Needs: peer.h, handshake.h, frame.h.  */
 
 #ifndef PEER_KIT_H
 #define PEER_KIT_H
@@ -29,30 +29,30 @@
 {
   enum kit_event_type type;
   uint32_t peer;
-  uint64_t boot;          /* of UP */
-  enum mq_error_type why; /* of DOWN */
+  uint64_t boot;          /* UP only */
+  enum mq_error_type why; /* DOWN only */
   const struct mq_message *message;
 };
 
 struct kit_node
 {
-  TALLOC_CTX *ctx; /* the net hangs below it */
+  TALLOC_CTX *ctx; /* parent context of the network */
   struct mq_peer_net *net;
   char address[MQ_NAME_MAX];
   struct kit_event events[KIT_EVENTS_MAX];
   size_t count;
-  uint32_t up;     /* peers up now */
+  uint32_t up;     /* peers connected now */
   uint32_t peer;   /* the last one */
-  uint32_t burst;  /* tokens sent to a peer as it comes up */
-  bool destroy[3]; /* destroys the net from that callback */
-  bool free_ctx;   /* by freeing what it hangs below */
+  uint32_t burst;  /* tokens sent to each new peer */
+  bool destroy[3]; /* destroy the network in this callback */
+  bool free_ctx;   /* by freeing the parent context */
 };
 
 struct kit_options
 {
   const char *host;
-  const char *listen;  /* NULL: a free port */
-  const char *address; /* told to peers, NULL: where it listens */
+  const char *listen;  /* NULL: any free port */
+  const char *address; /* sent to peers; NULL: listening address */
   uint64_t boot;
   uint32_t silent_ms; /* 0: KIT_SILENT_MS */
   uint8_t key;        /* every byte of the site key */
@@ -65,53 +65,54 @@
 struct kit_node *kit_node (const struct kit_options *options);
 void kit_destroy (struct kit_node *node);
 size_t kit_count (const struct kit_node *node, enum kit_event_type type);
-/* Runs the loop until CONDITION (A, B) holds; fails the test after 20 s
+/* Runs the event loop until CONDITION (A, B) holds; fails the test after 20 s
    of running.  */
 void kit_wait (bool (*condition) (const void *a, const void *b), const void *a,
                const void *b);
-/* Runs the loop until NODE has received COUNT more frames.  */
+/* Runs the event loop until NODE has received COUNT more frames.  */
 void kit_run_frames (const struct kit_node *node, uint64_t count);
 void kit_wait_up (const struct kit_node *node);
 void kit_wait_down (const struct kit_node *node);
-/* Waits until NODE has had COUNT callbacks of TYPE.  */
+/* Waits for COUNT callbacks of TYPE on NODE.  */
 void kit_wait_count (const struct kit_node *node, enum kit_event_type type,
                      size_t count);
-/* Waits until NODE finds a connection to ADDRESS.  */
+/* Waits until NODE has a ready connection to ADDRESS.  */
 void kit_wait_found (const struct kit_node *node, const char *address);
-/* Whether NODE has just one connection, in whatever state.  */
+/* True if NODE has exactly one connection, in any state.  */
 bool kit_is_single (const struct kit_node *node);
 void kit_wait_single (const struct kit_node *node);
-/* Makes writes to the newest connection of NODE fail.  */
+/* Makes writes on the newest connection of NODE fail.  */
 void kit_shut_writing (const struct kit_node *node);
-/* Sends a token with INDEX to the last peer that came up.  */
+/* Sends a token with INDEX to the last connected peer.  */
 bool kit_send_token (struct kit_node *node, uint32_t index);
 
-/* A TCP relay to PORT.  Connections made before kit_relay_silence go silent
-   in the directions named, with both sides open; later ones work.  */
+/* TCP relay to PORT. kit_relay_silence stops forwarding in the given
+   directions on existing connections and leaves them open; later ones
+   work.  */
 struct kit_relay;
 struct kit_relay *kit_relay (uint16_t port);
 const char *kit_relay_address (const struct kit_relay *relay);
 void kit_relay_silence (struct kit_relay *relay, bool to_server,
                         bool to_client);
-/* Each connection accepted later passes on just the first bytes that come
-   from the client, until kit_relay_resume.  */
+/* Connections accepted later forward only the first bytes from the client
+   until kit_relay_resume.  */
 void kit_relay_hold (struct kit_relay *relay);
 void kit_relay_resume (struct kit_relay *relay);
 /* Closes both sides of all connections.  */
 void kit_relay_cut (struct kit_relay *relay);
-/* Connections accepted later go to PORT.  */
+/* Redirects connections accepted later to PORT.  */
 void kit_relay_target (struct kit_relay *relay, uint16_t port);
 
-/* A client that speaks frames as it likes; each has a new boot id.  */
+/* Raw client that can send arbitrary frames; each has a new boot id.  */
 struct kit_client
 {
   int fd;
   struct mq_frame_reader *reader;
   struct mq_frame_writer *writer;
   struct mq_handshake *handshake;
-  uint8_t frame[4096]; /* the last one received */
+  uint8_t frame[4096]; /* last received frame */
   size_t frame_len;
-  bool closed; /* by the other side */
+  bool closed; /* closed by the other side */
 };
 
 struct kit_client *kit_client (const struct kit_node *to, const char *host,
@@ -120,9 +121,9 @@
                       size_t len);
 void kit_client_send_bytes (struct kit_client *client, const void *data,
                             size_t len);
-/* Waits for a frame; false when the other side closed.  */
+/* Waits for a frame; false if the other side closed.  */
 bool kit_client_receive (struct kit_client *client);
-/* Sends Hello, and Proof when the other's Hello came.  */
+/* Sends a Hello and, once the other Hello was received, a Proof.  */
 void kit_client_prove (struct kit_client *client);
 void kit_client_close (struct kit_client *client);
 
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,4 +1,4 @@
-/* test_codec.c - messages to frames and back, whole and damaged.
+/* test_codec.c - encoding and decoding of messages, intact and corrupted.
 
    Needs: codec.h, message_samples.h, Criterion.  */
 
@@ -11,7 +11,7 @@
 
 enum
 {
-  CORRUPTIONS = 2000, /* of a frame of each type */
+  CORRUPTIONS = 2000, /* per message type */
   RUNNING_TAG = 4 << 3 | 2,
   RECOVERED_TAG = 19 << 3 | 2
 };
@@ -55,8 +55,8 @@
     }
 }
 
-/* Every value of every enumeration comes back, and the values next to both
-   ends are refused: a peer of another version must not be misread.  */
+/* Every enumeration value survives a round trip, and values just outside the
+   range are rejected, so that a peer of another version is not misread.  */
 Test (codec, enumerations_keep_their_range)
 {
   for (size_t i = 0; i < sample_field_count; i++)
@@ -86,8 +86,8 @@
     }
 }
 
-/* The text of a wire error is not in this process's table: read as "ok", a
-   failure of a newer peer would pass for an answer.  */
+/* An error name that this version does not know is rejected; decoded as "ok",
+   a failure of a newer peer would look like a success.  */
 Test (codec, unknown_error_name_is_refused)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -131,8 +131,8 @@
     }
 }
 
-/* Seeded flips of bytes: a frame is refused, or gives a message that can be
-   used and packed again.  */
+/* Randomly corrupted frames (fixed seed) are either rejected or decoded to a
+   valid message that can be encoded again.  */
 Test (codec, corrupted_frames_are_refused_or_usable)
 {
   uint64_t seed = 20261202;
@@ -160,7 +160,7 @@
   cr_expect_gt (refused, CORRUPTIONS);
 }
 
-/* RECOVERED with COUNT empty calls, two bytes each.  */
+/* Encodes RECOVERED with COUNT empty calls of two bytes each.  */
 static uint8_t *
 pack_empty_calls (TALLOC_CTX *ctx, size_t count, size_t *len)
 {
@@ -186,13 +186,12 @@
 static const struct memory_case memory_cases[] = {
   { 2, false },
   { 100, false },
-  { MQ_FRAME_CALLS_MAX, true }, /* not too many, but too much memory */
+  { MQ_FRAME_CALLS_MAX, true }, /* within the count limit, but over the memory limit */
   { MQ_FRAME_MAX_BYTES / 2 - 3, true },
 };
 
-/* A broken peer sends 8 MiB of empty items: decoded they would take 600 MiB
-   of a host that may use 64.  The frame is refused instead, and nothing of
-   it stays.  */
+/* A frame of 8 MiB of empty items would decode to about 600 MiB.  It must be
+   rejected and leave no memory allocated.  */
 Test (codec, memory_of_a_frame_is_bounded)
 {
   for (size_t i = 0; i < sizeof memory_cases / sizeof memory_cases[0]; i++)
--- a/tests/test_handshake.c
+++ b/tests/test_handshake.c
@@ -1,7 +1,8 @@
-/* test_handshake.c - who gets past the proof of the site key, and who not.
+/* test_handshake.c - authentication by the site key.
 
-   A bare client dials a host "m".  Named "z" it has to prove first; named
-   "a" it leads, and hears the host's proof before its own is due.
+   A raw client connects to a host "m".  Named "z", it is not the leader and
+   has to send its Proof first; named "a", it is the leader and receives the
+   host's Proof first.
    Needs: peer_kit.h, proto/peer.pb-c.h, Criterion.  */
 
 #include "../proto/peer.pb-c.h"
@@ -48,7 +49,7 @@
   kit_client_send (client, hello, len);
 }
 
-/* Our Hello goes out, the host's comes in.  */
+/* Sends the client's Hello and receives the host's.  */
 static void
 swap_hellos (struct kit_client *client)
 {
@@ -73,7 +74,7 @@
   kit_client_prove (client);
 }
 
-/* The host's own proof, sent back: stopped by the side's tag.  */
+/* Reflects the host's own Proof; its tag must cause a rejection.  */
 static void
 reflect_proof (struct kit_client *client)
 {
@@ -89,8 +90,8 @@
   kit_client_send (client, client->frame, client->frame_len);
 }
 
-/* The proof is right for the Hello that was meant, but on its way one letter
-   of it was changed.  */
+/* Sends a correct Proof after a Hello in which one letter was altered in
+   transit.  */
 static void
 alter_hello (struct kit_client *client)
 {
@@ -187,7 +188,7 @@
   void (*attack) (struct kit_client *client);
   const char *host;
   uint8_t key;
-  enum mq_error_type refused; /* NONE: comes up */
+  enum mq_error_type refused; /* NONE: the connection becomes ready */
 };
 
 static const struct attack_case attack_cases[] = {
@@ -251,16 +252,16 @@
   kit_destroy (node);
 }
 
-/* Anyone who reaches the port may dial.  Without the site key he must get
-   nowhere: no callback, a typed refusal, a closed connection.  */
+/* A client without the site key must get no callback, a typed rejection and a
+   closed connection.  */
 Test (handshake, only_the_site_key_gets_in)
 {
   for (size_t i = 0; i < sizeof attack_cases / sizeof attack_cases[0]; i++)
     run_attack (&attack_cases[i]);
 }
 
-/* Someone recorded how a host proved itself and sends the same bytes again,
-   to be taken for that host: the other side's nonce has changed.  */
+/* A recorded Proof must not authenticate again, since the nonce of the other
+   side differs.  */
 Test (handshake, a_replayed_proof_is_refused)
 {
   struct kit_node *node = start_node ();
@@ -286,7 +287,7 @@
 
 struct hello_case
 {
-  const char *fault; /* NULL: none */
+  const char *fault; /* NULL: valid */
   uint32_t protocol;
   const char *host;
   const char *address;
@@ -369,7 +370,7 @@
   { "proof", send_proof_first },
 };
 
-/* A proved peer that breaks the protocol is closed, not half understood.  */
+/* An authenticated peer that violates the protocol is disconnected.  */
 Test (handshake, a_bad_frame_after_the_proof_ends_the_connection)
 {
   for (size_t i = 0; i < sizeof later_cases / sizeof later_cases[0]; i++)
@@ -389,8 +390,8 @@
     }
 }
 
-/* Someone opens connections and says nothing, more than are allowed before
-   the proof.  The oldest go, so a peer that has the key gets in at once.  */
+/* Idle unauthenticated connections over the limit are closed, oldest first, so
+   that a peer with the site key can always connect.  */
 Test (handshake, idle_connections_do_not_shut_out_peers)
 {
   struct kit_node *node = start_node ();
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,4 @@
-/* test_http.c - the HTTP server and the HTTP client, with their faults.
+/* test_http.c - HTTP server and client, including failures of the other side.
 
    Needs: Criterion, http_peer.h, listen.h.  */
 
@@ -19,11 +19,12 @@
 #define TEXT_BYTES (1U << 18)
 #define HELD_MAX 256
 #define BODY_MAX 10000
-/* A process that is held up, for longer than its calls may take.  */
+/* Time for which the process is blocked; longer than the timeouts of its
+   calls.  */
 #define STALLED_MS 1200U
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 
-/* One event loop with a server, a client and what they have told.  */
+/* State of a test: event loop, server, client and the recorded callbacks.  */
 static struct tevent_context *ev;
 static struct mq_http_server *server;
 static struct mq_http_client *client;
@@ -138,7 +139,7 @@
 
 TestSuite (http, .init = set_up, .fini = tear_down, .timeout = 120);
 
-/* What a call of the client has told.  */
+/* Recorded result of a client call.  */
 struct outcome
 {
   int done;
@@ -149,8 +150,8 @@
   uint32_t retry_after_ms;
   char *body;
   size_t len;
-  struct mq_http_call *cancel;    /* to cancel in a part or at the end */
-  struct mq_http_client *destroy; /* to destroy there */
+  struct mq_http_call *cancel;    /* call to cancel in a part or at the end */
+  struct mq_http_client *destroy; /* client to destroy in a part or at the end */
 };
 
 static void
@@ -223,9 +224,9 @@
   return bytes;
 }
 
-/* A call that fails must say whether it may have taken effect: the scheduler
-   repeats one that was not sent, and never one that may not be repeated and
-   perhaps was.  Each row is one way for the other side to fail.  */
+/* A failed call must report whether it may have taken effect: the scheduler
+   repeats only calls that were not sent or may be repeated.  Each row is one
+   failure of the other side.  */
 Test (http, client_faults)
 {
   static const char *const forged[] = { "Key: a\r\nForged: b", NULL };
@@ -237,9 +238,9 @@
       SCRIPTED,
       REFUSING,
       HANGING,
-      LEAVING, /* the host goes while we connect */
-      FORGED,  /* a header with a line end */
-      NOT_HTTP /* a URL of another kind */
+      LEAVING, /* the host disappears during connect */
+      FORGED,  /* a header value with a line break */
+      NOT_HTTP /* a URL with another scheme */
     } fault;
     enum peer_step step;
     uint32_t timeout_ms;
@@ -321,9 +322,9 @@
     }
 }
 
-/* Payroll gets two bank-detail forms.  A service closes a kept connection
-   just as a call goes out on it, having read the call; curl sends the call
-   again on a new connection by itself, and the service does it twice.  */
+/* A service closes a reused connection after it has read the request. curl
+   resends the request on a new connection by itself, and the call would run
+   twice.  */
 Test (http, call_on_closing_connection_is_not_doubled)
 {
   static const struct
@@ -366,15 +367,14 @@
       cr_expect (outcome.sent, "%s", name);
       cr_expect_eq (peer->requests, rows[i].requests, "%s: %d requests", name,
                     peer->requests);
-      /* The first two went over one connection, or nothing was tested.  */
+      /* Checks that the first two calls shared a connection.  */
       cr_expect_leq (peer->connections, 2, "%s", name);
       talloc_free (peer);
     }
 }
 
-/* Every call to a healthy service times out, one after the other: something
-   between the two ends lost track of the kept connections, and each call
-   takes the next of them.  One timeout must be enough, at once and later.  */
+/* Reused connections no longer respond although new ones work.  Only one call
+   may time out; later calls must use new connections.  */
 Test (http, one_timeout_retires_silent_connections)
 {
   const char *name = "silent";
@@ -406,7 +406,7 @@
     }
 }
 
-/* The whole request that came in on FD, running the loop until it is there. */
+/* Receives one complete request on FD, running the event loop meanwhile.  */
 static void
 hear_request (int fd)
 {
@@ -424,10 +424,8 @@
     }
 }
 
-/* The platform answers a write in time, while this process is held up for
-   longer than the call may take.  curl looks at the time before it looks at
-   the socket, so the call ended as timed out beside its whole answer: whether
-   a write was done, or a call had run, counted as not known.  */
+/* A response arrives in time while this process is blocked for longer than the
+   timeout.  The call must succeed, not time out.  */
 Test (http, answer_that_came_in_time_is_taken)
 {
   static const char answer[]
@@ -435,7 +433,7 @@
   static const struct
   {
     const char *name;
-    size_t len; /* of the answer, that comes in time */
+    size_t len; /* bytes of the response that arrive in time */
     enum mq_error_type error;
   } rows[] = {
     { "whole", sizeof answer - 1, MQ_ERR_NONE },
@@ -470,8 +468,8 @@
     }
 }
 
-/* A callback may end calls or the whole client while curl is at work; the
-   wrong order frees what curl still uses (ASan) or tells a cancelled call.  */
+/* A callback may cancel calls or destroy the client inside curl.  Guards
+   against use after free (ASan) and callbacks of cancelled calls.  */
 Test (http, cancel_and_destroy_within_callbacks)
 {
   static const struct
@@ -524,17 +522,17 @@
     }
 }
 
-/* Requests as raw bytes, whole or not, and how their answer begins.  */
+/* Raw requests, complete or malformed, and the start of their responses.  */
 Test (http, raw_requests)
 {
   static const struct
   {
     const char *name;
     const char *start;
-    size_t fill; /* bytes put in after START */
+    size_t fill; /* filler bytes after START */
     const char *rest;
     const char *answer;
-    const char *with; /* somewhere in the answer */
+    const char *with; /* expected in the response */
   } rows[] = {
     { "GET", "GET /echo?tag=a%20b HTTP/1.1\r\nHost: a\r\n\r\n", 0, "",
       "HTTP/1.1 200", "Tag: a b" },
@@ -547,7 +545,7 @@
       "1\r\nh\r\n1\r\ni\r\n0\r\n\r\n",
       0, "", "HTTP/1.1 200", "\r\n\r\nhi" },
     { "no host", "GET /echo HTTP/1.1\r\n\r\n", 0, "", "HTTP/1.1 400", "" },
-    /* The library closes without an answer what has no request line.  */
+    /* libmicrohttpd closes the connection without a response.  */
     { "no request line", "gibberish\r\n\r\n", 0, "", "", "" },
     { "no HTTP", "GET /echo GOPHER/1.1\r\nHost: a\r\n\r\n", 0, "",
       "HTTP/1.1 400", "" },
@@ -632,7 +630,7 @@
   PHASE_ANSWER_BLOCKED
 };
 
-/* Opens a connection whose request is in PHASE.  */
+/* Opens a connection and brings its request into PHASE.  */
 static int
 reach (const char *name, enum phase phase)
 {
@@ -673,9 +671,8 @@
   return fd;
 }
 
-/* A widow has left the window, yet her letter is drafted to its end and the
-   engine is busy with it.  The library does not look at the socket of a
-   request that waits for its answer, so it must be seen in every phase.  */
+/* A disconnect of the caller must be detected in every phase of a request;
+   otherwise work continues for a caller that is gone.  */
 Test (http, caller_leaves)
 {
   static const struct
@@ -683,8 +680,8 @@
     const char *name;
     enum phase phase;
     bool reset;
-    bool more;   /* the next request was sent ahead */
-    bool untold; /* no on_closed: the request is kept for its answer */
+    bool more;   /* the next request is pipelined */
+    bool untold; /* no on_closed: the request is kept until answered */
   } rows[] = {
     { "uploading", PHASE_UPLOADING, false, false, false },
     { "uploading, reset", PHASE_UPLOADING, true, false, false },
@@ -733,9 +730,8 @@
     }
 }
 
-/* A planned stop, or a fault at start, destroys the server under requests in
-   every phase: each user is told once, nothing is told after, and nothing is
-   freed that is still used (ASan).  */
+/* Destroying the server with requests in every phase calls each on_closed
+   once, nothing after that, and frees nothing that is still in use (ASan).  */
 Test (http, destroyed_with_requests)
 {
   static const char *const paths[] = { "/destroy", "/destroy_closed" };
@@ -767,8 +763,8 @@
     }
 }
 
-/* One caller on a bad line reads nothing of a long stream; without a bound
-   its unsent bytes take the memory that all others need.  */
+/* A caller that does not read its stream must be disconnected, so that its
+   unsent bytes do not exhaust the memory.  */
 Test (http, slow_reader_is_given_up)
 {
   const char *name = "slow reader";
@@ -797,8 +793,8 @@
 #define STREAMS 200
 #define STREAM_LINES 50
 
-/* Each caller receives the whole answer to its own request, also when two
-   hundred of them come in at once and in turns.  */
+/* Two hundred concurrent streams: each caller receives the complete response
+   to its own request.  */
 Test (http, concurrent_streams)
 {
   static struct outcome outcomes[STREAMS];
@@ -840,7 +836,8 @@
 #define BLOCK 100000
 #define LAG 800000
 
-/* Counts the letters in CHUNKS that are no hexadecimal digits.  */
+/* Counts the characters in the bodies of CHUNKS that are not hexadecimal
+   digits.  */
 static size_t
 count_letters (const char *chunks, char *last)
 {
@@ -856,8 +853,8 @@
   return count;
 }
 
-/* A reader that lags by more than the socket holds, but within the bound,
-   still gets every byte.  */
+/* A reader that lags by more than the socket buffer, but within the limit,
+   receives every byte.  */
 Test (http, lagging_reader_gets_all)
 {
   const char *name = "lagging reader";
@@ -909,8 +906,8 @@
   raw_close (fd, false);
 }
 
-/* A planned stop: no new connection, but what is under way is answered, and
-   its connection closed so that the next request goes elsewhere.  */
+/* After mq_http_server_stop_accepting no connection is accepted; requests in
+   progress are answered and their connections closed.  */
 Test (http, stop_accepting)
 {
   const char *name = "stop";
@@ -932,12 +929,11 @@
   raw_close (fd, false);
 }
 
-/* More than the library lets in at one wake-up.  */
+/* More connections than libmicrohttpd accepts at once.  */
 #define NOT_ACCEPTED 25
 
-/* An entry host that stops closed its listening socket beside connections that
-   the kernel had let in: they were reset, and their callers' requests, which
-   had been sent, got neither answer nor refusal.  */
+/* Connections in the kernel's backlog at a stop must be accepted and answered;
+   closing the listening socket alone would reset them.  */
 Test (http, connections_not_accepted_at_a_stop_are_answered)
 {
   static const char asked[]
--- a/tests/test_io.c
+++ b/tests/test_io.c
@@ -1,4 +1,4 @@
-/* test_io.c - log lines, metrics and spans.
+/* test_io.c - log lines, metrics and trace spans.
 
    Needs: Criterion, jansson.  */
 
@@ -17,7 +17,7 @@
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 #define LINE_BYTES 4096
 
-/* Runs WRITE_LINE with standard output going to LINE.  */
+/* Runs WRITE_LINE with standard output redirected to LINE.  */
 static void
 capture (char line[LINE_BYTES], void (*write_line) (size_t row), size_t row)
 {
@@ -38,7 +38,7 @@
 
 static const char long_value[] = { [0 ... 4000] = 'v', [4001] = '\0' };
 
-/* The one line that was written, as JSON.  */
+/* Parses the single written line as JSON.  */
 static json_t *
 read_line (const char *line, const char *name)
 {
@@ -84,8 +84,8 @@
   mq_log_state (&line);
 }
 
-/* A caller's value that carries a line end would forge a line of its own, one
-   with a quote a key.  */
+/* Line breaks and quotes in a caller's value must not forge a line or a
+   key.  */
 Test (log, values)
 {
   char line[LINE_BYTES];
@@ -116,7 +116,7 @@
   uint64_t number;
   const char *subject;
   const char *event;
-  const char *number_key; /* NULL: none */
+  const char *number_key; /* NULL: no number */
   const char *subject_key;
 } state_rows[] = {
   { MQ_STATE_PARTITION_OWNED, 17, "", "partition_owned", "partition", NULL },
@@ -174,8 +174,8 @@
     }
 }
 
-/* Each change of state has a line, and the schema has all of its keys: a key
-   that it lacked would be left out.  */
+/* Each state change writes a line, and the schema allows all keys of it;
+   unknown keys would be omitted.  */
 Test (log, every_change_has_a_line)
 {
   char line[LINE_BYTES];
@@ -319,8 +319,8 @@
   return json_object_get (json_array_get (list, at), name);
 }
 
-/* The ring forgets the oldest; a program's spans come with those of its
-   sub-programs, in the order they were added, and with wall-clock times.  */
+/* The ring overwrites the oldest spans.  The spans of a program include those
+   of its sub-programs, in the order added, with wall-clock times.  */
 Test (spans, ring)
 {
   struct mq_id program = { 7, 1 };
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -1,4 +1,4 @@
-/* test_peer.c - the link between processes and its failures.
+/* test_peer.c - connections between processes and their failures.
 
    Needs: peer_kit.h, message_samples.h, Criterion.  */
 
@@ -40,7 +40,7 @@
   return &node->events[i];
 }
 
-/* Tokens 0 to BURST - 1, in order, each once.  */
+/* Expects tokens 0 to BURST - 1 in order, each once.  */
 static void
 expect_burst (const struct kit_node *node)
 {
@@ -74,7 +74,7 @@
       cr_expect (sample_equal (sent, b->events[b->count - 1].message), "%s",
                  mq_message_name (sent->type));
     }
-  /* One more than was sent: the version that the first of them had.  */
+  /* One additional message: the configuration version in the first frame.  */
   cr_expect_eq (b->events[1].message->type, MQ_MSG_CONFIG_HAVE);
 }
 
@@ -85,12 +85,11 @@
 };
 
 static const struct dial_case dial_cases[] = {
-  { "a", "b" }, { "b", "a" }, { "same", "same" }, /* told apart by boot id */
+  { "a", "b" }, { "b", "a" }, { "same", "same" }, /* distinguished by their boot ids */
 };
 
-/* Two hosts learn of each other at the same moment and both dial.  With two
-   connections each could send on the one that the other closes, and frames
-   would be lost: the leader's last proof chooses one before any frame.  */
+/* Two hosts dial each other at the same time.  If both connections were used,
+   each side could send on the one that the other closes and lose frames.  */
 static void
 run_both_dial (const struct dial_case *each, uint64_t round)
 {
@@ -121,10 +120,10 @@
       run_both_dial (&dial_cases[i], round);
 }
 
-/* Host a chooses its own connection, but its proof is under way for long;
-   meanwhile b's connection is proved too and waits at a.  Then a's proof
-   comes (b's connection is closed, no one is told), or a's connection breaks
-   (b's takes its place).  */
+/* The Proof of host a on the selected connection is delayed while b's
+   connection is authenticated and waits at a.  Either the Proof arrives (b's
+   connection is closed without a callback), or a's connection breaks (b's
+   replaces it).  */
 static void
 run_late_proof (bool cut)
 {
@@ -162,7 +161,7 @@
 
 Test (peer, a_waiting_connection_takes_over) { run_late_proof (true); }
 
-/* The platform's list and a setting name one host by two addresses.  */
+/* Two configured addresses of one host must share one connection.  */
 Test (peer, two_addresses_of_a_host_share_one_connection)
 {
   for (size_t i = 0; i < 2; i++)
@@ -200,9 +199,8 @@
   { "a", "b", false, true }, { "b", "a", false, true },
 };
 
-/* A clerk's call hangs although both processes live: something between them
-   lost track of their connection, which stays open and carries nothing,
-   while a new connection works.  No end is told; beats show it.  */
+/* A connection stays open but no longer carries data, while a new one would
+   work.  The missing heartbeats must close it, since TCP reports nothing.  */
 static void
 run_silence (const struct silence_case *each)
 {
@@ -235,10 +233,9 @@
     run_silence (&silence_cases[i]);
 }
 
-/* A host is replaced so fast that the end of the old connection never comes:
-   it looks open for long.  The new run must get the work at once, and the
-   user must see the old one go before the new one comes, or he would tell
-   the new run's handle down.  */
+/* A host restarts and its old connection still looks open.  The new run is
+   used at once, and the old peer is reported down before the new one is
+   up.  */
 static void
 run_restart_unseen (const struct dial_case *each)
 {
@@ -283,8 +280,8 @@
     run_restart_unseen (&dial_cases[i]);
 }
 
-/* A host restarts while its old run is still in the handshake: that run's
-   proof comes after its successor is up and must not push it out.  */
+/* A host restarts during its handshake.  The Proof of the earlier run, which
+   arrives after the new run is ready, must not replace it.  */
 Test (peer, a_late_proof_of_an_older_run_is_ignored)
 {
   struct kit_node *node = start_node ("m", 1);
@@ -325,8 +322,8 @@
   cr_expect_eq (find_event (a, KIT_UP, 1)->boot, 3);
 }
 
-/* A release in the turn of the last sends: what was sent arrives whole, the
-   connection ends on both sides, and is not dialled again.  */
+/* Frames sent just before mq_peer_net_remove_address arrive, the connection
+   closes on both sides and is not dialled again.  */
 Test (peer, release_loses_no_frame)
 {
   struct kit_node *a = start_node ("a", 1);
@@ -348,7 +345,7 @@
   cr_expect_eq (mq_peer_net_counters (a->net)->connections_lost, 0);
 }
 
-/* The last frames of a planned stop are still in the queue.  */
+/* Destroying the network sends the frames that are still queued.  */
 Test (peer, destroy_sends_what_is_queued)
 {
   struct kit_node *a = start_node ("a", 1);
@@ -413,8 +410,8 @@
   cr_expect_gt (out->bytes_out - out->control_bytes_out, 12);
 }
 
-/* A stopped process reads nothing; without a bound its peer's queue would
-   take all memory.  Nothing is called back from inside the send.  */
+/* A peer that reads nothing is disconnected at the limit of unsent bytes, with
+   no callback from within the send.  */
 Test (peer, a_slow_reader_is_closed)
 {
   struct kit_node *node = kit_node (
@@ -460,10 +457,10 @@
   cr_expect_eq (kit_count (a, KIT_DOWN), 0);
 }
 
-/* A target's process answers and dies at once; the next frame that is sent
-   to it fails.  Its answers are already here and must not be thrown away with
-   the connection: calls that ran would count as unknown.  The failed write is
-   brought about by ending our direction of the socket.  */
+/* A peer sends responses and exits; the next frame sent to it fails.  The
+   responses must still be delivered, or completed calls would count as
+   unknown.  The write failure is provoked by shutting down the sending
+   direction.  */
 Test (peer, answers_before_a_failed_write_arrive)
 {
   struct kit_node *node = start_node ("m", 1);
@@ -502,7 +499,8 @@
     = { { KIT_UP, false },     { KIT_UP, true },    { KIT_MESSAGE, false },
         { KIT_MESSAGE, true }, { KIT_DOWN, false }, { KIT_DOWN, true } };
 
-/* A daemon gives up from inside a callback, or frees what holds the net.  */
+/* Destroys the network from inside a callback, directly or by freeing its
+   context.  */
 static void
 run_destroy (const struct destroy_case *each)
 {
@@ -534,9 +532,8 @@
     run_destroy (&destroy_cases[i]);
 }
 
-/* The machine stops a process for longer than silent_ms.  When it wakes, the
-   frames of its peers are there to be read, so nobody was silent: closing
-   all connections would turn a pause into an outage.  */
+/* This process is stopped for longer than the peer timeout.  Its peers must
+   not be timed out, since their frames are there to be read.  */
 Test (peer, a_pause_of_ours_is_not_their_silence)
 {
   struct kit_node *a = start_node ("a", 1);
--- a/tests/test_timer.c
+++ b/tests/test_timer.c
@@ -1,4 +1,4 @@
-/* test_timer.c - timers by the steady clock.
+/* test_timer.c - monotonic timers.
 
    Needs: Criterion, timer.h, process.h.  */
 
@@ -12,7 +12,8 @@
 
 static int64_t day_shift_s;
 
-/* The time of day as the event loop sees it, which a case may set.  */
+/* Replaces gettimeofday, so that a test can set the time of day of the event
+   loop.  */
 int
 gettimeofday (struct timeval *restrict now, void *restrict zone)
 {
@@ -101,7 +102,7 @@
   talloc_free (data);
 }
 
-/* A handler frees what the timer belongs to.  */
+/* A handler frees the owner of its own timer.  */
 Test (timer, owner_freed_by_the_handler)
 {
   struct owner *owner = talloc_zero (ev, struct owner);
@@ -112,10 +113,8 @@
   cr_assert_str_eq (order, "fg");
 }
 
-/* The time of day of a host is set back by half a minute, or ahead.  Callers
-   then waited half a minute too long for their final answers, or all requests
-   under way were given up at once, since the event loop's own timers go by the
-   time of day.  */
+/* Timers must be unaffected when the time of day is set back or ahead, unlike
+   tevent's own timers.  */
 Test (timer, time_of_day_is_set)
 {
   static const int64_t shifts[] = { -30, 30 };
@@ -149,10 +148,8 @@
     on_letter (&byte);
 }
 
-/* One handler keeps the loop for longer than a time-out, and the answers that
-   the time-out waits for arrive meanwhile.  The time-outs came first, since
-   the oldest of them was due before the answers were there: whoever had
-   answered in time was taken for silent.  */
+/* A handler blocks the loop for longer than a timeout.  Input that arrived
+   meanwhile must be handled before the timeout.  */
 Test (timer, what_has_arrived_comes_before_late_timers)
 {
   int ends[3][2];
@@ -178,10 +175,8 @@
   on_letter (data);
 }
 
-/* A process beside a target stops once no call has come for a while, and looks
-   for that at a tick.  After it was held up the tick came before the
-   connections, nothing seemed to have come, and a call that lay unread was
-   lost with the process: its owner could not know whether it ran.  */
+/* An idle check that is late must run after pending input; otherwise a process
+   could stop with an unread call.  */
 Test (timer, what_has_arrived_comes_before_a_late_tick)
 {
   struct mq_tick_timer tick = { NULL, 0 };
@@ -197,8 +192,7 @@
   cr_assert_str_eq (order, "at");
 }
 
-/* The second of two handlers that take long, and the answer that arrives as
-   it begins.  */
+/* Second of two slow handlers, and the input that arrives when it starts.  */
 struct slow
 {
   int from;
@@ -218,10 +212,9 @@
     usleep (1000);
 }
 
-/* The loop is held up, and while the late timers wait for what has arrived,
-   one handler of that takes long as well (a second configuration, a list of
-   thousands of rows).  A time-out that fell due only meanwhile came with the
-   first ones, before an answer that had arrived in time for it.  */
+/* A second handler blocks the loop while late timers wait for pending input.
+   A timeout that falls due only then must also wait for the input before
+   it.  */
 Test (timer, second_hold_up_while_late_timers_wait)
 {
   struct slow slow = { 0 };
@@ -242,7 +235,7 @@
   cr_assert_str_eq (order, "xsbt");
 }
 
-/* Many timers, some cancelled, in any order.  */
+/* Many timers, added in any order and partly cancelled.  */
 Test (timer, many)
 {
   struct mq_timer *timers[500];
