--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -116,8 +116,8 @@
 }
 
 static bool
-within_bound (struct mq_json_log *log, enum mq_json_weight weight,
-              uint64_t now_ms)
+is_within_rate_limit (struct mq_json_log *log, enum mq_json_priority weight,
+                      uint64_t now_ms)
 {
   if (now_ms / 1000 != log->second)
     {
@@ -128,7 +128,7 @@
   if (log->lines >= MQ_JSON_LOG_LINES_S)
     return false;
   if (weight == MQ_JSON_LOW_PRIORITY
-      && log->low_priority_lines >= MQ_JSON_LOG_PLAIN_S)
+      && log->low_priority_lines >= MQ_JSON_LOG_LOW_PRIORITY_S)
     return false;
   log->lines++;
   if (weight == MQ_JSON_LOW_PRIORITY)
@@ -147,7 +147,7 @@
 
 void
 mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
-               enum mq_json_weight weight, enum mq_log_event event)
+               enum mq_json_priority weight, enum mq_log_event event)
 {
   const struct mq_log_row *row = mq_log_row (event);
   uint64_t day_ms = mq_clock_wall_ms ();
@@ -156,7 +156,7 @@
   line->log = log;
   line->event = event;
   line->len = 0;
-  line->accepted = within_bound (log, weight, day_ms);
+  line->accepted = is_within_rate_limit (log, weight, day_ms);
   if (!line->accepted)
     {
       log->dropped++;
--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -15,12 +15,12 @@
 
 /* Lines per second: in total, and of low priority.  */
 #define MQ_JSON_LOG_LINES_S 300U
-#define MQ_JSON_LOG_PLAIN_S 40U
+#define MQ_JSON_LOG_LOW_PRIORITY_S 40U
 #define MQ_JSON_LINE_BYTES 1024U
 
 struct mq_json_log;
 
-enum mq_json_weight
+enum mq_json_priority
 {
   MQ_JSON_LOW_PRIORITY, /* successes; dropped first */
   MQ_JSON_HIGH_PRIORITY /* refusals, failures and changes of state */
@@ -50,7 +50,7 @@
 };
 
 void mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
-                    enum mq_json_weight weight, enum mq_log_event event);
+                    enum mq_json_priority weight, enum mq_log_event event);
 /* VALUE NULL omits the key.  */
 void mq_json_text (struct mq_json_line *line, const char *key,
                    const char *value);
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -37,7 +37,7 @@
 
 static void
 log_head (struct mq_json_line *line, const struct mq_request *request,
-          enum mq_json_weight weight, enum mq_log_event event)
+          enum mq_json_priority weight, enum mq_log_event event)
 {
   mq_json_begin (line, request->router->log, weight, event);
   mq_json_text (line, "id", request->facts.id);
@@ -52,8 +52,8 @@
 }
 
 void
-request_log_end (const struct mq_request *request, enum mq_json_weight weight,
-                 const char *outcome, int status)
+request_log_end (const struct mq_request *request,
+                 enum mq_json_priority weight, const char *outcome, int status)
 {
   struct mq_json_line line;
 
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -101,7 +101,7 @@
 /* An answer that has begun can't be completed.  */
 void request_break_off (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
-                      enum mq_json_weight weight, const char *outcome,
+                      enum mq_json_priority weight, const char *outcome,
                       int status);
 /* A final answer of our own.  */
 void request_refuse (struct mq_request *request, enum mq_refusal refusal);
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -57,7 +57,7 @@
 
 /* Every enumeration value survives a round trip, and values just outside the
    range are rejected, so that a peer of another version is not misread.  */
-Test (codec, enumerations_keep_their_range)
+Test (codec, out_of_range_enumerations_are_rejected)
 {
   for (size_t i = 0; i < sample_field_count; i++)
     {
@@ -186,7 +186,8 @@
 static const struct memory_case memory_cases[] = {
   { 2, false },
   { 100, false },
-  { MQ_FRAME_CALLS_MAX, true }, /* within the count limit, but over the memory limit */
+  { MQ_FRAME_CALLS_MAX,
+    true }, /* within the count limit, but over the memory limit */
   { MQ_FRAME_MAX_BYTES / 2 - 3, true },
 };
 
--- a/tests/test_handshake.c
+++ b/tests/test_handshake.c
@@ -254,7 +254,7 @@
 
 /* A client without the site key must get no callback, a typed rejection and a
    closed connection.  */
-Test (handshake, only_the_site_key_gets_in)
+Test (handshake, only_the_site_key_authenticates)
 {
   for (size_t i = 0; i < sizeof attack_cases / sizeof attack_cases[0]; i++)
     run_attack (&attack_cases[i]);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -150,8 +150,9 @@
   uint32_t retry_after_ms;
   char *body;
   size_t len;
-  struct mq_http_call *cancel;    /* call to cancel in a part or at the end */
-  struct mq_http_client *destroy; /* client to destroy in a part or at the end */
+  struct mq_http_call *cancel; /* call to cancel in a part or at the end */
+  struct mq_http_client
+      *destroy; /* client to destroy in a part or at the end */
 };
 
 static void
@@ -325,7 +326,7 @@
 /* A service closes a reused connection after it has read the request. curl
    resends the request on a new connection by itself, and the call would run
    twice.  */
-Test (http, call_on_closing_connection_is_not_doubled)
+Test (http, call_on_closing_connection_is_not_repeated)
 {
   static const struct
   {
@@ -375,7 +376,7 @@
 
 /* Reused connections no longer respond although new ones work.  Only one call
    may time out; later calls must use new connections.  */
-Test (http, one_timeout_retires_silent_connections)
+Test (http, one_timeout_excludes_unresponsive_connections)
 {
   const char *name = "silent";
   struct http_peer *peer = http_peer_create (ev);
@@ -408,7 +409,7 @@
 
 /* Receives one complete request on FD, running the event loop meanwhile.  */
 static void
-hear_request (int fd)
+receive_request (int fd)
 {
   char request[4096] = "";
   size_t len = 0;
@@ -426,7 +427,7 @@
 
 /* A response arrives in time while this process is blocked for longer than the
    timeout.  The call must succeed, not time out.  */
-Test (http, answer_that_came_in_time_is_taken)
+Test (http, response_in_time_is_accepted_after_a_stall)
 {
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -456,7 +457,7 @@
           tevent_loop_once (ev);
           fd = accept (listening, NULL, NULL);
         }
-      hear_request (fd);
+      receive_request (fd);
       cr_assert_eq (send (fd, answer, rows[i].len, MSG_NOSIGNAL),
                     (ssize_t)rows[i].len);
       usleep (STALLED_MS * 1000);
@@ -673,7 +674,7 @@
 
 /* A disconnect of the caller must be detected in every phase of a request;
    otherwise work continues for a caller that is gone.  */
-Test (http, caller_leaves)
+Test (http, caller_disconnect_is_detected_in_every_phase)
 {
   static const struct
   {
@@ -765,7 +766,7 @@
 
 /* A caller that does not read its stream must be disconnected, so that its
    unsent bytes do not exhaust the memory.  */
-Test (http, slow_reader_is_given_up)
+Test (http, slow_reader_is_disconnected)
 {
   const char *name = "slow reader";
   int fd = reach (name, PHASE_STREAM_IDLE);
@@ -855,7 +856,7 @@
 
 /* A reader that lags by more than the socket buffer, but within the limit,
    receives every byte.  */
-Test (http, lagging_reader_gets_all)
+Test (http, lagging_reader_receives_every_byte)
 {
   const char *name = "lagging reader";
   int fd = reach (name, PHASE_STREAM_IDLE);
@@ -889,7 +890,7 @@
   raw_close (fd, false);
 }
 
-Test (http, connection_is_kept_and_requests_sent_ahead_are_answered)
+Test (http, keep_alive_and_pipelined_requests_are_answered)
 {
   static const char two[]
       = "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none"
@@ -934,7 +935,7 @@
 
 /* Connections in the kernel's backlog at a stop must be accepted and answered;
    closing the listening socket alone would reset them.  */
-Test (http, connections_not_accepted_at_a_stop_are_answered)
+Test (http, backlog_connections_are_answered_at_a_stop)
 {
   static const char asked[]
       = "POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi";
--- a/tests/test_io.c
+++ b/tests/test_io.c
@@ -176,7 +176,7 @@
 
 /* Each state change writes a line, and the schema allows all keys of it;
    unknown keys would be omitted.  */
-Test (log, every_change_has_a_line)
+Test (log, every_state_change_writes_a_line)
 {
   char line[LINE_BYTES];
 
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -85,7 +85,9 @@
 };
 
 static const struct dial_case dial_cases[] = {
-  { "a", "b" }, { "b", "a" }, { "same", "same" }, /* distinguished by their boot ids */
+  { "a", "b" },
+  { "b", "a" },
+  { "same", "same" }, /* distinguished by their boot ids */
 };
 
 /* Two hosts dial each other at the same time.  If both connections were used,
@@ -157,9 +159,12 @@
   cr_expect_eq (kit_count (b, KIT_DOWN), 0);
 }
 
-Test (peer, a_late_proof_still_chooses) { run_late_proof (false); }
+Test (peer, a_late_proof_selects_its_connection) { run_late_proof (false); }
 
-Test (peer, a_waiting_connection_takes_over) { run_late_proof (true); }
+Test (peer, a_waiting_connection_replaces_a_lost_one)
+{
+  run_late_proof (true);
+}
 
 /* Two configured addresses of one host must share one connection.  */
 Test (peer, two_addresses_of_a_host_share_one_connection)
@@ -202,7 +207,7 @@
 /* A connection stays open but no longer carries data, while a new one would
    work.  The missing heartbeats must close it, since TCP reports nothing.  */
 static void
-run_silence (const struct silence_case *each)
+run_unresponsive_connection (const struct silence_case *each)
 {
   struct kit_node *a = start_node (each->dialler, 1);
   struct kit_node *b = start_node (each->listener, 2);
@@ -227,10 +232,10 @@
   kit_destroy (b);
 }
 
-Test (peer, a_silent_connection_is_replaced)
+Test (peer, an_unresponsive_connection_is_replaced)
 {
   for (size_t i = 0; i < sizeof silence_cases / sizeof silence_cases[0]; i++)
-    run_silence (&silence_cases[i]);
+    run_unresponsive_connection (&silence_cases[i]);
 }
 
 /* A host restarts and its old connection still looks open.  The new run is
@@ -303,7 +308,7 @@
   kit_client_close (new);
 }
 
-Test (peer, a_lost_peer_is_dialled_until_it_is_back)
+Test (peer, a_lost_peer_is_dialled_until_it_returns)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -324,7 +329,7 @@
 
 /* Frames sent just before mq_peer_net_remove_address arrive, the connection
    closes on both sides and is not dialled again.  */
-Test (peer, release_loses_no_frame)
+Test (peer, removing_an_address_loses_no_frame)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -346,7 +351,7 @@
 }
 
 /* Destroying the network sends the frames that are still queued.  */
-Test (peer, destroy_sends_what_is_queued)
+Test (peer, destroy_sends_queued_frames)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -360,7 +365,7 @@
   expect_burst (b);
 }
 
-Test (peer, versions_are_told_once_and_only_rise)
+Test (peer, versions_are_reported_once_and_only_increase)
 {
   static const uint64_t versions[] = { 5, 6, 4, 9 };
   static const uint64_t told[] = { 5, 6, 9 };
@@ -387,7 +392,7 @@
   cr_expect_eq (kit_count (a, KIT_MESSAGE), 0);
 }
 
-Test (peer, control_is_counted_apart)
+Test (peer, control_traffic_is_counted_separately)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -412,7 +417,7 @@
 
 /* A peer that reads nothing is disconnected at the limit of unsent bytes, with
    no callback from within the send.  */
-Test (peer, a_slow_reader_is_closed)
+Test (peer, a_slow_reader_is_disconnected)
 {
   struct kit_node *node = kit_node (
       &(struct kit_options){ .host = "m", .boot = 1, .silent_ms = LONG_MS });
@@ -435,7 +440,7 @@
   kit_client_close (client);
 }
 
-Test (peer, what_cannot_be_sent_is_refused)
+Test (peer, unsendable_messages_are_rejected)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -461,7 +466,7 @@
    responses must still be delivered, or completed calls would count as
    unknown.  The write failure is provoked by shutting down the sending
    direction.  */
-Test (peer, answers_before_a_failed_write_arrive)
+Test (peer, frames_before_a_failed_write_are_delivered)
 {
   struct kit_node *node = start_node ("m", 1);
   struct kit_client *client = kit_client (node, "z", 0);
@@ -526,7 +531,7 @@
   cr_expect_eq (a->events[a->count - 1].type, each->in);
 }
 
-Test (peer, the_net_is_destroyed_from_a_callback)
+Test (peer, network_can_be_destroyed_in_a_callback)
 {
   for (size_t i = 0; i < sizeof destroy_cases / sizeof destroy_cases[0]; i++)
     run_destroy (&destroy_cases[i]);
@@ -534,7 +539,7 @@
 
 /* This process is stopped for longer than the peer timeout.  Its peers must
    not be timed out, since their frames are there to be read.  */
-Test (peer, a_pause_of_ours_is_not_their_silence)
+Test (peer, a_process_pause_does_not_time_out_peers)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -431,7 +431,7 @@
 
 /* A caller leaves while a worker works for it: the worker is told at once by
    the end of its connection.  */
-Test (router, caller_leaves)
+Test (router, caller_disconnect_is_detected_in_every_phase)
 {
   site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
   edge_call (site, &call, 0, "POST /kept/a HTTP/1.1\r\n" HOST ID NO_BODY);
--- a/tests/test_timer.c
+++ b/tests/test_timer.c
@@ -150,7 +150,7 @@
 
 /* A handler blocks the loop for longer than a timeout.  Input that arrived
    meanwhile must be handled before the timeout.  */
-Test (timer, what_has_arrived_comes_before_late_timers)
+Test (timer, pending_input_runs_before_late_timers)
 {
   int ends[3][2];
 
@@ -177,7 +177,7 @@
 
 /* An idle check that is late must run after pending input; otherwise a process
    could stop with an unread call.  */
-Test (timer, what_has_arrived_comes_before_a_late_tick)
+Test (timer, pending_input_runs_before_a_late_tick)
 {
   struct mq_tick_timer tick = { NULL, 0 };
   char *letter = talloc_strdup (ev, "t");
@@ -215,7 +215,7 @@
 /* A second handler blocks the loop while late timers wait for pending input.
    A timeout that falls due only then must also wait for the input before
    it.  */
-Test (timer, second_hold_up_while_late_timers_wait)
+Test (timer, second_stall_while_late_timers_wait)
 {
   struct slow slow = { 0 };
   int ends[2][2];
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -660,7 +660,7 @@
   struct log_reader reader;
 
   open_log (&reader);
-  for (unsigned int i = 0; i < 2 * MQ_JSON_LOG_PLAIN_S; i++)
+  for (unsigned int i = 0; i < 2 * MQ_JSON_LOG_LOW_PRIORITY_S; i++)
     {
       struct mq_json_line line;
 
@@ -670,7 +670,7 @@
     }
   cr_assert_geq (mq_json_log_dropped (reader.log), 1);
   cr_assert_leq (mq_json_log_written (reader.log),
-                 2 * MQ_JSON_LOG_PLAIN_S - 1);
+                 2 * MQ_JSON_LOG_LOW_PRIORITY_S - 1);
   for (int i = 0; i < 20000; i++)
     {
       struct mq_json_line line;
