--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -116,7 +116,7 @@
 }
 
 static bool
-is_within_rate_limit (struct mq_json_log *log, enum mq_json_priority weight,
+is_within_rate_limit (struct mq_json_log *log, enum mq_json_priority priority,
                       uint64_t now_ms)
 {
   if (now_ms / 1000 != log->second)
@@ -127,11 +127,11 @@
     }
   if (log->lines >= MQ_JSON_LOG_LINES_S)
     return false;
-  if (weight == MQ_JSON_LOW_PRIORITY
+  if (priority == MQ_JSON_LOW_PRIORITY
       && log->low_priority_lines >= MQ_JSON_LOG_LOW_PRIORITY_S)
     return false;
   log->lines++;
-  if (weight == MQ_JSON_LOW_PRIORITY)
+  if (priority == MQ_JSON_LOW_PRIORITY)
     log->low_priority_lines++;
   return true;
 }
@@ -147,7 +147,7 @@
 
 void
 mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
-               enum mq_json_priority weight, enum mq_log_event event)
+               enum mq_json_priority priority, enum mq_log_event event)
 {
   const struct mq_log_row *row = mq_log_row (event);
   uint64_t day_ms = mq_clock_wall_ms ();
@@ -156,7 +156,7 @@
   line->log = log;
   line->event = event;
   line->len = 0;
-  line->accepted = is_within_rate_limit (log, weight, day_ms);
+  line->accepted = is_within_rate_limit (log, priority, day_ms);
   if (!line->accepted)
     {
       log->dropped++;
--- a/src/log/json_log.h
+++ b/src/log/json_log.h
@@ -50,7 +50,7 @@
 };
 
 void mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
-                    enum mq_json_priority weight, enum mq_log_event event);
+                    enum mq_json_priority priority, enum mq_log_event event);
 /* VALUE NULL omits the key.  */
 void mq_json_text (struct mq_json_line *line, const char *key,
                    const char *value);
--- a/src/net/codec.h
+++ b/src/net/codec.h
@@ -13,7 +13,7 @@
    exceeds its limit in limits.h.  */
 uint8_t *mq_codec_pack (TALLOC_CTX *ctx, const struct mq_message *message,
                         size_t *len);
-/* Message allocated on CTX; NULL with BAD_FRAME in ERROR. Absent strings
+/* Message allocated on CTX; NULL with BAD_FRAME in ERROR.  Absent strings
    become "", never NULL; enumeration values out of range are BAD_FRAME.  */
 struct mq_message *mq_codec_unpack (TALLOC_CTX *ctx, const uint8_t *data,
                                     size_t len, struct mq_error *error);
--- a/src/net/codec_pack.c
+++ b/src/net/codec_pack.c
@@ -400,7 +400,7 @@
 }
 
 /* False if out of memory, an array exceeds its limit or the type has no
-   encoding. Each case sets the member of the envelope that BODY_CASE
+   encoding.  Each case sets the member of the envelope that BODY_CASE
    names.  */
 static bool
 fill_envelope (TALLOC_CTX *tmp, Mq__Envelope *to, struct wire_body *body,
--- a/src/net/codec_unpack.c
+++ b/src/net/codec_unpack.c
@@ -20,9 +20,9 @@
   EVENT_TYPE_COUNT = MQ_EVENT_REFUSED + 1
 };
 
-/* Memory limit of one frame. A frame of many empty items takes many times its
+/* Memory limit of one frame.  A frame of many empty items takes many times its
    encoded size when decoded; the limit keeps a faulty peer from exhausting the
-   host's memory. Allocations beyond it fail, and the frame is rejected.  */
+   host's memory.  Allocations beyond it fail, and the frame is rejected.  */
 struct frame_memory
 {
   TALLOC_CTX *ctx;
--- a/src/net/frame.h
+++ b/src/net/frame.h
@@ -51,7 +51,7 @@
 enum mq_frame_next mq_frame_reader_next (struct mq_frame_reader *reader,
                                          size_t bound, const uint8_t **data,
                                          size_t *len);
-/* Copies an incomplete frame at the end of the input. False if out of
+/* Copies an incomplete frame at the end of the input.  False if out of
    memory.  */
 bool mq_frame_reader_save_partial (struct mq_frame_reader *reader);
 
--- a/src/net/handshake.h
+++ b/src/net/handshake.h
@@ -2,7 +2,7 @@
 
    Each side sends a Hello with a 32-byte nonce, then a Proof: HMAC-SHA256
    under the site key over the tag of the side ("connect" or "accept"), both
-   nonces and both encoded Hellos. The nonces prevent replay, the tag prevents
+   nonces and both encoded Hellos.  The nonces prevent replay, the tag prevents
    reflection, and the Hellos cannot be altered unnoticed.
    Needs: gnutls, protobuf-c, proto/peer.pb-c.h, peer.h.  */
 
@@ -25,7 +25,7 @@
 
 struct mq_handshake;
 
-/* SITE_KEY and SELF are borrowed for the lifetime of the handshake. NULL if
+/* SITE_KEY and SELF are borrowed for the lifetime of the handshake.  NULL if
    out of memory or without random bytes.  */
 struct mq_handshake *mq_handshake_create (TALLOC_CTX *ctx,
                                           enum mq_handshake_side side,
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -162,9 +162,9 @@
 }
 
 /* Detects a reused connection that no longer responds: a timeout without any
-   byte of the response. Other idle connections may be dead too, and each would
-   cost another call its timeout, so that all older ones are then no longer
-   reused.  */
+   byte of the response.  Other idle connections may be dead too, and each
+   would cost another call its timeout, so that all older ones are then no
+   longer reused.  */
 static void
 record_unresponsive_connection (struct mq_http_call *call)
 {
@@ -178,7 +178,7 @@
 
 /* Excludes the connections that were open when a reused one failed to respond.
    curl compares ages in whole seconds, so that the limit is one second lower
-   and also excludes some newer connections. After the maximum idle time all
+   and also excludes some newer connections.  After the maximum idle time all
    connections are newer or have been used successfully since.  */
 static void
 limit_connection_age (struct mq_http_client *client, CURL *easy)
@@ -287,7 +287,7 @@
     talloc_free (client);
 }
 
-/* Callbacks may send, cancel and destroy. Calls that they end are freed, and
+/* Callbacks may send, cancel and destroy.  Calls that they end are freed, and
    calls that they make are started, after curl has returned.  */
 static void
 drive (struct mq_http_client *client, curl_socket_t fd, int bits)
@@ -354,7 +354,7 @@
 
 /* tevent does not report errors to a descriptor that waits only for writing,
    as curl's do while connecting, so that a refused connection would go
-   unnoticed until curl's next timeout. Waits for reading as well, which
+   unnoticed until curl's next timeout.  Waits for reading as well, which
    reports errors.  */
 static uint16_t
 flags_of (int what)
@@ -555,7 +555,7 @@
 
 /* Uses an own timer instead of curl's timeout: curl checks the time before the
    socket, so that after a stall of this process a call would time out although
-   its whole response had arrived. Own timers run after pending input.  */
+   its whole response had arrived.  Own timers run after pending input.  */
 static void
 limit_time (struct mq_http_call *call, uint32_t timeout_ms)
 {
@@ -623,7 +623,7 @@
     talloc_free (*list);
 }
 
-/* Drops active calls without a callback. Inside drive, curl and callbacks
+/* Drops active calls without a callback.  Inside drive, curl and callbacks
    still use the client: returning -1 keeps its memory, and drive frees it.  */
 static int
 client_freed (struct mq_http_client *client)
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -69,7 +69,7 @@
 void mq_http_client_destroy (struct mq_http_client *client);
 struct mq_http_call *mq_http_client_send (struct mq_http_client *client,
                                           const struct mq_http_send *send);
-/* Closes the connection; no callback follows. May be called from any
+/* Closes the connection; no callback follows.  May be called from any
    callback.  */
 void mq_http_call_cancel (struct mq_http_call *call);
 
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -94,7 +94,7 @@
   leave (conn);
 }
 
-/* Handles the end of a response, expected or skipped. False if the connection
+/* Handles the end of a response, expected or skipped.  False if the connection
    was destroyed.  */
 static bool
 end_message (struct mq_http_conn *conn)
@@ -270,7 +270,7 @@
 
 /* Checks the socket for unread input or a close by the server: a request sent
    on such a connection would fail with unknown effect, or take stray bytes for
-   its response. A close that is still in transit cannot be detected.  */
+   its response.  A close that is still in transit cannot be detected.  */
 bool
 mq_http_conn_is_reusable (const struct mq_http_conn *conn)
 {
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -43,7 +43,7 @@
    callee destroys it.  */
 typedef void mq_http_conn_closed (struct mq_http_conn *conn, void *user);
 
-/* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open. NULL with
+/* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open.  NULL with
    ERROR set on failure.  */
 struct mq_http_conn *mq_http_conn_open (TALLOC_CTX *ctx,
                                         struct tevent_context *ev,
@@ -62,7 +62,7 @@
 /* True until the first response is complete.  */
 bool mq_http_conn_is_new (const struct mq_http_conn *conn);
 /* True if the response is complete, the server keeps the connection open and
-   no input or close is pending. To be checked before each reuse.  */
+   no input or close is pending.  To be checked before each reuse.  */
 bool mq_http_conn_is_reusable (const struct mq_http_conn *conn);
 /* Pauses or resumes reading the response.  */
 void mq_http_conn_set_reading (struct mq_http_conn *conn, bool on);
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -203,7 +203,7 @@
 }
 
 /* Rejects a request of ambiguous length: Content-Length with chunked coding,
-   two lengths, or a transfer coding other than chunked. Otherwise a caller
+   two lengths, or a transfer coding other than chunked.  Otherwise a caller
    could smuggle in a request that another reader takes for a body.  */
 static bool
 framing_is_unambiguous (const struct mq_http_reader *reader)
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,6 +1,6 @@
 /* http_message.h - parser of HTTP/1.1 messages.
 
-   One reader parses the consecutive messages of one connection. It is strict:
+   One reader parses the consecutive messages of one connection.  It is strict:
    a message whose length is ambiguous is an error.
    Needs: http-parser, error.h.  */
 
@@ -75,7 +75,7 @@
 void mq_http_reader_set_head_max (struct mq_http_reader *reader, size_t max);
 /* The next response has no body, whatever its head says (HEAD requests).  */
 void mq_http_reader_no_body (struct mq_http_reader *reader);
-/* Parses bytes up to the end of the message and returns their number. It is
+/* Parses bytes up to the end of the message and returns their number.  It is
    less than LEN if the message is complete, or after an error: TOO_LARGE for a
    head over its limit, BAD_REQUEST for a malformed message.  */
 size_t mq_http_reader_feed (struct mq_http_reader *reader, const char *data,
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,7 +1,7 @@
 /* http_server.c - HTTP server: libmicrohttpd on tevent.
 
    The daemon runs in external epoll mode: its epoll descriptor is a tevent
-   descriptor, its timeout a tevent timer. A request that its handler does not
+   descriptor, its timeout a tevent timer.  A request that its handler does not
    answer at once is suspended, and resumed by the response.
    Needs: libmicrohttpd, tevent, jansson.  */
 
@@ -77,7 +77,7 @@
 }
 
 /* At its connection limit libmicrohttpd stops accepting, and checks only at
-   the start of a run whether it can accept again. Requests another run when a
+   the start of a run whether it can accept again.  Requests another run when a
    connection closes, since idle connections would not cause one and new
    callers would wait.  */
 static void
@@ -134,7 +134,7 @@
   run_again (request->server);
 }
 
-/* Closes the connection of a request that cannot be answered. A suspended one
+/* Closes the connection of a request that cannot be answered.  A suspended one
    is resumed, and the library is told to close it; otherwise the shutdown
    makes the socket ready with an error.  */
 void
@@ -313,7 +313,7 @@
 }
 
 /* Reads and discards a body over its limit, so that the caller can read the
-   response; closing with unread bytes would reset the connection. A body of
+   response; closing with unread bytes would reset the connection.  A body of
    more than twice the limit is cut off.  */
 static enum MHD_Result
 body_part (struct mq_http_request *request, const char *data, size_t len)
@@ -449,9 +449,9 @@
       MHD_OPTION_END);
 }
 
-/* Ends all requests, notifies their users and stops the daemon. Inside MHD_run
-   the daemon cannot be stopped: the users are notified at once, returning -1
-   keeps the memory, and run_daemon frees the server.  */
+/* Ends all requests, notifies their users and stops the daemon.  Inside
+   MHD_run the daemon cannot be stopped: the users are notified at once,
+   returning -1 keeps the memory, and run_daemon frees the server.  */
 static int
 server_freed (struct mq_http_server *server)
 {
@@ -489,7 +489,7 @@
 }
 
 /* Limits the kernel's send buffers, which otherwise grow to megabytes per
-   connection and hide slow readers from the limit on unsent bytes. Accepted
+   connection and hide slow readers from the limit on unsent bytes.  Accepted
    sockets inherit the size from the listening one.  */
 static void
 limit_send_buffers (int fd)
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,6 +1,6 @@
 /* http_server.h - HTTP server for callers, operators and test servers.
 
-   libmicrohttpd driven by tevent in one thread. Limits bodies, headers,
+   libmicrohttpd driven by tevent in one thread.  Limits bodies, headers,
    connections and the unsent bytes of slow readers.
    Needs: libmicrohttpd, tevent, error.h, limits.h.  */
 
@@ -39,7 +39,7 @@
                        const struct mq_http_server_options *options,
                        mq_http_handler *handler, void *data,
                        struct mq_error *error);
-/* Ends all requests and calls their on_closed; no callback follows. May be
+/* Ends all requests and calls their on_closed; no callback follows.  May be
    called from a handler or an on_closed.  */
 void mq_http_server_destroy (struct mq_http_server *server);
 /* Stops accepting connections; requests in progress continue.  */
@@ -56,7 +56,7 @@
 /* Body, zero-terminated; LEN excludes the terminator.  */
 const char *mq_http_body (const struct mq_http_request *request, size_t *len);
 /* Sets the function that is called once when the request ends, answered or
-   disconnected; the request is freed after it. Without it, a request whose
+   disconnected; the request is freed after it.  Without it, a request whose
    caller has left is kept until it is answered, ended or aborted.  */
 void mq_http_on_closed (struct mq_http_request *request,
                         mq_http_closed *closed, void *data);
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -96,7 +96,7 @@
     }
   if (peer_address->dialling != NULL)
     return;
-  /* The connection was lost since the last tick. The jitter spreads out the
+  /* The connection was lost since the last tick.  The jitter spreads out the
      reconnects of hosts that lost the same peer.  */
   if (peer_address->due_ms == 0)
     peer_address->due_ms
@@ -278,9 +278,9 @@
       if (fd >= 0)
         accept_fd (net, fd);
     }
-  /* When descriptors or buffers are exhausted the socket stays readable. Stops
-     listening for events until the next tick, so that the event loop does not
-     spin.  */
+  /* When descriptors or buffers are exhausted the socket stays readable.
+     Stops listening for events until the next tick, so that the event loop
+     does not spin.  */
   if (fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS))
     TEVENT_FD_NOT_READABLE (net->listen_event);
   mq_peer_end_handler (net);
@@ -520,9 +520,9 @@
   return peer_address != NULL;
 }
 
-/* Only the dialling side closes a released connection. It sends its queued
+/* Only the dialling side closes a released connection.  It sends its queued
    frames, shuts down its sending direction and delivers what it receives until
-   the peer closes as well, so that no frame is lost. A peer that still wants
+   the peer closes as well, so that no frame is lost.  A peer that still wants
    the connection dials a new one.  */
 static void
 drain_conn (struct mq_conn *conn)
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -2,8 +2,8 @@
 
    Each frame has a 4-byte big-endian length and a protobuf envelope (codec.h).
    Both sides authenticate with the site key (handshake.h) before any other
-   frame. Both sides send heartbeats; a connection on which nothing was
-   received for the peer timeout is closed and dialled again. Control messages
+   frame.  Both sides send heartbeats; a connection on which nothing was
+   received for the peer timeout is closed and dialled again.  Control messages
    (see mq_conn_is_control) are counted separately from callers' data.
    Needs: tevent, gnutls, codec.h, message.h.  */
 
@@ -60,8 +60,8 @@
 void mq_peer_net_destroy (struct mq_peer_net *net);
 uint16_t mq_peer_net_port (const struct mq_peer_net *net);
 /* Connects to ADDRESS, and reconnects after a loss, until
-   mq_peer_net_remove_address. Idempotent. A connection accepted from the same
-   address is used as well, so that two hosts share one.  */
+   mq_peer_net_remove_address.  Idempotent.  A connection accepted from the
+   same address is used as well, so that two hosts share one.  */
 void mq_peer_net_add_address (struct mq_peer_net *net, const char *address);
 void mq_peer_net_remove_address (struct mq_peer_net *net, const char *address);
 /* Handle of the ready connection to ADDRESS, 0 if there is none.  */
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -490,7 +490,7 @@
 }
 
 /* A connection may be dead while both ends consider it open, and TCP may take
-   minutes to report it. A live peer sends at least its heartbeats, so that a
+   minutes to report it.  A live peer sends at least its heartbeats, so that a
    connection without any input for the peer timeout is dead.  */
 static void
 tick_ready (struct mq_conn *conn, uint64_t now_ms)
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -171,9 +171,9 @@
   struct mq_error refusal;
 };
 
-/* Each event handler runs between these two calls. No connection is freed
+/* Each event handler runs between these two calls.  No connection is freed
    between them, so that callbacks may close connections or destroy the
-   network. After a callback, check NET->dead and the state of the
+   network.  After a callback, check NET->dead and the state of the
    connection.  */
 void mq_peer_begin_handler (struct mq_peer_net *net);
 void mq_peer_end_handler (struct mq_peer_net *net);
@@ -181,7 +181,7 @@
    iteration of the event loop.  */
 void mq_peer_schedule (struct mq_peer_net *net);
 
-/* peer_conn.c. Takes ownership of FD; NULL, with FD closed, if out of
+/* peer_conn.c.  Takes ownership of FD; NULL, with FD closed, if out of
    memory.  */
 struct mq_conn *mq_conn_create (struct mq_peer_net *net, int fd, bool dialled);
 void mq_conn_dial (struct mq_peer_net *net,
@@ -196,7 +196,7 @@
 void mq_conn_flush (struct mq_conn *conn);
 /* True if TYPE is control traffic, false for callers' data.  */
 bool mq_conn_is_control (enum mq_message_type type);
-/* Parses a numeric "IP:PORT"; NULL if invalid. Free with freeaddrinfo.  */
+/* Parses a numeric "IP:PORT"; NULL if invalid.  Free with freeaddrinfo.  */
 struct addrinfo *mq_conn_parse_address (const char *address);
 /* Checks the timeouts of CONN and sends a heartbeat if one is due.  */
 void mq_conn_tick (struct mq_conn *conn, uint64_t now_ms);
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -1,8 +1,8 @@
 /* peer_settle.c - handshake of a connection, and selection among duplicates.
 
-   Of two hosts, the one whose name sorts first is the leader. It sends its
+   Of two hosts, the one whose name sorts first is the leader.  It sends its
    Proof last, and only on the connection that it selects; the other side is
-   ready when it receives that Proof. One side thus decides before any other
+   ready when it receives that Proof.  One side thus decides before any other
    frame is sent: two hosts that dial each other at the same time end up with
    one connection and lose no frame.
    Needs: peer_net.h.  */
@@ -164,7 +164,7 @@
 }
 
 /* A peer that restarted or abandoned a connection connects again while the old
-   connection still looks open here. Reports the old one down before the new
+   connection still looks open here.  Reports the old one down before the new
    one up and reads nothing more from the old one.  */
 static void
 make_ready (struct mq_conn *conn)
@@ -199,7 +199,7 @@
   return old != NULL && old->serial > conn->serial;
 }
 
-/* Selects a connection on the leader. While a connection to the same run is
+/* Selects a connection on the leader.  While a connection to the same run is
    ready the new one waits: either the peer dialled before it learned of the
    selection and will close the new one, or the ready one has failed at the
    peer and will fail here as well.  */
--- a/tests/peer_kit.h
+++ b/tests/peer_kit.h
@@ -42,7 +42,7 @@
   struct kit_event events[KIT_EVENTS_MAX];
   size_t count;
   uint32_t up;     /* peers connected now */
-  uint32_t peer;   /* the last one */
+  uint32_t peer;   /* last connected peer */
   uint32_t burst;  /* tokens sent to each new peer */
   bool destroy[3]; /* destroy the network in this callback */
   bool free_ctx;   /* by freeing the parent context */
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -51,7 +51,7 @@
       while (!(condition))                                                    \
         {                                                                     \
           cr_assert (time (NULL) < limit,                                     \
-                     "%s: waited in vain for " #condition, name);             \
+                     "%s: timed out waiting for " #condition, name);          \
           tevent_loop_once (ev);                                              \
         }                                                                     \
     }                                                                         \
