--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -337,8 +337,8 @@
 }
 
 static void
-socket_ready (struct tevent_context *ev, struct tevent_fd *fde, uint16_t flags,
-              void *data)
+on_curl_socket_ready (struct tevent_context *ev, struct tevent_fd *fde,
+                      uint16_t flags, void *data)
 {
   struct client_socket *sock = data;
   int bits = 0;
@@ -387,7 +387,7 @@
   sock->client = client;
   sock->fd = fd;
   sock->fde = tevent_add_fd (client->ev, sock, fd, flags_of (what),
-                             socket_ready, sock);
+                             on_curl_socket_ready, sock);
   curl_multi_assign (client->multi, fd, sock);
   return sock->fde == NULL ? -1 : 0;
 }
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -19,13 +19,13 @@
 #define LINGER_MS 1000U
 /* Time that a finished connection with unsent bytes waits for the peer to
    accept more.  */
-#define STALL_MS 5000U
+#define UNSENT_TIMEOUT_MS 5000U
 /* Timeout of connect.  Shorter than the kernel's first SYN retry after one
    second.  */
 #define CONNECT_MS 400U
 /* Keepalive probes detect a dead peer on an idle connection.  */
 #define KEEPALIVE_IDLE_S 1
-#define KEEPALIVE_PAUSE_S 1
+#define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
 
 /**
@@ -78,7 +78,7 @@
 {
   int on = 1;
   int idle = KEEPALIVE_IDLE_S;
-  int pause = KEEPALIVE_PAUSE_S;
+  int pause = KEEPALIVE_INTERVAL_S;
   int probes = KEEPALIVE_PROBES;
   unsigned int silent = silent_ms;
 
@@ -403,8 +403,8 @@
 restart_linger (struct mq_tcp *tcp)
 {
   TALLOC_FREE (tcp->timer);
-  tcp->timer
-      = start_tcp_timer (tcp, tcp->unsent.len > 0 ? STALL_MS : LINGER_MS);
+  tcp->timer = start_tcp_timer (tcp, tcp->unsent.len > 0 ? UNSENT_TIMEOUT_MS
+                                                         : LINGER_MS);
 }
 
 void
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -154,8 +154,9 @@
   net.self.address = options->address;
   net.self.data_centre = "plateau";
   net.self.boot = options->boot;
-  net.heartbeat_interval_ms = KIT_BEAT_MS;
-  net.silent_ms = options->silent_ms ? options->silent_ms : KIT_SILENT_MS;
+  net.heartbeat_interval_ms = KIT_HEARTBEAT_MS;
+  net.silent_ms
+      = options->silent_ms ? options->silent_ms : KIT_PEER_TIMEOUT_MS;
   memset (net.site_key, options->key, sizeof net.site_key);
   node->ctx = talloc_new (node);
   node->net = mq_peer_net_create (node->ctx, kit_ev, &net, &callbacks, &error);
@@ -272,7 +273,7 @@
 }
 
 static bool
-heard_frames (const void *node, const void *count)
+has_received_frames (const void *node, const void *count)
 {
   const struct kit_node *of = node;
 
@@ -284,7 +285,7 @@
 {
   uint64_t frames = mq_peer_net_counters (node->net)->frames_in + count;
 
-  kit_wait (heard_frames, node, &frames);
+  kit_wait (has_received_frames, node, &frames);
 }
 
 /* One direction of a relayed connection.  */
@@ -394,7 +395,7 @@
 }
 
 void
-kit_relay_silence (struct kit_relay *relay, bool to_server, bool to_client)
+kit_relay_blackhole (struct kit_relay *relay, bool to_server, bool to_client)
 {
   for (size_t i = 0; i < relay->pairs; i++)
     {
--- a/tests/peer_kit.h
+++ b/tests/peer_kit.h
@@ -14,8 +14,8 @@
 enum
 {
   KIT_EVENTS_MAX = 4096,
-  KIT_BEAT_MS = 20,
-  KIT_SILENT_MS = 400
+  KIT_HEARTBEAT_MS = 20,
+  KIT_PEER_TIMEOUT_MS = 400
 };
 
 enum kit_event_type
@@ -54,7 +54,7 @@
   const char *listen;  /* NULL: any free port */
   const char *address; /* sent to peers; NULL: listening address */
   uint64_t boot;
-  uint32_t silent_ms; /* 0: KIT_SILENT_MS */
+  uint32_t silent_ms; /* 0: KIT_PEER_TIMEOUT_MS */
   uint8_t key;        /* every byte of the site key */
 };
 
@@ -86,14 +86,14 @@
 /* Sends a token with INDEX to the last connected peer.  */
 bool kit_send_token (struct kit_node *node, uint32_t index);
 
-/* TCP relay to PORT. kit_relay_silence stops forwarding in the given
+/* TCP relay to PORT. kit_relay_blackhole stops forwarding in the given
    directions on existing connections and leaves them open; later ones
    work.  */
 struct kit_relay;
 struct kit_relay *kit_relay (uint16_t port);
 const char *kit_relay_address (const struct kit_relay *relay);
-void kit_relay_silence (struct kit_relay *relay, bool to_server,
-                        bool to_client);
+void kit_relay_blackhole (struct kit_relay *relay, bool to_server,
+                          bool to_client);
 /* Connections accepted later forward only the first bytes from the client
    until kit_relay_resume.  */
 void kit_relay_hold (struct kit_relay *relay);
--- a/tests/site_kit.c
+++ b/tests/site_kit.c
@@ -578,7 +578,7 @@
   (void)number;
   (void)count;
   (void)info;
-  kit_relay_silence (data, true, true);
+  kit_relay_blackhole (data, true, true);
 }
 
 static void
--- a/tests/test_handshake.c
+++ b/tests/test_handshake.c
@@ -76,7 +76,7 @@
 
 /* Reflects the host's own Proof; its tag must cause a rejection.  */
 static void
-reflect_proof (struct kit_client *client)
+send_reflected_proof (struct kit_client *client)
 {
   swap_hellos (client);
   cr_assert (kit_client_receive (client));
@@ -84,7 +84,7 @@
 }
 
 static void
-reflect_hello (struct kit_client *client)
+send_reflected_hello (struct kit_client *client)
 {
   cr_assert (kit_client_receive (client));
   kit_client_send (client, client->frame, client->frame_len);
@@ -93,7 +93,7 @@
 /* Sends a correct Proof after a Hello in which one letter was altered in
    transit.  */
 static void
-alter_hello (struct kit_client *client)
+send_altered_hello (struct kit_client *client)
 {
   size_t len;
   const uint8_t *hello = mq_handshake_hello (client->handshake, &len);
@@ -111,7 +111,7 @@
 }
 
 static void
-send_beat_first (struct kit_client *client)
+send_heartbeat_first (struct kit_client *client)
 {
   send_message (client, MQ_MSG_NONE);
 }
@@ -196,12 +196,12 @@
   { "right key, leads", prove, "a", KEY, MQ_ERR_NONE },
   { "wrong key", prove, "z", WRONG_KEY, MQ_ERR_BAD_PEER },
   { "wrong key, leads", prove, "a", WRONG_KEY, MQ_ERR_BAD_PEER },
-  { "proof reflected", reflect_proof, "a", KEY, MQ_ERR_BAD_PEER },
-  { "hello reflected", reflect_hello, "z", KEY, MQ_ERR_BAD_PEER },
-  { "hello altered", alter_hello, "z", KEY, MQ_ERR_BAD_PEER },
+  { "proof reflected", send_reflected_proof, "a", KEY, MQ_ERR_BAD_PEER },
+  { "hello reflected", send_reflected_hello, "z", KEY, MQ_ERR_BAD_PEER },
+  { "hello altered", send_altered_hello, "z", KEY, MQ_ERR_BAD_PEER },
   { "empty proof", send_empty_proof, "z", KEY, MQ_ERR_BAD_PEER },
   { "proof first", send_proof_first, "z", KEY, MQ_ERR_BAD_FRAME },
-  { "beat first", send_beat_first, "z", KEY, MQ_ERR_BAD_FRAME },
+  { "beat first", send_heartbeat_first, "z", KEY, MQ_ERR_BAD_FRAME },
   { "call unproved", send_call_before_proof, "z", KEY, MQ_ERR_BAD_FRAME },
   { "call, leads", send_call_before_proof, "a", KEY, MQ_ERR_BAD_FRAME },
   { "hello twice", send_hello_twice, "z", KEY, MQ_ERR_BAD_FRAME },
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -31,7 +31,7 @@
 static struct mq_http_request *held[HELD_MAX];
 static int held_count;
 static int closed_count;
-static bool tell_closed;
+static bool notify_on_closed;
 static char text[TEXT_BYTES];
 
 static void
@@ -81,7 +81,7 @@
   const char *body = mq_http_body (request, &len);
 
   (void)data;
-  if (tell_closed)
+  if (notify_on_closed)
     mq_http_on_closed (request, on_closed, NULL);
   if (strcmp (path, "/stream") == 0)
     mq_http_stream_begin (request, 200, "text/event-stream");
@@ -125,7 +125,7 @@
   cr_assert_not_null (client, "%s", mq_error_name (error.type));
   held_count = 0;
   closed_count = 0;
-  tell_closed = true;
+  notify_on_closed = true;
   tick (ev, NULL, (struct timeval){ 0 }, NULL);
 }
 
@@ -707,7 +707,7 @@
 
       held_count = 0;
       closed_count = 0;
-      tell_closed = !rows[i].untold;
+      notify_on_closed = !rows[i].untold;
       fd = reach (name, rows[i].phase);
       cr_expect_eq (mq_http_server_in_progress (server), 1, "%s", name);
       if (rows[i].more)
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -16,7 +16,7 @@
   BURST = 50,
   ROUNDS = 10,
   LONG_MS = 60000,
-  PAUSE_US = 3 * KIT_SILENT_MS * 1000
+  PAUSE_US = 3 * KIT_PEER_TIMEOUT_MS * 1000
 };
 
 /* cppcheck-suppress unknownMacro */
@@ -216,7 +216,7 @@
   mq_peer_net_add_address (a->net, kit_relay_address (relay));
   kit_wait_up (a);
   kit_wait_up (b);
-  kit_relay_silence (relay, each->to_listener, each->to_dialler);
+  kit_relay_blackhole (relay, each->to_listener, each->to_dialler);
   kit_wait_count (a, KIT_UP, 2);
   kit_wait_count (b, KIT_UP, 2);
   cr_expect_eq (find_event (a, KIT_DOWN, 0)->why, MQ_ERR_PEER_LOST);
@@ -262,7 +262,7 @@
   mq_peer_net_add_address (a->net, options.address);
   kit_wait_up (a);
   kit_wait_up (b[0]);
-  kit_relay_silence (relay, true, true);
+  kit_relay_blackhole (relay, true, true);
   kit_destroy (b[0]);
   kit_relay_target (relay, mq_peer_net_port (b[1]->net));
   mq_peer_net_add_address (b[1]->net, a->address);
