--- a/src/net/frame.c
+++ b/src/net/frame.c
@@ -28,16 +28,16 @@
 
 /**
  * struct mq_frame_reader - splits received bytes into frames
- * @view: bytes to parse: @partial, or the caller's if @partial was empty
- * @start: offset of the first unparsed byte in @view
- * @end: offset behind the last byte of @view
+ * @input: bytes to parse: @partial, or the caller's if @partial was empty
+ * @start: offset of the first unparsed byte in @input
+ * @end: offset behind the last byte of @input
  * @partial: copy of an incomplete frame
  * @partial_len: bytes in @partial
  * @capacity: bytes allocated for @partial
  */
 struct mq_frame_reader
 {
-  const uint8_t *view;
+  const uint8_t *input;
   size_t start;
   size_t end;
   uint8_t *partial;
@@ -176,13 +176,13 @@
   reader->start = 0;
   if (reader->partial_len == 0)
     {
-      reader->view = data;
+      reader->input = data;
       reader->end = len;
       return true;
     }
   if (!append_partial (reader, data, len))
     return false;
-  reader->view = reader->partial;
+  reader->input = reader->partial;
   reader->end = reader->partial_len;
   return true;
 }
@@ -203,12 +203,12 @@
 
   if (left < MQ_FRAME_HEADER_BYTES)
     return MQ_NEXT_PARTIAL;
-  frame = read_length (reader->view + reader->start);
+  frame = read_length (reader->input + reader->start);
   if (frame == 0 || frame > bound)
     return MQ_NEXT_BAD;
   if (left - MQ_FRAME_HEADER_BYTES < frame)
     return MQ_NEXT_PARTIAL;
-  *data = reader->view + reader->start + MQ_FRAME_HEADER_BYTES;
+  *data = reader->input + reader->start + MQ_FRAME_HEADER_BYTES;
   *len = frame;
   reader->start += MQ_FRAME_HEADER_BYTES + frame;
   return MQ_NEXT_FRAME;
@@ -218,7 +218,7 @@
 mq_frame_reader_save_partial (struct mq_frame_reader *reader)
 {
   size_t left = reader->end - reader->start;
-  const uint8_t *from = reader->view + reader->start;
+  const uint8_t *from = reader->input + reader->start;
   bool done = true;
 
   if (left == 0)
@@ -227,14 +227,14 @@
       reader->capacity = 0;
       reader->partial_len = 0;
     }
-  else if (reader->view == reader->partial)
+  else if (reader->input == reader->partial)
     {
       memmove (reader->partial, from, left);
       reader->partial_len = left;
     }
   else
     done = append_partial (reader, from, left);
-  reader->view = NULL;
+  reader->input = NULL;
   reader->start = 0;
   reader->end = 0;
   return done;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -25,7 +25,7 @@
  * @active: calls passed to curl
  * @deferred_calls: calls made inside a curl callback, where none can be added
  * @ended: finished or cancelled calls that are still to be reported and freed
- * @silent_ms: time at which a reused connection last failed to respond,
+ * @unresponsive_ms: time at which a reused connection last failed to respond,
  *             monotonic clock; 0: never
  * @running: inside drive; nothing that curl may use is freed
  * @in_curl: inside a curl function
@@ -40,7 +40,7 @@
   struct mq_http_call *active;
   struct mq_http_call *deferred_calls;
   struct mq_http_call *ended;
-  uint64_t silent_ms;
+  uint64_t unresponsive_ms;
   bool running;
   bool in_curl;
   bool destroy_pending;
@@ -173,7 +173,7 @@
   curl_easy_getinfo (call->easy, CURLINFO_NUM_CONNECTS, &connects);
   if (curl_error_type (call) == MQ_ERR_TIMEOUT && call->starts > 0
       && connects == 0 && call->total == 0)
-    call->client->silent_ms = mq_clock_ms ();
+    call->client->unresponsive_ms = mq_clock_ms ();
 }
 
 /* Excludes the connections that were open when a reused one failed to respond.
@@ -183,12 +183,12 @@
 static void
 limit_connection_age (struct mq_http_client *client, CURL *easy)
 {
-  uint64_t since = mq_clock_ms () - client->silent_ms;
+  uint64_t since = mq_clock_ms () - client->unresponsive_ms;
 
-  if (client->silent_ms == 0)
+  if (client->unresponsive_ms == 0)
     return;
   if (since > MQ_HTTP_REUSE_MS + CONNECTION_AGE_MARGIN_MS)
-    client->silent_ms = 0;
+    client->unresponsive_ms = 0;
   else if (since < CONNECTION_AGE_MARGIN_MS)
     curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, 1L);
   else
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -7,16 +7,16 @@
 
 /**
  * struct mq_http_conn - one connection
- * @waiting: request to be sent once the connection is established
+ * @pending_request: request to be sent once the connection is established
  * @open: the connection is established
  * @used: a request is in progress
  * @sent: at least a part of a request was passed to the kernel
  * @skip: the response being read is interim or belongs to another request
- * @keep: the server keeps the connection open after the response
- * @whole: the response is complete
+ * @keep_alive: the server keeps the connection open after the response
+ * @complete: the response is complete
  * @has_served: at least one response was completed
- * @busy: number of callbacks in progress
- * @dead: destroyed; freed when @busy is 0
+ * @callback_depth: number of callbacks in progress
+ * @destroyed: destroy was called; freed when @callback_depth is 0
  */
 struct mq_http_conn
 {
@@ -25,15 +25,15 @@
   struct mq_http_conn_callbacks events;
   mq_http_conn_closed *on_closed;
   void *closed_user;
-  struct mq_buffer waiting;
+  struct mq_buffer pending_request;
   bool open;
   bool used;
   bool sent;
   bool skip;
-  bool keep;
-  bool whole;
-  int busy;
-  bool dead;
+  bool keep_alive;
+  bool complete;
+  int callback_depth;
+  bool destroyed;
   bool has_served;
 };
 
@@ -42,9 +42,9 @@
 {
   struct mq_http_conn *conn = user;
 
-  if (conn->dead)
+  if (conn->destroyed)
     return;
-  conn->keep = head->keep_alive && !head->until_close;
+  conn->keep_alive = head->keep_alive && !head->until_close;
   /* 1xx: an interim response; the final one follows.  */
   conn->skip
       = head->status < 200 || !conn->events.head (head, conn->events.user);
@@ -55,7 +55,7 @@
 {
   struct mq_http_conn *conn = user;
 
-  if (!conn->dead && !conn->skip)
+  if (!conn->destroyed && !conn->skip)
     conn->events.body (data, len, conn->events.user);
 }
 
@@ -64,17 +64,17 @@
 {
   struct mq_http_conn *conn = user;
 
-  conn->whole = true;
+  conn->complete = true;
 }
 
 /* Ends a callback; true if it destroyed the connection.  */
 static bool
 leave (struct mq_http_conn *conn)
 {
-  conn->busy--;
-  if (!conn->dead)
+  conn->callback_depth--;
+  if (!conn->destroyed)
     return false;
-  if (conn->busy == 0)
+  if (conn->callback_depth == 0)
     talloc_free (conn);
   return true;
 }
@@ -82,11 +82,11 @@
 static void
 fail (struct mq_http_conn *conn, enum mq_http_conn_failure failure)
 {
-  conn->busy++;
+  conn->callback_depth++;
   if (conn->used)
     {
       conn->used = false;
-      conn->keep = false;
+      conn->keep_alive = false;
       conn->events.failed (failure, conn->events.user);
     }
   else
@@ -101,14 +101,14 @@
 {
   bool skipped = conn->skip;
 
-  conn->whole = false;
+  conn->complete = false;
   conn->skip = false;
   mq_http_reader_next (conn->reader);
   if (skipped)
     return true;
   conn->used = false;
   conn->has_served = true;
-  conn->busy++;
+  conn->callback_depth++;
   conn->events.end (conn->events.user);
   return !leave (conn);
 }
@@ -132,7 +132,7 @@
           fail (conn, MQ_HTTP_CONN_BAD_RESPONSE);
           return;
         }
-      conn->busy++;
+      conn->callback_depth++;
       used = mq_http_reader_feed (conn->reader, data, len, &error);
       if (leave (conn))
         return;
@@ -143,7 +143,7 @@
         }
       data += used;
       len -= used;
-      if (conn->whole && !end_message (conn))
+      if (conn->complete && !end_message (conn))
         return;
     }
 }
@@ -152,7 +152,7 @@
 on_ended (struct mq_tcp *tcp, enum mq_tcp_end end, void *user)
 {
   struct mq_http_conn *conn = user;
-  bool whole = false;
+  bool complete = false;
 
   (void)tcp;
   if (!conn->sent)
@@ -163,13 +163,13 @@
   /* Only an orderly close can end a response without a length.  */
   if (conn->used && end == MQ_TCP_EOF)
     {
-      conn->busy++;
-      conn->keep = false;
-      whole = mq_http_reader_finish (conn->reader) && conn->whole;
+      conn->callback_depth++;
+      conn->keep_alive = false;
+      complete = mq_http_reader_finish (conn->reader) && conn->complete;
       if (leave (conn))
         return;
     }
-  if (whole && !end_message (conn))
+  if (complete && !end_message (conn))
     return;
   fail (conn, MQ_HTTP_CONN_LOST);
 }
@@ -180,21 +180,22 @@
   struct mq_http_conn *conn = user;
 
   conn->open = true;
-  if (conn->waiting.len == 0)
+  if (conn->pending_request.len == 0)
     return;
   conn->sent = true;
-  mq_tcp_write (tcp, conn->waiting.data + conn->waiting.at, conn->waiting.len);
-  mq_buffer_clear (&conn->waiting);
+  mq_tcp_write (tcp, conn->pending_request.data + conn->pending_request.at,
+                conn->pending_request.len);
+  mq_buffer_clear (&conn->pending_request);
 }
 
 struct mq_http_conn *
 mq_http_conn_open (TALLOC_CTX *ctx, struct tevent_context *ev,
-                   const char *address, uint32_t silent_ms,
+                   const char *address, uint32_t ack_timeout_ms,
                    mq_http_conn_closed *on_closed, void *user,
                    struct mq_error *error)
 {
   struct mq_http_conn *conn = talloc_zero (ctx, struct mq_http_conn);
-  struct mq_tcp_callbacks owner = {
+  struct mq_tcp_callbacks tcp_callbacks = {
     .opened = on_opened, .data = on_data, .ended = on_ended, .user = conn
   };
   struct mq_http_events events
@@ -208,7 +209,8 @@
   conn->on_closed = on_closed;
   conn->closed_user = user;
   conn->reader = mq_http_reader_create (conn, MQ_HTTP_RESPONSE, &events);
-  conn->tcp = mq_tcp_open (conn, ev, address, silent_ms, &owner, error);
+  conn->tcp
+      = mq_tcp_open (conn, ev, address, ack_timeout_ms, &tcp_callbacks, error);
   if (conn->tcp == NULL || conn->reader == NULL)
     {
       talloc_free (conn);
@@ -220,14 +222,14 @@
 void
 mq_http_conn_destroy (struct mq_http_conn *conn)
 {
-  if (conn == NULL || conn->dead)
+  if (conn == NULL || conn->destroyed)
     return;
-  conn->dead = true;
+  conn->destroyed = true;
   /* The TCP connection may be in a callback; it frees itself afterwards.  */
   talloc_steal (NULL, conn->tcp);
   mq_tcp_destroy (conn->tcp);
   conn->tcp = NULL;
-  if (conn->busy == 0)
+  if (conn->callback_depth == 0)
     talloc_free (conn);
 }
 
@@ -237,12 +239,12 @@
                    const char *head, size_t head_len, const void *body,
                    size_t body_len, bool response_has_no_body)
 {
-  struct mq_buffer *out = &conn->waiting;
+  struct mq_buffer *out = &conn->pending_request;
 
   conn->events = *events;
   conn->used = true;
-  conn->keep = false;
-  conn->whole = false;
+  conn->keep_alive = false;
+  conn->complete = false;
   conn->skip = false;
   if (response_has_no_body)
     mq_http_reader_no_body (conn->reader);
@@ -274,7 +276,7 @@
 bool
 mq_http_conn_is_reusable (const struct mq_http_conn *conn)
 {
-  return conn->keep && !conn->used && !conn->dead
+  return conn->keep_alive && !conn->used && !conn->destroyed
          && mq_tcp_is_idle (conn->tcp);
 }
 
--- a/src/net/http_conn.h
+++ b/src/net/http_conn.h
@@ -43,12 +43,12 @@
    callee destroys it.  */
 typedef void mq_http_conn_closed (struct mq_http_conn *conn, void *user);
 
-/* Connects to ADDRESS, "IP:PORT"; SILENT_MS as for mq_tcp_open.  NULL with
-   ERROR set on failure.  */
+/* Connects to ADDRESS, "IP:PORT"; ACK_TIMEOUT_MS as for mq_tcp_open.  NULL
+   with ERROR set on failure.  */
 struct mq_http_conn *mq_http_conn_open (TALLOC_CTX *ctx,
                                         struct tevent_context *ev,
                                         const char *address,
-                                        uint32_t silent_ms,
+                                        uint32_t ack_timeout_ms,
                                         mq_http_conn_closed *on_closed,
                                         void *user, struct mq_error *error);
 void mq_http_conn_destroy (struct mq_http_conn *conn);
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -56,7 +56,7 @@
   net->depth--;
   if (net->depth > 0)
     return;
-  if (net->dead)
+  if (net->destroyed)
     talloc_free (net);
   else if (net->dirty == NULL)
     free_closed (net);
@@ -132,7 +132,7 @@
   struct mq_conn *conn = net->conns;
 
   net->close_due = false;
-  while (conn != NULL && !net->dead)
+  while (conn != NULL && !net->destroyed)
     {
       if (conn->state != MQ_CONN_CLOSED && conn->close_reason != MQ_ERR_NONE)
         mq_conn_close (conn, conn->close_reason);
@@ -146,9 +146,9 @@
   flush_scheduled (net);
   if (net->close_due)
     close_scheduled (net);
-  if (net->select_due && !net->dead)
+  if (net->select_due && !net->destroyed)
     mq_conn_select_waiting (net);
-  if (net->dial_due && !net->dead)
+  if (net->dial_due && !net->destroyed)
     {
       net->dial_due = false;
       tick_all_addresses (net, mq_clock_ms ());
@@ -171,7 +171,7 @@
 void
 mq_peer_schedule (struct mq_peer_net *net)
 {
-  if (net->work_due || net->dead)
+  if (net->work_due || net->destroyed)
     return;
   net->work_due = true;
   tevent_schedule_immediate (net->work, net->ev, on_work, net);
@@ -195,7 +195,7 @@
   pause_ms -= net->tick_ms;
   for (struct mq_conn *conn = net->conns; conn != NULL; conn = conn->next)
     {
-      conn->heard_ms = shift_time (conn->heard_ms, pause_ms, now_ms);
+      conn->received_ms = shift_time (conn->received_ms, pause_ms, now_ms);
       conn->opened_ms = shift_time (conn->opened_ms, pause_ms, now_ms);
     }
 }
@@ -205,7 +205,7 @@
 {
   struct mq_conn *conn = net->conns;
 
-  while (conn != NULL && !net->dead)
+  while (conn != NULL && !net->destroyed)
     {
       mq_conn_tick (conn, now_ms);
       conn = conn->next;
@@ -230,7 +230,7 @@
   net->now_ms = now_ms;
   TEVENT_FD_READABLE (net->listen_event);
   tick_conns (net, now_ms);
-  if (!net->dead)
+  if (!net->destroyed)
     tick_all_addresses (net, now_ms);
   mq_peer_end_handler (net);
 }
@@ -419,9 +419,9 @@
 static int
 destroy_net (struct mq_peer_net *net)
 {
-  if (!net->dead)
+  if (!net->destroyed)
     shut_net (net);
-  net->dead = true;
+  net->destroyed = true;
   return net->depth > 0 ? -1 : 0;
 }
 
@@ -441,7 +441,8 @@
   net->heartbeat_interval_ms = options->heartbeat_interval_ms
                                    ? options->heartbeat_interval_ms
                                    : MQ_BEAT_MS;
-  net->silent_ms = options->silent_ms ? options->silent_ms : MQ_SILENT_MS;
+  net->peer_timeout_ms
+      = options->peer_timeout_ms ? options->peer_timeout_ms : MQ_SILENT_MS;
   net->tick_ms = choose_tick (net->heartbeat_interval_ms);
   net->now_ms = mq_clock_ms ();
   memcpy (net->site_key, options->site_key, sizeof net->site_key);
@@ -490,7 +491,7 @@
 {
   struct mq_peer_address *peer_address;
 
-  if (net->dead || strcmp (address, net->self.address) == 0
+  if (net->destroyed || strcmp (address, net->self.address) == 0
       || mq_table_find_peer_address (net, address) != NULL)
     return;
   peer_address = talloc_zero (net, struct mq_peer_address);
@@ -540,7 +541,7 @@
       = mq_table_find_peer_address (net, address);
   struct mq_conn *ready;
 
-  if (net->dead || peer_address == NULL)
+  if (net->destroyed || peer_address == NULL)
     return;
   mq_table_remove_peer_address (net, peer_address);
   if (peer_address->dialling != NULL)
@@ -596,7 +597,7 @@
   size_t len;
   bool sent;
 
-  if (net->dead || conn == NULL || conn->state != MQ_CONN_READY
+  if (net->destroyed || conn == NULL || conn->state != MQ_CONN_READY
       || conn->close_reason != MQ_ERR_NONE || conn->write_failed)
     return false;
   if (stamped.config_version == 0)
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -49,7 +49,7 @@
   struct mq_peer_info self; /* address NULL: the listening address */
   uint8_t site_key[MQ_KEY_BYTES];
   uint32_t heartbeat_interval_ms; /* 0: MQ_BEAT_MS */
-  uint32_t silent_ms;             /* 0: MQ_SILENT_MS */
+  uint32_t peer_timeout_ms;       /* 0: MQ_SILENT_MS */
 };
 
 struct mq_peer_net *
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -188,7 +188,7 @@
 static bool
 is_alive (const struct mq_conn *conn)
 {
-  return conn->state != MQ_CONN_CLOSED && !conn->net->dead;
+  return conn->state != MQ_CONN_CLOSED && !conn->net->destroyed;
 }
 
 static void
@@ -290,7 +290,7 @@
 static void
 receive_bytes (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
-  conn->heard_ms = mq_clock_ms ();
+  conn->received_ms = mq_clock_ms ();
   if (!mq_frame_reader_feed (conn->reader, data, len))
     {
       mq_conn_close (conn, MQ_ERR_NO_MEMORY);
@@ -405,7 +405,7 @@
   conn->serial = ++net->last_serial;
   conn->state = MQ_CONN_CONNECTING;
   conn->opened_ms = mq_clock_ms ();
-  conn->heard_ms = conn->opened_ms;
+  conn->received_ms = conn->opened_ms;
   link_conn (conn);
   return conn;
 }
@@ -489,15 +489,15 @@
   talloc_free (data);
 }
 
-/* A connection may be dead while both ends consider it open, and TCP may take
-   minutes to report it.  A live peer sends at least its heartbeats, so that a
-   connection without any input for the peer timeout is dead.  */
+/* A connection may be dead while both ends consider it open, and TCP may
+   take minutes to report it.  A live peer sends at least its heartbeats, so
+   that a connection without any input for the peer timeout is dead.  */
 static void
 tick_ready (struct mq_conn *conn, uint64_t now_ms)
 {
   struct mq_peer_net *net = conn->net;
 
-  if (now_ms >= conn->heard_ms + net->silent_ms)
+  if (now_ms >= conn->received_ms + net->peer_timeout_ms)
     {
       net->counters.connections_silent++;
       mq_conn_close (conn, MQ_ERR_PEER_LOST);
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -43,7 +43,7 @@
  * @handshake: owns the strings of @info
  * @info: identity of the peer, set by its Hello
  * @opened_ms: time of the dial or accept, monotonic clock
- * @heard_ms: time of the last received bytes, monotonic clock
+ * @received_ms: time of the last received bytes, monotonic clock
  * @sent_ms: time at which a frame was last queued, monotonic clock
  * @version: highest configuration version of the peer reported to the user
  * @close_reason: reason to close the connection in the next iteration of the
@@ -73,7 +73,7 @@
   struct mq_frame_reader *reader;
   struct mq_frame_writer *writer;
   uint64_t opened_ms;
-  uint64_t heard_ms;
+  uint64_t received_ms;
   uint64_t sent_ms;
   uint64_t version;
   enum mq_error_type close_reason;
@@ -111,7 +111,8 @@
  * struct mq_peer_net - all connections of this process with its peers
  * @self: identity sent in the Hello
  * @heartbeat_interval_ms: maximum time between frames sent
- * @silent_ms: time without received bytes after which a connection is closed
+ * @peer_timeout_ms: time without received bytes after which a connection is
+ * closed
  * @tick_ms: period of the timer
  * @clock_fd: timerfd of the periodic timer
  * @work: deferred work in the next iteration of the event loop
@@ -131,7 +132,7 @@
  * @version: configuration version sent in heartbeats
  * @seed: state of the random numbers for the jitter
  * @depth: number of nested handlers
- * @dead: destroyed by a callback; freed when @depth is 0
+ * @destroyed: destroyed by a callback; freed when @depth is 0
  * @refusal: reason of the last rejected handshake
  */
 struct mq_peer_net
@@ -140,7 +141,7 @@
   struct mq_peer_info self;
   uint8_t site_key[MQ_KEY_BYTES];
   uint32_t heartbeat_interval_ms;
-  uint32_t silent_ms;
+  uint32_t peer_timeout_ms;
   uint32_t tick_ms;
   struct mq_peer_callbacks callbacks;
   int listen_fd;
@@ -166,14 +167,14 @@
   uint64_t version;
   uint64_t seed;
   uint32_t depth;
-  bool dead;
+  bool destroyed;
   struct mq_peer_counters counters;
   struct mq_error refusal;
 };
 
 /* Each event handler runs between these two calls.  No connection is freed
    between them, so that callbacks may close connections or destroy the
-   network.  After a callback, check NET->dead and the state of the
+   network.  After a callback, check NET->destroyed and the state of the
    connection.  */
 void mq_peer_begin_handler (struct mq_peer_net *net);
 void mq_peer_end_handler (struct mq_peer_net *net);
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -175,7 +175,7 @@
   while (old != NULL)
     {
       mq_conn_close (old, MQ_ERR_PEER_LOST);
-      if (net->dead || conn->state == MQ_CONN_CLOSED)
+      if (net->destroyed || conn->state == MQ_CONN_CLOSED)
         return;
       old = find_superseded_conn (conn);
     }
@@ -220,7 +220,7 @@
   struct mq_conn *conn = net->conns;
 
   net->select_due = false;
-  while (conn != NULL && !net->dead)
+  while (conn != NULL && !net->destroyed)
     {
       if (conn->state == MQ_CONN_WAITING)
         choose_conn (conn);
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -36,8 +36,8 @@
  * @finishing: input is discarded
  * @failed: an error is still to be reported from the event loop
  * @full: unsent bytes exceeded MQ_TCP_HIGH_BYTES
- * @busy: number of callbacks in progress
- * @dead: destroyed; freed when @busy is 0
+ * @callback_depth: number of callbacks in progress
+ * @destroyed: destroy was called; freed when @callback_depth is 0
  * @unsent: bytes that the socket did not accept yet
  */
 struct mq_tcp
@@ -46,10 +46,10 @@
   struct tevent_fd *event;
   struct mq_timer *timer;
   struct tevent_immediate *failure;
-  struct mq_tcp_callbacks owner;
+  struct mq_tcp_callbacks callbacks;
   struct mq_buffer unsent;
   int fd;
-  int busy;
+  int callback_depth;
   bool opening;
   bool reading;
   bool finishing;
@@ -57,7 +57,7 @@
   bool failed;
   enum mq_tcp_end failed_as;
   bool full;
-  bool dead;
+  bool destroyed;
 };
 
 static void on_event (struct tevent_context *ev, struct tevent_fd *event,
@@ -74,20 +74,21 @@
 }
 
 static void
-set_options (int fd, uint32_t silent_ms)
+set_options (int fd, uint32_t ack_timeout_ms)
 {
   int on = 1;
   int idle = KEEPALIVE_IDLE_S;
   int pause = KEEPALIVE_INTERVAL_S;
   int probes = KEEPALIVE_PROBES;
-  unsigned int silent = silent_ms;
+  unsigned int timeout = ack_timeout_ms;
 
   /* All options are optional: without them the connection only reacts
      later.  */
   (void)setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  if (silent_ms == 0)
+  if (ack_timeout_ms == 0)
     return;
-  (void)setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof silent);
+  (void)setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout,
+                    sizeof timeout);
   (void)setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   (void)setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
   (void)setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &pause, sizeof pause);
@@ -104,7 +105,7 @@
 
 static struct mq_tcp *
 create_tcp (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-            const struct mq_tcp_callbacks *owner, uint16_t flags)
+            const struct mq_tcp_callbacks *callbacks, uint16_t flags)
 {
   struct mq_tcp *tcp = talloc_zero (ctx, struct mq_tcp);
 
@@ -115,7 +116,7 @@
     }
   tcp->ev = ev;
   tcp->fd = fd;
-  tcp->owner = *owner;
+  tcp->callbacks = *callbacks;
   tcp->reading = true;
   talloc_set_destructor (tcp, close_fd);
   tcp->event = tevent_add_fd (ev, tcp, fd, flags, on_event, tcp);
@@ -126,15 +127,15 @@
 
 struct mq_tcp *
 mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-               const struct mq_tcp_callbacks *owner)
+               const struct mq_tcp_callbacks *callbacks)
 {
   set_options (fd, 0);
-  return create_tcp (ctx, ev, fd, owner, TEVENT_FD_READ);
+  return create_tcp (ctx, ev, fd, callbacks, TEVENT_FD_READ);
 }
 
 struct mq_tcp *
 mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev, const char *address,
-             uint32_t silent_ms, const struct mq_tcp_callbacks *owner,
+             uint32_t ack_timeout_ms, const struct mq_tcp_callbacks *callbacks,
              struct mq_error *error)
 {
   int fd = mq_connect_begin (address, error);
@@ -142,8 +143,8 @@
 
   if (fd < 0)
     return NULL;
-  set_options (fd, silent_ms);
-  tcp = create_tcp (ctx, ev, fd, owner, TEVENT_FD_WRITE);
+  set_options (fd, ack_timeout_ms);
+  tcp = create_tcp (ctx, ev, fd, callbacks, TEVENT_FD_WRITE);
   if (tcp == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, address, NULL);
@@ -155,26 +156,26 @@
 }
 
 void
-mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t silent_ms)
+mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t ack_timeout_ms)
 {
   if (tcp->fd >= 0)
-    set_options (tcp->fd, silent_ms);
+    set_options (tcp->fd, ack_timeout_ms);
 }
 
 static void
 begin_callback (struct mq_tcp *tcp)
 {
-  tcp->busy++;
+  tcp->callback_depth++;
 }
 
 /* Ends a callback; true if it destroyed the connection.  */
 static bool
 end_callback (struct mq_tcp *tcp)
 {
-  tcp->busy--;
-  if (!tcp->dead)
+  tcp->callback_depth--;
+  if (!tcp->destroyed)
     return false;
-  if (tcp->busy == 0)
+  if (tcp->callback_depth == 0)
     talloc_free (tcp);
   return true;
 }
@@ -182,13 +183,13 @@
 void
 mq_tcp_destroy (struct mq_tcp *tcp)
 {
-  if (tcp == NULL || tcp->dead)
+  if (tcp == NULL || tcp->destroyed)
     return;
-  tcp->dead = true;
+  tcp->destroyed = true;
   TALLOC_FREE (tcp->timer);
   TALLOC_FREE (tcp->failure);
   close_fd (tcp);
-  if (tcp->busy == 0)
+  if (tcp->callback_depth == 0)
     talloc_free (tcp);
 }
 
@@ -197,7 +198,7 @@
 {
   struct linger off = { 1, 0 };
 
-  if (tcp == NULL || tcp->dead)
+  if (tcp == NULL || tcp->destroyed)
     return;
   if (tcp->fd >= 0)
     (void)setsockopt (tcp->fd, SOL_SOCKET, SO_LINGER, &off, sizeof off);
@@ -213,7 +214,7 @@
       return;
     }
   begin_callback (tcp);
-  tcp->owner.ended (tcp, end, tcp->owner.user);
+  tcp->callbacks.ended (tcp, end, tcp->callbacks.user);
   end_callback (tcp);
 }
 
@@ -231,7 +232,7 @@
   if (got <= 0 || tcp->finishing)
     return got;
   begin_callback (tcp);
-  tcp->owner.data (tcp, bytes, (size_t)got, tcp->owner.user);
+  tcp->callbacks.data (tcp, bytes, (size_t)got, tcp->callbacks.user);
   end_callback (tcp);
   return got;
 }
@@ -248,7 +249,7 @@
   (void)ev;
   (void)immediate;
   begin_callback (tcp);
-  while (tcp->failed_as == MQ_TCP_RESET && !tcp->dead && tcp->reading
+  while (tcp->failed_as == MQ_TCP_RESET && !tcp->destroyed && tcp->reading
          && read_available (tcp) > 0)
     ;
   if (!end_callback (tcp))
@@ -302,7 +303,7 @@
 {
   ssize_t sent = 0;
 
-  if (tcp->failed || tcp->dead || len == 0)
+  if (tcp->failed || tcp->destroyed || len == 0)
     return true;
   if (!tcp->opening && tcp->unsent.len == 0)
     sent = send_some (tcp, data, len);
@@ -410,7 +411,7 @@
 void
 mq_tcp_finish (struct mq_tcp *tcp)
 {
-  if (tcp->dead || tcp->finishing)
+  if (tcp->destroyed || tcp->finishing)
     return;
   tcp->finishing = true;
   restart_linger (tcp);
@@ -460,10 +461,10 @@
       tcp->opening = false;
       TALLOC_FREE (tcp->timer);
       update_flags (tcp);
-      if (tcp->owner.opened != NULL)
+      if (tcp->callbacks.opened != NULL)
         {
           begin_callback (tcp);
-          tcp->owner.opened (tcp, tcp->owner.user);
+          tcp->callbacks.opened (tcp, tcp->callbacks.user);
           if (end_callback (tcp))
             return false;
         }
@@ -474,10 +475,10 @@
   if (!tell)
     return true;
   tcp->full = false;
-  if (tcp->owner.drained == NULL)
+  if (tcp->callbacks.drained == NULL)
     return true;
   begin_callback (tcp);
-  tcp->owner.drained (tcp, tcp->owner.user);
+  tcp->callbacks.drained (tcp, tcp->callbacks.user);
   return !end_callback (tcp);
 }
 
@@ -503,6 +504,6 @@
     return;
   if ((flags & TEVENT_FD_WRITE) != 0 && !on_writable (tcp))
     return;
-  if ((flags & TEVENT_FD_READ) != 0 && !tcp->dead && !tcp->failed)
+  if ((flags & TEVENT_FD_READ) != 0 && !tcp->destroyed && !tcp->failed)
     on_readable (tcp);
 }
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -48,17 +48,18 @@
 /* Takes ownership of FD, an accepted socket.  NULL, with FD closed, if out of
    memory.  */
 struct mq_tcp *mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev,
-                              int fd, const struct mq_tcp_callbacks *owner);
+                              int fd,
+                              const struct mq_tcp_callbacks *callbacks);
 /* Connects to ADDRESS, "IP:PORT".  The connection ends if sent bytes, or the
-   connect itself, are not acknowledged for SILENT_MS.  NULL with ERROR set on
-   an immediate failure.  */
+   connect itself, are not acknowledged for ACK_TIMEOUT_MS.  NULL with ERROR
+   set on an immediate failure.  */
 struct mq_tcp *mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev,
-                            const char *address, uint32_t silent_ms,
-                            const struct mq_tcp_callbacks *owner,
+                            const char *address, uint32_t ack_timeout_ms,
+                            const struct mq_tcp_callbacks *callbacks,
                             struct mq_error *error);
 /* Ends the connection if the peer does not acknowledge sent bytes for
-   SILENT_MS or does not answer keepalive probes.  */
-void mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t silent_ms);
+   ACK_TIMEOUT_MS or does not answer keepalive probes.  */
+void mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t ack_timeout_ms);
 /* True while unsent bytes are below MQ_TCP_HIGH_BYTES.  */
 bool mq_tcp_write (struct mq_tcp *tcp, const void *data, size_t len);
 /* Pauses or resumes reading.  While reading is paused, the end of the
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -155,8 +155,8 @@
   net.self.data_centre = "plateau";
   net.self.boot = options->boot;
   net.heartbeat_interval_ms = KIT_HEARTBEAT_MS;
-  net.silent_ms
-      = options->silent_ms ? options->silent_ms : KIT_PEER_TIMEOUT_MS;
+  net.peer_timeout_ms = options->peer_timeout_ms ? options->peer_timeout_ms
+                                                 : KIT_PEER_TIMEOUT_MS;
   memset (net.site_key, options->key, sizeof net.site_key);
   node->ctx = talloc_new (node);
   node->net = mq_peer_net_create (node->ctx, kit_ev, &net, &callbacks, &error);
--- a/tests/peer_kit.h
+++ b/tests/peer_kit.h
@@ -54,8 +54,8 @@
   const char *listen;  /* NULL: any free port */
   const char *address; /* sent to peers; NULL: listening address */
   uint64_t boot;
-  uint32_t silent_ms; /* 0: KIT_PEER_TIMEOUT_MS */
-  uint8_t key;        /* every byte of the site key */
+  uint32_t peer_timeout_ms; /* 0: KIT_PEER_TIMEOUT_MS */
+  uint8_t key;              /* every byte of the site key */
 };
 
 extern struct tevent_context *kit_ev;
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -245,12 +245,12 @@
 run_restart_unseen (const struct dial_case *each)
 {
   struct kit_node *a = kit_node (&(struct kit_options){
-      .host = each->first, .boot = 1, .silent_ms = LONG_MS });
+      .host = each->first, .boot = 1, .peer_timeout_ms = LONG_MS });
   struct kit_node *old = start_node ("unused", 9);
   struct kit_relay *relay = kit_relay (mq_peer_net_port (old->net));
   struct kit_options options = { .host = each->second,
                                  .address = kit_relay_address (relay),
-                                 .silent_ms = LONG_MS };
+                                 .peer_timeout_ms = LONG_MS };
   struct kit_node *b[2];
 
   for (uint64_t i = 0; i < 2; i++)
@@ -419,8 +419,8 @@
    no callback from within the send.  */
 Test (peer, a_slow_reader_is_disconnected)
 {
-  struct kit_node *node = kit_node (
-      &(struct kit_options){ .host = "m", .boot = 1, .silent_ms = LONG_MS });
+  struct kit_node *node = kit_node (&(struct kit_options){
+      .host = "m", .boot = 1, .peer_timeout_ms = LONG_MS });
   struct kit_client *client = kit_client (node, "z", 0);
   struct mq_message token = { .type = MQ_MSG_TOKEN };
   char *text = talloc_zero_size (node, 1 << 20);
