--- a/src/net/handshake.c
+++ b/src/net/handshake.c
@@ -243,16 +243,16 @@
                           size_t len, struct mq_error *error)
 {
   Mq__Envelope *envelope = mq__envelope__unpack (NULL, len, data);
-  bool proved = false;
+  bool is_valid = false;
 
   if (envelope == NULL || envelope->body_case != MQ__ENVELOPE__BODY_PROOF)
     mq_error_set (error, MQ_ERR_BAD_FRAME, "proof", NULL);
   else
     {
-      proved = match_proof (handshake, envelope->proof);
-      if (!proved)
+      is_valid = match_proof (handshake, envelope->proof);
+      if (!is_valid)
         mq_error_set (error, MQ_ERR_BAD_PEER, handshake->info.host, NULL);
     }
   mq__envelope__free_unpacked (envelope, NULL);
-  return proved;
+  return is_valid;
 }
--- a/src/net/http_conn.c
+++ b/src/net/http_conn.c
@@ -69,7 +69,7 @@
 
 /* Ends a callback; true if it destroyed the connection.  */
 static bool
-leave (struct mq_http_conn *conn)
+end_callback (struct mq_http_conn *conn)
 {
   conn->callback_depth--;
   if (!conn->destroyed)
@@ -91,7 +91,7 @@
     }
   else
     conn->on_closed (conn, conn->closed_user);
-  leave (conn);
+  end_callback (conn);
 }
 
 /* Handles the end of a response, expected or skipped.  False if the connection
@@ -110,7 +110,7 @@
   conn->has_served = true;
   conn->callback_depth++;
   conn->events.end (conn->events.user);
-  return !leave (conn);
+  return !end_callback (conn);
 }
 
 /* Fails on input without a request in progress: the server sent more than its
@@ -134,7 +134,7 @@
         }
       conn->callback_depth++;
       used = mq_http_reader_feed (conn->reader, data, len, &error);
-      if (leave (conn))
+      if (end_callback (conn))
         return;
       if (error.type != MQ_ERR_NONE)
         {
@@ -166,7 +166,7 @@
       conn->callback_depth++;
       conn->keep_alive = false;
       complete = mq_http_reader_finish (conn->reader) && conn->complete;
-      if (leave (conn))
+      if (end_callback (conn))
         return;
     }
   if (complete && !end_message (conn))
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -41,7 +41,7 @@
   } part;
   bool no_body;
   bool begun;
-  bool whole;
+  bool complete;
   bool in_head;
   bool too_large;
 };
@@ -277,7 +277,7 @@
 {
   struct mq_http_reader *reader = reader_of (parser);
 
-  reader->whole = true;
+  reader->complete = true;
   reader->begun = false;
   http_parser_pause (parser, 1);
   return 0;
@@ -355,7 +355,7 @@
   size_t used;
   enum http_errno failure;
 
-  if (reader->whole || len == 0)
+  if (reader->complete || len == 0)
     return 0;
   used = http_parser_execute (&reader->parser, &callbacks, data, len);
   failure = HTTP_PARSER_ERRNO (&reader->parser);
@@ -385,13 +385,13 @@
 bool
 mq_http_reader_finish (struct mq_http_reader *reader)
 {
-  if (reader->whole || !reader->begun)
+  if (reader->complete || !reader->begun)
     return true;
   if (reader->in_head || !reader->head.until_close)
     return false;
   http_parser_execute (&reader->parser, &callbacks, NULL, 0);
   http_parser_pause (&reader->parser, 0);
-  if (!reader->whole)
+  if (!reader->complete)
     return false;
   reader->events.end (reader->events.user);
   return true;
@@ -406,13 +406,13 @@
 bool
 mq_http_reader_at_end (const struct mq_http_reader *reader)
 {
-  return reader->whole;
+  return reader->complete;
 }
 
 void
 mq_http_reader_next (struct mq_http_reader *reader)
 {
-  reader->whole = false;
+  reader->complete = false;
   reader->begun = false;
   reader->in_head = false;
   reader->no_body = false;
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -152,7 +152,7 @@
 }
 
 /* True if the caller has disconnected. libmicrohttpd does not watch the socket
-   of a suspended request, whose work would continue for a caller that is gone.
+   of a suspended request, whose work would continue after the caller has left.
    A caller that shuts down only its sending side is treated as disconnected as
    well.  */
 static bool
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -58,7 +58,7 @@
     return;
   if (net->destroyed)
     talloc_free (net);
-  else if (net->dirty == NULL)
+  else if (net->flush_list == NULL)
     free_closed (net);
 }
 
@@ -116,12 +116,12 @@
 static void
 flush_scheduled (struct mq_peer_net *net)
 {
-  while (net->dirty != NULL)
+  while (net->flush_list != NULL)
     {
-      struct mq_conn *conn = net->dirty;
+      struct mq_conn *conn = net->flush_list;
 
-      net->dirty = conn->next_to_flush;
-      conn->dirty = false;
+      net->flush_list = conn->next_to_flush;
+      conn->in_flush_list = false;
       mq_conn_flush (conn);
     }
 }
@@ -389,7 +389,7 @@
 }
 
 static void
-shut_conn (struct mq_conn *conn)
+close_conn_at_once (struct mq_conn *conn)
 {
   if (conn->state == MQ_CONN_READY || conn->state == MQ_CONN_DRAINING)
     mq_conn_flush (conn);
@@ -399,10 +399,10 @@
 }
 
 static void
-shut_net (struct mq_peer_net *net)
+close_net (struct mq_peer_net *net)
 {
   for (struct mq_conn *conn = net->conns; conn != NULL; conn = conn->next)
-    shut_conn (conn);
+    close_conn_at_once (conn);
   TALLOC_FREE (net->listen_event);
   TALLOC_FREE (net->clock_event);
   TALLOC_FREE (net->work);
@@ -420,7 +420,7 @@
 destroy_net (struct mq_peer_net *net)
 {
   if (!net->destroyed)
-    shut_net (net);
+    close_net (net);
   net->destroyed = true;
   return net->depth > 0 ? -1 : 0;
 }
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -141,11 +141,11 @@
   struct mq_peer_net *net = conn->net;
 
   mq_peer_schedule (net);
-  if (conn->dirty)
+  if (conn->in_flush_list)
     return;
-  conn->dirty = true;
-  conn->next_to_flush = net->dirty;
-  net->dirty = conn;
+  conn->in_flush_list = true;
+  conn->next_to_flush = net->flush_list;
+  net->flush_list = conn;
 }
 
 bool
@@ -251,7 +251,7 @@
 }
 
 static void
-refuse_length (struct mq_conn *conn)
+reject_length (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -281,7 +281,7 @@
     case MQ_NEXT_PARTIAL:
       return false;
     case MQ_NEXT_BAD:
-      refuse_length (conn);
+      reject_length (conn);
       break;
     }
   return false;
@@ -478,12 +478,12 @@
 static void
 queue_heartbeat (struct mq_conn *conn)
 {
-  struct mq_message beat = { .type = MQ_MSG_NONE };
+  struct mq_message heartbeat = { .type = MQ_MSG_NONE };
   uint8_t *data;
   size_t len;
 
-  beat.config_version = conn->net->version;
-  data = mq_codec_pack (conn, &beat, &len);
+  heartbeat.config_version = conn->net->version;
+  data = mq_codec_pack (conn, &heartbeat, &len);
   if (data != NULL)
     mq_conn_queue (conn, data, len, true);
   talloc_free (data);
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -48,7 +48,7 @@
  * @version: highest configuration version of the peer reported to the user
  * @close_reason: reason to close the connection in the next iteration of the
  *                event loop, NONE if it stays open
- * @dirty: in the list of connections to flush
+ * @in_flush_list: linked in the flush list of the network
  * @reading: its frames are being delivered
  * @write_failed: nothing more can be sent; received frames are still delivered
  */
@@ -77,7 +77,7 @@
   uint64_t sent_ms;
   uint64_t version;
   enum mq_error_type close_reason;
-  bool dirty;
+  bool in_flush_list;
   bool reading;
   bool write_failed;
 };
@@ -123,7 +123,7 @@
  * @now_ms: monotonic time of the last tick
  * @conns: newest first
  * @closed: connections to be freed when @depth is 0
- * @dirty: connections with frames to flush
+ * @flush_list: connections with frames to flush
  * @peer_address: list of the addresses to which connections are maintained
  * @by_handle: READY and DRAINING connections
  * @by_address: READY connections by the address in their Hello
@@ -156,7 +156,7 @@
   uint64_t now_ms;
   struct mq_conn *conns;
   struct mq_conn *closed;
-  struct mq_conn *dirty;
+  struct mq_conn *flush_list;
   struct mq_peer_address *peer_address;
   struct mq_conn *by_handle[MQ_PEER_BUCKETS];
   struct mq_conn *by_address[MQ_PEER_BUCKETS];
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -34,7 +34,7 @@
 }
 
 static void
-refuse_memory (struct mq_conn *conn)
+reject_memory (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -54,14 +54,14 @@
       &net->self);
   if (conn->handshake == NULL)
     {
-      refuse_memory (conn);
+      reject_memory (conn);
       return;
     }
   conn->state = MQ_CONN_HELLO;
   tevent_fd_set_flags (conn->event, TEVENT_FD_READ);
   hello = mq_handshake_hello (conn->handshake, &len);
   if (!mq_conn_queue (conn, hello, len, true))
-    refuse_memory (conn);
+    reject_memory (conn);
 }
 
 static bool
@@ -72,7 +72,7 @@
 
   if (proof != NULL && mq_conn_queue (conn, proof, len, true))
     return true;
-  refuse_memory (conn);
+  reject_memory (conn);
   return false;
 }
 
@@ -229,7 +229,7 @@
 }
 
 static void
-refuse_self (struct mq_conn *conn)
+reject_self (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -268,7 +268,7 @@
   /* The Hello was reflected, or this process dialled its own port.  */
   if (is_same_run (info, &conn->net->self))
     {
-      refuse_self (conn);
+      reject_self (conn);
       return;
     }
   if (reuse_ready_conn (conn))
@@ -296,7 +296,7 @@
 }
 
 static void
-refuse_frame (struct mq_conn *conn)
+reject_frame (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -321,7 +321,7 @@
     case MQ_CONN_READY:
     case MQ_CONN_DRAINING:
     case MQ_CONN_CLOSED:
-      refuse_frame (conn);
+      reject_frame (conn);
       break;
     }
 }
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -206,7 +206,7 @@
 }
 
 static void
-tell_ended (struct mq_tcp *tcp, enum mq_tcp_end end)
+notify_ended (struct mq_tcp *tcp, enum mq_tcp_end end)
 {
   if (tcp->finishing)
     {
@@ -253,7 +253,7 @@
          && read_available (tcp) > 0)
     ;
   if (!end_callback (tcp))
-    tell_ended (tcp, tcp->failed_as);
+    notify_ended (tcp, tcp->failed_as);
 }
 
 /* Reports the error from the event loop, since the owner may be inside a call
@@ -384,7 +384,7 @@
 
   tcp->timer = NULL;
   if (tcp->opening)
-    tell_ended (tcp, MQ_TCP_RESET);
+    notify_ended (tcp, MQ_TCP_RESET);
   else
     mq_tcp_destroy (tcp);
 }
@@ -445,7 +445,7 @@
 static bool
 on_writable (struct mq_tcp *tcp)
 {
-  bool tell;
+  bool notify;
 
   if (tcp->opening)
     {
@@ -455,7 +455,7 @@
       if (getsockopt (tcp->fd, SOL_SOCKET, SO_ERROR, &number, &len) != 0
           || number != 0)
         {
-          tell_ended (tcp, MQ_TCP_RESET);
+          notify_ended (tcp, MQ_TCP_RESET);
           return false;
         }
       tcp->opening = false;
@@ -470,9 +470,9 @@
         }
     }
   send_unsent (tcp);
-  tell = tcp->full && !tcp->finishing
-         && tcp->unsent.len <= MQ_TCP_HIGH_BYTES / 2;
-  if (!tell)
+  notify = tcp->full && !tcp->finishing
+           && tcp->unsent.len <= MQ_TCP_HIGH_BYTES / 2;
+  if (!notify)
     return true;
   tcp->full = false;
   if (tcp->callbacks.drained == NULL)
@@ -489,7 +489,7 @@
 
   if (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
     return;
-  tell_ended (tcp, got == 0 ? MQ_TCP_EOF : MQ_TCP_RESET);
+  notify_ended (tcp, got == 0 ? MQ_TCP_EOF : MQ_TCP_RESET);
 }
 
 static void
--- a/tests/http_peer.c
+++ b/tests/http_peer.c
@@ -206,10 +206,10 @@
 }
 
 bool
-raw_read (int fd, char *text, size_t room)
+raw_read (int fd, char *text, size_t capacity)
 {
   size_t len = strlen (text);
-  ssize_t got = recv (fd, text + len, room - 1 - len, MSG_DONTWAIT);
+  ssize_t got = recv (fd, text + len, capacity - 1 - len, MSG_DONTWAIT);
 
   if (got > 0)
     text[len + (size_t)got] = '\0';
--- a/tests/http_peer.h
+++ b/tests/http_peer.h
@@ -59,7 +59,7 @@
 size_t raw_send (int fd, const char *data, size_t len);
 /* Appends input to the zero-terminated TEXT; true once the other side has
    closed.  */
-bool raw_read (int fd, char *text, size_t room);
+bool raw_read (int fd, char *text, size_t capacity);
 void raw_close (int fd, bool reset);
 
 #endif
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -293,7 +293,7 @@
 {
   int from;
   int to;
-  bool silent;
+  bool blackholed;
   bool held; /* forwards only the first bytes */
   struct tevent_fd *event;
 };
@@ -333,10 +333,10 @@
   if (got <= 0)
     {
       TALLOC_FREE (pipe->event);
-      if (!pipe->silent)
+      if (!pipe->blackholed)
         shutdown (pipe->to, SHUT_WR);
     }
-  else if (!pipe->silent)
+  else if (!pipe->blackholed)
     send (pipe->to, bytes, (size_t)got, MSG_NOSIGNAL);
   if (pipe->held && pipe->event != NULL)
     TEVENT_FD_NOT_READABLE (pipe->event);
@@ -399,8 +399,8 @@
 {
   for (size_t i = 0; i < relay->pairs; i++)
     {
-      relay->pipes[i][0].silent |= to_server;
-      relay->pipes[i][1].silent |= to_client;
+      relay->pipes[i][0].blackholed |= to_server;
+      relay->pipes[i][1].blackholed |= to_client;
     }
 }
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -259,13 +259,13 @@
     { "refused late", LEAVING, 0, 0, 0, NULL, MQ_ERR_PEER_LOST, false, 0, 0 },
     { "connecting hangs", HANGING, 0, 100, 0, NULL, MQ_ERR_TIMEOUT, false, 0,
       0 },
-    { "closed without an answer", SCRIPTED, PEER_CLOSE, 0, 0, NULL,
+    { "closed without a response", SCRIPTED, PEER_CLOSE, 0, 0, NULL,
       MQ_ERR_PEER_LOST, true, 0, 1 },
-    { "reset without an answer", SCRIPTED, PEER_RESET, 0, 0, NULL,
+    { "reset without a response", SCRIPTED, PEER_RESET, 0, 0, NULL,
       MQ_ERR_PEER_LOST, true, 0, 1 },
-    { "dies in the body", SCRIPTED, PEER_PART, 0, 0, NULL, MQ_ERR_PEER_LOST,
+    { "closes in the body", SCRIPTED, PEER_PART, 0, 0, NULL, MQ_ERR_PEER_LOST,
       true, 200, 1 },
-    { "dies between chunks", SCRIPTED, PEER_CHUNK, 0, 0, on_part,
+    { "closes between chunks", SCRIPTED, PEER_CHUNK, 0, 0, on_part,
       MQ_ERR_PEER_LOST, true, 200, 1 },
     { "silent", SCRIPTED, PEER_SILENT, 100, 0, NULL, MQ_ERR_TIMEOUT, true, 0,
       1 },
@@ -556,27 +556,27 @@
     { "bad length",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 0, "",
       "HTTP/1.1 400", "" },
-    { "header within its bound", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
+    { "header within its limit", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
       MQ_HEADERS_MAX_BYTES - 64, "\r\n\r\n", "HTTP/1.1 200", "" },
-    { "header over its bound", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
+    { "header over its limit", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
       (size_t)4 * MQ_HEADERS_MAX_BYTES, "\r\n\r\n", "HTTP/1.1 431", "" },
-    { "address over its bound", "GET /echo?", (size_t)4 * MQ_HEADERS_MAX_BYTES,
+    { "address over its limit", "GET /echo?", (size_t)4 * MQ_HEADERS_MAX_BYTES,
       " HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 414", "" },
-    { "body at its bound",
+    { "body at its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n",
       BODY_MAX, "", "HTTP/1.1 200", "xxx" },
-    { "body over its bound",
+    { "body over its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 10001\r\n\r\n",
       BODY_MAX + 1, "", "HTTP/1.1 413",
       "{\"error\":\"too_large\",\"ran\":\"not_run\"" },
-    { "chunks over the bound",
+    { "chunks over the limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
       "4000\r\n",
       0x4000, "\r\n0\r\n\r\n", "HTTP/1.1 413", "too_large" },
-    { "body far over its bound",
+    { "body far over its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 0,
       "", "HTTP/1.1 413", "too_large" },
-    { "body over its bound, held back",
+    { "body over its limit, held back",
       "POST /echo HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
       "Content-Length: 10001\r\n\r\n",
       0, "", "HTTP/1.1 413", "too_large" },
@@ -633,7 +633,7 @@
 
 /* Opens a connection and brings its request into PHASE.  */
 static int
-reach (const char *name, enum phase phase)
+open_in_phase (const char *name, enum phase phase)
 {
   const char *request = phase == PHASE_UPLOADING ? upload
                         : phase == PHASE_HELD || phase == PHASE_ANSWER_BLOCKED
@@ -673,7 +673,7 @@
 }
 
 /* A disconnect of the caller must be detected in every phase of a request;
-   otherwise work continues for a caller that is gone.  */
+   otherwise work continues after the caller has left.  */
 Test (http, caller_disconnect_is_detected_in_every_phase)
 {
   static const struct
@@ -681,22 +681,22 @@
     const char *name;
     enum phase phase;
     bool reset;
-    bool more;   /* the next request is pipelined */
-    bool untold; /* no on_closed: the request is kept until answered */
+    bool more;         /* the next request is pipelined */
+    bool no_on_closed; /* no on_closed: the request is kept until answered */
   } rows[] = {
     { "uploading", PHASE_UPLOADING, false, false, false },
     { "uploading, reset", PHASE_UPLOADING, true, false, false },
     { "held", PHASE_HELD, false, false, false },
     { "held, reset", PHASE_HELD, true, false, false },
-    { "held, sent ahead", PHASE_HELD, false, true, false },
-    { "held, untold", PHASE_HELD, false, false, true },
+    { "held, pipelined", PHASE_HELD, false, true, false },
+    { "held, no on_closed", PHASE_HELD, false, false, true },
     { "stream begun", PHASE_STREAM_BEGUN, false, false, false },
     { "stream idle", PHASE_STREAM_IDLE, false, false, false },
     { "stream idle, reset", PHASE_STREAM_IDLE, true, false, false },
-    { "stream idle, sent ahead", PHASE_STREAM_IDLE, true, true, false },
-    { "stream idle, untold", PHASE_STREAM_IDLE, false, false, true },
+    { "stream idle, pipelined", PHASE_STREAM_IDLE, true, true, false },
+    { "stream idle, no on_closed", PHASE_STREAM_IDLE, false, false, true },
     { "stream blocked", PHASE_STREAM_BLOCKED, false, false, false },
-    { "answer blocked", PHASE_ANSWER_BLOCKED, false, false, false },
+    { "response blocked", PHASE_ANSWER_BLOCKED, false, false, false },
   };
 
   for (size_t i = 0; i < ROWS (rows); i++)
@@ -707,8 +707,8 @@
 
       held_count = 0;
       closed_count = 0;
-      notify_on_closed = !rows[i].untold;
-      fd = reach (name, rows[i].phase);
+      notify_on_closed = !rows[i].no_on_closed;
+      fd = open_in_phase (name, rows[i].phase);
       cr_expect_eq (mq_http_server_in_progress (server), 1, "%s", name);
       if (rows[i].more)
         {
@@ -718,9 +718,9 @@
         }
       raw_close (fd, rows[i].reset);
       WAIT (mq_http_server_in_progress (server) == 0);
-      cr_expect_eq (closed_count, !uploading && !rows[i].untold, "%s: %d",
-                    name, closed_count);
-      if (!rows[i].untold)
+      cr_expect_eq (closed_count, !uploading && !rows[i].no_on_closed,
+                    "%s: %d", name, closed_count);
+      if (!rows[i].no_on_closed)
         continue;
       cr_expect_not (mq_http_stream_write (held[0], "x", 1), "%s", name);
       cr_expect_null (mq_http_header (held[0], "Host"), "%s", name);
@@ -740,7 +740,7 @@
 
   for (enum phase phase = PHASE_UPLOADING; phase <= PHASE_ANSWER_BLOCKED;
        phase++)
-    reach (name, phase);
+    open_in_phase (name, phase);
   mq_http_server_destroy (server);
   server = NULL;
   cr_expect_eq (closed_count, 5, "%d", closed_count);
@@ -769,7 +769,7 @@
 Test (http, slow_reader_is_disconnected)
 {
   const char *name = "slow reader";
-  int fd = reach (name, PHASE_STREAM_IDLE);
+  int fd = open_in_phase (name, PHASE_STREAM_IDLE);
   const char *block = filled (16384, 'x');
   size_t taken = 0;
   struct outcome other = { 0 };
@@ -859,7 +859,7 @@
 Test (http, lagging_reader_receives_every_byte)
 {
   const char *name = "lagging reader";
-  int fd = reach (name, PHASE_STREAM_IDLE);
+  int fd = open_in_phase (name, PHASE_STREAM_IDLE);
   size_t got = 0;
   size_t sent = 0;
   char last = 'g';
@@ -896,7 +896,7 @@
       = "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none"
         "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ntwo";
   const char *name = "kept";
-  int fd = reach (name, PHASE_HELD);
+  int fd = open_in_phase (name, PHASE_HELD);
 
   raw_send (fd, two, strlen (two));
   mq_http_respond (held[0], 200, NULL, "zero", 4);
@@ -914,7 +914,7 @@
   const char *name = "stop";
   struct outcome refused = { 0 };
   uint16_t port = mq_http_server_port (server);
-  int fd = reach (name, PHASE_HELD);
+  int fd = open_in_phase (name, PHASE_HELD);
   bool ended = false;
 
   mq_http_server_stop_accepting (server);
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -368,7 +368,7 @@
 Test (peer, versions_are_reported_once_and_only_increase)
 {
   static const uint64_t versions[] = { 5, 6, 4, 9 };
-  static const uint64_t told[] = { 5, 6, 9 };
+  static const uint64_t reported[] = { 5, 6, 9 };
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
@@ -381,13 +381,13 @@
       kit_run_frames (b, 5);
     }
   cr_assert_eq (kit_count (b, KIT_MESSAGE), 3);
-  for (size_t i = 0; i < sizeof told / sizeof told[0]; i++)
+  for (size_t i = 0; i < sizeof reported / sizeof reported[0]; i++)
     {
       const struct mq_message *message
           = find_event (b, KIT_MESSAGE, i)->message;
 
       cr_expect_eq (message->type, MQ_MSG_CONFIG_HAVE);
-      cr_expect_eq (message->u.config.version, told[i]);
+      cr_expect_eq (message->u.config.version, reported[i]);
     }
   cr_expect_eq (kit_count (a, KIT_MESSAGE), 0);
 }
