--- a/src/log/json_log.c
+++ b/src/log/json_log.c
@@ -1,4 +1,4 @@
-/* json_log.c - one JSON object a line on standard output, bounded.
+/* json_log.c - log of JSON lines with a rate limit.
 
    Needs: json_log.h, buffer.h, clock.h, timer.h.  */
 
@@ -13,34 +13,34 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines that wait for a write.  */
-#define GATHER_BYTES ((size_t)64 << 10)
+/* Maximum bytes of buffered lines.  */
+#define OUTPUT_BUFFER_BYTES ((size_t)64 << 10)
 #define FLUSH_BYTES ((size_t)8 << 10)
 #define FLUSH_MS 50U
-/* Room kept at the end of a line for its closing.  */
-#define TAIL_BYTES ((size_t)4)
+/* Bytes reserved for the end of a line.  */
+#define LINE_END_BYTES ((size_t)4)
 
 /**
- * struct mq_json_log - what waits to be written
- * @second: the second that the counts below are for
- * @lines: lines of that second
- * @plain: of them, those on successes
- * @strays: keys that the schema does not have
+ * struct mq_json_log - output buffer and rate limit
+ * @second: second to which @lines and @low_priority_lines refer
+ * @lines: lines accepted in that second
+ * @low_priority_lines: of these, low-priority ones
+ * @unknown_key_count: values omitted because the schema lacks their key
  */
 struct mq_json_log
 {
   struct tevent_context *ev;
   struct mq_timer *timer;
-  struct mq_buffer gathered;
+  struct mq_buffer output;
   const char *program;
   const char *host;
   int fd;
   uint64_t second;
   uint32_t lines;
-  uint32_t plain;
+  uint32_t low_priority_lines;
   uint64_t written;
   uint64_t dropped;
-  uint64_t strays;
+  uint64_t unknown_key_count;
 };
 
 struct mq_json_log *
@@ -52,7 +52,7 @@
 
   if (log == NULL)
     return NULL;
-  /* A reader that stops reading must not stop the process.  */
+  /* A reader that stops reading must not block the process.  */
   if (flags >= 0)
     (void)fcntl (fd, F_SETFL, flags | O_NONBLOCK);
   log->ev = ev;
@@ -65,7 +65,7 @@
 void
 mq_json_log_flush (struct mq_json_log *log)
 {
-  struct mq_buffer *out = &log->gathered;
+  struct mq_buffer *out = &log->output;
 
   while (out->len > 0)
     {
@@ -101,9 +101,9 @@
 }
 
 uint64_t
-mq_json_log_strays (const struct mq_json_log *log)
+mq_json_log_unknown_keys (const struct mq_json_log *log)
 {
-  return log->strays;
+  return log->unknown_key_count;
 }
 
 static void
@@ -116,29 +116,30 @@
 }
 
 static bool
-within_bound (struct mq_json_log *log, enum mq_json_weight weight,
-              uint64_t now_ms)
+is_within_rate_limit (struct mq_json_log *log, enum mq_json_priority priority,
+                      uint64_t now_ms)
 {
   if (now_ms / 1000 != log->second)
     {
       log->second = now_ms / 1000;
       log->lines = 0;
-      log->plain = 0;
+      log->low_priority_lines = 0;
     }
   if (log->lines >= MQ_JSON_LOG_LINES_S)
     return false;
-  if (weight == MQ_JSON_PLAIN && log->plain >= MQ_JSON_LOG_PLAIN_S)
+  if (priority == MQ_JSON_LOW_PRIORITY
+      && log->low_priority_lines >= MQ_JSON_LOG_LOW_PRIORITY_S)
     return false;
   log->lines++;
-  if (weight == MQ_JSON_PLAIN)
-    log->plain++;
+  if (priority == MQ_JSON_LOW_PRIORITY)
+    log->low_priority_lines++;
   return true;
 }
 
 static void
 put (struct mq_json_line *line, const char *text, size_t len)
 {
-  if (line->len + len + TAIL_BYTES > sizeof line->text)
+  if (line->len + len + LINE_END_BYTES > sizeof line->text)
     return;
   memcpy (line->text + line->len, text, len);
   line->len += len;
@@ -146,17 +147,17 @@
 
 void
 mq_json_begin (struct mq_json_line *line, struct mq_json_log *log,
-               enum mq_json_weight weight, enum mq_log_event event)
+               enum mq_json_priority priority, enum mq_log_event event)
 {
   const struct mq_log_row *row = mq_log_row (event);
-  uint64_t day_ms = mq_clock_day_ms ();
+  uint64_t day_ms = mq_clock_wall_ms ();
   int len;
 
   line->log = log;
   line->event = event;
   line->len = 0;
-  line->wanted = within_bound (log, weight, day_ms);
-  if (!line->wanted)
+  line->accepted = is_within_rate_limit (log, priority, day_ms);
+  if (!line->accepted)
     {
       log->dropped++;
       return;
@@ -169,13 +170,13 @@
   line->len = (size_t)len;
 }
 
-/* Keeps the lines true to what is written down of them.  */
+/* Checks KEY against the schema and counts unknown ones.  */
 static bool
 in_schema (struct mq_json_line *line, const char *key)
 {
   if (mq_log_has_key (line->event, key))
     return true;
-  line->log->strays++;
+  line->log->unknown_key_count++;
   return false;
 }
 
@@ -207,16 +208,18 @@
     put (line, (const char *)&c, 1);
 }
 
-/* A value is kept whole or left out, so that the line stays valid.  */
+/* Omits a value that does not fit as a whole, so that the line stays valid
+   JSON.  */
 void
 mq_json_text (struct mq_json_line *line, const char *key, const char *value)
 {
   size_t len;
 
-  if (!line->wanted || value == NULL || !in_schema (line, key))
+  if (!line->accepted || value == NULL || !in_schema (line, key))
     return;
   len = strlen (value);
-  if (line->len + strlen (key) + len * 6 + TAIL_BYTES * 4 > sizeof line->text)
+  if (line->len + strlen (key) + len * 6 + LINE_END_BYTES * 4
+      > sizeof line->text)
     return;
   put_key (line, key);
   put (line, "\"", 1);
@@ -231,8 +234,8 @@
   char text[24];
   int len;
 
-  if (!line->wanted || !in_schema (line, key)
-      || line->len + strlen (key) + sizeof text + TAIL_BYTES * 2
+  if (!line->accepted || !in_schema (line, key)
+      || line->len + strlen (key) + sizeof text + LINE_END_BYTES * 2
              > sizeof line->text)
     return;
   len = snprintf (text, sizeof text, "%" PRIu64, value);
@@ -273,18 +276,18 @@
 {
   struct mq_json_log *log = line->log;
 
-  if (!line->wanted)
+  if (!line->accepted)
     return;
   memcpy (line->text + line->len, "}\n", 2);
   line->len += 2;
-  if (!mq_buffer_append (log, &log->gathered, line->text, line->len,
-                         GATHER_BYTES))
+  if (!mq_buffer_append (log, &log->output, line->text, line->len,
+                         OUTPUT_BUFFER_BYTES))
     {
       log->dropped++;
       return;
     }
   log->written++;
-  if (log->ev == NULL || log->gathered.len >= FLUSH_BYTES)
+  if (log->ev == NULL || log->output.len >= FLUSH_BYTES)
     mq_json_log_flush (log);
   else if (log->timer == NULL)
     log->timer = mq_timer_add (log, log->ev, FLUSH_MS, on_flush, log);
--- a/src/log/log.c
+++ b/src/log/log.c
@@ -1,18 +1,17 @@
-/* log.c - the log of a daemon of the product's own deployment.
+/* log.c - process log of a daemon.
 
    Needs: log.h, json_log.h.  */
 
 #include "log.h"
 #include <unistd.h>
 
-/* One a process: its parts have no handle in common.  */
+/* Global, since the modules of a process share no other state.  */
 static struct mq_json_log *process_log;
 
 /**
- * struct state_row - how a change of state is written
- * @event: of the line
- * @number_key: key of the line's number, NULL: it has none
- * @subject_key: key of the line's subject
+ * struct state_row - log line of a state change
+ * @number_key: key of the numeric value, NULL if there is none
+ * @subject_key: key of the subject
  */
 struct state_row
 {
@@ -58,7 +57,7 @@
       || (size_t)state->change >= sizeof state_rows / sizeof state_rows[0])
     return;
   row = &state_rows[state->change];
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, row->event);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, row->event);
   if (row->number_key != NULL)
     mq_json_number (&line, row->number_key, state->number);
   if (state->subject != NULL && state->subject[0] != '\0')
@@ -73,7 +72,7 @@
 
   if (process_log == NULL)
     return;
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, event);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, event);
   mq_json_error (&line, error);
   mq_json_end (&line);
 }
@@ -85,7 +84,7 @@
 
   if (process_log == NULL)
     return;
-  mq_json_begin (&line, process_log, MQ_JSON_NOTE, MQ_LOG_LISTENING);
+  mq_json_begin (&line, process_log, MQ_JSON_HIGH_PRIORITY, MQ_LOG_LISTENING);
   mq_json_text (&line, "http", http);
   mq_json_text (&line, "peer", peer);
   mq_json_end (&line);
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -1,4 +1,4 @@
-/* buffer.c - bytes that come in at one end and go out at the other.
+/* buffer.c - FIFO byte buffer.
 
    Needs: talloc.  */
 
@@ -7,16 +7,16 @@
 
 #define FIRST_BYTES ((size_t)4096)
 
-/* Moves the bytes to the front of new memory of at least NEED bytes.  */
+/* Moves the bytes to a new allocation of at least NEED bytes.  */
 static bool
 grow (TALLOC_CTX *ctx, struct mq_buffer *buffer, size_t need)
 {
-  size_t room = buffer->room == 0 ? FIRST_BYTES : buffer->room;
+  size_t capacity = buffer->capacity == 0 ? FIRST_BYTES : buffer->capacity;
   char *grown;
 
-  while (room < need)
-    room *= 2;
-  grown = talloc_size (ctx, room);
+  while (capacity < need)
+    capacity *= 2;
+  grown = talloc_size (ctx, capacity);
   if (grown == NULL)
     return false;
   if (buffer->len > 0)
@@ -24,7 +24,7 @@
   talloc_free (buffer->data);
   buffer->data = grown;
   buffer->at = 0;
-  buffer->room = room;
+  buffer->capacity = capacity;
   return true;
 }
 
@@ -38,7 +38,7 @@
     return false;
   if (len == 0)
     return true;
-  if (buffer->at + need > buffer->room && !grow (ctx, buffer, need))
+  if (buffer->at + need > buffer->capacity && !grow (ctx, buffer, need))
     return false;
   memcpy (buffer->data + buffer->at + buffer->len, data, len);
   buffer->len += len;
--- a/src/net/handshake.c
+++ b/src/net/handshake.c
@@ -1,4 +1,4 @@
-/* handshake.c - how two processes prove the site key to each other.
+/* handshake.c - mutual authentication of two processes by the site key.
 
    Needs: handshake.h.  */
 
@@ -12,8 +12,8 @@
 _Static_assert((int)MQ__ROLE__TARGET == (int)MQ_HOST_TARGET,
                "role on the wire");
 
-/* A Hello as it was sent, and the nonce in it.  */
-struct sent_hello
+/* Encoded bytes of a Hello, and the nonce in it.  */
+struct hello_bytes
 {
   uint8_t *data;
   size_t len;
@@ -24,8 +24,8 @@
 {
   enum mq_handshake_side side;
   const uint8_t *site_key;
-  struct sent_hello own;
-  struct sent_hello peer;
+  struct hello_bytes own;
+  struct hello_bytes peer;
   struct mq_peer_info info;
 };
 
@@ -46,7 +46,7 @@
 {
   Mq__Envelope envelope = MQ__ENVELOPE__INIT;
   Mq__Hello hello = MQ__HELLO__INIT;
-  struct sent_hello *own = &handshake->own;
+  struct hello_bytes *own = &handshake->own;
 
   hello.protocol = MQ_PEER_PROTOCOL;
   hello.host = (char *)self->host;
@@ -68,7 +68,7 @@
                      const struct mq_peer_info *self)
 {
   struct mq_handshake *handshake = talloc_zero (ctx, struct mq_handshake);
-  struct sent_hello *own;
+  struct hello_bytes *own;
 
   if (handshake == NULL)
     return NULL;
@@ -98,7 +98,7 @@
 }
 
 static const char *
-find_hello_fault (const Mq__Hello *hello)
+find_invalid_hello_field (const Mq__Hello *hello)
 {
   if (hello->protocol != MQ_PEER_PROTOCOL)
     return "protocol";
@@ -116,10 +116,10 @@
 }
 
 static bool
-keep_hello (struct mq_handshake *handshake, const Mq__Hello *hello,
-            const uint8_t *data, size_t len)
+store_hello (struct mq_handshake *handshake, const Mq__Hello *hello,
+             const uint8_t *data, size_t len)
 {
-  struct sent_hello *peer = &handshake->peer;
+  struct hello_bytes *peer = &handshake->peer;
   struct mq_peer_info *info = &handshake->info;
 
   memcpy (peer->nonce, hello->nonce.data, sizeof peer->nonce);
@@ -142,10 +142,10 @@
   const char *fault = "hello";
 
   if (envelope != NULL && envelope->body_case == MQ__ENVELOPE__BODY_HELLO)
-    fault = find_hello_fault (envelope->hello);
+    fault = find_invalid_hello_field (envelope->hello);
   if (fault != NULL)
     mq_error_set (error, MQ_ERR_BAD_FRAME, fault, NULL);
-  else if (!keep_hello (handshake, envelope->hello, data, len))
+  else if (!store_hello (handshake, envelope->hello, data, len))
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, "hello", NULL);
       fault = "memory";
@@ -154,9 +154,10 @@
   return fault == NULL ? &handshake->info : NULL;
 }
 
-/* The length goes first: no two pairs of Hellos give the same bytes.  */
+/* Prefixes the length, so that no two different pairs of Hellos give the same
+   input.  */
 static int
-add_hello (gnutls_hmac_hd_t mac, const struct sent_hello *hello)
+add_hello (gnutls_hmac_hd_t mac, const struct hello_bytes *hello)
 {
   uint8_t len[4] = { (uint8_t)(hello->len >> 24), (uint8_t)(hello->len >> 16),
                      (uint8_t)(hello->len >> 8), (uint8_t)hello->len };
@@ -167,7 +168,7 @@
 
 static int
 add_parts (gnutls_hmac_hd_t mac, enum mq_handshake_side side,
-           const struct sent_hello *connect, const struct sent_hello *accept)
+           const struct hello_bytes *connect, const struct hello_bytes *accept)
 {
   static const char *const tags[] = { "connect", "accept" };
   int failed = gnutls_hmac (mac, tags[side], strlen (tags[side]) + 1);
@@ -183,7 +184,7 @@
   return failed;
 }
 
-/* What SIDE has to prove in this handshake.  */
+/* MAC expected from SIDE in this handshake.  */
 static bool
 compute_proof (const struct mq_handshake *handshake,
                enum mq_handshake_side side, uint8_t proof[MQ_KEY_BYTES])
@@ -231,8 +232,8 @@
 
   if (!compute_proof (handshake, other_side (handshake->side), mac))
     return false;
-  /* In constant time: the time of a plain compare tells a guesser how many
-     bytes were right.  */
+  /* Constant-time comparison, so that timing does not reveal how many bytes of
+     a guess were correct.  */
   return proof->mac.len == sizeof mac
          && gnutls_memcmp (proof->mac.data, mac, sizeof mac) == 0;
 }
@@ -242,16 +243,16 @@
                           size_t len, struct mq_error *error)
 {
   Mq__Envelope *envelope = mq__envelope__unpack (NULL, len, data);
-  bool proved = false;
+  bool is_valid = false;
 
   if (envelope == NULL || envelope->body_case != MQ__ENVELOPE__BODY_PROOF)
     mq_error_set (error, MQ_ERR_BAD_FRAME, "proof", NULL);
   else
     {
-      proved = match_proof (handshake, envelope->proof);
-      if (!proved)
+      is_valid = match_proof (handshake, envelope->proof);
+      if (!is_valid)
         mq_error_set (error, MQ_ERR_BAD_PEER, handshake->info.host, NULL);
     }
   mq__envelope__free_unpacked (envelope, NULL);
-  return proved;
+  return is_valid;
 }
--- a/src/net/http_message.c
+++ b/src/net/http_message.c
@@ -1,4 +1,4 @@
-/* http_message.c - HTTP/1.1 messages cut out of a stream of bytes.
+/* http_message.c - parser of HTTP/1.1 messages.
 
    Needs: http_message.h, http-parser.  */
 
@@ -8,14 +8,14 @@
 #include <string.h>
 #include <strings.h>
 
-#define FIRST_TEXT ((size_t)1024)
-#define FIRST_FIELDS ((size_t)16)
+#define INITIAL_TEXT_BYTES ((size_t)1024)
+#define INITIAL_FIELDS ((size_t)16)
 
 /**
- * struct mq_http_reader - the message that is being read
- * @text: names, values and the target, each with a zero byte after it
- * @offsets: of name and value of each field in @text
- * @part: what @text is being filled with
+ * struct mq_http_reader - the message being parsed
+ * @text: names, values and the request target, each zero-terminated
+ * @offsets: offsets in @text of the name and value of each field
+ * @part: which part of the head is being stored in @text
  */
 struct mq_http_reader
 {
@@ -25,10 +25,10 @@
   struct mq_http_head head;
   char *text;
   size_t text_len;
-  size_t text_room;
+  size_t text_capacity;
   size_t *offsets;
   size_t field_count;
-  size_t field_room;
+  size_t field_capacity;
   size_t target_at;
   size_t head_bytes;
   size_t head_max;
@@ -41,7 +41,7 @@
   } part;
   bool no_body;
   bool begun;
-  bool whole;
+  bool complete;
   bool in_head;
   bool too_large;
 };
@@ -55,25 +55,26 @@
 static bool
 add_text (struct mq_http_reader *reader, const char *text, size_t len)
 {
-  if (reader->text_len + len + 1 > reader->text_room)
+  if (reader->text_len + len + 1 > reader->text_capacity)
     {
-      size_t room = reader->text_room == 0 ? FIRST_TEXT : reader->text_room;
+      size_t capacity = reader->text_capacity == 0 ? INITIAL_TEXT_BYTES
+                                                   : reader->text_capacity;
       char *grown;
 
-      while (room < reader->text_len + len + 1)
-        room *= 2;
-      grown = talloc_realloc (reader, reader->text, char, room);
+      while (capacity < reader->text_len + len + 1)
+        capacity *= 2;
+      grown = talloc_realloc (reader, reader->text, char, capacity);
       if (grown == NULL)
         return false;
       reader->text = grown;
-      reader->text_room = room;
+      reader->text_capacity = capacity;
     }
   memcpy (reader->text + reader->text_len, text, len);
   reader->text_len += len;
   return true;
 }
 
-/* Ends the part that is being filled with its zero byte.  */
+/* Zero-terminates the current part.  */
 static bool
 end_part (struct mq_http_reader *reader)
 {
@@ -88,16 +89,18 @@
 {
   size_t need = (reader->field_count + 1) * 2;
 
-  if (need > reader->field_room)
+  if (need > reader->field_capacity)
     {
-      size_t room = reader->field_room == 0 ? FIRST_FIELDS * 2
-                                            : reader->field_room * 2;
-      size_t *grown = talloc_realloc (reader, reader->offsets, size_t, room);
+      size_t capacity = reader->field_capacity == 0
+                            ? INITIAL_FIELDS * 2
+                            : reader->field_capacity * 2;
+      size_t *grown
+          = talloc_realloc (reader, reader->offsets, size_t, capacity);
 
       if (grown == NULL)
         return false;
       reader->offsets = grown;
-      reader->field_room = room;
+      reader->field_capacity = capacity;
     }
   reader->offsets[reader->field_count * 2] = reader->text_len;
   reader->field_count++;
@@ -130,7 +133,7 @@
 {
   struct mq_http_reader *reader = reader_of (parser);
 
-  /* Trailers come after the head was given out and are not passed on.  */
+  /* Trailers arrive after the head was delivered and are dropped.  */
   if (!reader->in_head)
     return 0;
   if (reader->part != PART_NAME)
@@ -177,9 +180,9 @@
   return true;
 }
 
-/* The parser lets blanks pass in a name.  "Content-Length : 5" is then a field
-   that we don't know and the next reader may know, so that the two of them see
-   the end of the message at different places.  */
+/* Rejects blanks in field names, which the parser accepts. "Content-Length :
+   5" would be unknown here but known to the next reader, and the two would
+   disagree on the end of the message.  */
 static bool
 is_name (const char *name)
 {
@@ -191,7 +194,7 @@
 }
 
 static bool
-names_are_sound (const struct mq_http_head *head)
+header_names_are_valid (const struct mq_http_head *head)
 {
   for (size_t i = 0; i < head->field_count; i++)
     if (!is_name (head->fields[i].name))
@@ -199,12 +202,11 @@
   return true;
 }
 
-/* A request is refused when its length could be read in two ways: a length
-   beside chunks, two lengths, or a transfer coding other than chunked.  Else
-   what one reader takes for a body another one takes for a request, and a
-   caller could slip in a request under another's name.  */
+/* Rejects a request of ambiguous length: Content-Length with chunked coding,
+   two lengths, or a transfer coding other than chunked.  Otherwise a caller
+   could smuggle in a request that another reader takes for a body.  */
 static bool
-framing_is_clear (const struct mq_http_reader *reader)
+framing_is_unambiguous (const struct mq_http_reader *reader)
 {
   const struct mq_http_head *head = &reader->head;
   size_t codings = mq_http_head_count (head, "Transfer-Encoding");
@@ -216,13 +218,13 @@
   return coding == NULL || strcasecmp (coding, "chunked") == 0;
 }
 
-/* An answer whose head tells no length ends with its connection.  */
+/* True for a response without a length, which ends with the connection.  */
 static bool
 ends_with_connection (const struct mq_http_reader *reader)
 {
   const struct mq_http_head *head = &reader->head;
 
-  return reader->side == MQ_HTTP_ANSWER && !reader->no_body && !head->chunked
+  return reader->side == MQ_HTTP_RESPONSE && !reader->no_body && !head->chunked
          && !head->has_length && head->status >= 200 && head->status != 204
          && head->status != 304;
 }
@@ -252,9 +254,9 @@
       reader->too_large = true;
       return -1;
     }
-  if (!names_are_sound (head) || !framing_is_clear (reader))
+  if (!header_names_are_valid (head) || !framing_is_unambiguous (reader))
     return -1;
-  /* We never switch protocols: an Upgrade is a field like any other.  */
+  /* Upgrade is ignored, since protocols are never switched.  */
   if (parser->method != HTTP_CONNECT)
     parser->upgrade = 0;
   reader->events.head (head, reader->events.user);
@@ -275,7 +277,7 @@
 {
   struct mq_http_reader *reader = reader_of (parser);
 
-  reader->whole = true;
+  reader->complete = true;
   reader->begun = false;
   http_parser_pause (parser, 1);
   return 0;
@@ -333,9 +335,9 @@
   reader->no_body = true;
 }
 
-/* Counts the bytes of the head, so that one without an end is noticed.  */
+/* Counts the bytes of the head; false if it exceeds its limit.  */
 static bool
-head_fits (struct mq_http_reader *reader, size_t len)
+head_is_within_limit (struct mq_http_reader *reader, size_t len)
 {
   if (!reader->in_head)
     {
@@ -353,7 +355,7 @@
   size_t used;
   enum http_errno failure;
 
-  if (reader->whole || len == 0)
+  if (reader->complete || len == 0)
     return 0;
   used = http_parser_execute (&reader->parser, &callbacks, data, len);
   failure = HTTP_PARSER_ERRNO (&reader->parser);
@@ -372,7 +374,7 @@
                     http_errno_name (failure), NULL);
       return used < len ? used : len - 1;
     }
-  if (!head_fits (reader, len))
+  if (!head_is_within_limit (reader, len))
     {
       mq_error_set (error, MQ_ERR_TOO_LARGE, "the head", NULL);
       return 0;
@@ -383,20 +385,20 @@
 bool
 mq_http_reader_finish (struct mq_http_reader *reader)
 {
-  if (reader->whole || !reader->begun)
+  if (reader->complete || !reader->begun)
     return true;
   if (reader->in_head || !reader->head.until_close)
     return false;
   http_parser_execute (&reader->parser, &callbacks, NULL, 0);
   http_parser_pause (&reader->parser, 0);
-  if (!reader->whole)
+  if (!reader->complete)
     return false;
   reader->events.end (reader->events.user);
   return true;
 }
 
 bool
-mq_http_reader_within (const struct mq_http_reader *reader)
+mq_http_reader_in_message (const struct mq_http_reader *reader)
 {
   return reader->begun;
 }
@@ -404,13 +406,13 @@
 bool
 mq_http_reader_at_end (const struct mq_http_reader *reader)
 {
-  return reader->whole;
+  return reader->complete;
 }
 
 void
 mq_http_reader_next (struct mq_http_reader *reader)
 {
-  reader->whole = false;
+  reader->complete = false;
   reader->begun = false;
   reader->in_head = false;
   reader->no_body = false;
@@ -441,9 +443,9 @@
   return count;
 }
 
-/* NAME is one of the words of LIST, which commas part.  */
+/* True if NAME occurs in the comma-separated LIST.  */
 static bool
-list_names (const char *list, const char *name)
+list_contains (const char *list, const char *name)
 {
   size_t name_len = strlen (name);
 
@@ -478,7 +480,7 @@
       return true;
   for (size_t i = 0; i < head->field_count; i++)
     if (strcasecmp (head->fields[i].name, "Connection") == 0
-        && list_names (head->fields[i].value, name))
+        && list_contains (head->fields[i].value, name))
       return true;
   return false;
 }
--- a/src/net/http_request.c
+++ b/src/net/http_request.c
@@ -1,4 +1,4 @@
-/* http_request.c - what a request says, and its answers.
+/* http_request.c - accessors of a request, and its responses.
 
    Needs: http_state.h, buffer.h, libmicrohttpd.  */
 
@@ -8,8 +8,6 @@
 
 #define STREAM_BLOCK_BYTES ((size_t)16384)
 
-/* Answers.  */
-
 static void
 add_headers (struct mq_http_request *request, const char *content_type)
 {
@@ -25,20 +23,20 @@
     MHD_add_response_header (response, MHD_HTTP_HEADER_CONNECTION, "close");
 }
 
-/* False when REQUEST can't be answered (any more).  */
+/* False if the caller has left or the request was already answered.  */
 static bool
-may_answer (struct mq_http_request *request)
+can_respond (struct mq_http_request *request)
 {
   return !request->broken && !request->answered && !request->streaming;
 }
 
-/* The user's last word; frees a request that was kept for it.  */
+/* Marks REQUEST as answered; frees it if it outlived its connection.  */
 static void
-user_done (struct mq_http_request *request)
+finish_user_request (struct mq_http_request *request)
 {
   request->answered = true;
   if (request->connection == NULL && request->closed == NULL
-      && !request->server->doomed)
+      && !request->server->destroy_pending)
     talloc_free (request);
 }
 
@@ -46,9 +44,9 @@
 mq_http_respond (struct mq_http_request *request, int status,
                  const char *content_type, const void *body, size_t len)
 {
-  if (!may_answer (request))
+  if (!can_respond (request))
     {
-      user_done (request);
+      finish_user_request (request);
       return;
     }
   request->response = MHD_create_response_from_buffer (
@@ -56,7 +54,7 @@
   request->answered = true;
   if (request->response == NULL)
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return;
     }
   request->status = (unsigned int)status;
@@ -64,17 +62,17 @@
   mq_request_resume (request);
 }
 
-/* Streams.  A buffer grows with the reader's lag and is let go when the reader
-   has caught up, so that thousands of quiet streams hold no memory.  */
+/* The buffer of a stream is freed when the reader has caught up, so that idle
+   streams hold no memory.  */
 
-/* The library asks for more of the answer.  */
+/* Callback of libmicrohttpd: copies the next bytes of the stream.  */
 static ssize_t
 stream_read (void *cls, uint64_t position, char *to, size_t max)
 {
   struct mq_http_request *request = cls;
 
   (void)position;
-  if (request->broken || request->server->doomed)
+  if (request->broken || request->server->destroy_pending)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (request->unsent.len > 0)
     return (ssize_t)mq_buffer_take (&request->unsent, to, max);
@@ -88,13 +86,13 @@
 mq_http_stream_begin (struct mq_http_request *request, int status,
                       const char *content_type)
 {
-  if (!may_answer (request))
+  if (!can_respond (request))
     return;
   request->response = MHD_create_response_from_callback (
       MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, stream_read, request, NULL);
   if (request->response == NULL)
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return;
     }
   request->streaming = true;
@@ -114,7 +112,7 @@
   if (!mq_buffer_append (request, &request->unsent, data, len,
                          request->server->stream_buffer_max))
     {
-      mq_request_give_up (request);
+      mq_request_abort_connection (request);
       return false;
     }
   mq_request_resume (request);
@@ -130,18 +128,16 @@
       mq_request_resume (request);
       return;
     }
-  user_done (request);
+  finish_user_request (request);
 }
 
 void
 mq_http_abort (struct mq_http_request *request)
 {
-  mq_request_give_up (request);
-  user_done (request);
+  mq_request_abort_connection (request);
+  finish_user_request (request);
 }
 
-/* What a request says.  */
-
 const char *
 mq_http_method (const struct mq_http_request *request)
 {
@@ -181,14 +177,14 @@
 }
 
 static void
-closed_late (struct tevent_context *ev, struct tevent_immediate *im,
-             void *data)
+notify_closed_later (struct tevent_context *ev, struct tevent_immediate *im,
+                     void *data)
 {
   struct mq_http_request *request = data;
 
   (void)ev;
   (void)im;
-  mq_request_tell_closed (request);
+  mq_request_notify_closed (request);
   talloc_free (request);
 }
 
@@ -200,7 +196,8 @@
   request->closed_data = data;
   if (request->connection == NULL && closed != NULL)
     tevent_schedule_immediate (tevent_create_immediate (request),
-                               request->server->ev, closed_late, request);
+                               request->server->ev, notify_closed_later,
+                               request);
 }
 
 void
--- a/src/net/peer.c
+++ b/src/net/peer.c
@@ -1,7 +1,7 @@
-/* peer.c - connections between the system's processes.
+/* peer.c - TCP connections between the processes of the system.
 
-   The net itself: its life, the addresses it keeps, its clock and the
-   user's calls.
+   Creates and destroys the network, accepts and dials connections, and
+   implements the public functions of peer.h.
    Needs: peer_net.h, codec.h, id.h.  */
 
 #include "peer.h"
@@ -24,9 +24,9 @@
 {
   TICK_MIN_MS = 5,
   TICK_MAX_MS = 50,
-  TICKS_PER_BEAT = 8,
+  TICKS_PER_HEARTBEAT = 8,
   LISTEN_BACKLOG = 1024,
-  ACCEPTS_PER_TURN = 64,
+  ACCEPTS_PER_EVENT = 64,
   US_PER_MS = 1000,
   NS_PER_MS = 1000000,
   MS_PER_S = 1000
@@ -45,91 +45,97 @@
 }
 
 void
-mq_peer_enter (struct mq_peer_net *net)
+mq_peer_begin_handler (struct mq_peer_net *net)
 {
   net->depth++;
 }
 
 void
-mq_peer_leave (struct mq_peer_net *net)
+mq_peer_end_handler (struct mq_peer_net *net)
 {
   net->depth--;
   if (net->depth > 0)
     return;
-  if (net->dead)
+  if (net->destroyed)
     talloc_free (net);
-  else if (net->dirty == NULL)
+  else if (net->flush_list == NULL)
     free_closed (net);
 }
 
 static uint32_t
-jitter_pause (struct mq_peer_net *net, uint32_t pause_ms)
+jittered_backoff (struct mq_peer_net *net, uint32_t backoff_ms)
 {
-  uint32_t half = pause_ms / 2;
+  uint32_t half = backoff_ms / 2;
 
   return half + mq_random_below (&net->seed, half + 1);
 }
 
-/* The next pause is set before the outcome is known; start_ready resets it
-   by way of tick_kept.  */
+/* Doubles the backoff before the result of the attempt is known; tick_address
+   resets it once a connection is ready.  */
 static void
-dial_kept (struct mq_peer_net *net, struct mq_kept *kept, uint64_t now_ms)
+dial_address (struct mq_peer_net *net, struct mq_peer_address *peer_address,
+              uint64_t now_ms)
 {
-  kept->due_ms = now_ms + jitter_pause (net, kept->pause_ms);
-  kept->pause_ms *= 2;
-  if (kept->pause_ms > MQ_CONNECT_RETRY_MAX_MS)
-    kept->pause_ms = MQ_CONNECT_RETRY_MAX_MS;
-  mq_conn_dial (net, kept);
+  peer_address->due_ms
+      = now_ms + jittered_backoff (net, peer_address->backoff_ms);
+  peer_address->backoff_ms *= 2;
+  if (peer_address->backoff_ms > MQ_CONNECT_RETRY_MAX_MS)
+    peer_address->backoff_ms = MQ_CONNECT_RETRY_MAX_MS;
+  mq_conn_dial (net, peer_address);
 }
 
 static void
-tick_kept (struct mq_peer_net *net, struct mq_kept *kept, uint64_t now_ms)
+tick_address (struct mq_peer_net *net, struct mq_peer_address *peer_address,
+              uint64_t now_ms)
 {
-  if (kept->ready != NULL)
+  if (peer_address->ready != NULL)
     {
-      kept->pause_ms = MQ_CONNECT_RETRY_MS;
-      kept->due_ms = 0;
+      peer_address->backoff_ms = MQ_CONNECT_RETRY_MS;
+      peer_address->due_ms = 0;
       return;
     }
-  if (kept->dialling != NULL)
+  if (peer_address->dialling != NULL)
     return;
-  /* Just lost: hosts that lost the same peer don't come back all at once. */
-  if (kept->due_ms == 0)
-    kept->due_ms = now_ms + jitter_pause (net, kept->pause_ms);
-  if (now_ms >= kept->due_ms)
-    dial_kept (net, kept, now_ms);
+  /* The connection was lost since the last tick.  The jitter spreads out the
+     reconnects of hosts that lost the same peer.  */
+  if (peer_address->due_ms == 0)
+    peer_address->due_ms
+        = now_ms + jittered_backoff (net, peer_address->backoff_ms);
+  if (now_ms >= peer_address->due_ms)
+    dial_address (net, peer_address, now_ms);
 }
 
 static void
-tick_all_kept (struct mq_peer_net *net, uint64_t now_ms)
+tick_all_addresses (struct mq_peer_net *net, uint64_t now_ms)
 {
-  for (struct mq_kept *kept = net->kept; kept != NULL; kept = kept->next)
-    tick_kept (net, kept, now_ms);
+  for (struct mq_peer_address *peer_address = net->peer_address;
+       peer_address != NULL; peer_address = peer_address->next)
+    tick_address (net, peer_address, now_ms);
 }
 
 static void
-flush_dirty (struct mq_peer_net *net)
+flush_scheduled (struct mq_peer_net *net)
 {
-  while (net->dirty != NULL)
+  while (net->flush_list != NULL)
     {
-      struct mq_conn *conn = net->dirty;
+      struct mq_conn *conn = net->flush_list;
 
-      net->dirty = conn->next_dirty;
-      conn->dirty = false;
+      net->flush_list = conn->next_to_flush;
+      conn->in_flush_list = false;
       mq_conn_flush (conn);
     }
 }
 
 static void
-close_doomed (struct mq_peer_net *net)
+close_scheduled (struct mq_peer_net *net)
 {
   struct mq_conn *conn = net->conns;
 
-  net->doom_due = false;
-  while (conn != NULL && !net->dead)
+  net->close_due = false;
+  while (conn != NULL && !net->destroyed)
     {
-      if (conn->state != MQ_CONN_CLOSED && conn->doom != MQ_ERR_NONE)
-        mq_conn_close (conn, conn->doom);
+      if (conn->state != MQ_CONN_CLOSED && conn->close_reason != MQ_ERR_NONE)
+        mq_conn_close (conn, conn->close_reason);
       conn = conn->next;
     }
 }
@@ -137,15 +143,15 @@
 static void
 do_work (struct mq_peer_net *net)
 {
-  flush_dirty (net);
-  if (net->doom_due)
-    close_doomed (net);
-  if (net->settle_due && !net->dead)
-    mq_conn_settle_waiting (net);
-  if (net->dial_due && !net->dead)
+  flush_scheduled (net);
+  if (net->close_due)
+    close_scheduled (net);
+  if (net->select_due && !net->destroyed)
+    mq_conn_select_waiting (net);
+  if (net->dial_due && !net->destroyed)
     {
       net->dial_due = false;
-      tick_all_kept (net, mq_clock_ms ());
+      tick_all_addresses (net, mq_clock_ms ());
     }
 }
 
@@ -156,16 +162,16 @@
 
   (void)ev;
   (void)work;
-  mq_peer_enter (net);
+  mq_peer_begin_handler (net);
   net->work_due = false;
   do_work (net);
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 void
 mq_peer_schedule (struct mq_peer_net *net)
 {
-  if (net->work_due || net->dead)
+  if (net->work_due || net->destroyed)
     return;
   net->work_due = true;
   tevent_schedule_immediate (net->work, net->ev, on_work, net);
@@ -177,11 +183,10 @@
   return time_ms + pause_ms < now_ms ? time_ms + pause_ms : now_ms;
 }
 
-/* A process that was stopped for a while has heard nothing because it did
-   not listen: that time counts neither as silence of its peers nor against
-   their handshakes.  */
+/* Excludes the time in which this process was stopped from the receive and
+   handshake timeouts, since it could not read from its peers then.  */
 static void
-forgive_pause (struct mq_peer_net *net, uint64_t now_ms)
+exclude_process_pause (struct mq_peer_net *net, uint64_t now_ms)
 {
   uint64_t pause_ms = now_ms - net->now_ms;
 
@@ -190,7 +195,7 @@
   pause_ms -= net->tick_ms;
   for (struct mq_conn *conn = net->conns; conn != NULL; conn = conn->next)
     {
-      conn->heard_ms = shift_time (conn->heard_ms, pause_ms, now_ms);
+      conn->received_ms = shift_time (conn->received_ms, pause_ms, now_ms);
       conn->opened_ms = shift_time (conn->opened_ms, pause_ms, now_ms);
     }
 }
@@ -200,7 +205,7 @@
 {
   struct mq_conn *conn = net->conns;
 
-  while (conn != NULL && !net->dead)
+  while (conn != NULL && !net->destroyed)
     {
       mq_conn_tick (conn, now_ms);
       conn = conn->next;
@@ -220,20 +225,20 @@
   (void)flags;
   if (read (net->clock_fd, &expirations, sizeof expirations) < 0)
     return;
-  mq_peer_enter (net);
-  forgive_pause (net, now_ms);
+  mq_peer_begin_handler (net);
+  exclude_process_pause (net, now_ms);
   net->now_ms = now_ms;
   TEVENT_FD_READABLE (net->listen_event);
   tick_conns (net, now_ms);
-  if (!net->dead)
-    tick_all_kept (net, now_ms);
-  mq_peer_leave (net);
+  if (!net->destroyed)
+    tick_all_addresses (net, now_ms);
+  mq_peer_end_handler (net);
 }
 
-/* Connections that never prove the key must not shut out those that will:
-   over the bound the oldest of them goes, which had the most time.  */
+/* Closes the oldest unauthenticated connection, so that idle connections
+   cannot keep peers with a valid site key from connecting.  */
 static void
-close_oldest_unproven (struct mq_peer_net *net)
+close_oldest_unauthenticated (struct mq_peer_net *net)
 {
   struct mq_conn *oldest = NULL;
 
@@ -251,8 +256,8 @@
 
   if (conn == NULL)
     return;
-  if (net->unproven > MQ_PEER_UNAUTHENTICATED_MAX)
-    close_oldest_unproven (net);
+  if (net->unauthenticated_count > MQ_PEER_UNAUTHENTICATED_MAX)
+    close_oldest_unauthenticated (net);
   mq_conn_start_handshake (conn);
 }
 
@@ -266,18 +271,19 @@
   (void)ev;
   (void)event;
   (void)flags;
-  mq_peer_enter (net);
-  for (int i = 0; i < ACCEPTS_PER_TURN && fd >= 0; i++)
+  mq_peer_begin_handler (net);
+  for (int i = 0; i < ACCEPTS_PER_EVENT && fd >= 0; i++)
     {
       fd = accept4 (net->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd >= 0)
         accept_fd (net, fd);
     }
-  /* Out of descriptors the socket stays readable, and the loop would spin:
-     accepting waits for the next tick.  */
+  /* When descriptors or buffers are exhausted the socket stays readable.
+     Stops listening for events until the next tick, so that the event loop
+     does not spin.  */
   if (fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS))
     TEVENT_FD_NOT_READABLE (net->listen_event);
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 static bool
@@ -307,8 +313,8 @@
   struct timespec tick = { .tv_nsec = (long)net->tick_ms * (long)NS_PER_MS };
   struct itimerspec every = { .it_interval = tick, .it_value = tick };
 
-  /* Not one of tevent's timers: they follow the wall clock, and one that is
-     set back would stop the beats.  */
+  /* tevent timers follow the wall clock; setting it back would delay the
+     heartbeats.  */
   net->clock_fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   return net->clock_fd >= 0
          && timerfd_settime (net->clock_fd, 0, &every, NULL) == 0;
@@ -345,7 +351,8 @@
   return ntohs (bound.v4.sin_port);
 }
 
-/* The address listened at, with the port that port 0 turned into.  */
+/* Address of the listening socket, with the actual port where port 0 was
+   requested.  */
 static char *
 format_address (struct mq_peer_net *net, const char *listen_at)
 {
@@ -372,9 +379,9 @@
 }
 
 static uint32_t
-choose_tick (uint32_t beat_ms)
+choose_tick (uint32_t heartbeat_interval_ms)
 {
-  uint32_t tick = beat_ms / TICKS_PER_BEAT;
+  uint32_t tick = heartbeat_interval_ms / TICKS_PER_HEARTBEAT;
 
   if (tick < TICK_MIN_MS)
     return TICK_MIN_MS;
@@ -382,7 +389,7 @@
 }
 
 static void
-shut_conn (struct mq_conn *conn)
+close_conn_at_once (struct mq_conn *conn)
 {
   if (conn->state == MQ_CONN_READY || conn->state == MQ_CONN_DRAINING)
     mq_conn_flush (conn);
@@ -392,10 +399,10 @@
 }
 
 static void
-shut_net (struct mq_peer_net *net)
+close_net (struct mq_peer_net *net)
 {
   for (struct mq_conn *conn = net->conns; conn != NULL; conn = conn->next)
-    shut_conn (conn);
+    close_conn_at_once (conn);
   TALLOC_FREE (net->listen_event);
   TALLOC_FREE (net->clock_event);
   TALLOC_FREE (net->work);
@@ -406,14 +413,15 @@
   gnutls_memset (net->site_key, 0, sizeof net->site_key);
 }
 
-/* Destroyed from a callback, the net is in use further up the stack: it is
-   shut at once and its memory goes when the handler leaves.  */
+/* When called from a callback, closes all sockets at once but returns -1 to
+   keep the memory, which is still in use further up the stack.
+   mq_peer_end_handler frees it.  */
 static int
 destroy_net (struct mq_peer_net *net)
 {
-  if (!net->dead)
-    shut_net (net);
-  net->dead = true;
+  if (!net->destroyed)
+    close_net (net);
+  net->destroyed = true;
   return net->depth > 0 ? -1 : 0;
 }
 
@@ -430,10 +438,12 @@
   net->callbacks = *callbacks;
   net->listen_fd = -1;
   net->clock_fd = -1;
-  net->beat_ms = options->beat_ms ? options->beat_ms : MQ_HEARTBEAT_MS;
-  net->silent_ms
-      = options->silent_ms ? options->silent_ms : MQ_PEER_TIMEOUT_MS;
-  net->tick_ms = choose_tick (net->beat_ms);
+  net->heartbeat_interval_ms = options->heartbeat_interval_ms
+                                   ? options->heartbeat_interval_ms
+                                   : MQ_HEARTBEAT_MS;
+  net->peer_timeout_ms = options->peer_timeout_ms ? options->peer_timeout_ms
+                                                  : MQ_PEER_TIMEOUT_MS;
+  net->tick_ms = choose_tick (net->heartbeat_interval_ms);
   net->now_ms = mq_clock_ms ();
   memcpy (net->site_key, options->site_key, sizeof net->site_key);
   talloc_set_destructor (net, destroy_net);
@@ -477,70 +487,71 @@
 }
 
 void
-mq_peer_net_keep (struct mq_peer_net *net, const char *address)
+mq_peer_net_add_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept;
+  struct mq_peer_address *peer_address;
 
-  if (net->dead || strcmp (address, net->self.address) == 0
-      || mq_table_find_kept (net, address) != NULL)
+  if (net->destroyed || strcmp (address, net->self.address) == 0
+      || mq_table_find_peer_address (net, address) != NULL)
     return;
-  kept = talloc_zero (net, struct mq_kept);
-  if (kept == NULL)
+  peer_address = talloc_zero (net, struct mq_peer_address);
+  if (peer_address == NULL)
     return;
-  kept->address = talloc_strdup (kept, address);
-  if (kept->address == NULL)
+  peer_address->address = talloc_strdup (peer_address, address);
+  if (peer_address->address == NULL)
     {
-      talloc_free (kept);
+      talloc_free (peer_address);
       return;
     }
-  kept->pause_ms = MQ_CONNECT_RETRY_MS;
-  kept->due_ms = 1;
-  kept->ready = mq_table_find_address (net, address);
-  mq_table_add_kept (net, kept);
+  peer_address->backoff_ms = MQ_CONNECT_RETRY_MS;
+  peer_address->due_ms = 1;
+  peer_address->ready = mq_table_find_address (net, address);
+  mq_table_add_peer_address (net, peer_address);
   net->dial_due = true;
   mq_peer_schedule (net);
 }
 
 static bool
-is_kept (const struct mq_conn *conn)
+has_peer_address (const struct mq_conn *conn)
 {
-  const struct mq_kept *kept = conn->net->kept;
+  const struct mq_peer_address *peer_address = conn->net->peer_address;
 
-  while (kept != NULL && kept->ready != conn)
-    kept = kept->next;
-  return kept != NULL;
+  while (peer_address != NULL && peer_address->ready != conn)
+    peer_address = peer_address->next;
+  return peer_address != NULL;
 }
 
-/* The side that dialled closes, when it keeps the connection no longer: our
-   queue goes out, then the end of our direction, and what the peer still
-   sends is delivered until its own end.  So no frame is lost.  A peer that
-   keeps this host dials in its turn.  */
+/* Only the dialling side closes a released connection.  It sends its queued
+   frames, shuts down its sending direction and delivers what it receives until
+   the peer closes as well, so that no frame is lost.  A peer that still wants
+   the connection dials a new one.  */
 static void
 drain_conn (struct mq_conn *conn)
 {
-  mq_table_hide (conn);
-  conn->kept = NULL;
+  mq_table_remove_by_address (conn);
+  conn->peer_address = NULL;
   conn->state = MQ_CONN_DRAINING;
-  mq_conn_mark_dirty (conn);
+  mq_conn_schedule_flush (conn);
 }
 
 void
-mq_peer_net_release (struct mq_peer_net *net, const char *address)
+mq_peer_net_remove_address (struct mq_peer_net *net, const char *address)
 {
-  struct mq_kept *kept = mq_table_find_kept (net, address);
+  struct mq_peer_address *peer_address
+      = mq_table_find_peer_address (net, address);
   struct mq_conn *ready;
 
-  if (net->dead || kept == NULL)
+  if (net->destroyed || peer_address == NULL)
     return;
-  mq_table_remove_kept (net, kept);
-  if (kept->dialling != NULL)
-    mq_conn_close (kept->dialling, MQ_ERR_NONE);
-  ready = kept->ready;
-  if (ready != NULL && ready->kept == kept)
-    ready->kept = NULL;
-  if (ready != NULL && ready->dialled && !is_kept (ready))
+  mq_table_remove_peer_address (net, peer_address);
+  if (peer_address->dialling != NULL)
+    mq_conn_close (peer_address->dialling, MQ_ERR_NONE);
+  ready = peer_address->ready;
+  if (ready != NULL && ready->peer_address == peer_address)
+    ready->peer_address = NULL;
+  if (ready != NULL && ready->dialled && !has_peer_address (ready))
     drain_conn (ready);
-  talloc_free (kept);
+  talloc_free (peer_address);
 }
 
 uint32_t
@@ -551,13 +562,13 @@
   return conn == NULL ? 0 : conn->handle;
 }
 
-/* Closed by the next turn of the loop: down is never called from inside a
-   send.  */
+/* Closes CONN in the next iteration of the event loop, so that the down
+   callback is never called from within a send.  */
 static void
-doom_conn (struct mq_conn *conn, enum mq_error_type why)
+schedule_close (struct mq_conn *conn, enum mq_error_type why)
 {
-  conn->doom = why;
-  conn->net->doom_due = true;
+  conn->close_reason = why;
+  conn->net->close_due = true;
   mq_peer_schedule (conn->net);
 }
 
@@ -567,10 +578,10 @@
 {
   if (len > MQ_FRAME_MAX_BYTES)
     return false;
-  /* A peer that reads too slowly would take this host's memory.  */
+  /* Bounds the memory used for a peer that reads too slowly.  */
   if (mq_frame_writer_unsent (conn->writer) + len > MQ_PEER_UNSENT_BYTES)
     {
-      doom_conn (conn, MQ_ERR_SLOW_READER);
+      schedule_close (conn, MQ_ERR_SLOW_READER);
       return false;
     }
   return mq_conn_queue (conn, data, len, control);
@@ -586,8 +597,8 @@
   size_t len;
   bool sent;
 
-  if (net->dead || conn == NULL || conn->state != MQ_CONN_READY
-      || conn->doom != MQ_ERR_NONE || conn->write_failed)
+  if (net->destroyed || conn == NULL || conn->state != MQ_CONN_READY
+      || conn->close_reason != MQ_ERR_NONE || conn->write_failed)
     return false;
   if (stamped.config_version == 0)
     stamped.config_version = net->version;
--- a/src/net/peer_conn.c
+++ b/src/net/peer_conn.c
@@ -1,6 +1,7 @@
-/* peer_conn.c - the socket of one connection between processes.
+/* peer_conn.c - one connection between two processes.
 
-   Reads frames, hands them on, gathers and sends frames, beats, and closes.
+   Reads and delivers frames, queues and sends frames and heartbeats, and
+   closes the connection.
    Needs: peer_net.h, codec.h.  */
 
 #include "peer_net.h"
@@ -81,13 +82,13 @@
 }
 
 static bool
-was_up (const struct mq_conn *conn)
+has_been_ready (const struct mq_conn *conn)
 {
   return conn->state == MQ_CONN_READY || conn->state == MQ_CONN_DRAINING;
 }
 
 static bool
-is_unproven (const struct mq_conn *conn)
+is_unauthenticated (const struct mq_conn *conn)
 {
   return !conn->dialled && conn->handle == 0;
 }
@@ -97,15 +98,15 @@
 {
   struct mq_peer_net *net = conn->net;
 
-  /* CONN->next stays: a walk over the list that stands here goes on.  */
+  /* CONN->next stays valid for a loop that is currently at CONN.  */
   *conn->link = conn->next;
   if (conn->next != NULL)
     conn->next->link = conn->link;
-  if (is_unproven (conn))
-    net->unproven--;
-  if (conn->kept != NULL && conn->kept->dialling == conn)
-    conn->kept->dialling = NULL;
-  conn->kept = NULL;
+  if (is_unauthenticated (conn))
+    net->unauthenticated_count--;
+  if (conn->peer_address != NULL && conn->peer_address->dialling == conn)
+    conn->peer_address->dialling = NULL;
+  conn->peer_address = NULL;
   conn->next_closed = net->closed;
   net->closed = conn;
 }
@@ -114,7 +115,7 @@
 mq_conn_close (struct mq_conn *conn, enum mq_error_type why)
 {
   struct mq_peer_net *net = conn->net;
-  bool up = was_up (conn);
+  bool up = has_been_ready (conn);
 
   if (conn->state == MQ_CONN_CLOSED)
     return;
@@ -124,7 +125,7 @@
   close (conn->fd);
   conn->state = MQ_CONN_CLOSED;
   unlink_conn (conn);
-  net->settle_due = true;
+  net->select_due = true;
   mq_peer_schedule (net);
   if (!up)
     return;
@@ -135,16 +136,16 @@
 }
 
 void
-mq_conn_mark_dirty (struct mq_conn *conn)
+mq_conn_schedule_flush (struct mq_conn *conn)
 {
   struct mq_peer_net *net = conn->net;
 
   mq_peer_schedule (net);
-  if (conn->dirty)
+  if (conn->in_flush_list)
     return;
-  conn->dirty = true;
-  conn->next_dirty = net->dirty;
-  net->dirty = conn;
+  conn->in_flush_list = true;
+  conn->next_to_flush = net->flush_list;
+  net->flush_list = conn;
 }
 
 bool
@@ -155,7 +156,7 @@
     return false;
   count_out (conn, len, control);
   conn->sent_ms = conn->net->now_ms;
-  mq_conn_mark_dirty (conn);
+  mq_conn_schedule_flush (conn);
   return true;
 }
 
@@ -176,8 +177,8 @@
       TEVENT_FD_WRITEABLE (conn->event);
       break;
     case MQ_FLUSH_FAILED:
-      /* The peer closed, but answers that it sent before may still wait to
-         be read: the reading side closes when it has come to their end.  */
+      /* The peer has closed, but frames that it sent before may still be
+         unread. read_bytes closes the connection at the end of the input.  */
       conn->write_failed = true;
       TEVENT_FD_NOT_WRITEABLE (conn->event);
       break;
@@ -187,7 +188,7 @@
 static bool
 is_alive (const struct mq_conn *conn)
 {
-  return conn->state != MQ_CONN_CLOSED && !conn->net->dead;
+  return conn->state != MQ_CONN_CLOSED && !conn->net->destroyed;
 }
 
 static void
@@ -199,7 +200,8 @@
     callbacks->message (conn->handle, message, callbacks->user);
 }
 
-/* Versions only rise: a higher one is told once, whichever frame had it.  */
+/* Reports a configuration version once, by whichever frame carried it; lower
+   versions are ignored.  */
 static void
 deliver_version (struct mq_conn *conn, uint64_t version)
 {
@@ -215,7 +217,7 @@
 }
 
 static void
-take_message (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_conn_message (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_message *message = mq_codec_unpack (conn, data, len, NULL);
 
@@ -237,11 +239,11 @@
 }
 
 static void
-take_frame (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_frame (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
-  if (was_up (conn))
+  if (has_been_ready (conn))
     {
-      take_message (conn, data, len);
+      receive_conn_message (conn, data, len);
       return;
     }
   count_in (conn, len, true);
@@ -249,55 +251,56 @@
 }
 
 static void
-refuse_length (struct mq_conn *conn)
+reject_length (struct mq_conn *conn)
 {
   struct mq_error error;
 
   conn->net->counters.frames_bad++;
   mq_error_set (&error, MQ_ERR_TOO_LARGE, "frame", NULL);
-  if (was_up (conn))
+  if (has_been_ready (conn))
     mq_conn_close (conn, MQ_ERR_BAD_FRAME);
   else
     mq_conn_refuse (conn, &error);
 }
 
-/* The bound is asked for each frame: a Proof ends the strict one.  */
+/* Determines the size limit for each frame anew, since a valid Proof raises
+   it.  */
 static bool
-take_next (struct mq_conn *conn)
+receive_next_frame (struct mq_conn *conn)
 {
-  size_t bound
-      = was_up (conn) ? MQ_FRAME_MAX_BYTES : MQ_PEER_UNAUTHENTICATED_BYTES;
+  size_t bound = has_been_ready (conn) ? MQ_FRAME_MAX_BYTES
+                                       : MQ_PEER_UNAUTHENTICATED_BYTES;
   const uint8_t *data;
   size_t len;
 
   switch (mq_frame_reader_next (conn->reader, bound, &data, &len))
     {
     case MQ_NEXT_FRAME:
-      take_frame (conn, data, len);
+      receive_frame (conn, data, len);
       return is_alive (conn);
     case MQ_NEXT_PARTIAL:
       return false;
     case MQ_NEXT_BAD:
-      refuse_length (conn);
+      reject_length (conn);
       break;
     }
   return false;
 }
 
 static void
-take_bytes (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_bytes (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
-  conn->heard_ms = mq_clock_ms ();
+  conn->received_ms = mq_clock_ms ();
   if (!mq_frame_reader_feed (conn->reader, data, len))
     {
       mq_conn_close (conn, MQ_ERR_NO_MEMORY);
       return;
     }
   conn->reading = true;
-  while (take_next (conn))
+  while (receive_next_frame (conn))
     ;
   conn->reading = false;
-  if (is_alive (conn) && !mq_frame_reader_rest (conn->reader))
+  if (is_alive (conn) && !mq_frame_reader_save_partial (conn->reader))
     mq_conn_close (conn, MQ_ERR_NO_MEMORY);
 }
 
@@ -307,14 +310,14 @@
   uint8_t bytes[READ_BYTES];
   ssize_t got;
 
-  /* A callback that runs the loop must not read behind the frame that it
-     was given.  */
+  /* A callback may run the event loop; the frames after the one being
+     delivered must not be read then.  */
   if (conn->reading)
     return;
   got = recv (conn->fd, bytes, sizeof bytes, 0);
   if (got > 0)
     {
-      take_bytes (conn, bytes, (size_t)got);
+      receive_bytes (conn, bytes, (size_t)got);
       return;
     }
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
@@ -347,7 +350,7 @@
 
   (void)ev;
   (void)event;
-  mq_peer_enter (net);
+  mq_peer_begin_handler (net);
   if (conn->state == MQ_CONN_CONNECTING)
     finish_connect (conn);
   else
@@ -357,7 +360,7 @@
       if (flags & TEVENT_FD_READ)
         read_bytes (conn);
     }
-  mq_peer_leave (net);
+  mq_peer_end_handler (net);
 }
 
 static void
@@ -370,8 +373,8 @@
   if (conn->next != NULL)
     conn->next->link = &conn->next;
   net->conns = conn;
-  if (is_unproven (conn))
-    net->unproven++;
+  if (is_unauthenticated (conn))
+    net->unauthenticated_count++;
 }
 
 struct mq_conn *
@@ -402,12 +405,12 @@
   conn->serial = ++net->last_serial;
   conn->state = MQ_CONN_CONNECTING;
   conn->opened_ms = mq_clock_ms ();
-  conn->heard_ms = conn->opened_ms;
+  conn->received_ms = conn->opened_ms;
   link_conn (conn);
   return conn;
 }
 
-/* Numbers only: no name is looked up, which could wait.  */
+/* Accepts numeric addresses only, since a name lookup could block.  */
 struct addrinfo *
 mq_conn_parse_address (const char *address)
 {
@@ -446,9 +449,9 @@
 }
 
 void
-mq_conn_dial (struct mq_peer_net *net, struct mq_kept *kept)
+mq_conn_dial (struct mq_peer_net *net, struct mq_peer_address *peer_address)
 {
-  int fd = open_socket (kept->address);
+  int fd = open_socket (peer_address->address);
   struct mq_conn *conn;
 
   if (fd < 0)
@@ -456,8 +459,8 @@
   conn = mq_conn_create (net, fd, true);
   if (conn == NULL)
     return;
-  conn->kept = kept;
-  kept->dialling = conn;
+  conn->peer_address = peer_address;
+  peer_address->dialling = conn;
 }
 
 static void
@@ -473,29 +476,28 @@
 }
 
 static void
-queue_beat (struct mq_conn *conn)
+queue_heartbeat (struct mq_conn *conn)
 {
-  struct mq_message beat = { .type = MQ_MSG_NONE };
+  struct mq_message heartbeat = { .type = MQ_MSG_NONE };
   uint8_t *data;
   size_t len;
 
-  beat.config_version = conn->net->version;
-  data = mq_codec_pack (conn, &beat, &len);
+  heartbeat.config_version = conn->net->version;
+  data = mq_codec_pack (conn, &heartbeat, &len);
   if (data != NULL)
     mq_conn_queue (conn, data, len, true);
   talloc_free (data);
 }
 
-/* A connection can go silent for good while both ends think it open, when
-   something between them has lost track of it: TCP would show it after
-   minutes.  A live peer sends at least a beat every beat_ms, so a pause of
-   silent_ms means that nothing gets through.  */
+/* A connection may be dead while both ends consider it open, and TCP may
+   take minutes to report it.  A live peer sends at least its heartbeats, so
+   that a connection without any input for the peer timeout is dead.  */
 static void
-tick_up (struct mq_conn *conn, uint64_t now_ms)
+tick_ready (struct mq_conn *conn, uint64_t now_ms)
 {
   struct mq_peer_net *net = conn->net;
 
-  if (now_ms >= conn->heard_ms + net->silent_ms)
+  if (now_ms >= conn->received_ms + net->peer_timeout_ms)
     {
       net->counters.connections_silent++;
       mq_conn_close (conn, MQ_ERR_PEER_LOST);
@@ -504,8 +506,8 @@
   if (conn->state != MQ_CONN_READY
       || mq_frame_writer_unsent (conn->writer) > 0)
     return;
-  if (now_ms + net->tick_ms > conn->sent_ms + net->beat_ms)
-    queue_beat (conn);
+  if (now_ms + net->tick_ms > conn->sent_ms + net->heartbeat_interval_ms)
+    queue_heartbeat (conn);
   else
     mq_frame_writer_trim (conn->writer);
 }
@@ -515,8 +517,8 @@
 {
   if (conn->state == MQ_CONN_CLOSED)
     return;
-  if (was_up (conn))
-    tick_up (conn, now_ms);
+  if (has_been_ready (conn))
+    tick_ready (conn, now_ms);
   else if (now_ms >= conn->opened_ms + MQ_HANDSHAKE_MS)
     expire_handshake (conn);
 }
--- a/src/net/peer_settle.c
+++ b/src/net/peer_settle.c
@@ -1,10 +1,10 @@
-/* peer_settle.c - the handshake of a connection, and which one is used.
+/* peer_settle.c - handshake of a connection, and selection among duplicates.
 
-   Of two hosts the one with the smaller name leads.  It sends its Proof
-   last, and only on the connection that it chose; the other side is up when
-   that Proof comes.  So there is one decision, made at one place, before any
-   other frame: two hosts that dial each other at once end with one
-   connection and lose no frame.
+   Of two hosts, the one whose name sorts first is the leader.  It sends its
+   Proof last, and only on the connection that it selects; the other side is
+   ready when it receives that Proof.  One side thus decides before any other
+   frame is sent: two hosts that dial each other at the same time end up with
+   one connection and lose no frame.
    Needs: peer_net.h.  */
 
 #include "peer_net.h"
@@ -34,7 +34,7 @@
 }
 
 static void
-refuse_memory (struct mq_conn *conn)
+reject_memory (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -54,14 +54,14 @@
       &net->self);
   if (conn->handshake == NULL)
     {
-      refuse_memory (conn);
+      reject_memory (conn);
       return;
     }
   conn->state = MQ_CONN_HELLO;
   tevent_fd_set_flags (conn->event, TEVENT_FD_READ);
   hello = mq_handshake_hello (conn->handshake, &len);
   if (!mq_conn_queue (conn, hello, len, true))
-    refuse_memory (conn);
+    reject_memory (conn);
 }
 
 static bool
@@ -72,13 +72,14 @@
 
   if (proof != NULL && mq_conn_queue (conn, proof, len, true))
     return true;
-  refuse_memory (conn);
+  reject_memory (conn);
   return false;
 }
 
-/* Another connection to the same run that is up, NULL when none.  */
+/* Ready connection to the same run of the peer's process, NULL if there is
+   none.  */
 static struct mq_conn *
-find_run (const struct mq_conn *conn)
+find_ready_conn_of_peer (const struct mq_conn *conn)
 {
   struct mq_conn *other = conn->net->conns;
 
@@ -89,9 +90,10 @@
   return other;
 }
 
-/* Under the host's name or address stood another run: it is gone.  */
+/* True if OLD is a ready connection with the host name or address of CONN's
+   peer.  */
 static bool
-is_replaced (const struct mq_conn *old, const struct mq_conn *conn)
+is_superseded_conn (const struct mq_conn *old, const struct mq_conn *conn)
 {
   return old != conn && old->state == MQ_CONN_READY
          && (strcmp (old->info.host, conn->info.host) == 0
@@ -99,35 +101,36 @@
 }
 
 static struct mq_conn *
-find_replaced (const struct mq_conn *conn)
+find_superseded_conn (const struct mq_conn *conn)
 {
   struct mq_conn *old = conn->net->conns;
 
-  while (old != NULL && !is_replaced (old, conn))
+  while (old != NULL && !is_superseded_conn (old, conn))
     old = old->next;
   return old;
 }
 
-/* CONN is up, so those under way to the same run have lost.  */
+/* True if OTHER is a connection attempt to the peer with which CONN is
+   ready.  */
 static bool
-is_rival (const struct mq_conn *other, const struct mq_conn *conn)
+is_duplicate_conn (const struct mq_conn *other, const struct mq_conn *conn)
 {
   if (other == conn || other->state >= MQ_CONN_READY)
     return false;
   if (other->info.host != NULL)
     return is_same_run (&other->info, &conn->info);
-  return other->kept != NULL
-         && strcmp (other->kept->address, conn->info.address) == 0;
+  return other->peer_address != NULL
+         && strcmp (other->peer_address->address, conn->info.address) == 0;
 }
 
 static void
-close_rivals (struct mq_conn *conn)
+close_duplicate_conns (struct mq_conn *conn)
 {
   struct mq_conn *other = conn->net->conns;
 
   while (other != NULL)
     {
-      if (is_rival (other, conn))
+      if (is_duplicate_conn (other, conn))
         mq_conn_close (other, MQ_ERR_NONE);
       other = other->next;
     }
@@ -148,33 +151,33 @@
   struct mq_peer_net *net = conn->net;
 
   if (!conn->dialled)
-    net->unproven--;
+    net->unauthenticated_count--;
   conn->handle = next_handle (net);
   conn->state = MQ_CONN_READY;
-  if (conn->kept != NULL)
-    conn->kept->dialling = NULL;
+  if (conn->peer_address != NULL)
+    conn->peer_address->dialling = NULL;
   mq_table_add (conn);
-  close_rivals (conn);
+  close_duplicate_conns (conn);
   net->counters.connections_made++;
   if (net->callbacks.up != NULL)
     net->callbacks.up (conn->handle, &conn->info, net->callbacks.user);
 }
 
-/* A peer that was restarted, or whose connection the leader gave up, comes
-   on a new connection while the old one still looks open here: down of the
-   old is told before up of the new, and nothing more is read from the old. */
+/* A peer that restarted or abandoned a connection connects again while the old
+   connection still looks open here.  Reports the old one down before the new
+   one up and reads nothing more from the old one.  */
 static void
-take_up (struct mq_conn *conn)
+make_ready (struct mq_conn *conn)
 {
   struct mq_peer_net *net = conn->net;
-  struct mq_conn *old = find_replaced (conn);
+  struct mq_conn *old = find_superseded_conn (conn);
 
   while (old != NULL)
     {
       mq_conn_close (old, MQ_ERR_PEER_LOST);
-      if (net->dead || conn->state == MQ_CONN_CLOSED)
+      if (net->destroyed || conn->state == MQ_CONN_CLOSED)
         return;
-      old = find_replaced (conn);
+      old = find_superseded_conn (conn);
     }
   start_ready (conn);
 }
@@ -183,27 +186,27 @@
 accept_conn (struct mq_conn *conn)
 {
   if (send_proof (conn))
-    take_up (conn);
+    make_ready (conn);
 }
 
-/* A run that ended before this connection was made can't come back: its
-   late handshake must not push out its successor.  */
+/* True if CONN is older than the ready connection of the same host or address:
+   a late handshake of an earlier run must not replace its successor.  */
 static bool
 is_outdated (const struct mq_conn *conn)
 {
-  const struct mq_conn *old = find_replaced (conn);
+  const struct mq_conn *old = find_superseded_conn (conn);
 
   return old != NULL && old->serial > conn->serial;
 }
 
-/* The leader's choice.  While a connection to the same run is up the new
-   one waits: either the peer has dialled before it heard that the first was
-   chosen, and closes this one; or the first has failed at the peer, and
-   fails here too before long.  */
+/* Selects a connection on the leader.  While a connection to the same run is
+   ready the new one waits: either the peer dialled before it learned of the
+   selection and will close the new one, or the ready one has failed at the
+   peer and will fail here as well.  */
 static void
 choose_conn (struct mq_conn *conn)
 {
-  if (find_run (conn) != NULL)
+  if (find_ready_conn_of_peer (conn) != NULL)
     conn->state = MQ_CONN_WAITING;
   else if (is_outdated (conn))
     mq_conn_close (conn, MQ_ERR_PEER_LOST);
@@ -212,12 +215,12 @@
 }
 
 void
-mq_conn_settle_waiting (struct mq_peer_net *net)
+mq_conn_select_waiting (struct mq_peer_net *net)
 {
   struct mq_conn *conn = net->conns;
 
-  net->settle_due = false;
-  while (conn != NULL && !net->dead)
+  net->select_due = false;
+  while (conn != NULL && !net->destroyed)
     {
       if (conn->state == MQ_CONN_WAITING)
         choose_conn (conn);
@@ -226,7 +229,7 @@
 }
 
 static void
-refuse_self (struct mq_conn *conn)
+reject_self (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -234,22 +237,22 @@
   mq_conn_refuse (conn, &error);
 }
 
-/* An address under which a peer is already connected by another: nothing
-   more to dial.  */
+/* If the peer is already connected under another address, uses that connection
+   and closes CONN.  */
 static bool
-join_run (struct mq_conn *conn)
+reuse_ready_conn (struct mq_conn *conn)
 {
-  struct mq_conn *other = find_run (conn);
+  struct mq_conn *other = find_ready_conn_of_peer (conn);
 
-  if (conn->kept == NULL || other == NULL)
+  if (conn->peer_address == NULL || other == NULL)
     return false;
-  conn->kept->ready = other;
+  conn->peer_address->ready = other;
   mq_conn_close (conn, MQ_ERR_NONE);
   return true;
 }
 
 static void
-take_hello (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_hello (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_error error;
   const struct mq_peer_info *info
@@ -262,13 +265,13 @@
       return;
     }
   conn->info = *info;
-  /* Our own Hello sent back, or our own port dialled.  */
+  /* The Hello was reflected, or this process dialled its own port.  */
   if (is_same_run (info, &conn->net->self))
     {
-      refuse_self (conn);
+      reject_self (conn);
       return;
     }
-  if (join_run (conn))
+  if (reuse_ready_conn (conn))
     return;
   conn->state = MQ_CONN_PROOF;
   if (!is_leader (conn))
@@ -276,7 +279,7 @@
 }
 
 static void
-take_proof (struct mq_conn *conn, const uint8_t *data, size_t len)
+receive_proof (struct mq_conn *conn, const uint8_t *data, size_t len)
 {
   struct mq_error error;
 
@@ -289,11 +292,11 @@
   else if (is_leader (conn))
     choose_conn (conn);
   else
-    take_up (conn);
+    make_ready (conn);
 }
 
 static void
-refuse_frame (struct mq_conn *conn)
+reject_frame (struct mq_conn *conn)
 {
   struct mq_error error;
 
@@ -308,17 +311,17 @@
   switch (conn->state)
     {
     case MQ_CONN_HELLO:
-      take_hello (conn, data, len);
+      receive_hello (conn, data, len);
       break;
     case MQ_CONN_PROOF:
-      take_proof (conn, data, len);
+      receive_proof (conn, data, len);
       break;
     case MQ_CONN_CONNECTING:
     case MQ_CONN_WAITING:
     case MQ_CONN_READY:
     case MQ_CONN_DRAINING:
     case MQ_CONN_CLOSED:
-      refuse_frame (conn);
+      reject_frame (conn);
       break;
     }
 }
--- a/src/net/tcp.c
+++ b/src/net/tcp.c
@@ -1,4 +1,4 @@
-/* tcp.c - one TCP connection on the event loop.
+/* tcp.c - a TCP connection on the event loop.
 
    Needs: tcp.h, buffer.h, sockets.  */
 
@@ -13,34 +13,32 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* One read takes this much: the largest usual answer fits.  */
+/* Bytes per read.  */
 #define READ_BYTES ((size_t)16 << 10)
-/* A finished connection waits so long for the other side's end.  */
+/* Time that a finished connection waits for the peer to close.  */
 #define LINGER_MS 1000U
-/* One with unsent bytes waits so long for the other side to take some more:
-   five times the longest that a host was held up (0.9 s).  */
-#define STALL_MS 5000U
-/* A connection that is not there after so long is given up.  Within a region
-   it takes a few milliseconds; where the other side's queue is full, the next
-   try of the kernel comes only after a second.  */
+/* Time that a finished connection with unsent bytes waits for the peer to
+   accept more.  */
+#define UNSENT_TIMEOUT_MS 5000U
+/* Timeout of connect.  Shorter than the kernel's first SYN retry after one
+   second.  */
 #define CONNECT_MS 400U
-/* Probes on a connection without traffic, seconds and count: one whose other
-   side is gone without a word ends within three seconds.  */
+/* Keepalive probes detect a dead peer on an idle connection.  */
 #define KEEPALIVE_IDLE_S 1
-#define KEEPALIVE_PAUSE_S 1
+#define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
 
 /**
  * struct mq_tcp - one connection
  * @fd: -1 once closed
- * @opening: the connection is not there yet
- * @reading: the owner wants bytes
- * @finishing: what comes in is dropped
- * @failed: a write failed; told by the event loop
- * @full: unsent bytes went over the high mark
- * @busy: callbacks under way
- * @dead: to be freed once no callback is under way
- * @unsent: bytes that the socket did not take
+ * @opening: connect is in progress
+ * @reading: the owner accepts input
+ * @finishing: input is discarded
+ * @failed: an error is still to be reported from the event loop
+ * @full: unsent bytes exceeded MQ_TCP_HIGH_BYTES
+ * @callback_depth: number of callbacks in progress
+ * @destroyed: destroy was called; freed when @callback_depth is 0
+ * @unsent: bytes that the socket did not accept yet
  */
 struct mq_tcp
 {
@@ -48,10 +46,10 @@
   struct tevent_fd *event;
   struct mq_timer *timer;
   struct tevent_immediate *failure;
-  struct mq_tcp_owner owner;
+  struct mq_tcp_callbacks callbacks;
   struct mq_buffer unsent;
   int fd;
-  int busy;
+  int callback_depth;
   bool opening;
   bool reading;
   bool finishing;
@@ -59,7 +57,7 @@
   bool failed;
   enum mq_tcp_end failed_as;
   bool full;
-  bool dead;
+  bool destroyed;
 };
 
 static void on_event (struct tevent_context *ev, struct tevent_fd *event,
@@ -76,19 +74,21 @@
 }
 
 static void
-set_options (int fd, uint32_t silent_ms)
+set_options (int fd, uint32_t ack_timeout_ms)
 {
   int on = 1;
   int idle = KEEPALIVE_IDLE_S;
-  int pause = KEEPALIVE_PAUSE_S;
+  int pause = KEEPALIVE_INTERVAL_S;
   int probes = KEEPALIVE_PROBES;
-  unsigned int silent = silent_ms;
+  unsigned int timeout = ack_timeout_ms;
 
-  /* Each of these only shortens a wait; a socket without them still works. */
+  /* All options are optional: without them the connection only reacts
+     later.  */
   (void)setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  if (silent_ms == 0)
+  if (ack_timeout_ms == 0)
     return;
-  (void)setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof silent);
+  (void)setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout,
+                    sizeof timeout);
   (void)setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   (void)setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
   (void)setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &pause, sizeof pause);
@@ -98,14 +98,14 @@
 static void on_timer (void *data);
 
 static struct mq_timer *
-timer_in (struct mq_tcp *tcp, uint32_t ms)
+start_tcp_timer (struct mq_tcp *tcp, uint32_t ms)
 {
   return mq_timer_add (tcp, tcp->ev, ms, on_timer, tcp);
 }
 
 static struct mq_tcp *
-make_tcp (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-          const struct mq_tcp_owner *owner, uint16_t flags)
+create_tcp (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
+            const struct mq_tcp_callbacks *callbacks, uint16_t flags)
 {
   struct mq_tcp *tcp = talloc_zero (ctx, struct mq_tcp);
 
@@ -116,7 +116,7 @@
     }
   tcp->ev = ev;
   tcp->fd = fd;
-  tcp->owner = *owner;
+  tcp->callbacks = *callbacks;
   tcp->reading = true;
   talloc_set_destructor (tcp, close_fd);
   tcp->event = tevent_add_fd (ev, tcp, fd, flags, on_event, tcp);
@@ -127,15 +127,15 @@
 
 struct mq_tcp *
 mq_tcp_accept (TALLOC_CTX *ctx, struct tevent_context *ev, int fd,
-               const struct mq_tcp_owner *owner)
+               const struct mq_tcp_callbacks *callbacks)
 {
   set_options (fd, 0);
-  return make_tcp (ctx, ev, fd, owner, TEVENT_FD_READ);
+  return create_tcp (ctx, ev, fd, callbacks, TEVENT_FD_READ);
 }
 
 struct mq_tcp *
 mq_tcp_open (TALLOC_CTX *ctx, struct tevent_context *ev, const char *address,
-             uint32_t silent_ms, const struct mq_tcp_owner *owner,
+             uint32_t ack_timeout_ms, const struct mq_tcp_callbacks *callbacks,
              struct mq_error *error)
 {
   int fd = mq_connect_begin (address, error);
@@ -143,39 +143,39 @@
 
   if (fd < 0)
     return NULL;
-  set_options (fd, silent_ms);
-  tcp = make_tcp (ctx, ev, fd, owner, TEVENT_FD_WRITE);
+  set_options (fd, ack_timeout_ms);
+  tcp = create_tcp (ctx, ev, fd, callbacks, TEVENT_FD_WRITE);
   if (tcp == NULL)
     {
       mq_error_set (error, MQ_ERR_NO_MEMORY, address, NULL);
       return NULL;
     }
   tcp->opening = true;
-  tcp->timer = timer_in (tcp, CONNECT_MS);
+  tcp->timer = start_tcp_timer (tcp, CONNECT_MS);
   return tcp;
 }
 
 void
-mq_tcp_watch_silence (struct mq_tcp *tcp, uint32_t silent_ms)
+mq_tcp_set_peer_timeout (struct mq_tcp *tcp, uint32_t ack_timeout_ms)
 {
   if (tcp->fd >= 0)
-    set_options (tcp->fd, silent_ms);
+    set_options (tcp->fd, ack_timeout_ms);
 }
 
 static void
 begin_callback (struct mq_tcp *tcp)
 {
-  tcp->busy++;
+  tcp->callback_depth++;
 }
 
-/* True when the connection is gone.  */
+/* Ends a callback; true if it destroyed the connection.  */
 static bool
 end_callback (struct mq_tcp *tcp)
 {
-  tcp->busy--;
-  if (!tcp->dead)
+  tcp->callback_depth--;
+  if (!tcp->destroyed)
     return false;
-  if (tcp->busy == 0)
+  if (tcp->callback_depth == 0)
     talloc_free (tcp);
   return true;
 }
@@ -183,13 +183,13 @@
 void
 mq_tcp_destroy (struct mq_tcp *tcp)
 {
-  if (tcp == NULL || tcp->dead)
+  if (tcp == NULL || tcp->destroyed)
     return;
-  tcp->dead = true;
+  tcp->destroyed = true;
   TALLOC_FREE (tcp->timer);
   TALLOC_FREE (tcp->failure);
   close_fd (tcp);
-  if (tcp->busy == 0)
+  if (tcp->callback_depth == 0)
     talloc_free (tcp);
 }
 
@@ -198,7 +198,7 @@
 {
   struct linger off = { 1, 0 };
 
-  if (tcp == NULL || tcp->dead)
+  if (tcp == NULL || tcp->destroyed)
     return;
   if (tcp->fd >= 0)
     (void)setsockopt (tcp->fd, SOL_SOCKET, SO_LINGER, &off, sizeof off);
@@ -206,7 +206,7 @@
 }
 
 static void
-tell_ended (struct mq_tcp *tcp, enum mq_tcp_end end)
+notify_ended (struct mq_tcp *tcp, enum mq_tcp_end end)
 {
   if (tcp->finishing)
     {
@@ -214,14 +214,14 @@
       return;
     }
   begin_callback (tcp);
-  tcp->owner.ended (tcp, end, tcp->owner.user);
+  tcp->callbacks.ended (tcp, end, tcp->callbacks.user);
   end_callback (tcp);
 }
 
-/* Gives what has arrived to the owner, as far as one read takes it.  What recv
-   has returned: 0 at the end, below 0 with errno when there is nothing.  */
+/* Reads once and passes the bytes to the owner.  Returns the result of recv: 0
+   at EOF, negative with errno if there is nothing to read.  */
 static ssize_t
-take_arrived (struct mq_tcp *tcp)
+read_available (struct mq_tcp *tcp)
 {
   char bytes[READ_BYTES];
   ssize_t got;
@@ -232,16 +232,14 @@
   if (got <= 0 || tcp->finishing)
     return got;
   begin_callback (tcp);
-  tcp->owner.data (tcp, bytes, (size_t)got, tcp->owner.user);
+  tcp->callbacks.data (tcp, bytes, (size_t)got, tcp->callbacks.user);
   end_callback (tcp);
   return got;
 }
 
-/* Failure: the other side answers early and ends the connection, while this
-   one still sends.  The write fails first, and the whole answer that lies
-   there is dropped: a request that was refused unread counts as one that may
-   have run.  The kernel keeps what came before a reset, so it is read before
-   the owner is told.  */
+/* Reads the remaining input before the error is reported: the peer may have
+   sent a response and closed while this side was still sending, and the kernel
+   keeps what arrived before a reset.  */
 static void
 on_failure (struct tevent_context *ev, struct tevent_immediate *immediate,
             void *data)
@@ -251,14 +249,15 @@
   (void)ev;
   (void)immediate;
   begin_callback (tcp);
-  while (tcp->failed_as == MQ_TCP_RESET && !tcp->dead && tcp->reading
-         && take_arrived (tcp) > 0)
+  while (tcp->failed_as == MQ_TCP_RESET && !tcp->destroyed && tcp->reading
+         && read_available (tcp) > 0)
     ;
   if (!end_callback (tcp))
-    tell_ended (tcp, tcp->failed_as);
+    notify_ended (tcp, tcp->failed_as);
 }
 
-/* The owner is told from the loop: it is in the middle of a call of ours.  */
+/* Reports the error from the event loop, since the owner may be inside a call
+   of this module.  */
 static void
 fail_later (struct mq_tcp *tcp, enum mq_tcp_end end)
 {
@@ -285,7 +284,7 @@
   tevent_fd_set_flags (tcp->event, flags);
 }
 
-/* Bytes that the socket took, -1 when it is broken.  */
+/* Returns the bytes that the socket accepted, -1 on error.  */
 static ssize_t
 send_some (struct mq_tcp *tcp, const void *data, size_t len)
 {
@@ -304,7 +303,7 @@
 {
   ssize_t sent = 0;
 
-  if (tcp->failed || tcp->dead || len == 0)
+  if (tcp->failed || tcp->destroyed || len == 0)
     return true;
   if (!tcp->opening && tcp->unsent.len == 0)
     sent = send_some (tcp, data, len);
@@ -330,7 +329,7 @@
 }
 
 void
-mq_tcp_read (struct mq_tcp *tcp, bool on)
+mq_tcp_set_reading (struct mq_tcp *tcp, bool on)
 {
   if (tcp->reading == on)
     return;
@@ -339,7 +338,7 @@
 }
 
 static bool
-is_there (const struct mq_tcp *tcp)
+is_connected (const struct mq_tcp *tcp)
 {
   struct pollfd ready = { .fd = tcp->fd, .events = POLLOUT };
 
@@ -354,7 +353,7 @@
   if (tcp->fd < 0)
     return false;
   if (tcp->opening)
-    return is_there (tcp);
+    return is_connected (tcp);
   return recv (tcp->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
@@ -365,7 +364,7 @@
 }
 
 bool
-mq_tcp_is_quiet (const struct mq_tcp *tcp)
+mq_tcp_is_idle (const struct mq_tcp *tcp)
 {
   char byte;
 
@@ -376,8 +375,8 @@
              && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-/* Either the connection did not come about in time, or the other side did not
-   end a finished one, or takes nothing of what is unsent.  */
+/* Timeout of connect or, on a finished connection, of the peer's close or of
+   the unsent bytes.  */
 static void
 on_timer (void *data)
 {
@@ -385,13 +384,13 @@
 
   tcp->timer = NULL;
   if (tcp->opening)
-    tell_ended (tcp, MQ_TCP_RESET);
+    notify_ended (tcp, MQ_TCP_RESET);
   else
     mq_tcp_destroy (tcp);
 }
 
 static void
-shut_if_sent (struct mq_tcp *tcp)
+shutdown_if_sent (struct mq_tcp *tcp)
 {
   if (!tcp->finishing || tcp->shut || tcp->unsent.len > 0)
     return;
@@ -399,25 +398,24 @@
   (void)shutdown (tcp->fd, SHUT_WR);
 }
 
-/* Failure: the caller of a finished connection takes a long answer bit by bit,
-   and the connection is closed a second after the last byte was written here:
-   the answer ends in its middle.  The time counts from the last bytes that
-   went out.  */
+/* Restarts the timeout of a finished connection whenever bytes were sent, so
+   that a slow reader still receives its whole response.  */
 static void
 restart_linger (struct mq_tcp *tcp)
 {
   TALLOC_FREE (tcp->timer);
-  tcp->timer = timer_in (tcp, tcp->unsent.len > 0 ? STALL_MS : LINGER_MS);
+  tcp->timer = start_tcp_timer (tcp, tcp->unsent.len > 0 ? UNSENT_TIMEOUT_MS
+                                                         : LINGER_MS);
 }
 
 void
 mq_tcp_finish (struct mq_tcp *tcp)
 {
-  if (tcp->dead || tcp->finishing)
+  if (tcp->destroyed || tcp->finishing)
     return;
   tcp->finishing = true;
   restart_linger (tcp);
-  shut_if_sent (tcp);
+  shutdown_if_sent (tcp);
   update_flags (tcp);
 }
 
@@ -440,14 +438,14 @@
   if (sent > 0 && tcp->finishing)
     restart_linger (tcp);
   update_flags (tcp);
-  shut_if_sent (tcp);
+  shutdown_if_sent (tcp);
 }
 
-/* False when the connection is gone.  */
+/* False if the connection was destroyed.  */
 static bool
 on_writable (struct mq_tcp *tcp)
 {
-  bool tell;
+  bool notify;
 
   if (tcp->opening)
     {
@@ -457,41 +455,41 @@
       if (getsockopt (tcp->fd, SOL_SOCKET, SO_ERROR, &number, &len) != 0
           || number != 0)
         {
-          tell_ended (tcp, MQ_TCP_RESET);
+          notify_ended (tcp, MQ_TCP_RESET);
           return false;
         }
       tcp->opening = false;
       TALLOC_FREE (tcp->timer);
       update_flags (tcp);
-      if (tcp->owner.opened != NULL)
+      if (tcp->callbacks.opened != NULL)
         {
           begin_callback (tcp);
-          tcp->owner.opened (tcp, tcp->owner.user);
+          tcp->callbacks.opened (tcp, tcp->callbacks.user);
           if (end_callback (tcp))
             return false;
         }
     }
   send_unsent (tcp);
-  tell = tcp->full && !tcp->finishing
-         && tcp->unsent.len <= MQ_TCP_HIGH_BYTES / 2;
-  if (!tell)
+  notify = tcp->full && !tcp->finishing
+           && tcp->unsent.len <= MQ_TCP_HIGH_BYTES / 2;
+  if (!notify)
     return true;
   tcp->full = false;
-  if (tcp->owner.drained == NULL)
+  if (tcp->callbacks.drained == NULL)
     return true;
   begin_callback (tcp);
-  tcp->owner.drained (tcp, tcp->owner.user);
+  tcp->callbacks.drained (tcp, tcp->callbacks.user);
   return !end_callback (tcp);
 }
 
 static void
 on_readable (struct mq_tcp *tcp)
 {
-  ssize_t got = take_arrived (tcp);
+  ssize_t got = read_available (tcp);
 
   if (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
     return;
-  tell_ended (tcp, got == 0 ? MQ_TCP_EOF : MQ_TCP_RESET);
+  notify_ended (tcp, got == 0 ? MQ_TCP_EOF : MQ_TCP_RESET);
 }
 
 static void
@@ -506,6 +504,6 @@
     return;
   if ((flags & TEVENT_FD_WRITE) != 0 && !on_writable (tcp))
     return;
-  if ((flags & TEVENT_FD_READ) != 0 && !tcp->dead && !tcp->failed)
+  if ((flags & TEVENT_FD_READ) != 0 && !tcp->destroyed && !tcp->failed)
     on_readable (tcp);
 }
--- a/src/net/timer.c
+++ b/src/net/timer.c
@@ -1,7 +1,6 @@
-/* timer.c - timers by the steady clock on the event loop.
+/* timer.c - monotonic timers on the event loop.
 
-   All timers of an event loop share one timer descriptor and lie in a heap,
-   the next one on top.
+   All timers of an event loop share one timerfd and a binary heap.
    Needs: timer.h, timerfd.  */
 
 #include "timer.h"
@@ -11,21 +10,20 @@
 
 #define FIRST_ROOM ((size_t)64)
 #define NOT_ARMED UINT64_MAX
-/* Timers that come later than this wait for one look at the connections.  In
-   a loop that is not held up they are less than a millisecond late, and the
-   shortest time-out of this product is 100 ms.  */
+/* Delay after which a timer counts as late: pending input is then handled
+   before it.  */
 #define LATE_US 5000U
 
-struct hub;
+struct timer_queue;
 
 /**
  * struct mq_timer - one timer
- * @hub: NULL once it is due
- * @index: its place in the heap
+ * @queue: NULL once the timer is due
+ * @index: position in the heap
  */
 struct mq_timer
 {
-  struct hub *hub;
+  struct timer_queue *queue;
   size_t index;
   uint64_t due_us;
   mq_timer_handler *handler;
@@ -33,234 +31,232 @@
 };
 
 /**
- * struct hub - the timers of one event loop
- * @heap: a timer's due time is not after those of its children, which are at
- *        twice its index and one or two more
- * @armed_us: when the descriptor fires, NOT_ARMED: never
- * @look_us: begin of the look at the connections that is under way, 0: none
+ * struct timer_queue - the timers of one event loop
+ * @heap: binary min-heap by due time
+ * @armed_us: time for which @fd is set, monotonic clock; NOT_ARMED: none
+ * @poll_round_us: start of the poll round in progress, monotonic clock; 0:
+ *                 none
  */
-struct hub
+struct timer_queue
 {
-  struct hub *next;
+  struct timer_queue *next;
   struct tevent_context *ev;
   struct tevent_fd *event;
   struct mq_timer **heap;
   size_t count;
-  size_t room;
+  size_t capacity;
   uint64_t armed_us;
-  uint64_t look_us;
+  uint64_t poll_round_us;
   int fd;
 };
 
-static struct hub *hubs;
+static struct timer_queue *timer_queues;
 
 static void
-place (struct hub *hub, size_t index, struct mq_timer *timer)
+place (struct timer_queue *queue, size_t index, struct mq_timer *timer)
 {
-  hub->heap[index] = timer;
+  queue->heap[index] = timer;
   timer->index = index;
 }
 
 static void
-sift_up (struct hub *hub, size_t index)
+sift_up (struct timer_queue *queue, size_t index)
 {
-  struct mq_timer *timer = hub->heap[index];
+  struct mq_timer *timer = queue->heap[index];
 
-  while (index > 0 && hub->heap[(index - 1) / 2]->due_us > timer->due_us)
+  while (index > 0 && queue->heap[(index - 1) / 2]->due_us > timer->due_us)
     {
-      place (hub, index, hub->heap[(index - 1) / 2]);
+      place (queue, index, queue->heap[(index - 1) / 2]);
       index = (index - 1) / 2;
     }
-  place (hub, index, timer);
+  place (queue, index, timer);
 }
 
 static void
-sift_down (struct hub *hub, size_t index)
+sift_down (struct timer_queue *queue, size_t index)
 {
-  struct mq_timer *timer = hub->heap[index];
+  struct mq_timer *timer = queue->heap[index];
 
   for (;;)
     {
       size_t child = index * 2 + 1;
 
-      if (child >= hub->count)
+      if (child >= queue->count)
         break;
-      if (child + 1 < hub->count
-          && hub->heap[child + 1]->due_us < hub->heap[child]->due_us)
+      if (child + 1 < queue->count
+          && queue->heap[child + 1]->due_us < queue->heap[child]->due_us)
         child++;
-      if (hub->heap[child]->due_us >= timer->due_us)
+      if (queue->heap[child]->due_us >= timer->due_us)
         break;
-      place (hub, index, hub->heap[child]);
+      place (queue, index, queue->heap[child]);
       index = child;
     }
-  place (hub, index, timer);
+  place (queue, index, timer);
 }
 
 static void
-remove_timer (struct hub *hub, struct mq_timer *timer)
+remove_timer (struct timer_queue *queue, struct mq_timer *timer)
 {
   size_t index = timer->index;
-  struct mq_timer *last = hub->heap[--hub->count];
+  struct mq_timer *last = queue->heap[--queue->count];
 
-  timer->hub = NULL;
+  timer->queue = NULL;
   if (last == timer)
     return;
-  place (hub, index, last);
-  sift_up (hub, index);
-  sift_down (hub, last->index);
+  place (queue, index, last);
+  sift_up (queue, index);
+  sift_down (queue, last->index);
 }
 
 static int
 cancel_timer (struct mq_timer *timer)
 {
-  if (timer->hub != NULL)
-    remove_timer (timer->hub, timer);
+  if (timer->queue != NULL)
+    remove_timer (timer->queue, timer);
   return 0;
 }
 
 static void
-arm_at (struct hub *hub, uint64_t due_us)
+arm_at (struct timer_queue *queue, uint64_t due_us)
 {
   struct itimerspec when = { .it_value = { 0, 0 } };
 
   when.it_value.tv_sec = (time_t)(due_us / 1000000U);
   when.it_value.tv_nsec = (long)(due_us % 1000000U) * 1000;
-  if (timerfd_settime (hub->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
-    hub->armed_us = due_us;
+  if (timerfd_settime (queue->fd, TFD_TIMER_ABSTIME, &when, NULL) == 0)
+    queue->armed_us = due_us;
 }
 
-/* The descriptor is set only to come earlier; when it comes too early, since
-   the timer that it was set for is gone, it is set again.  */
+/* Only ever sets the descriptor to an earlier time.  If the timer for which it
+   was set is cancelled, it fires too early and is set again.  */
 static void
-arm (struct hub *hub)
+arm (struct timer_queue *queue)
 {
-  if (hub->look_us == 0 && hub->count > 0
-      && hub->heap[0]->due_us < hub->armed_us)
-    arm_at (hub, hub->heap[0]->due_us);
+  if (queue->poll_round_us == 0 && queue->count > 0
+      && queue->heap[0]->due_us < queue->armed_us)
+    arm_at (queue, queue->heap[0]->due_us);
 }
 
-/* Failure: one handler keeps the loop from all others, a configuration of
-   thousands of routes for half a second.  Answers and requests arrive
-   meanwhile, but the descriptor of the timers has been ready for longer: what
-   waits for them finds its time over, and a caller's connection is closed, or
-   another host taken for lost, beside bytes that lie unread.  So a timer that
-   comes late runs only when all connections were looked at since it was due;
-   one that fell due during the look waits for the next.  For a look the
-   descriptor is set to the present, which puts it behind all that is ready
-   now: the kernel hands descriptors out in the order in which they became
-   ready.  */
+/* Defers late timers until all ready descriptors were handled once.  After a
+   handler that blocked the loop, the timerfd may be ahead of descriptors with
+   unread input, and timeouts would fire although the awaited bytes have
+   arrived.  Setting the timerfd to the current time moves it behind all
+   descriptors that are ready now, since epoll reports them in the order in
+   which they became ready.  */
 static void
-begin_look (struct hub *hub, uint64_t now)
+begin_poll_round (struct timer_queue *queue, uint64_t now)
 {
-  hub->look_us = now;
-  arm_at (hub, now);
+  queue->poll_round_us = now;
+  arm_at (queue, now);
 }
 
 static bool
-must_wait (const struct mq_timer *timer, uint64_t seen_us, uint64_t now)
+must_defer (const struct mq_timer *timer, uint64_t seen_us, uint64_t now)
 {
   return timer->due_us > seen_us && timer->due_us + LATE_US < now;
 }
 
 static void
-run_first (struct hub *hub)
+run_first (struct timer_queue *queue)
 {
-  struct mq_timer *timer = talloc_steal (hub, hub->heap[0]);
+  struct mq_timer *timer = talloc_steal (queue, queue->heap[0]);
 
-  remove_timer (hub, timer);
+  remove_timer (queue, timer);
   timer->handler (timer->data);
   talloc_free (timer);
 }
 
-/* Timers that are set by the handlers wait for the next turn of the loop, so
-   that connections are looked at in between.  */
+/* Timers added by the handlers run in the next iteration of the event loop, so
+   that descriptors are handled in between.  */
 static void
 on_due (struct tevent_context *ev, struct tevent_fd *event, uint16_t flags,
         void *data)
 {
-  struct hub *hub = data;
+  struct timer_queue *queue = data;
   uint64_t now = mq_clock_us ();
-  uint64_t seen_us = hub->look_us;
+  uint64_t seen_us = queue->poll_round_us;
   uint64_t expired;
 
   (void)ev;
   (void)event;
   (void)flags;
-  if (read (hub->fd, &expired, sizeof expired) != (ssize_t)sizeof expired)
+  if (read (queue->fd, &expired, sizeof expired) != (ssize_t)sizeof expired)
     return;
-  hub->armed_us = NOT_ARMED;
-  hub->look_us = 0;
-  while (hub->count > 0 && hub->heap[0]->due_us <= now)
+  queue->armed_us = NOT_ARMED;
+  queue->poll_round_us = 0;
+  while (queue->count > 0 && queue->heap[0]->due_us <= now)
     {
-      if (must_wait (hub->heap[0], seen_us, now))
+      if (must_defer (queue->heap[0], seen_us, now))
         {
-          begin_look (hub, now);
+          begin_poll_round (queue, now);
           return;
         }
-      run_first (hub);
+      run_first (queue);
     }
-  arm (hub);
+  arm (queue);
 }
 
 static int
-end_hub (struct hub *hub)
+destroy_timer_queue (struct timer_queue *queue)
 {
-  struct hub **at = &hubs;
+  struct timer_queue **at = &timer_queues;
 
-  while (*at != hub)
+  while (*at != queue)
     at = &(*at)->next;
-  *at = hub->next;
-  for (size_t i = 0; i < hub->count; i++)
-    hub->heap[i]->hub = NULL;
-  TALLOC_FREE (hub->event);
-  close (hub->fd);
+  *at = queue->next;
+  for (size_t i = 0; i < queue->count; i++)
+    queue->heap[i]->queue = NULL;
+  TALLOC_FREE (queue->event);
+  close (queue->fd);
   return 0;
 }
 
-static struct hub *
-make_hub (struct tevent_context *ev)
+static struct timer_queue *
+create_timer_queue (struct tevent_context *ev)
 {
-  struct hub *hub = talloc_zero (ev, struct hub);
+  struct timer_queue *queue = talloc_zero (ev, struct timer_queue);
 
-  if (hub == NULL)
+  if (queue == NULL)
     return NULL;
-  hub->ev = ev;
-  hub->armed_us = NOT_ARMED;
-  hub->fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-  if (hub->fd < 0)
+  queue->ev = ev;
+  queue->armed_us = NOT_ARMED;
+  queue->fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
+  if (queue->fd < 0)
     {
-      talloc_free (hub);
+      talloc_free (queue);
       return NULL;
     }
-  hub->event = tevent_add_fd (ev, hub, hub->fd, TEVENT_FD_READ, on_due, hub);
-  hub->next = hubs;
-  hubs = hub;
-  talloc_set_destructor (hub, end_hub);
-  return hub;
+  queue->event
+      = tevent_add_fd (ev, queue, queue->fd, TEVENT_FD_READ, on_due, queue);
+  queue->next = timer_queues;
+  timer_queues = queue;
+  talloc_set_destructor (queue, destroy_timer_queue);
+  return queue;
 }
 
-static struct hub *
-get_hub (struct tevent_context *ev)
+static struct timer_queue *
+get_timer_queue (struct tevent_context *ev)
 {
-  for (struct hub *hub = hubs; hub != NULL; hub = hub->next)
-    if (hub->ev == ev)
-      return hub;
-  return make_hub (ev);
+  for (struct timer_queue *queue = timer_queues; queue != NULL;
+       queue = queue->next)
+    if (queue->ev == ev)
+      return queue;
+  return create_timer_queue (ev);
 }
 
 static bool
-make_room (struct hub *hub)
+make_room (struct timer_queue *queue)
 {
-  size_t room = hub->room == 0 ? FIRST_ROOM : hub->room * 2;
+  size_t capacity = queue->capacity == 0 ? FIRST_ROOM : queue->capacity * 2;
   struct mq_timer **grown;
 
-  if (hub->count < hub->room)
+  if (queue->count < queue->capacity)
     return true;
-  grown = talloc_realloc (hub, hub->heap, struct mq_timer *, room);
+  grown = talloc_realloc (queue, queue->heap, struct mq_timer *, capacity);
   if (grown == NULL)
     return false;
-  hub->heap = grown;
-  hub->room = room;
+  queue->heap = grown;
+  queue->capacity = capacity;
   return true;
 }
 
@@ -268,21 +264,21 @@
 mq_timer_add (TALLOC_CTX *ctx, struct tevent_context *ev, uint64_t ms,
               mq_timer_handler *handler, void *data)
 {
-  struct hub *hub = get_hub (ev);
+  struct timer_queue *queue = get_timer_queue (ev);
   struct mq_timer *timer = talloc_zero (ctx, struct mq_timer);
 
-  if (hub == NULL || timer == NULL || !make_room (hub))
+  if (queue == NULL || timer == NULL || !make_room (queue))
     {
       talloc_free (timer);
       return NULL;
     }
-  timer->hub = hub;
+  timer->queue = queue;
   timer->due_us = mq_clock_us () + ms * 1000U;
   timer->handler = handler;
   timer->data = data;
-  hub->heap[hub->count] = timer;
-  sift_up (hub, hub->count++);
+  queue->heap[queue->count] = timer;
+  sift_up (queue, queue->count++);
   talloc_set_destructor (timer, cancel_timer);
-  arm (hub);
+  arm (queue);
   return timer;
 }
--- a/src/router/relay_link.c
+++ b/src/router/relay_link.c
@@ -58,7 +58,8 @@
       if (link->dead)
         return true;
     }
-  return next == MQ_NEXT_PARTIAL && mq_frame_reader_rest (link->reader);
+  return next == MQ_NEXT_PARTIAL
+         && mq_frame_reader_save_partial (link->reader);
 }
 
 static void
@@ -105,7 +106,7 @@
                     struct mq_error *error)
 {
   struct mq_relay_link *link = make_link (ctx, owner);
-  struct mq_tcp_owner tcp_owner
+  struct mq_tcp_callbacks tcp_owner
       = { .data = on_data, .ended = on_ended, .user = link };
 
   link->tcp
@@ -121,7 +122,7 @@
                       const struct mq_relay_link_owner *owner)
 {
   struct mq_relay_link *link = make_link (ctx, owner);
-  struct mq_tcp_owner tcp_owner
+  struct mq_tcp_callbacks tcp_owner
       = { .data = on_data, .ended = on_ended, .user = link };
 
   link->tcp = mq_tcp_accept (ctx, ev, fd, &tcp_owner);
@@ -130,7 +131,7 @@
       talloc_free (link);
       return NULL;
     }
-  mq_tcp_watch_silence (link->tcp, ACK_TIMEOUT_MS);
+  mq_tcp_set_peer_timeout (link->tcp, ACK_TIMEOUT_MS);
   return link;
 }
 
--- a/src/router/router.c
+++ b/src/router/router.c
@@ -24,7 +24,7 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, event);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY, event);
   mq_json_text (&line, "data_centre", router->settings->data_centre);
   mq_json_text (&line, "http", router->settings->http);
   mq_json_number (&line, "requests", router->request_count);
@@ -84,7 +84,8 @@
   mq_histogram_add (&router->loop_delay, delay_ms);
   if (delay_ms < LOOP_DELAY_LOG_MS)
     return;
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_LOOP_HELD_UP);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_LOOP_HELD_UP);
   mq_json_number (&line, "held_ms", delay_ms);
   mq_json_end (&line);
 }
@@ -241,7 +242,7 @@
 uint64_t
 mq_router_log_unknown_keys (const struct mq_router *router)
 {
-  return mq_json_log_strays (router->log);
+  return mq_json_log_unknown_keys (router->log);
 }
 
 uint16_t
--- a/src/router/router_caller.c
+++ b/src/router/router_caller.c
@@ -189,7 +189,7 @@
 
   caller->closing = true;
   caller->answering = true;
-  mq_json_begin (&line, caller->router->log, MQ_JSON_NOTE,
+  mq_json_begin (&line, caller->router->log, MQ_JSON_HIGH_PRIORITY,
                  MQ_LOG_MESSAGE_REFUSED);
   mq_json_number (&line, "reason", refusal);
   mq_json_end (&line);
@@ -255,7 +255,8 @@
 update_reading (struct mq_caller *caller)
 {
   if (!caller->dead)
-    mq_tcp_read (caller->tcp, caller->read_ahead.len < READ_AHEAD_BYTES);
+    mq_tcp_set_reading (caller->tcp,
+                        caller->read_ahead.len < READ_AHEAD_BYTES);
 }
 
 /* Parses DATA, which may hold several messages; bytes after the current
@@ -276,7 +277,7 @@
             caller->closing = true;
           return;
         }
-      if (!mq_http_reader_within (caller->reader))
+      if (!mq_http_reader_in_message (caller->reader))
         {
           caller->arrived_ms = mq_clock_ms ();
           mq_http_reader_set_head_max (
@@ -460,7 +461,7 @@
 add_caller (struct mq_router *router, int fd)
 {
   struct mq_caller *caller = talloc_zero (router, struct mq_caller);
-  struct mq_tcp_owner owner = {
+  struct mq_tcp_callbacks owner = {
     .data = on_data, .drained = on_drained, .ended = on_closed, .user = caller
   };
   struct mq_http_events events
@@ -546,7 +547,8 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CALLER_CLOSED);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CALLER_CLOSED);
   mq_json_number (&line, "rested_ms", idle_for_ms);
   mq_json_number (&line, "idle_ms", idle_ms);
   mq_json_end (&line);
@@ -584,7 +586,7 @@
 {
   if (!may_time_out (caller))
     return;
-  if (mq_http_reader_within (caller->reader))
+  if (mq_http_reader_in_message (caller->reader))
     {
       if (caller->head == NULL && now - caller->arrived_ms > limits->header_ms)
         refuse_message (caller, MQ_REFUSE_SLOW_HEAD);
@@ -638,7 +640,7 @@
        caller = next)
     {
       next = caller->next;
-      if (may_time_out (caller) && !mq_http_reader_within (caller->reader))
+      if (may_time_out (caller) && !mq_http_reader_in_message (caller->reader))
         close_idle (caller);
     }
 }
--- a/src/router/router_config.c
+++ b/src/router/router_config.c
@@ -58,7 +58,8 @@
 {
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CONFIG_UNREADABLE);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CONFIG_UNREADABLE);
   mq_json_number (&line, "version", 0);
   if (router->routes != NULL)
     mq_json_number (&line, "in_force", router->routes->version);
@@ -73,7 +74,8 @@
   struct mq_router *router = load->router;
   struct mq_json_line line;
 
-  mq_json_begin (&line, router->log, MQ_JSON_NOTE, MQ_LOG_CONFIG_IN_FORCE);
+  mq_json_begin (&line, router->log, MQ_JSON_HIGH_PRIORITY,
+                 MQ_LOG_CONFIG_IN_FORCE);
   mq_json_number (&line, "version", table->version);
   if (router->routes != NULL)
     mq_json_number (&line, "in_force", router->routes->version);
--- a/src/router/router_pool.h
+++ b/src/router/router_pool.h
@@ -6,7 +6,7 @@
 #define MQ_ROUTER_POOL_H
 
 #include "core/router/fleet.h"
-#include "net/http_lane.h"
+#include "net/http_conn.h"
 
 /* Time without acknowledgement of sent bytes after which a worker is
    considered gone.  */
@@ -24,12 +24,12 @@
 void mq_pool_destroy (struct mq_pool *pool);
 /* Gets an idle or a new connection to WORKER; returns NULL with ERROR set on
    failure.  */
-struct mq_http_lane *mq_pool_acquire (struct mq_pool *pool, uint32_t worker,
+struct mq_http_conn *mq_pool_acquire (struct mq_pool *pool, uint32_t worker,
                                       struct mq_error *error);
 /* Returns LANE after a complete response, or closes it if it can't be reused.
    IDLE_S: idle timeout of the worker, seconds; 0 if unknown.  */
 void mq_pool_release (struct mq_pool *pool, uint32_t worker,
-                      struct mq_http_lane *lane, uint32_t idle_s);
+                      struct mq_http_conn *lane, uint32_t idle_s);
 /* Closes connections that were idle for too long or whose worker is
    unavailable.  */
 void mq_pool_sweep (struct mq_pool *pool);
--- a/src/router/router_request.c
+++ b/src/router/router_request.c
@@ -36,7 +36,7 @@
 
 static void
 begin_log_line (struct mq_json_line *line, const struct mq_request *request,
-                enum mq_json_weight weight, enum mq_log_event event)
+                enum mq_json_priority weight, enum mq_log_event event)
 {
   mq_json_begin (line, request->router->log, weight, event);
   mq_json_text (line, "id", request->fields.id);
@@ -51,8 +51,8 @@
 }
 
 void
-request_log_end (const struct mq_request *request, enum mq_json_weight weight,
-                 const char *outcome, int status)
+request_log_end (const struct mq_request *request,
+                 enum mq_json_priority weight, const char *outcome, int status)
 {
   struct mq_json_line line;
 
@@ -116,7 +116,7 @@
   struct mq_router *router = request->router;
   const struct mq_refusal_response *row = mq_refusal_response (refusal);
 
-  request_log_end (request, MQ_JSON_NOTE, row->name, row->status);
+  request_log_end (request, MQ_JSON_HIGH_PRIORITY, row->name, row->status);
   if (row->status >= 500 && row->status != 503)
     router->counters.failed++;
   if (refusal == MQ_REFUSE_TABLE_UNAVAILABLE
@@ -136,7 +136,8 @@
   struct mq_caller *caller = request->caller;
 
   request->router->counters.broken++;
-  request_log_end (request, MQ_JSON_NOTE, why, request->answer.status);
+  request_log_end (request, MQ_JSON_HIGH_PRIORITY, why,
+                   request->answer.status);
   request_close (request);
   mq_caller_abort (caller);
 }
@@ -173,7 +174,7 @@
 {
   struct mq_json_line line;
 
-  begin_log_line (&line, request, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+  begin_log_line (&line, request, MQ_JSON_HIGH_PRIORITY, MQ_LOG_TRY_FAILED);
   mq_json_text (&line, "worker", worker_id (request));
   mq_json_text (&line, "how", mq_attempt_end_name (end));
   mq_json_number (&line, "status", (uint64_t)request->answer.status);
@@ -261,8 +262,9 @@
                    && strcmp (request->head->method, "HEAD") != 0;
 
   request_count_served (request);
-  request_log_end (request, status >= 500 ? MQ_JSON_NOTE : MQ_JSON_PLAIN,
-                   "served", status);
+  request_log_end (
+      request, status >= 500 ? MQ_JSON_HIGH_PRIORITY : MQ_JSON_LOW_PRIORITY,
+      "served", status);
   talloc_steal (router, fields.data);
   talloc_steal (router, body.data);
   request_close (request);
@@ -620,7 +622,7 @@
 mq_request_caller_disconnected (struct mq_request *request)
 {
   request->router->counters.left++;
-  request_log_end (request, MQ_JSON_PLAIN, "caller_left",
+  request_log_end (request, MQ_JSON_LOW_PRIORITY, "caller_left",
                    request->answer.status);
   if (request->try != NULL
       && mq_try_inactive_ms (request->try) >= DISCONNECT_FAILURE_MS)
--- a/src/router/router_request.h
+++ b/src/router/router_request.h
@@ -110,7 +110,7 @@
    the outcome logged.  */
 void request_abort (struct mq_request *request, const char *why);
 void request_log_end (const struct mq_request *request,
-                      enum mq_json_weight weight, const char *outcome,
+                      enum mq_json_priority weight, const char *outcome,
                       int status);
 /* Sends the response for REFUSAL and closes the request.  */
 void request_refuse (struct mq_request *request, enum mq_refusal refusal);
--- a/tests/peer_kit.c
+++ b/tests/peer_kit.c
@@ -1,5 +1,5 @@
-/* peer_kit.c - nets with a record of their callbacks, a relay and a bare
-   client, for the tests of the peer link.
+/* peer_kit.c - fixture for the tests of peer connections: networks with
+   recorded callbacks, a TCP relay and a raw client.
 
    Needs: peer_kit.h, Criterion.  */
 
@@ -41,8 +41,8 @@
   TALLOC_FREE (kit_ev);
 }
 
-/* A turn of the loop lasts a tick at most; a longer one is a pause of the
-   machine, which does not count.  */
+/* Time counted for one iteration: at most a tick, so that a pause of the
+   machine does not count against the timeout.  */
 static uint64_t
 run_turn (void)
 {
@@ -154,8 +154,9 @@
   net.self.address = options->address;
   net.self.data_centre = "plateau";
   net.self.boot = options->boot;
-  net.beat_ms = KIT_BEAT_MS;
-  net.silent_ms = options->silent_ms ? options->silent_ms : KIT_SILENT_MS;
+  net.heartbeat_interval_ms = KIT_HEARTBEAT_MS;
+  net.peer_timeout_ms = options->peer_timeout_ms ? options->peer_timeout_ms
+                                                 : KIT_PEER_TIMEOUT_MS;
   memset (net.site_key, options->key, sizeof net.site_key);
   node->ctx = talloc_new (node);
   node->net = mq_peer_net_create (node->ctx, kit_ev, &net, &callbacks, &error);
@@ -208,7 +209,7 @@
   kit_wait (is_down, node, NULL);
 }
 
-/* Callbacks of one type that are waited for.  */
+/* Condition: a number of callbacks of one type.  */
 struct awaited
 {
   enum kit_event_type type;
@@ -272,7 +273,7 @@
 }
 
 static bool
-heard_frames (const void *node, const void *count)
+has_received_frames (const void *node, const void *count)
 {
   const struct kit_node *of = node;
 
@@ -284,7 +285,7 @@
 {
   uint64_t frames = mq_peer_net_counters (node->net)->frames_in + count;
 
-  kit_wait (heard_frames, node, &frames);
+  kit_wait (has_received_frames, node, &frames);
 }
 
 /* One direction of a relayed connection.  */
@@ -292,8 +293,8 @@
 {
   int from;
   int to;
-  bool silent;
-  bool held; /* stops after the first bytes */
+  bool blackholed;
+  bool held; /* forwards only the first bytes */
   struct tevent_fd *event;
 };
 
@@ -332,10 +333,10 @@
   if (got <= 0)
     {
       TALLOC_FREE (pipe->event);
-      if (!pipe->silent)
+      if (!pipe->blackholed)
         shutdown (pipe->to, SHUT_WR);
     }
-  else if (!pipe->silent)
+  else if (!pipe->blackholed)
     send (pipe->to, bytes, (size_t)got, MSG_NOSIGNAL);
   if (pipe->held && pipe->event != NULL)
     TEVENT_FD_NOT_READABLE (pipe->event);
@@ -394,12 +395,12 @@
 }
 
 void
-kit_relay_silence (struct kit_relay *relay, bool to_server, bool to_client)
+kit_relay_blackhole (struct kit_relay *relay, bool to_server, bool to_client)
 {
   for (size_t i = 0; i < relay->pairs; i++)
     {
-      relay->pipes[i][0].silent |= to_server;
-      relay->pipes[i][1].silent |= to_client;
+      relay->pipes[i][0].blackholed |= to_server;
+      relay->pipes[i][1].blackholed |= to_client;
     }
 }
 
@@ -468,7 +469,7 @@
   cr_assert_eq (send (client->fd, data, len, MSG_NOSIGNAL), (ssize_t)len);
 }
 
-/* Reads single frames: the length first, then as much.  */
+/* Reads a single frame: the length first, then the body.  */
 static bool
 poll_frame (struct kit_client *client)
 {
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,4 @@
-/* test_http.c - the HTTP server and the HTTP client, with their faults.
+/* test_http.c - HTTP server and client, including failures of the other side.
 
    Needs: Criterion, http_peer.h, listen.h.  */
 
@@ -19,18 +19,19 @@
 #define TEXT_BYTES (1U << 18)
 #define HELD_MAX 256
 #define BODY_MAX 10000
-/* A process that is held up, for longer than its calls may take.  */
-#define HELD_UP_MS 1200U
+/* Time for which the process is blocked; longer than the timeouts of its
+   calls.  */
+#define STALLED_MS 1200U
 #define ROWS(table) (sizeof (table) / sizeof (table)[0])
 
-/* One event loop with a server, a client and what they have told.  */
+/* State of a test: event loop, server, client and the recorded callbacks.  */
 static struct tevent_context *ev;
 static struct mq_http_server *server;
 static struct mq_http_client *client;
 static struct mq_http_request *held[HELD_MAX];
 static int held_count;
 static int closed_count;
-static bool tell_closed;
+static bool notify_on_closed;
 static char text[TEXT_BYTES];
 
 static void
@@ -50,7 +51,7 @@
       while (!(condition))                                                    \
         {                                                                     \
           cr_assert (time (NULL) < limit,                                     \
-                     "%s: waited in vain for " #condition, name);             \
+                     "%s: timed out waiting for " #condition, name);          \
           tevent_loop_once (ev);                                              \
         }                                                                     \
     }                                                                         \
@@ -80,7 +81,7 @@
   const char *body = mq_http_body (request, &len);
 
   (void)data;
-  if (tell_closed)
+  if (notify_on_closed)
     mq_http_on_closed (request, on_closed, NULL);
   if (strcmp (path, "/stream") == 0)
     mq_http_stream_begin (request, 200, "text/event-stream");
@@ -124,7 +125,7 @@
   cr_assert_not_null (client, "%s", mq_error_name (error.type));
   held_count = 0;
   closed_count = 0;
-  tell_closed = true;
+  notify_on_closed = true;
   tick (ev, NULL, (struct timeval){ 0 }, NULL);
 }
 
@@ -138,7 +139,7 @@
 
 TestSuite (http, .init = set_up, .fini = tear_down, .timeout = 120);
 
-/* What a call of the client has told.  */
+/* Recorded result of a client call.  */
 struct outcome
 {
   int done;
@@ -149,8 +150,9 @@
   uint32_t retry_after_ms;
   char *body;
   size_t len;
-  struct mq_http_call *cancel;    /* to cancel in a part or at the end */
-  struct mq_http_client *destroy; /* to destroy there */
+  struct mq_http_call *cancel; /* call to cancel in a part or at the end */
+  struct mq_http_client
+      *destroy; /* client to destroy in a part or at the end */
 };
 
 static void
@@ -223,9 +225,9 @@
   return bytes;
 }
 
-/* A call that fails must say whether it may have taken effect: the scheduler
-   repeats one that was not sent, and never one that may not be repeated and
-   perhaps was.  Each row is one way for the other side to fail.  */
+/* A failed call must report whether it may have taken effect: the scheduler
+   repeats only calls that were not sent or may be repeated.  Each row is one
+   failure of the other side.  */
 Test (http, client_faults)
 {
   static const char *const forged[] = { "Key: a\r\nForged: b", NULL };
@@ -237,9 +239,9 @@
       SCRIPTED,
       REFUSING,
       HANGING,
-      LEAVING, /* the host goes while we connect */
-      FORGED,  /* a header with a line end */
-      NOT_HTTP /* a URL of another kind */
+      LEAVING, /* the host disappears during connect */
+      FORGED,  /* a header value with a line break */
+      NOT_HTTP /* a URL with another scheme */
     } fault;
     enum peer_step step;
     uint32_t timeout_ms;
@@ -257,13 +259,13 @@
     { "refused late", LEAVING, 0, 0, 0, NULL, MQ_ERR_PEER_LOST, false, 0, 0 },
     { "connecting hangs", HANGING, 0, 100, 0, NULL, MQ_ERR_TIMEOUT, false, 0,
       0 },
-    { "closed without an answer", SCRIPTED, PEER_CLOSE, 0, 0, NULL,
+    { "closed without a response", SCRIPTED, PEER_CLOSE, 0, 0, NULL,
       MQ_ERR_PEER_LOST, true, 0, 1 },
-    { "reset without an answer", SCRIPTED, PEER_RESET, 0, 0, NULL,
+    { "reset without a response", SCRIPTED, PEER_RESET, 0, 0, NULL,
       MQ_ERR_PEER_LOST, true, 0, 1 },
-    { "dies in the body", SCRIPTED, PEER_PART, 0, 0, NULL, MQ_ERR_PEER_LOST,
+    { "closes in the body", SCRIPTED, PEER_PART, 0, 0, NULL, MQ_ERR_PEER_LOST,
       true, 200, 1 },
-    { "dies between chunks", SCRIPTED, PEER_CHUNK, 0, 0, on_part,
+    { "closes between chunks", SCRIPTED, PEER_CHUNK, 0, 0, on_part,
       MQ_ERR_PEER_LOST, true, 200, 1 },
     { "silent", SCRIPTED, PEER_SILENT, 100, 0, NULL, MQ_ERR_TIMEOUT, true, 0,
       1 },
@@ -321,10 +323,10 @@
     }
 }
 
-/* Payroll gets two bank-detail forms.  A service closes a kept connection
-   just as a call goes out on it, having read the call; curl sends the call
-   again on a new connection by itself, and the service does it twice.  */
-Test (http, call_on_closing_connection_is_not_doubled)
+/* A service closes a reused connection after it has read the request. curl
+   resends the request on a new connection by itself, and the call would run
+   twice.  */
+Test (http, call_on_closing_connection_is_not_repeated)
 {
   static const struct
   {
@@ -366,16 +368,15 @@
       cr_expect (outcome.sent, "%s", name);
       cr_expect_eq (peer->requests, rows[i].requests, "%s: %d requests", name,
                     peer->requests);
-      /* The first two went over one connection, or nothing was tested.  */
+      /* Checks that the first two calls shared a connection.  */
       cr_expect_leq (peer->connections, 2, "%s", name);
       talloc_free (peer);
     }
 }
 
-/* Every call to a healthy service times out, one after the other: something
-   between the two ends lost track of the kept connections, and each call
-   takes the next of them.  One timeout must be enough, at once and later.  */
-Test (http, one_timeout_retires_silent_connections)
+/* Reused connections no longer respond although new ones work.  Only one call
+   may time out; later calls must use new connections.  */
+Test (http, one_timeout_excludes_unresponsive_connections)
 {
   const char *name = "silent";
   struct http_peer *peer = http_peer_create (ev);
@@ -406,9 +407,9 @@
     }
 }
 
-/* The whole request that came in on FD, running the loop until it is there. */
+/* Receives one complete request on FD, running the event loop meanwhile.  */
 static void
-hear_request (int fd)
+receive_request (int fd)
 {
   char request[4096] = "";
   size_t len = 0;
@@ -424,18 +425,16 @@
     }
 }
 
-/* The platform answers a write in time, while this process is held up for
-   longer than the call may take.  curl looks at the time before it looks at
-   the socket, so the call ended as timed out beside its whole answer: whether
-   a write was done, or a call had run, counted as not known.  */
-Test (http, answer_that_came_in_time_is_taken)
+/* A response arrives in time while this process is blocked for longer than the
+   timeout.  The call must succeed, not time out.  */
+Test (http, response_in_time_is_accepted_after_a_stall)
 {
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   static const struct
   {
     const char *name;
-    size_t len; /* of the answer, that comes in time */
+    size_t len; /* bytes of the response that arrive in time */
     enum mq_error_type error;
   } rows[] = {
     { "whole", sizeof answer - 1, MQ_ERR_NONE },
@@ -447,7 +446,7 @@
     {
       const char *name = rows[i].name;
       struct mq_http_send send_off
-          = { .method = "POST", .timeout_ms = HELD_UP_MS - 200 };
+          = { .method = "POST", .timeout_ms = STALLED_MS - 200 };
       struct outcome outcome = { 0 };
       int listening = mq_listen_open ("127.0.0.1:0", NULL);
       int fd = -1;
@@ -458,10 +457,10 @@
           tevent_loop_once (ev);
           fd = accept (listening, NULL, NULL);
         }
-      hear_request (fd);
+      receive_request (fd);
       cr_assert_eq (send (fd, answer, rows[i].len, MSG_NOSIGNAL),
                     (ssize_t)rows[i].len);
-      usleep (HELD_UP_MS * 1000);
+      usleep (STALLED_MS * 1000);
       WAIT (outcome.done > 0);
       cr_expect_eq (outcome.error, rows[i].error, "%s: %s", name,
                     mq_error_name (outcome.error));
@@ -470,8 +469,8 @@
     }
 }
 
-/* A callback may end calls or the whole client while curl is at work; the
-   wrong order frees what curl still uses (ASan) or tells a cancelled call.  */
+/* A callback may cancel calls or destroy the client inside curl.  Guards
+   against use after free (ASan) and callbacks of cancelled calls.  */
 Test (http, cancel_and_destroy_within_callbacks)
 {
   static const struct
@@ -524,17 +523,17 @@
     }
 }
 
-/* Requests as raw bytes, whole or not, and how their answer begins.  */
+/* Raw requests, complete or malformed, and the start of their responses.  */
 Test (http, raw_requests)
 {
   static const struct
   {
     const char *name;
     const char *start;
-    size_t fill; /* bytes put in after START */
+    size_t fill; /* filler bytes after START */
     const char *rest;
     const char *answer;
-    const char *with; /* somewhere in the answer */
+    const char *with; /* expected in the response */
   } rows[] = {
     { "GET", "GET /echo?tag=a%20b HTTP/1.1\r\nHost: a\r\n\r\n", 0, "",
       "HTTP/1.1 200", "Tag: a b" },
@@ -547,7 +546,7 @@
       "1\r\nh\r\n1\r\ni\r\n0\r\n\r\n",
       0, "", "HTTP/1.1 200", "\r\n\r\nhi" },
     { "no host", "GET /echo HTTP/1.1\r\n\r\n", 0, "", "HTTP/1.1 400", "" },
-    /* The library closes without an answer what has no request line.  */
+    /* libmicrohttpd closes the connection without a response.  */
     { "no request line", "gibberish\r\n\r\n", 0, "", "", "" },
     { "no HTTP", "GET /echo GOPHER/1.1\r\nHost: a\r\n\r\n", 0, "",
       "HTTP/1.1 400", "" },
@@ -557,27 +556,27 @@
     { "bad length",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 0, "",
       "HTTP/1.1 400", "" },
-    { "header within its bound", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
+    { "header within its limit", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
       MQ_HEADERS_MAX_BYTES - 64, "\r\n\r\n", "HTTP/1.1 200", "" },
-    { "header over its bound", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
+    { "header over its limit", "GET /echo HTTP/1.1\r\nHost: a\r\nLong: ",
       (size_t)4 * MQ_HEADERS_MAX_BYTES, "\r\n\r\n", "HTTP/1.1 431", "" },
-    { "address over its bound", "GET /echo?", (size_t)4 * MQ_HEADERS_MAX_BYTES,
+    { "address over its limit", "GET /echo?", (size_t)4 * MQ_HEADERS_MAX_BYTES,
       " HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 414", "" },
-    { "body at its bound",
+    { "body at its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n",
       BODY_MAX, "", "HTTP/1.1 200", "xxx" },
-    { "body over its bound",
+    { "body over its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 10001\r\n\r\n",
       BODY_MAX + 1, "", "HTTP/1.1 413",
       "{\"error\":\"too_large\",\"ran\":\"not_run\"" },
-    { "chunks over the bound",
+    { "chunks over the limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
       "4000\r\n",
       0x4000, "\r\n0\r\n\r\n", "HTTP/1.1 413", "too_large" },
-    { "body far over its bound",
+    { "body far over its limit",
       "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 0,
       "", "HTTP/1.1 413", "too_large" },
-    { "body over its bound, held back",
+    { "body over its limit, held back",
       "POST /echo HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
       "Content-Length: 10001\r\n\r\n",
       0, "", "HTTP/1.1 413", "too_large" },
@@ -632,9 +631,9 @@
   PHASE_ANSWER_BLOCKED
 };
 
-/* Opens a connection whose request is in PHASE.  */
+/* Opens a connection and brings its request into PHASE.  */
 static int
-reach (const char *name, enum phase phase)
+open_in_phase (const char *name, enum phase phase)
 {
   const char *request = phase == PHASE_UPLOADING ? upload
                         : phase == PHASE_HELD || phase == PHASE_ANSWER_BLOCKED
@@ -673,32 +672,31 @@
   return fd;
 }
 
-/* A widow has left the window, yet her letter is drafted to its end and the
-   engine is busy with it.  The library does not look at the socket of a
-   request that waits for its answer, so it must be seen in every phase.  */
-Test (http, caller_leaves)
+/* A disconnect of the caller must be detected in every phase of a request;
+   otherwise work continues after the caller has left.  */
+Test (http, caller_disconnect_is_detected_in_every_phase)
 {
   static const struct
   {
     const char *name;
     enum phase phase;
     bool reset;
-    bool more;   /* the next request was sent ahead */
-    bool untold; /* no on_closed: the request is kept for its answer */
+    bool more;         /* the next request is pipelined */
+    bool no_on_closed; /* no on_closed: the request is kept until answered */
   } rows[] = {
     { "uploading", PHASE_UPLOADING, false, false, false },
     { "uploading, reset", PHASE_UPLOADING, true, false, false },
     { "held", PHASE_HELD, false, false, false },
     { "held, reset", PHASE_HELD, true, false, false },
-    { "held, sent ahead", PHASE_HELD, false, true, false },
-    { "held, untold", PHASE_HELD, false, false, true },
+    { "held, pipelined", PHASE_HELD, false, true, false },
+    { "held, no on_closed", PHASE_HELD, false, false, true },
     { "stream begun", PHASE_STREAM_BEGUN, false, false, false },
     { "stream idle", PHASE_STREAM_IDLE, false, false, false },
     { "stream idle, reset", PHASE_STREAM_IDLE, true, false, false },
-    { "stream idle, sent ahead", PHASE_STREAM_IDLE, true, true, false },
-    { "stream idle, untold", PHASE_STREAM_IDLE, false, false, true },
+    { "stream idle, pipelined", PHASE_STREAM_IDLE, true, true, false },
+    { "stream idle, no on_closed", PHASE_STREAM_IDLE, false, false, true },
     { "stream blocked", PHASE_STREAM_BLOCKED, false, false, false },
-    { "answer blocked", PHASE_ANSWER_BLOCKED, false, false, false },
+    { "response blocked", PHASE_ANSWER_BLOCKED, false, false, false },
   };
 
   for (size_t i = 0; i < ROWS (rows); i++)
@@ -709,8 +707,8 @@
 
       held_count = 0;
       closed_count = 0;
-      tell_closed = !rows[i].untold;
-      fd = reach (name, rows[i].phase);
+      notify_on_closed = !rows[i].no_on_closed;
+      fd = open_in_phase (name, rows[i].phase);
       cr_expect_eq (mq_http_server_in_progress (server), 1, "%s", name);
       if (rows[i].more)
         {
@@ -720,9 +718,9 @@
         }
       raw_close (fd, rows[i].reset);
       WAIT (mq_http_server_in_progress (server) == 0);
-      cr_expect_eq (closed_count, !uploading && !rows[i].untold, "%s: %d",
-                    name, closed_count);
-      if (!rows[i].untold)
+      cr_expect_eq (closed_count, !uploading && !rows[i].no_on_closed,
+                    "%s: %d", name, closed_count);
+      if (!rows[i].no_on_closed)
         continue;
       cr_expect_not (mq_http_stream_write (held[0], "x", 1), "%s", name);
       cr_expect_null (mq_http_header (held[0], "Host"), "%s", name);
@@ -733,9 +731,8 @@
     }
 }
 
-/* A planned stop, or a fault at start, destroys the server under requests in
-   every phase: each user is told once, nothing is told after, and nothing is
-   freed that is still used (ASan).  */
+/* Destroying the server with requests in every phase calls each on_closed
+   once, nothing after that, and frees nothing that is still in use (ASan).  */
 Test (http, destroyed_with_requests)
 {
   static const char *const paths[] = { "/destroy", "/destroy_closed" };
@@ -743,7 +740,7 @@
 
   for (enum phase phase = PHASE_UPLOADING; phase <= PHASE_ANSWER_BLOCKED;
        phase++)
-    reach (name, phase);
+    open_in_phase (name, phase);
   mq_http_server_destroy (server);
   server = NULL;
   cr_expect_eq (closed_count, 5, "%d", closed_count);
@@ -767,12 +764,12 @@
     }
 }
 
-/* One caller on a bad line reads nothing of a long stream; without a bound
-   its unsent bytes take the memory that all others need.  */
-Test (http, slow_reader_is_given_up)
+/* A caller that does not read its stream must be disconnected, so that its
+   unsent bytes do not exhaust the memory.  */
+Test (http, slow_reader_is_disconnected)
 {
   const char *name = "slow reader";
-  int fd = reach (name, PHASE_STREAM_IDLE);
+  int fd = open_in_phase (name, PHASE_STREAM_IDLE);
   const char *block = filled (16384, 'x');
   size_t taken = 0;
   struct outcome other = { 0 };
@@ -797,8 +794,8 @@
 #define STREAMS 200
 #define STREAM_LINES 50
 
-/* Each caller receives the whole answer to its own request, also when two
-   hundred of them come in at once and in turns.  */
+/* Two hundred concurrent streams: each caller receives the complete response
+   to its own request.  */
 Test (http, concurrent_streams)
 {
   static struct outcome outcomes[STREAMS];
@@ -840,7 +837,8 @@
 #define BLOCK 100000
 #define LAG 800000
 
-/* Counts the letters in CHUNKS that are no hexadecimal digits.  */
+/* Counts the characters in the bodies of CHUNKS that are not hexadecimal
+   digits.  */
 static size_t
 count_letters (const char *chunks, char *last)
 {
@@ -856,12 +854,12 @@
   return count;
 }
 
-/* A reader that lags by more than the socket holds, but within the bound,
-   still gets every byte.  */
-Test (http, lagging_reader_gets_all)
+/* A reader that lags by more than the socket buffer, but within the limit,
+   receives every byte.  */
+Test (http, lagging_reader_receives_every_byte)
 {
   const char *name = "lagging reader";
-  int fd = reach (name, PHASE_STREAM_IDLE);
+  int fd = open_in_phase (name, PHASE_STREAM_IDLE);
   size_t got = 0;
   size_t sent = 0;
   char last = 'g';
@@ -892,13 +890,13 @@
   raw_close (fd, false);
 }
 
-Test (http, connection_is_kept_and_requests_sent_ahead_are_answered)
+Test (http, keep_alive_and_pipelined_requests_are_answered)
 {
   static const char two[]
       = "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none"
         "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ntwo";
   const char *name = "kept";
-  int fd = reach (name, PHASE_HELD);
+  int fd = open_in_phase (name, PHASE_HELD);
 
   raw_send (fd, two, strlen (two));
   mq_http_respond (held[0], 200, NULL, "zero", 4);
@@ -909,14 +907,14 @@
   raw_close (fd, false);
 }
 
-/* A planned stop: no new connection, but what is under way is answered, and
-   its connection closed so that the next request goes elsewhere.  */
+/* After mq_http_server_stop_accepting no connection is accepted; requests in
+   progress are answered and their connections closed.  */
 Test (http, stop_accepting)
 {
   const char *name = "stop";
   struct outcome refused = { 0 };
   uint16_t port = mq_http_server_port (server);
-  int fd = reach (name, PHASE_HELD);
+  int fd = open_in_phase (name, PHASE_HELD);
   bool ended = false;
 
   mq_http_server_stop_accepting (server);
@@ -932,13 +930,12 @@
   raw_close (fd, false);
 }
 
-/* More than the library lets in at one wake-up.  */
+/* More connections than libmicrohttpd accepts at once.  */
 #define NOT_ACCEPTED 25
 
-/* An entry host that stops closed its listening socket beside connections that
-   the kernel had let in: they were reset, and their callers' requests, which
-   had been sent, got neither answer nor refusal.  */
-Test (http, connections_not_accepted_at_a_stop_are_answered)
+/* Connections in the kernel's backlog at a stop must be accepted and answered;
+   closing the listening socket alone would reset them.  */
+Test (http, backlog_connections_are_answered_at_a_stop)
 {
   static const char asked[]
       = "POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi";
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -3,7 +3,7 @@
 
    Needs: Criterion, http_lane.h, router_pool.h, rows.h, timer.h.  */
 
-#include "net/http_lane.h"
+#include "net/http_conn.h"
 #include "net/listen.h"
 #include "router/router_pool.h"
 #include "router/rows.h"
@@ -117,33 +117,33 @@
 }
 
 static void
-on_failed (enum mq_lane_failure failure, void *user)
+on_failed (enum mq_http_conn_failure failure, void *user)
 {
   (void)failure;
   ((struct response_events *)user)->failed = true;
 }
 
 static void
-on_lane_closed (struct mq_http_lane *lane, void *user)
+on_lane_closed (struct mq_http_conn *lane, void *user)
 {
   *(bool *)user = true;
-  mq_http_lane_destroy (lane);
+  mq_http_conn_destroy (lane);
 }
 
 static void
-send_request (struct mq_http_lane *lane,
+send_request (struct mq_http_conn *lane,
               struct response_events *response_events, size_t body_len)
 {
-  struct mq_lane_events events = { .head = on_head,
-                                   .body = on_body,
-                                   .end = on_end,
-                                   .failed = on_failed,
-                                   .user = response_events };
+  struct mq_http_conn_callbacks events = { .head = on_head,
+                                           .body = on_body,
+                                           .end = on_end,
+                                           .failed = on_failed,
+                                           .user = response_events };
   char head[128];
   char *body = talloc_zero_size (ev, body_len + 1);
 
   snprintf (head, sizeof head, REQUEST_HEAD "%zu\r\n\r\n", body_len);
-  mq_http_lane_send (lane, &events, head, strlen (head), body, body_len,
+  mq_http_conn_send (lane, &events, head, strlen (head), body, body_len,
                      false);
   talloc_free (body);
 }
@@ -193,13 +193,13 @@
       const struct stale_case *row = &stale_cases[i];
       struct mq_fleet *fleet;
       struct mq_pool *pool = make_pool (&fleet);
-      struct mq_http_lane *lane = mq_pool_acquire (pool, 0, NULL);
+      struct mq_http_conn *lane = mq_pool_acquire (pool, 0, NULL);
       struct response_events response_events = { 0 };
       int fd;
 
       send_request (lane, &response_events, 0);
       fd = accept_connection ();
-      while (!mq_http_lane_sent (lane))
+      while (!mq_http_conn_has_sent (lane))
         tevent_loop_once (ev);
       server_receive (fd);
       server_send (fd, EMPTY);
@@ -215,7 +215,7 @@
                     (size_t)mq_pool_opened (pool));
       if (mq_pool_opened (pool) > 1)
         close (accept_connection ());
-      mq_http_lane_destroy (lane);
+      mq_http_conn_destroy (lane);
       mq_pool_destroy (pool);
       mq_fleet_destroy (fleet);
       close (fd);
@@ -276,15 +276,15 @@
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   bool gone = false;
-  struct mq_http_lane *lane
-      = mq_http_lane_open (ev, ev, address, 0, on_lane_closed, &gone, &error);
+  struct mq_http_conn *lane
+      = mq_http_conn_open (ev, ev, address, 0, on_lane_closed, &gone, &error);
   struct response_events response_events = { 0 };
   int fd;
 
   cr_assert_not_null (lane);
   send_request (lane, &response_events, LARGE_BYTES);
   fd = accept_connection ();
-  while (!mq_http_lane_sent (lane))
+  while (!mq_http_conn_has_sent (lane))
     tevent_loop_once (ev);
   server_receive (fd);
   server_send (fd, BUSY);
@@ -296,7 +296,7 @@
   cr_expect (response_events.ended);
   cr_expect_not (response_events.failed);
   if (!gone)
-    mq_http_lane_destroy (lane);
+    mq_http_conn_destroy (lane);
 }
 
 static void
@@ -337,7 +337,7 @@
 Test (lane, finished_connection_stays_open_while_it_is_read)
 {
   static char bytes[ANSWER_BYTES / 32];
-  struct mq_tcp_owner owner = { .data = on_data, .ended = on_tcp_ended };
+  struct mq_tcp_callbacks owner = { .data = on_data, .ended = on_tcp_ended };
   int to = mq_connect_begin (address, NULL);
   int from = accept_connection ();
   int room = sizeof bytes;
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -1,4 +1,4 @@
-/* test_peer.c - the link between processes and its failures.
+/* test_peer.c - connections between processes and their failures.
 
    Needs: peer_kit.h, message_samples.h, Criterion.  */
 
@@ -16,7 +16,7 @@
   BURST = 50,
   ROUNDS = 10,
   LONG_MS = 60000,
-  PAUSE_US = 3 * KIT_SILENT_MS * 1000
+  PAUSE_US = 3 * KIT_PEER_TIMEOUT_MS * 1000
 };
 
 /* cppcheck-suppress unknownMacro */
@@ -40,7 +40,7 @@
   return &node->events[i];
 }
 
-/* Tokens 0 to BURST - 1, in order, each once.  */
+/* Expects tokens 0 to BURST - 1 in order, each once.  */
 static void
 expect_burst (const struct kit_node *node)
 {
@@ -58,7 +58,7 @@
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   cr_expect_eq (mq_peer_net_find (a->net, b->address), a->peer);
@@ -74,7 +74,7 @@
       cr_expect (sample_equal (sent, b->events[b->count - 1].message), "%s",
                  mq_message_name (sent->type));
     }
-  /* One more than was sent: the version that the first of them had.  */
+  /* One additional message: the configuration version in the first frame.  */
   cr_expect_eq (b->events[1].message->type, MQ_MSG_CONFIG_HAVE);
 }
 
@@ -85,12 +85,13 @@
 };
 
 static const struct dial_case dial_cases[] = {
-  { "a", "b" }, { "b", "a" }, { "same", "same" }, /* told apart by boot id */
+  { "a", "b" },
+  { "b", "a" },
+  { "same", "same" }, /* distinguished by their boot ids */
 };
 
-/* Two hosts learn of each other at the same moment and both dial.  With two
-   connections each could send on the one that the other closes, and frames
-   would be lost: the leader's last proof chooses one before any frame.  */
+/* Two hosts dial each other at the same time.  If both connections were used,
+   each side could send on the one that the other closes and lose frames.  */
 static void
 run_both_dial (const struct dial_case *each, uint64_t round)
 {
@@ -99,8 +100,8 @@
 
   a->burst = BURST;
   b->burst = BURST;
-  mq_peer_net_keep (a->net, b->address);
-  mq_peer_net_keep (b->net, a->address);
+  mq_peer_net_add_address (a->net, b->address);
+  mq_peer_net_add_address (b->net, a->address);
   kit_wait_count (a, KIT_MESSAGE, BURST);
   kit_wait_count (b, KIT_MESSAGE, BURST);
   kit_run_frames (a, 5);
@@ -121,10 +122,10 @@
       run_both_dial (&dial_cases[i], round);
 }
 
-/* Host a chooses its own connection, but its proof is under way for long;
-   meanwhile b's connection is proved too and waits at a.  Then a's proof
-   comes (b's connection is closed, no one is told), or a's connection breaks
-   (b's takes its place).  */
+/* The Proof of host a on the selected connection is delayed while b's
+   connection is authenticated and waits at a.  Either the Proof arrives (b's
+   connection is closed without a callback), or a's connection breaks (b's
+   replaces it).  */
 static void
 run_late_proof (bool cut)
 {
@@ -133,9 +134,9 @@
   struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
   kit_relay_hold (relay);
-  mq_peer_net_keep (a->net, kit_relay_address (relay));
+  mq_peer_net_add_address (a->net, kit_relay_address (relay));
   kit_wait_up (a);
-  mq_peer_net_keep (b->net, a->address);
+  mq_peer_net_add_address (b->net, a->address);
   /* b's Hello and Proof on its own connection, after those on a's.  */
   kit_run_frames (a, 2);
   cr_expect_eq (b->up, 0);
@@ -158,11 +159,14 @@
   cr_expect_eq (kit_count (b, KIT_DOWN), 0);
 }
 
-Test (peer, a_late_proof_still_chooses) { run_late_proof (false); }
+Test (peer, a_late_proof_selects_its_connection) { run_late_proof (false); }
 
-Test (peer, a_waiting_connection_takes_over) { run_late_proof (true); }
+Test (peer, a_waiting_connection_replaces_a_lost_one)
+{
+  run_late_proof (true);
+}
 
-/* The platform's list and a setting name one host by two addresses.  */
+/* Two configured addresses of one host must share one connection.  */
 Test (peer, two_addresses_of_a_host_share_one_connection)
 {
   for (size_t i = 0; i < 2; i++)
@@ -171,12 +175,12 @@
       struct kit_node *b = start_node (dial_cases[i].second, 2);
       struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
-      mq_peer_net_keep (a->net, b->address);
+      mq_peer_net_add_address (a->net, b->address);
       kit_wait_up (a);
-      mq_peer_net_keep (a->net, kit_relay_address (relay));
+      mq_peer_net_add_address (a->net, kit_relay_address (relay));
       kit_wait_found (a, kit_relay_address (relay));
       kit_wait_single (a);
-      mq_peer_net_release (a->net, b->address);
+      mq_peer_net_remove_address (a->net, b->address);
       kit_run_frames (a, 5);
       cr_expect_eq (mq_peer_net_find (a->net, kit_relay_address (relay)),
                     a->peer);
@@ -200,20 +204,19 @@
   { "a", "b", false, true }, { "b", "a", false, true },
 };
 
-/* A clerk's call hangs although both processes live: something between them
-   lost track of their connection, which stays open and carries nothing,
-   while a new connection works.  No end is told; beats show it.  */
+/* A connection stays open but no longer carries data, while a new one would
+   work.  The missing heartbeats must close it, since TCP reports nothing.  */
 static void
-run_silence (const struct silence_case *each)
+run_unresponsive_connection (const struct silence_case *each)
 {
   struct kit_node *a = start_node (each->dialler, 1);
   struct kit_node *b = start_node (each->listener, 2);
   struct kit_relay *relay = kit_relay (mq_peer_net_port (b->net));
 
-  mq_peer_net_keep (a->net, kit_relay_address (relay));
+  mq_peer_net_add_address (a->net, kit_relay_address (relay));
   kit_wait_up (a);
   kit_wait_up (b);
-  kit_relay_silence (relay, each->to_listener, each->to_dialler);
+  kit_relay_blackhole (relay, each->to_listener, each->to_dialler);
   kit_wait_count (a, KIT_UP, 2);
   kit_wait_count (b, KIT_UP, 2);
   cr_expect_eq (find_event (a, KIT_DOWN, 0)->why, MQ_ERR_PEER_LOST);
@@ -229,26 +232,25 @@
   kit_destroy (b);
 }
 
-Test (peer, a_silent_connection_is_replaced)
+Test (peer, an_unresponsive_connection_is_replaced)
 {
   for (size_t i = 0; i < sizeof silence_cases / sizeof silence_cases[0]; i++)
-    run_silence (&silence_cases[i]);
+    run_unresponsive_connection (&silence_cases[i]);
 }
 
-/* A host is replaced so fast that the end of the old connection never comes:
-   it looks open for long.  The new run must get the work at once, and the
-   user must see the old one go before the new one comes, or he would tell
-   the new run's handle down.  */
+/* A host restarts and its old connection still looks open.  The new run is
+   used at once, and the old peer is reported down before the new one is
+   up.  */
 static void
 run_restart_unseen (const struct dial_case *each)
 {
   struct kit_node *a = kit_node (&(struct kit_options){
-      .host = each->first, .boot = 1, .silent_ms = LONG_MS });
+      .host = each->first, .boot = 1, .peer_timeout_ms = LONG_MS });
   struct kit_node *old = start_node ("unused", 9);
   struct kit_relay *relay = kit_relay (mq_peer_net_port (old->net));
   struct kit_options options = { .host = each->second,
                                  .address = kit_relay_address (relay),
-                                 .silent_ms = LONG_MS };
+                                 .peer_timeout_ms = LONG_MS };
   struct kit_node *b[2];
 
   for (uint64_t i = 0; i < 2; i++)
@@ -257,13 +259,13 @@
       b[i] = kit_node (&options);
     }
   kit_relay_target (relay, mq_peer_net_port (b[0]->net));
-  mq_peer_net_keep (a->net, options.address);
+  mq_peer_net_add_address (a->net, options.address);
   kit_wait_up (a);
   kit_wait_up (b[0]);
-  kit_relay_silence (relay, true, true);
+  kit_relay_blackhole (relay, true, true);
   kit_destroy (b[0]);
   kit_relay_target (relay, mq_peer_net_port (b[1]->net));
-  mq_peer_net_keep (b[1]->net, a->address);
+  mq_peer_net_add_address (b[1]->net, a->address);
   kit_wait_count (a, KIT_UP, 2);
   cr_assert_eq (a->count, 3);
   cr_expect_eq (a->events[0].boot, 10);
@@ -283,8 +285,8 @@
     run_restart_unseen (&dial_cases[i]);
 }
 
-/* A host restarts while its old run is still in the handshake: that run's
-   proof comes after its successor is up and must not push it out.  */
+/* A host restarts during its handshake.  The Proof of the earlier run, which
+   arrives after the new run is ready, must not replace it.  */
 Test (peer, a_late_proof_of_an_older_run_is_ignored)
 {
   struct kit_node *node = start_node ("m", 1);
@@ -306,14 +308,14 @@
   kit_client_close (new);
 }
 
-Test (peer, a_lost_peer_is_dialled_until_it_is_back)
+Test (peer, a_lost_peer_is_dialled_until_it_returns)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
   struct kit_options again = { .host = "b", .listen = b->address, .boot = 3 };
   struct kit_node *back;
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_destroy (b);
   kit_wait_down (a);
@@ -325,19 +327,19 @@
   cr_expect_eq (find_event (a, KIT_UP, 1)->boot, 3);
 }
 
-/* A release in the turn of the last sends: what was sent arrives whole, the
-   connection ends on both sides, and is not dialled again.  */
-Test (peer, release_loses_no_frame)
+/* Frames sent just before mq_peer_net_remove_address arrive, the connection
+   closes on both sides and is not dialled again.  */
+Test (peer, removing_an_address_loses_no_frame)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   for (uint32_t i = 0; i < BURST; i++)
     cr_assert (kit_send_token (a, i));
-  mq_peer_net_release (a->net, b->address);
+  mq_peer_net_remove_address (a->net, b->address);
   cr_expect_eq (a->up, 1);
   cr_expect_eq (mq_peer_net_find (a->net, b->address), 0);
   cr_expect_not (kit_send_token (a, BURST));
@@ -348,13 +350,13 @@
   cr_expect_eq (mq_peer_net_counters (a->net)->connections_lost, 0);
 }
 
-/* The last frames of a planned stop are still in the queue.  */
-Test (peer, destroy_sends_what_is_queued)
+/* Destroying the network sends the frames that are still queued.  */
+Test (peer, destroy_sends_queued_frames)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   for (uint32_t i = 0; i < BURST; i++)
     cr_assert (kit_send_token (a, i));
@@ -363,14 +365,14 @@
   expect_burst (b);
 }
 
-Test (peer, versions_are_told_once_and_only_rise)
+Test (peer, versions_are_reported_once_and_only_increase)
 {
   static const uint64_t versions[] = { 5, 6, 4, 9 };
-  static const uint64_t told[] = { 5, 6, 9 };
+  static const uint64_t reported[] = { 5, 6, 9 };
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (size_t i = 0; i < sizeof versions / sizeof versions[0]; i++)
@@ -379,18 +381,18 @@
       kit_run_frames (b, 5);
     }
   cr_assert_eq (kit_count (b, KIT_MESSAGE), 3);
-  for (size_t i = 0; i < sizeof told / sizeof told[0]; i++)
+  for (size_t i = 0; i < sizeof reported / sizeof reported[0]; i++)
     {
       const struct mq_message *message
           = find_event (b, KIT_MESSAGE, i)->message;
 
       cr_expect_eq (message->type, MQ_MSG_CONFIG_HAVE);
-      cr_expect_eq (message->u.config.version, told[i]);
+      cr_expect_eq (message->u.config.version, reported[i]);
     }
   cr_expect_eq (kit_count (a, KIT_MESSAGE), 0);
 }
 
-Test (peer, control_is_counted_apart)
+Test (peer, control_traffic_is_counted_separately)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
@@ -398,7 +400,7 @@
   const struct mq_peer_counters *out = mq_peer_net_counters (a->net);
   const struct mq_peer_counters *in = mq_peer_net_counters (b->net);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (uint32_t i = 0; i < 3; i++)
@@ -413,12 +415,12 @@
   cr_expect_gt (out->bytes_out - out->control_bytes_out, 12);
 }
 
-/* A stopped process reads nothing; without a bound its peer's queue would
-   take all memory.  Nothing is called back from inside the send.  */
-Test (peer, a_slow_reader_is_closed)
+/* A peer that reads nothing is disconnected at the limit of unsent bytes, with
+   no callback from within the send.  */
+Test (peer, a_slow_reader_is_disconnected)
 {
-  struct kit_node *node = kit_node (
-      &(struct kit_options){ .host = "m", .boot = 1, .silent_ms = LONG_MS });
+  struct kit_node *node = kit_node (&(struct kit_options){
+      .host = "m", .boot = 1, .peer_timeout_ms = LONG_MS });
   struct kit_client *client = kit_client (node, "z", 0);
   struct mq_message token = { .type = MQ_MSG_TOKEN };
   char *text = talloc_zero_size (node, 1 << 20);
@@ -438,14 +440,14 @@
   kit_client_close (client);
 }
 
-Test (peer, what_cannot_be_sent_is_refused)
+Test (peer, unsendable_messages_are_rejected)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
   struct mq_message token = { .type = MQ_MSG_TOKEN };
   char *text = talloc_zero_size (a, MQ_FRAME_MAX_BYTES + 1);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   memset (text, 'x', MQ_FRAME_MAX_BYTES);
   token.u.token.text = text;
@@ -460,11 +462,11 @@
   cr_expect_eq (kit_count (a, KIT_DOWN), 0);
 }
 
-/* A target's process answers and dies at once; the next frame that is sent
-   to it fails.  Its answers are already here and must not be thrown away with
-   the connection: calls that ran would count as unknown.  The failed write is
-   brought about by ending our direction of the socket.  */
-Test (peer, answers_before_a_failed_write_arrive)
+/* A peer sends responses and exits; the next frame sent to it fails.  The
+   responses must still be delivered, or completed calls would count as
+   unknown.  The write failure is provoked by shutting down the sending
+   direction.  */
+Test (peer, frames_before_a_failed_write_are_delivered)
 {
   struct kit_node *node = start_node ("m", 1);
   struct kit_client *client = kit_client (node, "z", 0);
@@ -502,7 +504,8 @@
     = { { KIT_UP, false },     { KIT_UP, true },    { KIT_MESSAGE, false },
         { KIT_MESSAGE, true }, { KIT_DOWN, false }, { KIT_DOWN, true } };
 
-/* A daemon gives up from inside a callback, or frees what holds the net.  */
+/* Destroys the network from inside a callback, directly or by freeing its
+   context.  */
 static void
 run_destroy (const struct destroy_case *each)
 {
@@ -512,7 +515,7 @@
   a->destroy[each->in] = true;
   a->free_ctx = each->free_ctx;
   b->burst = BURST;
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (b);
   if (each->in == KIT_DOWN)
     {
@@ -528,21 +531,20 @@
   cr_expect_eq (a->events[a->count - 1].type, each->in);
 }
 
-Test (peer, the_net_is_destroyed_from_a_callback)
+Test (peer, network_can_be_destroyed_in_a_callback)
 {
   for (size_t i = 0; i < sizeof destroy_cases / sizeof destroy_cases[0]; i++)
     run_destroy (&destroy_cases[i]);
 }
 
-/* The machine stops a process for longer than silent_ms.  When it wakes, the
-   frames of its peers are there to be read, so nobody was silent: closing
-   all connections would turn a pause into an outage.  */
-Test (peer, a_pause_of_ours_is_not_their_silence)
+/* This process is stopped for longer than the peer timeout.  Its peers must
+   not be timed out, since their frames are there to be read.  */
+Test (peer, a_process_pause_does_not_time_out_peers)
 {
   struct kit_node *a = start_node ("a", 1);
   struct kit_node *b = start_node ("b", 2);
 
-  mq_peer_net_keep (a->net, b->address);
+  mq_peer_net_add_address (a->net, b->address);
   kit_wait_up (a);
   kit_wait_up (b);
   for (int i = 0; i < 3; i++)
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -87,22 +87,22 @@
     { "blank before the colon", MQ_HTTP_REQUEST,
       "POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\nabc", MQ_ERR_BAD_REQUEST,
       0, "", false },
-    { "answer", MQ_HTTP_ANSWER,
+    { "answer", MQ_HTTP_RESPONSE,
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", MQ_ERR_NONE, 1, "ok",
       true },
-    { "answer without a length", MQ_HTTP_ANSWER, "HTTP/1.1 200 OK\r\n\r\nok",
+    { "answer without a length", MQ_HTTP_RESPONSE, "HTTP/1.1 200 OK\r\n\r\nok",
       MQ_ERR_NONE, 0, "ok", true },
-    { "answer cut in its body", MQ_HTTP_ANSWER,
+    { "answer cut in its body", MQ_HTTP_RESPONSE,
       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", MQ_ERR_NONE, 0, "ok",
       false },
-    { "answer cut in its head", MQ_HTTP_ANSWER, "HTTP/1.1 200 OK\r\nCont",
+    { "answer cut in its head", MQ_HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nCont",
       MQ_ERR_NONE, 0, "", false },
-    { "answer cut in a chunk", MQ_HTTP_ANSWER,
+    { "answer cut in a chunk", MQ_HTTP_RESPONSE,
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nok",
       MQ_ERR_NONE, 0, "ok", false },
-    { "no content", MQ_HTTP_ANSWER, "HTTP/1.1 204 No Content\r\n\r\n",
+    { "no content", MQ_HTTP_RESPONSE, "HTTP/1.1 204 No Content\r\n\r\n",
       MQ_ERR_NONE, 1, "", true },
-    { "no answer", MQ_HTTP_ANSWER, "\001\002\003\004", MQ_ERR_BAD_REQUEST, 0,
+    { "no answer", MQ_HTTP_RESPONSE, "\001\002\003\004", MQ_ERR_BAD_REQUEST, 0,
       "", false },
   };
 
@@ -630,7 +630,8 @@
       json_t *json;
 
       open_log (&reader);
-      mq_json_begin (&line, reader.log, MQ_JSON_NOTE, MQ_LOG_TRY_FAILED);
+      mq_json_begin (&line, reader.log, MQ_JSON_HIGH_PRIORITY,
+                     MQ_LOG_TRY_FAILED);
       mq_json_text (&line, "id", values[i]);
       mq_json_text (&line, "run", NULL);
       mq_json_number (&line, "sent", 42);
@@ -646,7 +647,7 @@
       cr_assert_eq (json_integer_value (json_object_get (json, "sent")), 42);
       cr_assert_null (json_object_get (json, "run"));
       cr_assert_null (json_object_get (json, "no_such_key"));
-      cr_assert_eq (mq_json_log_strays (reader.log), 1);
+      cr_assert_eq (mq_json_log_unknown_keys (reader.log), 1);
       json_decref (json);
       close_log (&reader);
     }
@@ -659,21 +660,23 @@
   struct log_reader reader;
 
   open_log (&reader);
-  for (unsigned int i = 0; i < 2 * MQ_JSON_LOG_PLAIN_S; i++)
+  for (unsigned int i = 0; i < 2 * MQ_JSON_LOG_LOW_PRIORITY_S; i++)
     {
       struct mq_json_line line;
 
-      mq_json_begin (&line, reader.log, MQ_JSON_PLAIN, MQ_LOG_REQUEST_ENDED);
+      mq_json_begin (&line, reader.log, MQ_JSON_LOW_PRIORITY,
+                     MQ_LOG_REQUEST_ENDED);
       mq_json_end (&line);
     }
   cr_assert_geq (mq_json_log_dropped (reader.log), 1);
   cr_assert_leq (mq_json_log_written (reader.log),
-                 2 * MQ_JSON_LOG_PLAIN_S - 1);
+                 2 * MQ_JSON_LOG_LOW_PRIORITY_S - 1);
   for (int i = 0; i < 20000; i++)
     {
       struct mq_json_line line;
 
-      mq_json_begin (&line, reader.log, MQ_JSON_NOTE, MQ_LOG_REQUEST_ENDED);
+      mq_json_begin (&line, reader.log, MQ_JSON_HIGH_PRIORITY,
+                     MQ_LOG_REQUEST_ENDED);
       mq_json_text (&line, "outcome",
                     "0123456789012345678901234567890123456789"
                     "0123456789012345678901234567890123456789");
