--- a/bench/capacity_config.c
+++ b/bench/capacity_config.c
@@ -82,7 +82,7 @@
                              len - at < PART_BYTES ? len - at : PART_BYTES,
                              SIZE_MAX))
         abort ();
-      rows_text_walk (ctx, walk, body);
+      rows_text_scan (ctx, walk, body);
     }
 }
 
--- a/tests/fuzz/fuzz_rows.c
+++ b/tests/fuzz/fuzz_rows.c
@@ -72,7 +72,7 @@
       size_t more = len - at < part ? len - at : part;
 
       FUZZ_CHECK (mq_buffer_append (ctx, &body, data + at, more, SIZE_MAX));
-      rows_text_walk (ctx, &text, &body);
+      rows_text_scan (ctx, &text, &body);
     }
   accepted = compare (ctx, &body, &text);
   talloc_free (ctx);
--- a/tests/router_site.c
+++ b/tests/router_site.c
@@ -201,9 +201,10 @@
 {
   const struct worker_run *found = NULL;
 
-  for (int k = 0; k < worker_server_runs (worker) && k < WORKER_RUNS_MAX; k++)
-    if (strcmp (worker_server_run (worker, k)->id, id) == 0)
-      found = worker_server_run (worker, k);
+  for (int k = 0; k < worker_server_run_count (worker) && k < WORKER_RUNS_MAX;
+       k++)
+    if (strcmp (worker_server_get_run (worker, k)->id, id) == 0)
+      found = worker_server_get_run (worker, k);
   return found;
 }
 
@@ -227,8 +228,8 @@
   int runs = 0;
 
   for (int i = 0; i < EDGE_WORKERS; i++)
-    for (int k = 0; k < worker_server_runs (site->llm[i]); k++)
-      if (strcmp (worker_server_run (site->llm[i], k)->id, id) == 0)
+    for (int k = 0; k < worker_server_run_count (site->llm[i]); k++)
+      if (strcmp (worker_server_get_run (site->llm[i], k)->id, id) == 0)
         runs++;
   return runs;
 }
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -101,11 +101,11 @@
   struct soak *soak = data;
 
   if (strcmp (soak->plant, "lost") == 0)
-    rows_server_forget (soak->rows, "turn");
+    rows_server_lose_rows (soak->rows, "turn");
   if (strcmp (soak->plant, "overspend") == 0)
-    rows_server_forget (soak->rows, "budget");
+    rows_server_lose_rows (soak->rows, "budget");
   if (strcmp (soak->plant, "history") == 0)
-    rows_server_mix (soak->rows, "turn");
+    rows_server_overwrite_values (soak->rows, "turn");
   if (strcmp (soak->plant, "lost") == 0 || strcmp (soak->plant, "history") == 0
       || strcmp (soak->plant, "overspend") == 0)
     for (int i = 0; i < soak->host_count; i++)
--- a/tests/soak/soak_world.c
+++ b/tests/soak/soak_world.c
@@ -200,7 +200,7 @@
   snprintf (id, sizeof id, "%s-%d", llm ? "llm" : "app", index);
   *worker = worker_server_create (soak->ev, soak->ev, id,
                                   llm ? &soak->llm_plan : &soak->app_plan);
-  worker_server_watch (*worker, soak_on_run, soak);
+  worker_server_set_run_handler (*worker, soak_on_run, soak);
   *proxy = proxy_create (soak->ev, soak->ev, worker_server_port (*worker));
   soak_list_worker (soak, llm, index, "ready");
 }
@@ -266,8 +266,8 @@
     soak_list_worker (soak, restore->llm, restore->worker, "ready");
   else
     {
-      rows_server_do_late (soak->rows);
-      rows_server_fault (soak->rows, ROWS_WELL);
+      rows_server_apply_delayed (soak->rows);
+      rows_server_set_fault (soak->rows, ROWS_NO_FAULT);
     }
   talloc_free (restore);
 }
@@ -316,7 +316,8 @@
 static void
 harm_table (struct soak *soak)
 {
-  rows_server_fault (soak->rows, (enum rows_fault) (1 + soak_below (soak, 7)));
+  rows_server_set_fault (soak->rows,
+                         (enum rows_fault) (1 + soak_below (soak, 7)));
   restore_in (soak, 2500);
 }
 
@@ -327,7 +328,7 @@
   struct worker_plan *plan = llm ? &soak->llm_plan : &soak->app_plan;
   struct restore *restore;
 
-  plan->step = (enum worker_step)soak_below (soak, WORKER_HALF + 1);
+  plan->step = (enum worker_behaviour)soak_below (soak, WORKER_STALL + 1);
   plan->count = 1 + (int)soak_below (soak, 4);
   if (soak_below (soak, 3) != 0)
     return;
@@ -385,8 +386,8 @@
 void
 soak_heal (struct soak *soak)
 {
-  rows_server_do_late (soak->rows);
-  rows_server_fault (soak->rows, ROWS_WELL);
+  rows_server_apply_delayed (soak->rows);
+  rows_server_set_fault (soak->rows, ROWS_NO_FAULT);
   soak->llm_plan.count = 0;
   soak->app_plan.count = 0;
   for (int i = 0; i < WORKERS; i++)
--- a/tests/test_commit_queue.c
+++ b/tests/test_commit_queue.c
@@ -158,8 +158,8 @@
   wait_for (WRITES);
   for (int i = 0; i < WRITES; i++)
     cr_expect_eq (outcomes[i].status, MQ_STORE_OK);
-  cr_expect_eq (rows_server_count (table, "t"), WRITES);
-  cr_expect_eq (rows_server_writes (table), 2);
+  cr_expect_eq (rows_server_row_count (table, "t"), WRITES);
+  cr_expect_eq (rows_server_write_count (table), 2);
 }
 
 /* One write's condition fails: it alone is told so, with its row.  */
@@ -188,14 +188,14 @@
   wait_for (3);
   for (int i = 0; i < 3; i++)
     cr_expect_eq (outcomes[i].status, MQ_STORE_OK);
-  cr_expect_eq (rows_server_writes (table), 3);
+  cr_expect_eq (rows_server_write_count (table), 3);
 }
 
 /* An answer is lost: each of those that went together is told that it may have
    been done.  */
 Test (commits, lost_answer_is_told_to_each)
 {
-  rows_server_fault (table, ROWS_LOSE);
+  rows_server_set_fault (table, ROWS_LOSE_REPLIES);
   write_row (0, "p", "first", MQ_VERSION_ABSENT);
   write_row (1, "p", "a", MQ_VERSION_ABSENT);
   write_row (2, "p", "b", MQ_VERSION_ABSENT);
@@ -216,5 +216,5 @@
   wait_for (1);
   cr_expect_eq (outcomes[2].status, MQ_STORE_OK);
   cr_expect_eq (outcomes[0].told + outcomes[1].told, 0);
-  cr_expect_eq (rows_server_count (table, "t"), 2);
+  cr_expect_eq (rows_server_row_count (table, "t"), 2);
 }
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -361,7 +361,7 @@
   char *text = requests_in_a_row (FAR_AHEAD, FAR_PAD);
   size_t len = strlen (text);
 
-  site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_STALL, 1 };
   for (size_t i = 0; i < ROWS (far_firsts); i++)
     {
       size_t sent = 0;
@@ -396,7 +396,7 @@
 static void
 lose_table (void)
 {
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   EDGE_WAIT (site, !mq_rows_followed (site->routers[0]->rows));
 }
 
@@ -440,7 +440,7 @@
   EDGE_WAIT (site, router->counters.config_changes > changes);
   edge_wait (site, &call, 2);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"));
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
 }
 
 /* What may come while a long configuration is taken.  */
@@ -497,7 +497,7 @@
         }
       cr_assert_eq (router->routes->version, newest, "case %d", i);
     }
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
 }
 
 /* A caller asks for a route that was just added, while the host is still at
@@ -538,7 +538,7 @@
 Test (held_up, callers_without_a_route_share_a_read)
 {
   static struct edge_call calls[ASKERS];
-  size_t before = rows_server_reads (site->rows);
+  size_t before = rows_server_read_count (site->rows);
 
   for (int i = 0; i < ASKERS; i++)
     edge_call (site, &calls[i], 0,
@@ -550,7 +550,7 @@
                           calls[i].answer);
       edge_hang_up (&calls[i]);
     }
-  cr_expect_leq (rows_server_reads (site->rows) - before, READS_MOST);
+  cr_expect_leq (rows_server_read_count (site->rows) - before, READS_MOST);
 }
 
 /* A read that began before a route was added does not tell of it: who asks
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -272,7 +272,7 @@
    is not turned away for good.  */
 Test (organisation, new_key_is_asked_for)
 {
-  rows_server_fault (site->rows, ROWS_SLOW_FEED);
+  rows_server_set_fault (site->rows, ROWS_STALL_FEEDS);
   configure (NEW_KEY);
   cr_assert_eq (ask (0, "q1", "acme-3"), 200);
 }
@@ -281,7 +281,7 @@
    that there is no such key.  */
 Test (organisation, unknown_key_while_the_table_is_away)
 {
-  rows_server_fault (site->rows, ROWS_REFUSING);
+  rows_server_set_fault (site->rows, ROWS_REFUSE_CONNECTIONS);
   cr_assert_eq (ask (0, "q1", "acme-9"), 503);
   cr_assert_eq (ask (0, "q2", "acme-1"), 200);
 }
@@ -292,7 +292,7 @@
    times.  */
 Test (organisation, forged_keys_cost_few_reads)
 {
-  size_t before = rows_server_reads (site->rows);
+  size_t before = rows_server_read_count (site->rows);
 
   for (int i = 0; i < FORGED; i++)
     {
@@ -301,7 +301,7 @@
       snprintf (key, sizeof key, "forged-%d", i);
       cr_assert_eq (ask (0, "q1", key), 401);
     }
-  cr_assert_lt (rows_server_reads (site->rows) - before, FORGED / 2);
+  cr_assert_lt (rows_server_read_count (site->rows) - before, FORGED / 2);
 }
 
 /* A key is taken away while its caller's connection stays open.  */
@@ -332,13 +332,13 @@
                     "10,8\r\n"
                     "Content-Length: 0\r\n\r\n";
 
-  rows_server_fault (site->rows, ROWS_LATE);
+  rows_server_set_fault (site->rows, ROWS_DELAY_WRITES);
   edge_call (site, &call, 0, text);
   edge_run (site, 30);
   configure (ONE_KEY_LESS);
   edge_run (site, 60);
-  rows_server_fault (site->rows, ROWS_WELL);
-  rows_server_do_late (site->rows);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
+  rows_server_apply_delayed (site->rows);
   edge_wait (site, &call, 1);
   cr_assert_null (strstr (call.answer, "HTTP/1.1 200"), "%s", call.answer);
   cr_assert_null (edge_run_of (site, "w1"));
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -383,7 +383,7 @@
   edge_kill (site, 0);
   site->seeds[0] = lender->address;
   edge_start (site, 0);
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   edge_run (site, 1200);
   lender->held_up = true;
   cr_assert_eq (refused_turn ("u1", "p1", "t1"), 503, "%s", call.answer);
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -41,7 +41,7 @@
   int runs = 0;
 
   for (int i = 0; i < EDGE_WORKERS; i++)
-    runs += worker_server_runs (workers[i]);
+    runs += worker_server_run_count (workers[i]);
   return runs;
 }
 
@@ -51,7 +51,7 @@
   int asked = 0;
 
   for (int i = 0; i < EDGE_WORKERS; i++)
-    asked += worker_server_asked (workers[i]);
+    asked += worker_server_request_count (workers[i]);
   return asked;
 }
 
@@ -60,9 +60,9 @@
 last_run (struct worker_server *const workers[EDGE_WORKERS], const char *id)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
-    for (int k = worker_server_runs (workers[i]) - 1; k >= 0; k--)
-      if (strcmp (worker_server_run (workers[i], k)->id, id) == 0)
-        return worker_server_run (workers[i], k);
+    for (int k = worker_server_run_count (workers[i]) - 1; k >= 0; k--)
+      if (strcmp (worker_server_get_run (workers[i], k)->id, id) == 0)
+        return worker_server_get_run (workers[i], k);
   cr_assert_fail ("%s was not run", id);
   return NULL;
 }
@@ -238,8 +238,9 @@
   int count = 0;
 
   for (int i = 0; i < EDGE_WORKERS; i++)
-    for (int k = 0; k < worker_server_runs (workers[i]); k++)
-      if (strcmp (worker_server_run (workers[i], k)->last_event, event) == 0)
+    for (int k = 0; k < worker_server_run_count (workers[i]); k++)
+      if (strcmp (worker_server_get_run (workers[i], k)->last_event, event)
+          == 0)
         count++;
   return count;
 }
@@ -249,7 +250,7 @@
 struct fault_case
 {
   const char *name;
-  enum worker_step step;
+  enum worker_behaviour step;
   int steps;
   const char *path;
   int status;
@@ -262,9 +263,10 @@
   static const struct fault_case cases[] = {
     { "full, then served", WORKER_FULL, 1, "/once/", 200, 1, "done" },
     { "full everywhere", WORKER_FULL, 2, "/once/", 503, 0, "Retry-After" },
-    { "another worker there", WORKER_OTHER, 1, "/once/", 200, 1, "done" },
-    { "no answer, may repeat", WORKER_NO_ANSWER, 1, "/call/", 200, 2, "done" },
-    { "no answer, once", WORKER_NO_ANSWER, 1, "/once/", 502, 1, "" },
+    { "another worker there", WORKER_MISDIRECTED, 1, "/once/", 200, 1,
+      "done" },
+    { "no answer, may repeat", WORKER_CLOSE, 1, "/call/", 200, 2, "done" },
+    { "no answer, once", WORKER_CLOSE, 1, "/once/", 502, 1, "" },
     { "reset, may repeat", WORKER_RESET, 1, "/call/", 200, 2, "done" },
     { "reset, once", WORKER_RESET, 1, "/once/", 502, 1, "" },
     { "garbage, may repeat", WORKER_GARBAGE, 1, "/call/", 200, 2, "done" },
@@ -274,11 +276,12 @@
     { "error, once", WORKER_ERROR, 1, "/once/", 500, 1, "X-Server-Stamp" },
     { "503 without a statement, once", WORKER_BARE_503, 1, "/once/", 502, 1,
       "" },
-    { "nameless", WORKER_NAMELESS, 1, "/once/", 502, 1, "" },
-    { "another's answer first", WORKER_FOREIGN, 1, "/once/", 200, 1, "done" },
+    { "nameless", WORKER_NO_REQUEST_ID, 1, "/once/", 502, 1, "" },
+    { "another's answer first", WORKER_MISMATCHED_FIRST, 1, "/once/", 200, 1,
+      "done" },
     { "unframed", WORKER_UNFRAMED, 1, "/once/", 200, 1, "done" },
     { "unframed and reset", WORKER_UNFRAMED_RESET, 1, "/once/", 502, 1, "" },
-    { "silent, may repeat", WORKER_SILENT, 1, "/call/", 200, 2, "done" },
+    { "silent, may repeat", WORKER_HANG, 1, "/call/", 200, 2, "done" },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
@@ -319,7 +322,7 @@
 worker_with_runs (int runs)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
-    if (worker_server_runs (site->llm[i]) == runs)
+    if (worker_server_run_count (site->llm[i]) == runs)
       return i;
   cr_assert_fail ("no worker with %d runs", runs);
   return -1;
@@ -348,11 +351,12 @@
       set_up ();
       for (int k = 0; k < row->served; k++)
         cr_assert_eq (edge_ask (site, &call, 0, turn), 200);
-      site->llm_plan = (struct worker_plan){ WORKER_NO_ANSWER, 1 };
+      site->llm_plan = (struct worker_plan){ WORKER_CLOSE, 1 };
       cr_assert_eq (edge_ask (site, &call, 0, turn), 502);
       worker = worker_with_runs (row->served + 1);
       cr_assert_eq (edge_ask (site, &call, 0, turn), 200);
-      cr_expect_eq (worker_server_runs (site->llm[worker]) == row->served + 1,
+      cr_expect_eq (worker_server_run_count (site->llm[worker])
+                        == row->served + 1,
                     row->left_out, "%s", row->name);
     }
 }
@@ -362,7 +366,7 @@
 Test (router, second_answer_is_nobodys)
 {
   edge_one_worker (site);
-  site->app_plan = (struct worker_plan){ WORKER_TWICE, 1 };
+  site->app_plan = (struct worker_plan){ WORKER_DUPLICATE, 1 };
   for (int i = 0; i < 5; i++)
     {
       char text[128];
@@ -382,7 +386,7 @@
 {
   static const char whole[] = "id: 1\ndata: e1\n\n";
 
-  site->llm_plan = (struct worker_plan){ WORKER_CUT, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_TRUNCATED, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   edge_wait (site, &call, 1);
   edge_hang_up (&call);
@@ -405,7 +409,7 @@
    last chunk, so that nobody takes it for a whole one.  */
 Test (router, other_stream_breaks_off_visibly)
 {
-  site->llm_plan = (struct worker_plan){ WORKER_CUT, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_TRUNCATED, 1 };
   edge_call (site, &call, 0,
              "POST /kept/a HTTP/1.1\r\n" HOST ID
              "X-Program-Id: p1\r\n" NO_BODY);
@@ -420,7 +424,7 @@
 /* A worker gives half of a stream and then nothing, without closing.  */
 Test (router, silent_stream_goes_on_at_another_worker)
 {
-  site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_STALL, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
   edge_wait (site, &call, 1);
@@ -433,13 +437,13 @@
    the end of its connection.  */
 Test (router, caller_leaves)
 {
-  site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_STALL, 1 };
   edge_call (site, &call, 0, "POST /kept/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
   edge_hang_up (&call);
-  EDGE_WAIT (site, worker_server_closed (site->llm[0])
-                           + worker_server_closed (site->llm[1])
-                           + worker_server_closed (site->llm[2])
+  EDGE_WAIT (site, worker_server_closed_count (site->llm[0])
+                           + worker_server_closed_count (site->llm[1])
+                           + worker_server_closed_count (site->llm[2])
                        == 1);
 }
 
@@ -449,7 +453,7 @@
 {
   edge_configure (site, 300, NULL);
   edge_run (site, 30);
-  site->app_plan = (struct worker_plan){ WORKER_SILENT, 1 };
+  site->app_plan = (struct worker_plan){ WORKER_HANG, 1 };
   cr_assert_eq (
       edge_ask (site, &call, 0, "POST /once/a HTTP/1.1\r\n" HOST ID NO_BODY),
       504);
@@ -496,25 +500,25 @@
     cr_assert_eq (
         edge_ask (site, &call, 0, "GET /call/a HTTP/1.1\r\n" HOST ID "\r\n"),
         200);
-  cr_assert_eq (worker_server_runs (site->app[0]), 0);
-  cr_assert_eq (worker_server_runs (site->app[1]), 0);
-  cr_assert_eq (worker_server_runs (site->app[2]), 8);
+  cr_assert_eq (worker_server_run_count (site->app[0]), 0);
+  cr_assert_eq (worker_server_run_count (site->app[1]), 0);
+  cr_assert_eq (worker_server_run_count (site->app[2]), 8);
 }
 
 /* The table forgets its history while a configuration and a leaving worker
    come: the next list tells both.  */
 Test (router, history_is_forgotten)
 {
-  rows_server_fault (site->rows, ROWS_SLOW_FEED);
+  rows_server_set_fault (site->rows, ROWS_STALL_FEEDS);
   edge_configure (site, 3000, "/new/");
   edge_list_worker (site, site->app[0], "app", "draining");
   rows_server_compact (site->rows);
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
   edge_run (site, 600);
   cr_assert_eq (
       edge_ask (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
       200);
-  cr_assert_eq (worker_server_runs (site->app[0]), 0);
+  cr_assert_eq (worker_server_run_count (site->app[0]), 0);
 }
 
 /* A route that is not known is looked up in the table before a caller is told
@@ -522,12 +526,12 @@
    told to come back.  */
 Test (router, unknown_route_is_confirmed)
 {
-  rows_server_fault (site->rows, ROWS_SLOW_FEED);
+  rows_server_set_fault (site->rows, ROWS_STALL_FEEDS);
   edge_configure (site, 3000, "/new/");
   cr_assert_eq (
       edge_ask (site, &call, 0, "GET /new/a HTTP/1.1\r\n" HOST ID "\r\n"),
       200);
-  rows_server_fault (site->rows, ROWS_REFUSING);
+  rows_server_set_fault (site->rows, ROWS_REFUSE_CONNECTIONS);
   cr_assert_eq (
       edge_ask (site, &call, 0, "GET /newer/a HTTP/1.1\r\n" HOST ID "\r\n"),
       503);
@@ -561,7 +565,7 @@
   edge_one_worker (site);
   edge_list_worker (site, site->app[1], "app", "ready");
   edge_run (site, 50);
-  site->app_plan = (struct worker_plan){ WORKER_SILENT, 1 };
+  site->app_plan = (struct worker_plan){ WORKER_HANG, 1 };
   edge_call (site, &lost, 0,
              "GET /call/a HTTP/1.1\r\n" HOST "X-Request-Id: lost\r\n"
              "X-Deadline-Ms: 1200\r\n\r\n");
@@ -621,7 +625,7 @@
 tell_load (uint32_t running, uint32_t waiting)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
-    worker_server_load (site->llm[i], running, waiting);
+    worker_server_set_load (site->llm[i], running, waiting);
 }
 
 /* A turn of PROGRAM's own line that names none before it, on a route that does
@@ -658,7 +662,7 @@
 {
   slow_ms = wait_ms;
   for (int i = 0; i < EDGE_WORKERS; i++)
-    worker_server_watch (site->llm[i], run_slowly, NULL);
+    worker_server_set_run_handler (site->llm[i], run_slowly, NULL);
 }
 
 /* Turns of a program that has begun, by which ROUTER learns of the load.  */
@@ -679,8 +683,8 @@
 engine_of (const char *id)
 {
   for (int i = 0; i < EDGE_WORKERS; i++)
-    for (int k = 0; k < worker_server_runs (site->llm[i]); k++)
-      if (strcmp (worker_server_run (site->llm[i], k)->id, id) == 0)
+    for (int k = 0; k < worker_server_run_count (site->llm[i]); k++)
+      if (strcmp (worker_server_get_run (site->llm[i], k)->id, id) == 0)
         return i;
   return -1;
 }
@@ -765,7 +769,7 @@
       for (int home = 0; home < EDGE_WORKERS; home++)
         {
           for (int i = 0; i < EDGE_WORKERS; i++)
-            worker_server_load (site->llm[i], i == home ? 1 : 4, 0);
+            worker_server_set_load (site->llm[i], i == home ? 1 : 4, 0);
           snprintf (program, sizeof program, "h%d", home);
           learn_engines (0, home);
           snprintf (id, sizeof id, "f%d", home);
@@ -827,7 +831,7 @@
    caller is asked to come back and not told that there is none.  */
 Test (router, unknown_turn_while_the_table_is_away)
 {
-  rows_server_fault (site->rows, ROWS_REFUSING);
+  rows_server_set_fault (site->rows, ROWS_REFUSE_CONNECTIONS);
   cr_assert_eq (ask_turn (0, "t1", "p1", AFTER ("t0"), "x"), 503);
   cr_assert_not_null (strstr (call.answer, "Retry-After: "));
 }
@@ -841,19 +845,19 @@
 {
   size_t tried;
 
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   /* Feeds that were waiting are still answered.  */
   edge_run (site, 1200);
   for (int i = 0; i < 3; i++)
     cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
   edge_run (site, 600);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 503);
-  tried = rows_server_tried (site->rows);
+  tried = rows_server_call_count (site->rows);
   cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 503);
   cr_assert_not_null (strstr (call.answer, "Retry-After: 2.0"), "%s",
                       call.answer);
-  cr_assert_leq (rows_server_tried (site->rows) - tried, 1);
-  rows_server_fault (site->rows, ROWS_WELL);
+  cr_assert_leq (rows_server_call_count (site->rows) - tried, 1);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
   edge_run (site, 500);
   cr_assert_eq (ask_turn (0, "t3", "p3", BUDGET (80), "x"), 200);
 }
@@ -901,23 +905,23 @@
 Test (router, end_of_a_turn_waits_for_its_record)
 {
   static const struct keep_case cases[] = {
-    { "answers are lost", ROWS_LOSE, true },
-    { "down", ROWS_BUSY, false },
-    { "refuses", ROWS_REFUSING, false },
-    { "well", ROWS_WELL, true },
+    { "answers are lost", ROWS_LOSE_REPLIES, true },
+    { "down", ROWS_UNAVAILABLE, false },
+    { "refuses", ROWS_REFUSE_CONNECTIONS, false },
+    { "well", ROWS_NO_FAULT, true },
   };
 
   for (size_t i = 0; i < ROWS (cases); i++)
     {
       char text[256];
 
-      worker_server_events (site->llm[0], 4);
+      worker_server_set_events (site->llm[0], 4);
       snprintf (text, sizeof text,
                 "POST /kept/a HTTP/1.1\r\n" HOST "X-Request-Id: k%zu\r\n"
                 "X-Program-Id: k\r\n" NO_BODY,
                 i);
       edge_run (site, 700);
-      rows_server_fault (site->rows, cases[i].fault);
+      rows_server_set_fault (site->rows, cases[i].fault);
       edge_call (site, &call, 0, text);
       EDGE_WAIT (site, runs_of (site->llm) == (int)i + 1);
       edge_run (site, 400);
@@ -926,7 +930,7 @@
                           cases[i].name);
       cr_assert_eq (strstr (call.answer, "\r\n0\r\n\r\n") != NULL,
                     cases[i].whole, "%s: %s", cases[i].name, call.answer);
-      rows_server_fault (site->rows, ROWS_WELL);
+      rows_server_set_fault (site->rows, ROWS_NO_FAULT);
       edge_wait (site, &call, 1);
       /* Whole, and not broken off; the connection may be closed after it, when
          it has been idle for as long as the limits say.  */
@@ -934,19 +938,19 @@
                           cases[i].name, call.answer);
       edge_hang_up (&call);
     }
-  cr_assert_eq (rows_server_count (site->rows, "turn"), ROWS (cases));
+  cr_assert_eq (rows_server_row_count (site->rows, "turn"), ROWS (cases));
 }
 
 /* A write of a program's record gets no answer and is done seconds later, when
    the record has long been written again: its condition no longer holds.  */
 Test (router, late_write_of_a_budget_changes_nothing)
 {
-  rows_server_fault (site->rows, ROWS_LATE);
+  rows_server_set_fault (site->rows, ROWS_DELAY_WRITES);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (28), "x"), 503);
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
   edge_run (site, 500);
   cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (28), "x"), 200);
-  rows_server_do_late (site->rows);
+  rows_server_apply_delayed (site->rows);
   cr_assert_eq (ask_turn (0, "t3", "p1", BUDGET (28), "x"), 200);
   cr_assert_eq (ask_turn (0, "t4", "p1", BUDGET (28), "x"), 200);
   cr_assert_eq (ask_turn (0, "t5", "p1", BUDGET (28), "x"), 402);
@@ -997,12 +1001,12 @@
 
   /* Until the host has all leases.  */
   edge_run (site, 4500);
-  rows_server_silence_parts (site->rows, SILENT_PARTS);
+  rows_server_block_parts (site->rows, SILENT_PARTS);
   serve_crowd ("a");
   served = serve_crowd ("b");
   cr_assert_geq (__builtin_popcount (served), CROWD - 1, "%x", served);
   /* What lies at another place than its first is found.  */
-  rows_server_silence_parts (site->rows, 0);
+  rows_server_block_parts (site->rows, 0);
   edge_kill (site, 0);
   edge_start (site, 0);
   for (int i = 0; i < CROWD; i++)
@@ -1028,7 +1032,7 @@
   edge_start (site, 1);
   edge_run (site, 2500);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "one;"), 200);
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   edge_run (site, 1200);
   for (int i = 0; i < 3; i++)
     ask_turn (1, "x1", "p9", BUDGET (80), "x");
@@ -1044,7 +1048,7 @@
   raw_read (later.fd, later.answer, sizeof later.answer);
   cr_assert_not_null (strstr (later.answer, "data: e4"), "%s", later.answer);
   cr_assert_null (strstr (later.answer, "\r\n0\r\n\r\n"));
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
   edge_wait (site, &later, 1);
   cr_assert_not_null (strstr (later.answer, "\r\n0\r\n\r\n"), "%s",
                       later.answer);
@@ -1066,7 +1070,7 @@
   int served = 0;
 
   edge_run (site, 4500);
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   edge_run (site, 1200);
   for (int i = 0; i < 3; i++)
     ask_turn (0, "x1", "p9", BUDGET (80), "x");
@@ -1083,7 +1087,7 @@
   cr_assert_eq (
       ask_turn (0, "t3", "p1", BUDGET (16) "X-Deadline-Ms: 2000\r\n", "x"),
       503);
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
   edge_run (site, 1500);
   for (int i = 0; i < 3; i++)
     {
@@ -1101,7 +1105,7 @@
    that its record was written.  */
 Test (router, budget_while_answers_to_writes_are_lost)
 {
-  rows_server_fault (site->rows, ROWS_LOSE);
+  rows_server_set_fault (site->rows, ROWS_LOSE_REPLIES);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
   cr_assert_eq (ask_turn (0, "t2", "p1", BUDGET (80) AFTER ("t1"), "x"), 200);
 }
@@ -1113,24 +1117,24 @@
   static const uint64_t start_ms = 5000000;
   static const uint64_t hours_ms = 7200000;
 
-  rows_server_clock (site->rows, start_ms);
+  rows_server_set_clock (site->rows, start_ms);
   edge_run (site, 1300);
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
   cr_assert_eq (ask_turn (0, "t2", "p2", BUDGET (80), "x"), 200);
   edge_kill (site, 0);
-  rows_server_clock (site->rows, start_ms + hours_ms);
+  rows_server_set_clock (site->rows, start_ms + hours_ms);
   edge_start (site, 0);
   cr_assert_eq (ask_turn (0, "t3", "p2", BUDGET (80) AFTER ("t2"), "x"), 200);
   edge_kill (site, 0);
-  cr_assert_eq (rows_server_count (site->rows, "budget"), 2);
-  cr_assert_eq (rows_server_count (site->rows, "turn"), 3);
+  cr_assert_eq (rows_server_row_count (site->rows, "budget"), 2);
+  cr_assert_eq (rows_server_row_count (site->rows, "turn"), 3);
   site->clean_after_ms = 0;
   edge_start (site, 0);
-  EDGE_WAIT (site, rows_server_count (site->rows, "budget") == 1
-                       && rows_server_count (site->rows, "turn") == 1);
+  EDGE_WAIT (site, rows_server_row_count (site->rows, "budget") == 1
+                       && rows_server_row_count (site->rows, "turn") == 1);
   edge_run (site, 500);
-  cr_assert_eq (rows_server_count (site->rows, "budget"), 1);
-  cr_assert_eq (rows_server_count (site->rows, "turn"), 1);
+  cr_assert_eq (rows_server_row_count (site->rows, "budget"), 1);
+  cr_assert_eq (rows_server_row_count (site->rows, "turn"), 1);
   cr_assert_eq (ask_turn (0, "t4", "p2", BUDGET (80) AFTER ("t3"), "x"), 200);
 }
 
@@ -1146,22 +1150,22 @@
   static const uint64_t hours_ms = 7200000;
 
   edge_kill (site, 0);
-  rows_server_clock (site->rows, start_ms);
+  rows_server_set_clock (site->rows, start_ms);
   edge_start (site, 0);
   edge_start (site, 1);
-  EDGE_WAIT (site, rows_server_count (site->rows, "host") == 2);
+  EDGE_WAIT (site, rows_server_row_count (site->rows, "host") == 2);
   edge_kill (site, 1);
   edge_kill (site, 0);
   edge_start (site, 0);
   EDGE_WAIT (site, mq_router_host_count (site->routers[0]) == 1);
-  rows_server_clock (site->rows, start_ms + hours_ms);
+  rows_server_set_clock (site->rows, start_ms + hours_ms);
   edge_kill (site, 0);
   edge_start (site, 0);
-  EDGE_WAIT (site, rows_server_count (site->rows, "host") == 1);
+  EDGE_WAIT (site, rows_server_row_count (site->rows, "host") == 1);
   cr_assert_eq (mq_router_host_count (site->routers[0]), 0);
   edge_start (site, 1);
   EDGE_WAIT (site, mq_router_host_count (site->routers[0]) == 1);
-  cr_assert_eq (rows_server_count (site->rows, "host"), 2);
+  cr_assert_eq (rows_server_row_count (site->rows, "host"), 2);
 }
 
 struct door_case
@@ -1176,10 +1180,11 @@
    also a host that starts meanwhile.  */
 Test (router, table_is_closed_to_one_host)
 {
-  static const struct door_case cases[] = { { "refuses", ROWS_REFUSING },
-                                            { "busy", ROWS_BUSY },
-                                            { "many", ROWS_MANY },
-                                            { "silent", ROWS_SILENT } };
+  static const struct door_case cases[]
+      = { { "refuses", ROWS_REFUSE_CONNECTIONS },
+          { "busy", ROWS_UNAVAILABLE },
+          { "many", ROWS_RATE_LIMITED },
+          { "silent", ROWS_NO_RESPONSE } };
 
   edge_start (site, 1);
   /* Until the hosts have found each other.  */
@@ -1194,7 +1199,7 @@
 
       snprintf (before, sizeof before, "b%zu", i);
       cr_assert_eq (ask_turn (1, before, "p", "", "one;"), 200);
-      rows_server_fault_at (site->rows, 0, cases[i].fault);
+      rows_server_set_endpoint_fault (site->rows, 0, cases[i].fault);
       /* Until the host has noticed.  */
       edge_run (site, 1800);
       snprintf (extra, sizeof extra, "/new%zu/", i);
@@ -1212,10 +1217,10 @@
                 extra, i);
       cr_assert_eq (edge_ask (site, &call, 0, text), 200, "%s: %s",
                     cases[i].name, call.answer);
-      rows_server_fault_at (site->rows, 0, ROWS_WELL);
+      rows_server_set_endpoint_fault (site->rows, 0, ROWS_NO_FAULT);
       edge_run (site, 400);
     }
-  rows_server_fault_at (site->rows, 0, ROWS_SILENT);
+  rows_server_set_endpoint_fault (site->rows, 0, ROWS_NO_RESPONSE);
   edge_kill (site, 0);
   edge_seed (site, 0, 1);
   edge_start (site, 0);
@@ -1231,7 +1236,7 @@
 {
   struct edge_call other;
 
-  site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_STALL, 1 };
   edge_call (site, &call, 0, "POST /turn/a HTTP/1.1\r\n" HOST ID NO_BODY);
   EDGE_WAIT (site, asked_of (site->llm) == 1);
   mq_router_leave (site->routers[0]);
@@ -1254,7 +1259,7 @@
 Test (router, stop_while_the_table_is_silent)
 {
   cr_assert_eq (ask_turn (0, "t1", "p1", BUDGET (80), "x"), 200);
-  rows_server_fault (site->rows, ROWS_SILENT);
+  rows_server_set_fault (site->rows, ROWS_NO_RESPONSE);
   mq_router_leave (site->routers[0]);
   for (int i = 0; i < 200 && !mq_router_stopped (site->routers[0]); i++)
     edge_run (site, 5);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -78,15 +78,15 @@
       struct site *site = make_site ();
       size_t before;
 
-      rows_server_fault (site->server, ROWS_BUSY);
+      rows_server_set_fault (site->server, ROWS_UNAVAILABLE);
       mq_rows_share (site->rows, cases[i].hosts);
       while (mq_rows_followed (site->rows))
         run_for (site, 5);
-      before = rows_server_feeds (site->server);
+      before = rows_server_feed_count (site->server);
       run_for (site, 2000);
-      cr_assert_leq (rows_server_feeds (site->server) - before, cases[i].most,
-                     "%zu hosts", cases[i].hosts);
-      rows_server_fault (site->server, ROWS_WELL);
+      cr_assert_leq (rows_server_feed_count (site->server) - before,
+                     cases[i].most, "%zu hosts", cases[i].hosts);
+      rows_server_set_fault (site->server, ROWS_NO_FAULT);
       while (!mq_rows_followed (site->rows))
         run_for (site, 5);
       mq_rows_destroy (site->rows);
--- a/tests/world.c
+++ b/tests/world.c
@@ -1130,7 +1130,7 @@
       operator_wake (world, event);
       break;
     case EVENT_RUN:
-      worker_step (world, event);
+      worker_behaviour (world, event);
       break;
     case EVENT_EVICTED:
       worker_evicted (world, event);
--- a/tests/world_state.h
+++ b/tests/world_state.h
@@ -520,7 +520,7 @@
                    const struct mq_evict *evict);
 void worker_order (struct world *world, int host,
                    const struct mq_order_msg *order);
-void worker_step (struct world *world, const struct world_event *event);
+void worker_behaviour (struct world *world, const struct world_event *event);
 void worker_evicted (struct world *world, const struct world_event *event);
 void worker_ordered (struct world *world, const struct world_event *event);
 void worker_read_cache (struct world *world, const struct world_event *event);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -763,7 +763,7 @@
 }
 
 void
-worker_step (struct world *world, const struct world_event *event)
+worker_behaviour (struct world *world, const struct world_event *event)
 {
   struct run *run = world->runs[event->index];
   const struct worker *worker = &world->hosts[run->host].workers[run->worker];
