--- a/tests/fuzz/fuzz_wire.c
+++ b/tests/fuzz/fuzz_wire.c
@@ -1,7 +1,7 @@
-/* fuzz_wire.c - rows of the users' platform: configuration and workers
-   (platform/wire.c).
+/* fuzz_wire.c - decoding of the platform's configuration and worker rows
+   (platform/wire*.c).
 
-   Input: 'C' and the row of the configuration, or 'W' and that of a worker.
+   Input: 'C' and a configuration, or 'W' and a worker row.
    Needs: fuzz.h, router_wire.h, jansson.  */
 
 #include "fuzz.h"
@@ -33,13 +33,13 @@
   struct mq_route_table *table = mq_wire_read_config (ctx, bytes, &error);
   json_t *root = json_loadb ((const char *)bytes.data, bytes.len, 0, NULL);
 
-  /* It is read in parts, which together are sound exactly if it is.  */
+  /* The incremental parser accepts exactly the JSON that jansson accepts.  */
   FUZZ_CHECK (root != NULL || table == NULL);
   FUZZ_CHECK (root == NULL || error.type != MQ_ERR_BAD_JSON);
   json_decref (root);
   if (table == NULL)
     {
-      /* Whoever changed it is told what is wrong.  */
+      /* A rejected configuration has an error to report.  */
       FUZZ_CHECK (error.type != MQ_ERR_NONE);
       return false;
     }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,6 +1,8 @@
-/* test_platform.c - the contract with the platform, faults included.
+/* test_platform.c - contract between the platform client and the platform,
+   under faults.
 
-   The client of src/daemon/platform.c meets the stand-in in one event loop.
+   The client of src/daemon/platform.c and the stand-in of the platform run in
+   one event loop.
    Needs: Criterion, platform_server.h, faults.h, platform.h.  */
 
 #include "net/http_server.h"
@@ -16,13 +18,13 @@
 enum
 {
   RESULTS_MAX = 64,
-  PATIENCE_S = 60, /* far beyond what any case takes */
+  TEST_TIMEOUT_S = 60,
   KINDS = 5
 };
 
-struct kept
+struct stored_result
 {
-  bool come;
+  bool received;
   enum mq_store_status status;
   bool more;
   size_t row_count;
@@ -37,8 +39,8 @@
   struct mq_platform_server *server;
   struct mq_http_client *client;
   struct mq_platform *platform;
-  struct kept kept[RESULTS_MAX]; /* by id of the request */
-  size_t come;
+  struct stored_result results[RESULTS_MAX]; /* indexed by request id */
+  size_t received;
 };
 
 static struct mq_bytes
@@ -53,34 +55,34 @@
 on_stored (const struct mq_store_result *result, void *user)
 {
   struct world *world = user;
-  struct kept *kept = &world->kept[result->id];
-
-  cr_assert (!kept->come, "two results for request %lu", result->id);
-  kept->come = true;
-  kept->status = result->status;
-  kept->more = result->more;
-  kept->row_count = result->row_count;
-  kept->rows
+  struct stored_result *stored = &world->results[result->id];
+
+  cr_assert (!stored->received, "two results for request %lu", result->id);
+  stored->received = true;
+  stored->status = result->status;
+  stored->more = result->more;
+  stored->row_count = result->row_count;
+  stored->rows
       = talloc_zero_array (world->top, struct mq_row, result->row_count + 1);
   for (size_t i = 0; i < result->row_count; i++)
     {
-      kept->rows[i].key = talloc_strdup (world->top, result->rows[i].key);
-      kept->rows[i].version = result->rows[i].version;
-      kept->rows[i].value = copy (world->top, result->rows[i].value);
+      stored->rows[i].key = talloc_strdup (world->top, result->rows[i].key);
+      stored->rows[i].version = result->rows[i].version;
+      stored->rows[i].value = copy (world->top, result->rows[i].value);
     }
-  kept->value = copy (world->top, result->value);
-  world->come++;
+  stored->value = copy (world->top, result->value);
+  world->received++;
 }
 
 static void
-on_out_of_patience (struct tevent_context *ev, struct tevent_timer *timer,
-                    struct timeval now, void *data)
+on_test_timeout (struct tevent_context *ev, struct tevent_timer *timer,
+                 struct timeval now, void *data)
 {
   (void)ev;
   (void)timer;
   (void)now;
   (void)data;
-  cr_assert_fail ("waited %d s for what never came", PATIENCE_S);
+  cr_assert_fail ("no result within %d s", TEST_TIMEOUT_S);
 }
 
 static const char *
@@ -113,8 +115,8 @@
   world->platform
       = connect_to (world, mq_platform_server_port (world->server));
   tevent_add_timer (world->ev, world,
-                    tevent_timeval_current_ofs (PATIENCE_S, 0),
-                    on_out_of_patience, NULL);
+                    tevent_timeval_current_ofs (TEST_TIMEOUT_S, 0),
+                    on_test_timeout, NULL);
   return world;
 }
 
@@ -130,7 +132,7 @@
 static void
 wait_results (struct world *world, size_t count)
 {
-  while (world->come < count)
+  while (world->received < count)
     tevent_loop_once (world->ev);
 }
 
@@ -156,8 +158,8 @@
 }
 
 static void
-send_plain (struct mq_platform *platform, uint64_t id, enum mq_store_kind kind,
-            const char *key, struct mq_bytes value)
+send_request (struct mq_platform *platform, uint64_t id,
+              enum mq_store_kind kind, const char *key, struct mq_bytes value)
 {
   struct mq_store_request request
       = { .id = id, .kind = kind, .key = (char *)key, .value = value };
@@ -166,7 +168,7 @@
 }
 
 static void
-order_fault (struct world *world, const char *order)
+set_fault (struct world *world, const char *order)
 {
   cr_assert (mq_platform_server_fault (world->server, order), "%s", order);
 }
@@ -184,13 +186,13 @@
   return version;
 }
 
-/* Fault by request.  */
+/* Each fault with each kind of request */
 
 enum effect
 {
   NEVER,
-  DONE, /* when the result comes */
-  LATER /* some time after it */
+  DONE, /* applied before the result arrives */
+  LATER /* applied after the result arrives */
 };
 
 #define ALL(status)                                                           \
@@ -203,7 +205,7 @@
   }
 
 /* Statuses in the order of enum mq_store_kind: TXN, SCAN, PUT, GET, DROP.
-   A last fault of NULL stands for a platform that nothing listens for.  */
+   No orders at all stand for a platform that refuses connections.  */
 static const struct
 {
   const char *orders[3];
@@ -262,15 +264,15 @@
   struct mq_bytes none = { NULL, 0 };
 
   send_write (platform, MQ_STORE_TXN, "txn", MQ_VERSION_ABSENT, "new");
-  send_plain (platform, MQ_STORE_SCAN, MQ_STORE_SCAN, "scan/", none);
-  send_plain (platform, MQ_STORE_PUT, MQ_STORE_PUT, "put", bytes_of ("new"));
-  send_plain (platform, MQ_STORE_GET, MQ_STORE_GET, "get", none);
-  send_plain (platform, MQ_STORE_DROP, MQ_STORE_DROP, "drop", none);
+  send_request (platform, MQ_STORE_SCAN, MQ_STORE_SCAN, "scan/", none);
+  send_request (platform, MQ_STORE_PUT, MQ_STORE_PUT, "put", bytes_of ("new"));
+  send_request (platform, MQ_STORE_GET, MQ_STORE_GET, "get", none);
+  send_request (platform, MQ_STORE_DROP, MQ_STORE_DROP, "drop", none);
 }
 
-/* How many of the three writes have taken effect.  */
+/* Returns how many of the three writes have been applied.  */
 static size_t
-effects (struct world *world)
+count_applied (struct world *world)
 {
   struct mq_table_snapshot *all = mq_table_snapshot (
       mq_platform_server_table (world->server), world->top);
@@ -289,16 +291,16 @@
 }
 
 static void
-check_answers (struct world *world, size_t number)
+check_results (struct world *world, size_t number)
 {
-  const struct kept *txn = &world->kept[MQ_STORE_TXN];
-  const struct kept *scan = &world->kept[MQ_STORE_SCAN];
-  const struct kept *get = &world->kept[MQ_STORE_GET];
+  const struct stored_result *txn = &world->results[MQ_STORE_TXN];
+  const struct stored_result *scan = &world->results[MQ_STORE_SCAN];
+  const struct stored_result *get = &world->results[MQ_STORE_GET];
 
   for (int kind = 0; kind < KINDS; kind++)
-    cr_assert_eq (world->kept[kind].status, faults[number].statuses[kind],
+    cr_assert_eq (world->results[kind].status, faults[number].statuses[kind],
                   "fault %zu, kind %d: status %d", number, kind,
-                  world->kept[kind].status);
+                  world->results[kind].status);
   if (txn->status == MQ_STORE_OK)
     cr_assert (txn->row_count == 1 && txn->rows[0].version > 0
                && strcmp (txn->rows[0].key, "txn") == 0);
@@ -330,35 +332,35 @@
 
   seed (world);
   for (size_t i = 0; i < 3 && faults[number].orders[i] != NULL; i++)
-    order_fault (world, faults[number].orders[i]);
+    set_fault (world, faults[number].orders[i]);
   if (faults[number].orders[0] == NULL)
     world->platform = connect_to (world, unused_port (world));
   send_all_kinds (world->platform);
-  cr_assert_eq (world->come, 0, "a result came from within the call");
+  cr_assert_eq (world->received, 0,
+                "result reported before mq_platform_send returned");
   wait_results (world, KINDS);
-  check_answers (world, number);
-  while (faults[number].effect == LATER && effects (world) < 3)
+  check_results (world, number);
+  while (faults[number].effect == LATER && count_applied (world) < 3)
     tevent_loop_once (world->ev);
-  cr_assert_eq (effects (world), faults[number].effect == NEVER ? 0 : 3,
+  cr_assert_eq (count_applied (world), faults[number].effect == NEVER ? 0 : 3,
                 "fault %zu", number);
   destroy_world (world);
 }
 
-Test (platform, every_fault_meets_every_request)
+Test (platform, every_fault_with_every_request_kind)
 {
   for (size_t i = 0; i < COUNT_OF (faults); i++)
     check_fault (i);
 }
 
-/* An owner's commit gets no answer, and takes effect only after the owner has
-   read the old row and sent the commit again with the same condition.  One
-   of the two applies; the other meets a changed version.  */
+/* A commit without a response may be applied after its retry with the same
+   condition was sent.  Exactly one of the two is applied.  */
 static const struct
 {
   const char *order;
-  bool repeat_first; /* the repeat comes before the late effect */
-  enum mq_store_status repeat_status;
-} late_effects[] = {
+  bool retry_first; /* the retry arrives before the delayed commit */
+  enum mq_store_status retry_status;
+} delayed_commits[] = {
   { "{\"fault\":\"late_effect\",\"ms\":2000,\"count\":1}", true, MQ_STORE_OK },
   { "{\"fault\":\"late_effect\",\"ms\":1,\"count\":1}", false,
     MQ_STORE_CONFLICT },
@@ -373,22 +375,22 @@
   return counters.writes + counters.conflicts;
 }
 
-Test (platform, a_late_effect_and_its_repeat_apply_once)
+Test (platform, delayed_commit_and_its_retry_apply_once)
 {
-  for (size_t i = 0; i < COUNT_OF (late_effects); i++)
+  for (size_t i = 0; i < COUNT_OF (delayed_commits); i++)
     {
       struct world *world = create_world ();
       uint64_t version = seed_row (world, "log", "0");
 
-      order_fault (world, late_effects[i].order);
+      set_fault (world, delayed_commits[i].order);
       send_write (world->platform, 0, "log", version, "batch");
       wait_results (world, 1);
-      cr_assert_eq (world->kept[0].status, MQ_STORE_LOST);
-      while (!late_effects[i].repeat_first && attempts (world) < 2)
+      cr_assert_eq (world->results[0].status, MQ_STORE_LOST);
+      while (!delayed_commits[i].retry_first && attempts (world) < 2)
         tevent_loop_once (world->ev);
       send_write (world->platform, 1, "log", version, "batch");
       wait_results (world, 2);
-      cr_assert_eq (world->kept[1].status, late_effects[i].repeat_status);
+      cr_assert_eq (world->results[1].status, delayed_commits[i].retry_status);
       while (attempts (world) < 3)
         tevent_loop_once (world->ev);
       cr_assert_eq (
@@ -398,35 +400,34 @@
     }
 }
 
-/* The answer to a commit is lost after it took effect.  The owner reads the
-   row: its own batch is there under a new version, and a repeat of the
-   commit is refused and names the row.  */
-Test (platform, a_lost_answer_is_settled_by_reading)
+/* The response to a commit is lost after it was applied.  A read then finds
+   the new value and version, and a retry reports a conflict on that row.  */
+Test (platform, lost_response_is_resolved_by_reading)
 {
   struct mq_bytes none = { NULL, 0 };
   struct world *world = create_world ();
   uint64_t version = seed_row (world, "log", "0");
-  const struct kept *scan = &world->kept[1];
+  const struct stored_result *scan = &world->results[1];
 
-  order_fault (world, "{\"fault\":\"lost_answer\",\"count\":1}");
+  set_fault (world, "{\"fault\":\"lost_answer\",\"count\":1}");
   send_write (world->platform, 0, "log", version, "batch 7");
   wait_results (world, 1);
-  cr_assert_eq (world->kept[0].status, MQ_STORE_LOST);
-  send_plain (world->platform, 1, MQ_STORE_SCAN, "log", none);
+  cr_assert_eq (world->results[0].status, MQ_STORE_LOST);
+  send_request (world->platform, 1, MQ_STORE_SCAN, "log", none);
   wait_results (world, 2);
   cr_assert (scan->row_count == 1 && scan->rows[0].version > version);
   cr_assert_arr_eq (scan->rows[0].value.data, "batch 7", 7);
   send_write (world->platform, 2, "log", version, "batch 7");
   wait_results (world, 3);
-  cr_assert_eq (world->kept[2].status, MQ_STORE_CONFLICT);
-  cr_assert (world->kept[2].row_count == 1
-             && strcmp (world->kept[2].rows[0].key, "log") == 0);
+  cr_assert_eq (world->results[2].status, MQ_STORE_CONFLICT);
+  cr_assert (world->results[2].row_count == 1
+             && strcmp (world->results[2].rows[0].key, "log") == 0);
   destroy_world (world);
 }
 
-/* Two entry hosts raise the fence of one partition at the same moment.  One
-   becomes its owner, the other is told that it did not.  */
-Test (platform, of_two_racing_transactions_one_applies)
+/* Of two concurrent transactions with the same condition, one is applied and
+   the other reports a conflict, so that a partition has one owner.  */
+Test (platform, one_of_two_concurrent_transactions_applies)
 {
   static const char *const orders[] = {
     "{\"fault\":\"clear\"}",
@@ -444,16 +445,16 @@
       uint16_t port = mq_platform_server_port (world->server);
       struct mq_platform *other = connect_to (world, port);
 
-      order_fault (world, orders[i]);
+      set_fault (world, orders[i]);
       for (uint64_t round = 0; round < ROUNDS; round++)
         {
           const char *key = talloc_asprintf (world->top, "fence/%lu", round);
-          const struct kept *kept = &world->kept[2 * round];
+          const struct stored_result *stored = &world->results[2 * round];
 
           send_write (world->platform, 2 * round, key, 0, "a");
           send_write (other, 2 * round + 1, key, 0, "b");
           wait_results (world, 2 * round + 2);
-          cr_assert_eq (kept[0].status + kept[1].status,
+          cr_assert_eq (stored[0].status + stored[1].status,
                         MQ_STORE_OK + MQ_STORE_CONFLICT);
         }
       mq_platform_destroy (other);
@@ -461,10 +462,9 @@
     }
 }
 
-/* The platform closes a connection that was used before, as its answer to a
-   commit is due.  A client that sends it again by itself would apply an
-   unconditional write twice and call it once.  */
-Test (platform, a_write_on_a_closing_connection_is_sent_once)
+/* A client that retries a write by itself when a reused connection is closed
+   would apply an unconditional write twice.  */
+Test (platform, write_on_a_closing_connection_is_sent_once)
 {
   static const enum mq_store_kind kinds[]
       = { MQ_STORE_TXN, MQ_STORE_PUT, MQ_STORE_DROP };
@@ -484,18 +484,18 @@
 
       mq_platform_send (world->platform, &request);
       wait_results (world, 1);
-      order_fault (world, "{\"fault\":\"lost_answer\",\"count\":1}");
+      set_fault (world, "{\"fault\":\"lost_answer\",\"count\":1}");
       request.id = 1;
       mq_platform_send (world->platform, &request);
       wait_results (world, 2);
-      cr_assert_eq (world->kept[0].status, MQ_STORE_OK);
-      cr_assert_eq (world->kept[1].status, MQ_STORE_LOST);
+      cr_assert_eq (world->results[0].status, MQ_STORE_OK);
+      cr_assert_eq (world->results[1].status, MQ_STORE_LOST);
       cr_assert_eq (mq_table_counters (table).writes, 2);
       destroy_world (world);
     }
 }
 
-/* Answers that keep to no contract.  */
+/* Responses that violate the contract */
 
 static const struct
 {
@@ -504,7 +504,7 @@
   const char *body;
   enum mq_store_status status;
   uint64_t malformed;
-} answers[] = {
+} response_cases[] = {
   { MQ_STORE_TXN, 200, "{\"applied\":true,\"versions\":[5]}", MQ_STORE_OK, 0 },
   { MQ_STORE_TXN, 409, "{\"applied\":false,\"failed\":[\"key\"]}",
     MQ_STORE_CONFLICT, 0 },
@@ -593,7 +593,7 @@
   return server;
 }
 
-Test (platform, malformed_answers_leave_writes_in_doubt)
+Test (platform, malformed_responses_leave_outcome_unknown)
 {
   struct world *world = create_world ();
   struct canned canned = { 0 };
@@ -602,20 +602,22 @@
       = connect_to (world, mq_http_server_port (server));
   uint64_t malformed = 0;
 
-  for (size_t i = 0; i < COUNT_OF (answers); i++)
+  for (size_t i = 0; i < COUNT_OF (response_cases); i++)
     {
       struct mq_bytes none = { NULL, 0 };
 
-      canned = (struct canned){ answers[i].answer, answers[i].body };
-      if (answers[i].kind == MQ_STORE_TXN)
+      canned = (struct canned){ response_cases[i].answer,
+                                response_cases[i].body };
+      if (response_cases[i].kind == MQ_STORE_TXN)
         send_write (platform, i, "key", 4, "value");
       else
-        send_plain (platform, i, answers[i].kind, "key", none);
+        send_request (platform, i, response_cases[i].kind, "key", none);
       wait_results (world, i + 1);
-      malformed += answers[i].malformed;
-      cr_assert_eq (world->kept[i].status, answers[i].status,
-                    "answer %zu: status %d", i, world->kept[i].status);
-      cr_assert (world->kept[i].row_count == 0 || answers[i].malformed == 0);
+      malformed += response_cases[i].malformed;
+      cr_assert_eq (world->results[i].status, response_cases[i].status,
+                    "answer %zu: status %d", i, world->results[i].status);
+      cr_assert (world->results[i].row_count == 0
+                 || response_cases[i].malformed == 0);
       cr_assert_eq (mq_platform_counters (platform)->malformed, malformed);
     }
   mq_platform_destroy (platform);
@@ -623,7 +625,7 @@
   destroy_world (world);
 }
 
-/* Keys and values of every kind come back as they were.  */
+/* Keys and values are returned unchanged, whatever bytes they have.  */
 static const struct
 {
   const char *key;
@@ -638,13 +640,13 @@
   { "h\xc3\xb4te", { (uint8_t *)"3", 1 } },
 };
 
-Test (platform, keys_and_values_come_back_as_they_were)
+Test (platform, keys_and_values_are_returned_unchanged)
 {
   for (size_t i = 0; i < COUNT_OF (contents); i++)
     {
       struct world *world = create_world ();
-      const struct kept *scan = &world->kept[2];
-      const struct kept *get = &world->kept[3];
+      const struct stored_result *scan = &world->results[2];
+      const struct stored_result *get = &world->results[3];
       struct mq_bytes value = contents[i].value;
       struct mq_bytes none = { NULL, 0 };
       struct mq_store_op op
@@ -653,10 +655,10 @@
           = { .kind = MQ_STORE_TXN, .ops = &op, .op_count = 1 };
 
       mq_platform_send (world->platform, &request);
-      send_plain (world->platform, 1, MQ_STORE_PUT, op.key, value);
+      send_request (world->platform, 1, MQ_STORE_PUT, op.key, value);
       wait_results (world, 2);
-      send_plain (world->platform, 2, MQ_STORE_SCAN, op.key, none);
-      send_plain (world->platform, 3, MQ_STORE_GET, op.key, none);
+      send_request (world->platform, 2, MQ_STORE_SCAN, op.key, none);
+      send_request (world->platform, 3, MQ_STORE_GET, op.key, none);
       wait_results (world, 4);
       cr_assert_eq (scan->row_count, 1, "%s", op.key);
       cr_assert_str_eq (scan->rows[0].key, op.key);
@@ -671,9 +673,8 @@
     }
 }
 
-/* Several hundred writes a second is what the platform carries.  Beyond that
-   they queue; none is refused, and the last waits for all before it.  */
-Test (platform, writes_beyond_the_rate_wait)
+/* Writes beyond the rate limit of the platform are queued, not rejected.  */
+Test (platform, writes_beyond_the_rate_are_queued)
 {
   enum
   {
@@ -685,7 +686,7 @@
   struct timespec to;
   int64_t ms;
 
-  order_fault (world, "{\"fault\":\"rate\",\"writes_per_s\":100}");
+  set_fault (world, "{\"fault\":\"rate\",\"writes_per_s\":100}");
   clock_gettime (CLOCK_MONOTONIC, &from);
   for (uint64_t i = 0; i < WRITES; i++)
     send_write (world->platform, i, "log", MQ_VERSION_ANY, "value");
@@ -694,17 +695,17 @@
   ms = (to.tv_sec - from.tv_sec) * 1000
        + (to.tv_nsec - from.tv_nsec) / 1000000;
   for (size_t i = 0; i < WRITES; i++)
-    cr_assert_eq (world->kept[i].status, MQ_STORE_OK);
-  /* The queue alone takes 290 ms; a busy machine only adds to it.  */
+    cr_assert_eq (world->results[i].status, MQ_STORE_OK);
+  /* Lower bound only: a busy machine may take longer.  */
   cr_assert_geq (ms, (WRITES - 2) * 1000 / PER_S, "%ld ms", ms);
   destroy_world (world);
 }
 
-/* HTTP of the switches.  */
+/* Control interface of the stand-in */
 
 struct answer
 {
-  bool come;
+  bool received;
   int status;
   uint32_t retry_after_ms;
   char body[512];
@@ -715,15 +716,15 @@
 {
   struct answer *answer = user;
 
-  answer->come = true;
+  answer->received = true;
   answer->status = result->status;
   answer->retry_after_ms = result->retry_after_ms;
   snprintf (answer->body, sizeof answer->body, "%s", result->body);
 }
 
 static struct answer
-ask (struct world *world, const char *method, const char *path,
-     const char *body)
+send_control (struct world *world, const char *method, const char *path,
+              const char *body)
 {
   struct answer answer = { 0 };
   struct mq_http_send send
@@ -738,7 +739,7 @@
       send.len = strlen (body);
     }
   mq_http_client_send (world->client, &send);
-  while (!answer.come)
+  while (!answer.received)
     tevent_loop_once (world->ev);
   return answer;
 }
@@ -781,48 +782,49 @@
   { "GET", "/v1/objects/", NULL, 400 },
 };
 
-Test (standin_platform, orders_are_taken_or_refused)
+Test (standin_platform, control_requests_are_validated)
 {
   struct world *world = create_world ();
 
   for (size_t i = 0; i < COUNT_OF (orders); i++)
     cr_assert_eq (
-        ask (world, orders[i].method, orders[i].path, orders[i].body).status,
+        send_control (world, orders[i].method, orders[i].path, orders[i].body)
+            .status,
         orders[i].status, "order %zu", i);
   cr_assert_eq (
       mq_table_counters (mq_platform_server_table (world->server)).writes, 0);
   destroy_world (world);
 }
 
-/* A cold start loads the same weights on many hosts at once: the store gives
-   a minute's worth and tells the others when to come back.  */
-Test (standin_platform, weights_are_limited_in_rate)
+/* Downloads of weights beyond the limit per minute get 429 with Retry-After.
+ */
+Test (standin_platform, weight_downloads_are_rate_limited)
 {
   static const int statuses[] = { 200, 200, 200, 429, 429 };
   struct world *world = create_world ();
   struct answer answer;
 
-  ask (world, "POST", "/standin/weights",
-       "{\"name\":\"m\",\"bytes\":7,\"loads_per_minute\":3}");
+  send_control (world, "POST", "/standin/weights",
+                "{\"name\":\"m\",\"bytes\":7,\"loads_per_minute\":3}");
   for (size_t i = 0; i < COUNT_OF (statuses); i++)
     {
-      answer = ask (world, "GET", "/v1/weights/m", NULL);
+      answer = send_control (world, "GET", "/v1/weights/m", NULL);
       cr_assert_eq (answer.status, statuses[i], "load %zu", i);
       cr_assert_eq (answer.retry_after_ms > 0, answer.status == 429);
     }
   destroy_world (world);
 }
 
-/* Faults meet what they name and as often as they say.  */
+/* A fault applies only to matching requests, and at most COUNT times.  */
 static const struct
 {
   const char *order;
   const char *name;
   const char *worker;
-  uint32_t asked;
-  uint32_t met;
+  uint32_t request_count;
+  uint32_t applied;
   bool poll;
-} meetings[] = {
+} fault_cases[] = {
   { "{\"fault\":\"hang\"}", "a", NULL, 3, 3, false },
   { "{\"fault\":\"hang\",\"count\":2}", "a", NULL, 3, 2, false },
   { "{\"fault\":\"hang\",\"match\":\"a/\"}", "a/b", NULL, 3, 3, false },
@@ -838,26 +840,27 @@
   { "{\"fault\":\"hang\",\"count\":2}", "a", NULL, 3, 0, true },
 };
 
-Test (faults, meet_what_they_name)
+Test (faults, apply_to_matching_requests)
 {
-  for (size_t i = 0; i < COUNT_OF (meetings); i++)
+  for (size_t i = 0; i < COUNT_OF (fault_cases); i++)
     {
       struct mq_faults *switches = mq_faults_create (NULL, UINT32_MAX);
       struct mq_fault_subject subject
-          = { &meetings[i].name, 1, meetings[i].worker, meetings[i].poll };
-      const char *order = meetings[i].order;
+          = { &fault_cases[i].name, 1, fault_cases[i].worker,
+              fault_cases[i].poll };
+      const char *order = fault_cases[i].order;
       struct mq_error error;
-      uint32_t met = 0;
+      uint32_t applied = 0;
 
       cr_assert (mq_faults_post (switches, order, strlen (order), &error));
-      for (uint32_t n = 0; n < meetings[i].asked; n++)
-        met += mq_faults_take (switches, MQ_FAULT_HANG, &subject, NULL);
-      cr_assert_eq (met, meetings[i].met, "case %zu", i);
+      for (uint32_t n = 0; n < fault_cases[i].request_count; n++)
+        applied += mq_faults_take (switches, MQ_FAULT_HANG, &subject, NULL);
+      cr_assert_eq (applied, fault_cases[i].applied, "case %zu", i);
       talloc_free (switches);
     }
 }
 
-/* The list of hosts.  */
+/* List of hosts */
 
 struct seen
 {
@@ -880,35 +883,37 @@
   snprintf (seen->name, sizeof seen->name, "%s", hosts->items[0].name);
 }
 
-/* A host is told to leave; the list goes on showing it as staying until its
-   lag is over, through an outage of the platform, and then says so.  */
-Test (platform, the_list_of_hosts_lags_and_arrives)
+/* The list of hosts reports a leaving host only after its lag, even if the
+   platform is down in between.  */
+Test (platform, host_list_lags_and_recovers)
 {
   struct world *world = create_world ();
   struct seen seen = { 0 };
 
-  ask (world, "POST", "/standin/hosts", "{\"name\":\"t1\"," HOST_REST "}");
+  send_control (world, "POST", "/standin/hosts",
+                "{\"name\":\"t1\"," HOST_REST "}");
   mq_platform_watch_hosts (world->platform, 5, on_listed, &seen);
   while (seen.count == 0)
     tevent_loop_once (world->ev);
   cr_assert (strcmp (seen.name, "t1") == 0 && !seen.leaving);
-  order_fault (world, "{\"fault\":\"hosts_lag\",\"ms\":200}");
-  order_fault (world, "{\"fault\":\"down\",\"match\":\"hosts\",\"count\":3}");
-  ask (world, "POST", "/standin/hosts", "{\"name\":\"t1\",\"leaving\":true}");
+  set_fault (world, "{\"fault\":\"hosts_lag\",\"ms\":200}");
+  set_fault (world, "{\"fault\":\"down\",\"match\":\"hosts\",\"count\":3}");
+  send_control (world, "POST", "/standin/hosts",
+                "{\"name\":\"t1\",\"leaving\":true}");
   cr_assert (!seen.leaving);
   while (!seen.leaving)
     tevent_loop_once (world->ev);
   cr_assert_eq (mq_platform_counters (world->platform)->failures, 3);
-  order_fault (world, "{\"fault\":\"clear\"}");
-  ask (world, "DELETE", "/standin/hosts/t1", NULL);
+  set_fault (world, "{\"fault\":\"clear\"}");
+  send_control (world, "DELETE", "/standin/hosts/t1", NULL);
   while (seen.count == 1)
     tevent_loop_once (world->ev);
   destroy_world (world);
 }
 
-/* Every process of a large site reads the whole list each second: the
-   platform has no reads left for the log, and programs stand still.  Read
-   less and less often, hosts that leave would get work for minutes.  */
+/* The poll interval grows with the list, to limit the read load on the
+   platform, but has an upper bound, so that leaving hosts are noticed in time.
+ */
 static const struct
 {
   uint32_t interval_ms;
@@ -920,15 +925,15 @@
   { 9000, 7100, 9000 }, { 5, 1, 20 },
 };
 
-Test (platform, long_lists_are_read_less_often)
+Test (platform, poll_interval_grows_with_the_list)
 {
   for (size_t i = 0; i < sizeof polls / sizeof polls[0]; i++)
     cr_expect_eq (mq_platform_poll_ms (polls[i].interval_ms, polls[i].hosts),
                   polls[i].pause_ms, "%zu hosts", polls[i].hosts);
 }
 
-/* One entry of the list is broken.  The other hosts must not vanish with it,
-   and an answer that is no list at all must not pass for an empty one.  */
+/* A malformed entry must not hide the other hosts, and a malformed response
+   must not be taken for an empty list.  */
 static const struct
 {
   const char *body;
@@ -946,7 +951,7 @@
   { "{", 0, 0, 1 },
 };
 
-Test (platform, a_broken_entry_hides_no_other_host)
+Test (platform, malformed_entry_hides_no_other_host)
 {
   for (size_t i = 0; i < COUNT_OF (lists); i++)
     {
@@ -959,7 +964,8 @@
           = mq_platform_counters (platform);
       struct seen seen = { 0 };
 
-      mq_platform_watch_hosts (platform, 1000 * PATIENCE_S, on_listed, &seen);
+      mq_platform_watch_hosts (platform, 1000 * TEST_TIMEOUT_S, on_listed,
+                               &seen);
       while (seen.lists + counters->malformed == 0)
         tevent_loop_once (world->ev);
       cr_assert_eq (seen.lists, lists[i].lists, "list %zu", i);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,5 +1,5 @@
-/* test_wire.c - HTTP messages, what the users' platform says on the wire, the
-   router's settings and its log.
+/* test_wire.c - HTTP messages, the platform's wire format, the router's
+   settings and its log.
 
    Needs: Criterion, http_message.h, router_wire.h, router_settings.h,
    json_log.h, jansson.  */
@@ -15,7 +15,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ROWS(table) (sizeof (table) / sizeof (table)[0])
+#define COUNT_OF(table) (sizeof (table) / sizeof (table)[0])
 
 /* Messages */
 
@@ -62,11 +62,11 @@
   enum mq_error_type error;
   int ends;
   const char *body;
-  bool ends_whole; /* when the connection ends after it */
+  bool complete; /* if the connection ends after the text */
 };
 
-/* Whatever bytes a message is cut into, it is read the same.  */
-Test (message, cut_at_any_byte)
+/* The result must not depend on how the bytes of a message are split.  */
+Test (message, split_at_any_byte)
 {
   static const struct message_case cases[] = {
     { "request", MQ_HTTP_REQUEST, "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -106,7 +106,7 @@
       "", false },
   };
 
-  for (size_t i = 0; i < ROWS (cases); i++)
+  for (size_t i = 0; i < COUNT_OF (cases); i++)
     for (size_t cut = 0; cut <= strlen (cases[i].text); cut++)
       {
         struct seen seen = { .heads = 0 };
@@ -136,13 +136,13 @@
         cr_assert_str_eq (seen.body, cases[i].body, "%s", cases[i].name);
         if (error.type == MQ_ERR_NONE && cut > 0
             && cut < strlen (cases[i].text))
-          cr_assert_eq (mq_http_reader_finish (reader), cases[i].ends_whole,
+          cr_assert_eq (mq_http_reader_finish (reader), cases[i].complete,
                         "%s", cases[i].name);
         mq_http_reader_destroy (reader);
       }
 }
 
-/* What the platform says */
+/* Platform */
 
 static struct mq_bytes
 bytes (const char *text)
@@ -152,16 +152,16 @@
 
 struct program_case
 {
-  const char *line; /* NULL: not there */
-  const char *left; /* likewise */
+  const char *session_id; /* NULL: absent */
+  const char *finish_ms;  /* NULL: absent */
   bool main_line;
   bool has_left;
   uint32_t left_ms;
 };
 
-/* What a request says of its program helps to decide and is never a reason to
-   refuse: what is bad or missing counts as not told.  */
-Test (wire, program_of_a_request)
+/* Program fields are scheduling hints: a missing or invalid one counts as
+   absent and never rejects the request.  */
+Test (wire, program_fields_of_a_request)
 {
   static const struct program_case cases[] = {
     { "3fa81c", "5200", true, true, 5200 },
@@ -185,14 +185,14 @@
       fields[head.field_count++]
           = (struct mq_http_field){ .name = "X-Program-Id",
                                     .value = "3fa81c" };
-      if (cases[i].line != NULL)
+      if (cases[i].session_id != NULL)
         fields[head.field_count++]
             = (struct mq_http_field){ .name = "X-Session-Id",
-                                      .value = cases[i].line };
-      if (cases[i].left != NULL)
+                                      .value = cases[i].session_id };
+      if (cases[i].finish_ms != NULL)
         fields[head.field_count++]
             = (struct mq_http_field){ .name = "X-Finish-Ms",
-                                      .value = cases[i].left };
+                                      .value = cases[i].finish_ms };
       mq_wire_read_call (&head, &facts);
       cr_expect_eq (facts.main_line, cases[i].main_line, "row %zu", i);
       cr_expect_eq (facts.has_left, cases[i].has_left, "row %zu", i);
@@ -240,8 +240,8 @@
   const char *subject;
 };
 
-/* A configuration that can't be used is refused as a whole.  */
-Test (wire, unusable_configurations)
+/* An invalid configuration is rejected as a whole.  */
+Test (wire, invalid_configurations_are_rejected)
 {
   static const struct bad_config_case cases[] = {
     { "{", MQ_ERR_BAD_JSON, "configuration" },
@@ -255,7 +255,7 @@
     { "{\"routes\":[],\"services\":[]}", MQ_ERR_TEXT_MISSING, "version" },
   };
 
-  for (size_t i = 0; i < ROWS (cases); i++)
+  for (size_t i = 0; i < COUNT_OF (cases); i++)
     {
       struct mq_error error = { .type = MQ_ERR_NONE };
 
@@ -266,10 +266,10 @@
     }
 }
 
-/* Reads TEXT some BYTES at a time.  */
+/* Parses TEXT in steps of STEP_BYTES.  */
 static struct mq_route_table *
-read_in_steps (const char *text, size_t len, size_t some,
-               struct mq_error *error)
+parse_in_steps (const char *text, size_t len, size_t step_bytes,
+                struct mq_error *error)
 {
   struct mq_bytes value = { (uint8_t *)(uintptr_t)text, len };
   struct mq_config_reader *reader = mq_wire_config_begin (NULL, value);
@@ -277,7 +277,7 @@
   struct mq_route_table *table = NULL;
 
   while (progress == MQ_CONFIG_MORE)
-    progress = mq_wire_config_read_on (reader, some, error);
+    progress = mq_wire_config_read_on (reader, step_bytes, error);
   if (progress == MQ_CONFIG_WHOLE)
     table = mq_wire_config_take (NULL, reader);
   talloc_free (reader);
@@ -287,8 +287,8 @@
 #define ROUTE "{\"kind\":\"streaming\",\"service\":\"s\"}"
 #define CONFIG(routes) "{\"version\":1,\"services\":[],\"routes\":" routes "}"
 
-/* What jansson refuses as a whole is refused, what it reads is read, however
-   the text is cut.  */
+/* The incremental parser accepts exactly the texts that jansson accepts, for
+   any step size.  */
 Test (wire, configuration_is_read_as_by_jansson)
 {
   static const char *const cases[] = {
@@ -332,7 +332,7 @@
     "{\"a\":[\"\\ud800\"]}",
   };
 
-  for (size_t i = 0; i < ROWS (cases); i++)
+  for (size_t i = 0; i < COUNT_OF (cases); i++)
     {
       json_t *root = json_loads (cases[i], 0, NULL);
       struct mq_error whole_error = { .type = MQ_ERR_NONE };
@@ -340,7 +340,7 @@
       struct mq_route_table *whole
           = mq_wire_read_config (NULL, bytes (cases[i]), &whole_error);
       struct mq_route_table *table
-          = read_in_steps (cases[i], strlen (cases[i]), 1, &error);
+          = parse_in_steps (cases[i], strlen (cases[i]), 1, &error);
 
       cr_expect_eq (error.type, whole_error.type, "%s", cases[i]);
       cr_expect_eq (table == NULL, whole == NULL, "%s", cases[i]);
@@ -354,8 +354,8 @@
     }
 }
 
-/* As many brackets as jansson allows, and one more.  */
-Test (wire, depth_of_a_configuration)
+/* The nesting limit is that of jansson.  */
+Test (wire, nesting_limit_of_a_configuration)
 {
   for (size_t depth = 2040; depth < 2056; depth++)
     {
@@ -371,7 +371,7 @@
         text = talloc_strdup_append_buffer (text, "]");
       text = talloc_strdup_append_buffer (text, "]}");
       root = json_loads (text, 0, NULL);
-      table = read_in_steps (text, strlen (text), 1, &error);
+      table = parse_in_steps (text, strlen (text), 1, &error);
       cr_expect_eq (table == NULL, root == NULL, "depth %zu", depth);
       json_decref (root);
       talloc_free (table);
@@ -380,17 +380,17 @@
 }
 
 #define STEP_BYTES ((size_t)16384)
-/* A step reads whole parts of 8 KB, the last one beyond the bound.  */
-#define STEP_MOST_BYTES (STEP_BYTES + 8192 + 200)
+/* A step parses whole chunks of 8 KB; the last one may exceed the bound.  */
+#define STEP_MAX_BYTES (STEP_BYTES + 8192 + 200)
 
-/* A long configuration keeps the event loop from all else unless each step has
-   a bound, whatever the size of the whole.  Its routes are all there, in their
-   order, and a text that ends with a comma is still refused.  */
+/* Steps are bounded whatever the size of the configuration, so that it does
+   not block the event loop.  All routes are read in order, and truncated or
+   malformed texts are rejected.  */
 Test (wire, long_configuration_in_steps)
 {
   static const uint32_t sizes[] = { 1, 50, 4250, 10000 };
 
-  for (size_t i = 0; i < ROWS (sizes); i++)
+  for (size_t i = 0; i < COUNT_OF (sizes); i++)
     {
       char *text = talloc_strdup (
           NULL, "{\"version\":1,\"services\":[],\"routes\":[");
@@ -405,7 +405,7 @@
             "%s{\"name\":\"r%u\",\"host\":\"h\",\"prefix\":\"/p%u/\","
             "\"kind\":\"idempotent\",\"service\":\"s%u\"}",
             j == 0 ? "" : ",", j, j, j);
-      cr_expect_null (read_in_steps (text, strlen (text), 1, &error));
+      cr_expect_null (parse_in_steps (text, strlen (text), 1, &error));
       text = talloc_strdup_append_buffer (text, "]}");
       reader = mq_wire_config_begin (NULL, bytes (text));
       while (mq_wire_config_read_on (reader, STEP_BYTES, &error)
@@ -413,7 +413,7 @@
         {
           size_t done = mq_wire_config_done (reader);
 
-          cr_assert_leq (done - before, STEP_MOST_BYTES);
+          cr_assert_leq (done - before, STEP_MAX_BYTES);
           before = done;
         }
       table = mq_wire_config_take (NULL, reader);
@@ -429,7 +429,7 @@
       talloc_free (reader);
       talloc_free (table);
       text[strlen (text) - 2] = ',';
-      cr_expect_null (read_in_steps (text, strlen (text), 1, &error));
+      cr_expect_null (parse_in_steps (text, strlen (text), 1, &error));
       talloc_free (text);
     }
 }
@@ -462,37 +462,36 @@
   talloc_free (ctx);
 }
 
-/* A caller's request goes to an address that no worker ever told.  Something
-   else writes into the registry, under the id of a worker that lives: fields
-   are missing or of another type, or the bytes are no JSON.  What can be read
-   of it passed for the worker.  */
+/* Another writer may corrupt a worker's registry entry.  An entry with missing
+   or mistyped fields must be rejected, so that no request goes to an address
+   that the worker did not publish.  */
 
 struct entry_case
 {
   const char *entry;
-  const char *wrong; /* field that is named; NULL: the entry names a worker */
+  const char *invalid; /* reported field; NULL: the entry is valid */
 };
 
-#define SOUND                                                                 \
+#define VALID_WORKER                                                          \
   "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","             \
   "\"batchSize\":4,\"state\":\"ready\""
-#define WITHOUT_STATE                                                         \
+#define WORKER_WITHOUT_STATE                                                  \
   "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","             \
   "\"batchSize\":4"
 
-Test (wire, entries_of_another_writer)
+Test (wire, corrupt_worker_entries_are_rejected)
 {
   static const struct entry_case cases[] = {
-    { "{" SOUND "}", NULL },
-    { "{" SOUND ",\"born\":1772230200004}", NULL },
-    { "{" SOUND ",\"born\":1.5}", "born" },
-    { "{" SOUND ",\"born\":\"1772230200004\"}", "born" },
-    { "{" SOUND ",\"born\":-4}", "born" },
-    { "{" SOUND ",\"born\":99999999999999}", "born" },
-    { "{" SOUND ",\"born\":null}", "born" },
-    { "{" WITHOUT_STATE "}", "state" },
-    { "{" WITHOUT_STATE ",\"state\":\"idle\"}", "state" },
-    { "{" WITHOUT_STATE ",\"state\":1}", "state" },
+    { "{" VALID_WORKER "}", NULL },
+    { "{" VALID_WORKER ",\"born\":1772230200004}", NULL },
+    { "{" VALID_WORKER ",\"born\":1.5}", "born" },
+    { "{" VALID_WORKER ",\"born\":\"1772230200004\"}", "born" },
+    { "{" VALID_WORKER ",\"born\":-4}", "born" },
+    { "{" VALID_WORKER ",\"born\":99999999999999}", "born" },
+    { "{" VALID_WORKER ",\"born\":null}", "born" },
+    { "{" WORKER_WITHOUT_STATE "}", "state" },
+    { "{" WORKER_WITHOUT_STATE ",\"state\":\"idle\"}", "state" },
+    { "{" WORKER_WITHOUT_STATE ",\"state\":1}", "state" },
     { "{\"service\":7,\"state\":\"ready\"}", "service" },
     { "{\"service\":\"s\",\"state\":\"ready\"}", "address" },
     { "{\"service\":\"s\",\"address\":\"worker:80\",\"zone\":\"z\","
@@ -513,26 +512,26 @@
     { "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
       "\"state\":\"ready\"}",
       "batchSize" },
-    { "{" SOUND ",\"state\":\"ready\"}", "a JSON object" },
-    { "[{" SOUND "}]", "a JSON object" },
+    { "{" VALID_WORKER ",\"state\":\"ready\"}", "a JSON object" },
+    { "[{" VALID_WORKER "}]", "a JSON object" },
     { "\xff\xfe", "a JSON object" },
     { "", "a JSON object" },
     { "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[", "a JSON object" },
   };
   struct mq_fleet_member member;
 
-  for (size_t i = 0; i < ROWS (cases); i++)
+  for (size_t i = 0; i < COUNT_OF (cases); i++)
     {
       struct mq_error error = { .type = MQ_ERR_NONE };
       TALLOC_CTX *ctx = talloc_new (NULL);
-      bool good = mq_wire_read_worker (ctx, "i-1", bytes (cases[i].entry),
-                                       &member, &error);
+      bool ok = mq_wire_read_worker (ctx, "i-1", bytes (cases[i].entry),
+                                     &member, &error);
 
-      cr_assert_eq (good, cases[i].wrong == NULL, "%s", cases[i].entry);
-      if (!good)
+      cr_assert_eq (ok, cases[i].invalid == NULL, "%s", cases[i].entry);
+      if (!ok)
         {
           cr_assert_str_eq (error.subject, "i-1");
-          cr_assert_str_eq (error.allowed, cases[i].wrong, "%s",
+          cr_assert_str_eq (error.allowed, cases[i].invalid, "%s",
                             cases[i].entry);
         }
       talloc_free (ctx);
@@ -546,21 +545,25 @@
   const char *name;
   const char *text;
   enum mq_error_type error;
-  uint32_t line;
+  uint32_t line; /* of the error */
 };
 
-#define GOOD                                                                  \
+#define VALID_SETTINGS                                                        \
   "[router]\nhost = e-1\ndata_centre = a\nhttp = 10.0.0.1:80\n"               \
   "ready = 10.0.0.1:81\npeer = 10.0.0.1:83\ntable = 10.0.0.2:82\n"
 
-Test (settings, checked_whole)
+/* The first error is reported with its line.  */
+Test (settings, validated_completely)
 {
   static const struct settings_case cases[] = {
-    { "good", GOOD, MQ_ERR_NONE, 0 },
-    { "fraction", GOOD "stop_seconds = 7.5\n", MQ_ERR_NONE, 0 },
-    { "bad time", GOOD "stop_seconds = soon\n", MQ_ERR_TEXT_BAD_VALUE, 8 },
-    { "unknown key", GOOD "colour = red\n", MQ_ERR_TEXT_UNKNOWN_KEY, 8 },
-    { "too little memory", GOOD "memory_mb = 1\n", MQ_ERR_TEXT_BAD_VALUE, 8 },
+    { "good", VALID_SETTINGS, MQ_ERR_NONE, 0 },
+    { "fraction", VALID_SETTINGS "stop_seconds = 7.5\n", MQ_ERR_NONE, 0 },
+    { "bad time", VALID_SETTINGS "stop_seconds = soon\n",
+      MQ_ERR_TEXT_BAD_VALUE, 8 },
+    { "unknown key", VALID_SETTINGS "colour = red\n", MQ_ERR_TEXT_UNKNOWN_KEY,
+      8 },
+    { "too little memory", VALID_SETTINGS "memory_mb = 1\n",
+      MQ_ERR_TEXT_BAD_VALUE, 8 },
     { "nothing", "", MQ_ERR_TEXT_MISSING, 1 },
     { "no address",
       "[router]\nhost = a\ndata_centre = a\nhttp = here\n"
@@ -569,7 +572,7 @@
       MQ_ERR_TEXT_BAD_VALUE, 4 },
   };
 
-  for (size_t i = 0; i < ROWS (cases); i++)
+  for (size_t i = 0; i < COUNT_OF (cases); i++)
     {
       struct mq_text_errors errors;
       TALLOC_CTX *ctx = talloc_new (NULL);
@@ -615,13 +618,13 @@
   close (reader->fds[1]);
 }
 
-/* Whatever a caller sends as an id, a line stays one line of JSON.  */
+/* Values from callers can't break the format of one JSON object per line.  */
 Test (log, lines_are_json)
 {
   static const char *const values[]
       = { "plain", "a\"b\\c", "line\nbreak", "\001\177\200", "" };
 
-  for (size_t i = 0; i < ROWS (values); i++)
+  for (size_t i = 0; i < COUNT_OF (values); i++)
     {
       struct log_reader reader;
       struct mq_json_line line;
@@ -652,9 +655,9 @@
     }
 }
 
-/* Nobody reads the log: the process goes on, lines are dropped and counted,
-   those on successes before others.  */
-Test (log, bounded_and_never_waits)
+/* If nobody reads the log, lines are dropped and counted instead of blocking
+   the process, routine lines first.  */
+Test (log, bounded_and_never_blocks)
 {
   struct log_reader reader;
 
