--- a/bench/capacity_config.c
+++ b/bench/capacity_config.c
@@ -114,7 +114,7 @@
   char *text = write_answer (ctx, routes);
   struct mq_buffer body = { 0 };
   struct rows_text walk = { 0 };
-  struct rows_answer answer;
+  struct rows_response answer;
   struct mq_route_table *table;
   uint64_t longest = 0;
   uint64_t since = capacity_cpu_ns ();
@@ -122,7 +122,7 @@
   capacity_series_add (series->size, routes, (double)strlen (text));
   take_body (ctx, &body, &walk, text);
   add_time (series->body, routes, &since);
-  if (!rows_read_answer (ctx, &body, &walk, &answer))
+  if (!rows_decode_response (ctx, &body, &walk, &answer))
     abort ();
   add_time (series->answer, routes, &since);
   table = read_in_turns (ctx, answer.rows[0].value, &longest);
@@ -136,7 +136,7 @@
   since = capacity_cpu_ns ();
   talloc_free (table);
   add_time (series->end, routes, &since);
-  rows_free_answer (&answer);
+  rows_free_response (&answer);
   talloc_free (ctx);
 }
 
--- a/tests/fuzz/fuzz_rows.c
+++ b/tests/fuzz/fuzz_rows.c
@@ -1,4 +1,4 @@
-/* fuzz_rows.c - answers of the platform's table (platform/rows_answer.c,
+/* fuzz_rows.c - answers of the platform's table (platform/rows_response.c,
    platform/rows_text.c).
 
    Input: the size of the parts in which the answer arrives, in units of 16
@@ -39,11 +39,11 @@
 compare (TALLOC_CTX *ctx, const struct mq_buffer *body,
          const struct rows_text *text)
 {
-  struct rows_answer one;
-  struct rows_answer other;
-  bool good = rows_read_answer (ctx, body, text, &one);
+  struct rows_response one;
+  struct rows_response other;
+  bool good = rows_decode_response (ctx, body, text, &one);
 
-  FUZZ_CHECK (rows_read_answer (ctx, body, NULL, &other) == good);
+  FUZZ_CHECK (rows_decode_response (ctx, body, NULL, &other) == good);
   if (good)
     {
       FUZZ_CHECK (one.row_count == other.row_count);
@@ -53,8 +53,8 @@
       for (size_t i = 0; i < one.row_count; i++)
         check_row (&one.rows[i], &other.rows[i]);
     }
-  rows_free_answer (&one);
-  rows_free_answer (&other);
+  rows_free_response (&one);
+  rows_free_response (&other);
   return good;
 }
 
