--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -796,8 +796,8 @@
   destroy_world (world);
 }
 
-/* Downloads of weights beyond the limit per minute get 429 with Retry-After.
- */
+/* Downloads of weights beyond the limit per minute get status 429 and a retry
+   delay.  */
 Test (standin_platform, weight_downloads_are_rate_limited)
 {
   static const int statuses[] = { 200, 200, 200, 429, 429 };
