--- a/tests/test_commit_queue.c
+++ b/tests/test_commit_queue.c
@@ -160,8 +160,8 @@
   wait_for (WRITES);
   for (int i = 0; i < WRITES; i++)
     cr_expect_eq (outcomes[i].status, MQ_STORE_OK);
-  cr_expect_eq (rows_server_count (table, "t"), WRITES);
-  cr_expect_eq (rows_server_writes (table), 2);
+  cr_expect_eq (rows_server_row_count (table, "t"), WRITES);
+  cr_expect_eq (rows_server_write_count (table), 2);
 }
 
 /* A write whose condition fails is the only one to get the conflict, with its
@@ -191,13 +191,13 @@
   wait_for (3);
   for (int i = 0; i < 3; i++)
     cr_expect_eq (outcomes[i].status, MQ_STORE_OK);
-  cr_expect_eq (rows_server_writes (table), 3);
+  cr_expect_eq (rows_server_write_count (table), 3);
 }
 
 /* If an answer is lost, every write of the batch ends as LOST.  */
 Test (commits, lost_answer_reaches_all)
 {
-  rows_server_fault (table, ROWS_LOSE);
+  rows_server_set_fault (table, ROWS_LOSE_REPLIES);
   write_row (0, "p", "first", MQ_VERSION_ABSENT);
   write_row (1, "p", "a", MQ_VERSION_ABSENT);
   write_row (2, "p", "b", MQ_VERSION_ABSENT);
@@ -218,5 +218,5 @@
   wait_for (1);
   cr_expect_eq (outcomes[2].status, MQ_STORE_OK);
   cr_expect_eq (outcomes[0].calls + outcomes[1].calls, 0);
-  cr_expect_eq (rows_server_count (table, "t"), 2);
+  cr_expect_eq (rows_server_row_count (table, "t"), 2);
 }
--- a/tests/test_held_up.c
+++ b/tests/test_held_up.c
@@ -345,7 +345,7 @@
   char *text = make_requests (PIPELINED_MANY, PIPELINED_PAD_BYTES);
   size_t len = strlen (text);
 
-  site->llm_plan = (struct worker_plan){ WORKER_HALF, 1 };
+  site->llm_plan = (struct worker_plan){ WORKER_STALL, 1 };
   for (size_t i = 0; i < ROWS (first_requests); i++)
     {
       size_t sent = 0;
@@ -381,7 +381,7 @@
 static void
 lose_table (void)
 {
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   EDGE_WAIT (site, !mq_rows_feeds_healthy (site->routers[0]->rows));
 }
 
@@ -421,7 +421,7 @@
   EDGE_WAIT (site, router->counters.config_changes > changes);
   edge_wait_responses (site, &call, 2);
   cr_expect_not_null (strstr (call.answer, "X-Request-Id: q2"));
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
 }
 
 /* What arrives while a long configuration is loaded.  */
@@ -476,7 +476,7 @@
         }
       cr_assert_eq (router->routes->version, newest, "case %d", i);
     }
-  rows_server_fault (site->rows, ROWS_WELL);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
 }
 
 /* Failure: a request for a new route gets 404 although the table already has
@@ -514,7 +514,7 @@
 Test (held_up, requests_without_a_route_share_a_read)
 {
   static struct edge_call calls[CALLERS];
-  size_t before = rows_server_reads (site->rows);
+  size_t before = rows_server_read_count (site->rows);
 
   for (int i = 0; i < CALLERS; i++)
     edge_call (site, &calls[i], 0,
@@ -526,7 +526,7 @@
                           calls[i].answer);
       edge_close (&calls[i]);
     }
-  cr_expect_leq (rows_server_reads (site->rows) - before, READS_MAX);
+  cr_expect_leq (rows_server_read_count (site->rows) - before, READS_MAX);
 }
 
 /* A request is answered by a read that began after it arrived, and a
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -272,7 +272,7 @@
    the table.  */
 Test (organisation, new_key_is_looked_up)
 {
-  rows_server_fault (site->rows, ROWS_SLOW_FEED);
+  rows_server_set_fault (site->rows, ROWS_STALL_FEEDS);
   configure (NEW_KEY);
   cr_assert_eq (ask (0, "q1", "acme-3"), 200);
 }
@@ -281,7 +281,7 @@
    may be valid.  */
 Test (organisation, unknown_key_during_table_outage)
 {
-  rows_server_fault (site->rows, ROWS_REFUSING);
+  rows_server_set_fault (site->rows, ROWS_REFUSE_CONNECTIONS);
   cr_assert_eq (ask (0, "q1", "acme-9"), 503);
   cr_assert_eq (ask (0, "q2", "acme-1"), 200);
 }
@@ -291,7 +291,7 @@
 /* Guards against one configuration read per forged key.  */
 Test (organisation, forged_keys_cost_few_reads)
 {
-  size_t before = rows_server_reads (site->rows);
+  size_t before = rows_server_read_count (site->rows);
 
   for (int i = 0; i < FORGED; i++)
     {
@@ -300,7 +300,7 @@
       snprintf (key, sizeof key, "forged-%d", i);
       cr_assert_eq (ask (0, "q1", key), 401);
     }
-  cr_assert_lt (rows_server_reads (site->rows) - before, FORGED / 2);
+  cr_assert_lt (rows_server_read_count (site->rows) - before, FORGED / 2);
 }
 
 /* A revoked key is rejected on a connection that is already open.  */
@@ -331,13 +331,13 @@
                     "10,8\r\n"
                     "Content-Length: 0\r\n\r\n";
 
-  rows_server_fault (site->rows, ROWS_LATE);
+  rows_server_set_fault (site->rows, ROWS_DELAY_WRITES);
   edge_call (site, &call, 0, text);
   edge_run_for (site, 30);
   configure (ONE_KEY_LESS);
   edge_run_for (site, 60);
-  rows_server_fault (site->rows, ROWS_WELL);
-  rows_server_do_late (site->rows);
+  rows_server_set_fault (site->rows, ROWS_NO_FAULT);
+  rows_server_apply_delayed (site->rows);
   edge_wait_responses (site, &call, 1);
   cr_assert_null (strstr (call.answer, "HTTP/1.1 200"), "%s", call.answer);
   cr_assert_null (edge_find_run (site, "w1"));
--- a/tests/test_relay_loan.c
+++ b/tests/test_relay_loan.c
@@ -379,7 +379,7 @@
   edge_kill (site, 0);
   site->seeds[0] = lender->address;
   edge_start (site, 0);
-  rows_server_fault (site->rows, ROWS_BUSY);
+  rows_server_set_fault (site->rows, ROWS_UNAVAILABLE);
   edge_run_for (site, 1200);
   lender->blocked = true;
   cr_assert_eq (refused_turn ("u1", "p1", "t1"), 503, "%s", call.answer);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -76,15 +76,15 @@
       struct site *site = make_site ();
       size_t before;
 
-      rows_server_fault (site->server, ROWS_BUSY);
+      rows_server_set_fault (site->server, ROWS_UNAVAILABLE);
       mq_rows_set_host_count (site->rows, cases[i].hosts);
       while (mq_rows_feeds_healthy (site->rows))
         run_for (site, 5);
-      before = rows_server_feeds (site->server);
+      before = rows_server_feed_count (site->server);
       run_for (site, 2000);
-      cr_assert_leq (rows_server_feeds (site->server) - before,
+      cr_assert_leq (rows_server_feed_count (site->server) - before,
                      cases[i].retries_max, "%zu hosts", cases[i].hosts);
-      rows_server_fault (site->server, ROWS_WELL);
+      rows_server_set_fault (site->server, ROWS_NO_FAULT);
       while (!mq_rows_feeds_healthy (site->rows))
         run_for (site, 5);
       mq_rows_destroy (site->rows);
--- a/tests/world.c
+++ b/tests/world.c
@@ -1140,7 +1140,7 @@
       operator_wake (world, event);
       break;
     case EVENT_CALL_STAGE:
-      worker_step (world, event);
+      worker_behaviour (world, event);
       break;
     case EVENT_EVICTED:
       worker_evicted (world, event);
