--- a/src/router/router_pool.h
+++ b/src/router/router_pool.h
@@ -1,6 +1,6 @@
 /* router_pool.h - pool of idle connections to workers.
 
-   Needs: http_lane.h, fleet.h.  */
+   Needs: http_conn.h, fleet.h.  */
 
 #ifndef MQ_ROUTER_POOL_H
 #define MQ_ROUTER_POOL_H
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,7 +1,7 @@
 /* soak.h - the world of the soak: hosts as processes, stand-ins, what callers
    and workers saw.
 
-   Needs: proxy.h, rows_server.h, worker_server.h, http_lane.h.  */
+   Needs: proxy.h, rows_server.h, worker_server.h, http_conn.h.  */
 
 #ifndef SOAK_H
 #define SOAK_H
--- a/tests/test_lane.c
+++ b/tests/test_lane.c
@@ -1,7 +1,7 @@
 /* test_lane.c - connections to servers with unread data when they are reused
    or closed.
 
-   Needs: Criterion, http_lane.h, router_pool.h, rows.h, timer.h.  */
+   Needs: Criterion, http_conn.h, router_pool.h, rows.h, timer.h.  */
 
 #include "net/http_conn.h"
 #include "net/listen.h"
