--- a/src/daemon.c
+++ b/src/daemon.c
@@ -130,7 +130,7 @@
   switch (self->role)
     {
     case MQ_HOST_ENTRY:
-      mq_entry_leave (self->u.entry);
+      mq_entry_drain (self->u.entry);
       break;
     case MQ_HOST_TARGET:
       mq_target_stop (self->u.target);
--- a/src/entry/api.c
+++ b/src/entry/api.c
@@ -29,8 +29,8 @@
 /* Plain answers.  */
 
 void
-mq_api_refuse_with (struct mq_api *api, struct mq_http_request *http,
-                    const struct mq_api_refusal *refusal)
+mq_api_send_refusal (struct mq_api *api, struct mq_http_request *http,
+                     const struct mq_api_refusal *refusal)
 {
   char *json = mq_api_refusal_json (api, refusal);
 
@@ -57,7 +57,7 @@
       = { .ran = MQ_RAN_NOT_RUN, .retry_after_ms = retry_after_ms };
 
   mq_error_set (&refusal.error, type, subject, "");
-  mq_api_refuse_with (api, http, &refusal);
+  mq_api_send_refusal (api, http, &refusal);
 }
 
 /* Table of exchanges.  */
@@ -90,7 +90,7 @@
 }
 
 void
-mq_exchange_renew (struct mq_exchange *exchange)
+mq_exchange_renew_handle (struct mq_exchange *exchange)
 {
   exchange->handle = ++exchange->api->serial << SLOT_BITS | exchange->slot;
 }
@@ -119,7 +119,7 @@
   exchange->http = http;
   exchange->start_us = api->callbacks.now_us (api->callbacks.user);
   exchange->streamed = mq_must (talloc_strdup (exchange, ""));
-  mq_exchange_renew (exchange);
+  mq_exchange_renew_handle (exchange);
   api->slots[slot] = exchange;
   api->live++;
   return exchange;
@@ -138,7 +138,7 @@
   if (exchange->asked)
     {
       api->counters.callers_gone++;
-      mq_exchange_count_gone (exchange);
+      mq_exchange_count_disconnected (exchange);
       api->callbacks.gone (exchange->handle, api->callbacks.user);
     }
   talloc_free (exchange);
@@ -177,8 +177,8 @@
 }
 
 void
-mq_exchange_ask (struct mq_exchange *exchange,
-                 const struct mq_request_msg *request)
+mq_exchange_send (struct mq_exchange *exchange,
+                  const struct mq_request_msg *request)
 {
   struct mq_api *api = exchange->api;
   uint32_t partition
@@ -191,7 +191,7 @@
 }
 
 void
-mq_exchange_leave (struct mq_exchange *exchange)
+mq_exchange_abandon (struct mq_exchange *exchange)
 {
   struct mq_api *api = exchange->api;
 
@@ -200,7 +200,8 @@
 }
 
 void
-mq_exchange_span (const struct mq_exchange *exchange, enum mq_error_type error)
+mq_exchange_record_span (const struct mq_exchange *exchange,
+                         enum mq_error_type error)
 {
   struct mq_api *api = exchange->api;
   struct mq_span span = { .name = "entry" };
@@ -250,7 +251,7 @@
 
 static void
 fill_ask (TALLOC_CTX *ctx, const struct mq_exchange *exchange,
-          const struct mq_organisation *caller, struct mq_api_ask *ask)
+          const struct mq_organisation *caller, struct mq_api_http_input *ask)
 {
   struct mq_http_request *http = exchange->http;
 
@@ -276,21 +277,21 @@
 {
   struct mq_api_refusal refusal = { .ran = MQ_RAN_NOT_RUN };
   TALLOC_CTX *ctx = mq_must (talloc_new (NULL));
-  struct mq_api_ask ask = { 0 };
+  struct mq_api_http_input ask = { 0 };
   struct mq_api_plan *plan;
 
   fill_ask (ctx, exchange, caller, &ask);
-  plan = mq_api_plan_make (ctx, exchange->api->text, &ask, &refusal.error);
+  plan = mq_api_plan_create (ctx, exchange->api->text, &ask, &refusal.error);
   if (plan == NULL)
     {
-      mq_api_refuse_with (exchange->api, exchange->http, &refusal);
+      mq_api_send_refusal (exchange->api, exchange->http, &refusal);
       talloc_free (ctx);
       return;
     }
   keep_plan (exchange, plan);
   talloc_free (ctx);
   name_program (exchange);
-  mq_exchange_ask (exchange, &exchange->plan->first);
+  mq_exchange_send (exchange, &exchange->plan->first);
 }
 
 static void
@@ -456,7 +457,7 @@
 }
 
 void
-mq_api_leave (struct mq_api *api)
+mq_api_drain (struct mq_api *api)
 {
   api->leaving = true;
 }
--- a/src/entry/api.h
+++ b/src/entry/api.h
@@ -71,7 +71,7 @@
 void mq_api_event (struct mq_api *api, const struct mq_event_msg *event);
 /* From now on new callers are refused with LEAVING; operators are served,
    and answers in progress go on.  */
-void mq_api_leave (struct mq_api *api);
+void mq_api_drain (struct mq_api *api);
 /* Closes the listening socket.  */
 void mq_api_stop_accepting (struct mq_api *api);
 /* HTTP requests that are not answered whole.  */
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -69,7 +69,7 @@
   fill_refusal (exchange, event, &refusal);
   if (!exchange->streaming)
     {
-      mq_api_refuse_with (api, exchange->http, &refusal);
+      mq_api_send_refusal (api, exchange->http, &refusal);
       return;
     }
   api->counters.refused++;
@@ -92,7 +92,7 @@
 answer_refused (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
   exchange->asked = false;
-  mq_exchange_span (exchange, event->error);
+  mq_exchange_record_span (exchange, event->error);
   if (is_wanted (exchange, event))
     mq_respond_text (exchange->http, 200, json_type,
                      mq_api_program_json (
@@ -166,7 +166,7 @@
 answer_final (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
   exchange->asked = false;
-  mq_exchange_span (exchange, MQ_ERR_NONE);
+  mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_exchange_count_answered (exchange, event->body);
   switch (exchange->plan->shape)
     {
@@ -195,8 +195,8 @@
 start_second (struct mq_exchange *exchange)
 {
   exchange->second = true;
-  mq_exchange_renew (exchange);
-  mq_exchange_ask (exchange, &exchange->plan->second);
+  mq_exchange_renew_handle (exchange);
+  mq_exchange_send (exchange, &exchange->plan->second);
 }
 
 /* The id is all that the caller waits for.  */
@@ -208,8 +208,8 @@
                                     create ? "waiting" : "running");
 
   if (exchange->asked)
-    mq_exchange_leave (exchange);
-  mq_exchange_span (exchange, MQ_ERR_NONE);
+    mq_exchange_abandon (exchange);
+  mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_respond_text (exchange->http, create ? 201 : 202, json_type, json);
 }
 
@@ -284,7 +284,7 @@
   if (event->type == MQ_EVENT_FINAL)
     exchange->asked = false;
   else if (event->type == MQ_EVENT_ACCEPTED)
-    mq_exchange_leave (exchange);
+    mq_exchange_abandon (exchange);
   else
     return true;
   start_second (exchange);
--- a/src/entry/api_latency.c
+++ b/src/entry/api_latency.c
@@ -65,7 +65,7 @@
 }
 
 void
-mq_exchange_count_gone (const struct mq_exchange *exchange)
+mq_exchange_count_disconnected (const struct mq_exchange *exchange)
 {
   if (is_measured (exchange))
     find_series (exchange, NULL)->gone++;
--- a/src/entry/api_plan.c
+++ b/src/entry/api_plan.c
@@ -23,7 +23,7 @@
 /* Services.  */
 
 static const struct mq_service *
-find_service (struct mq_api_maker *maker, const char *name)
+find_service (struct mq_api_parser *maker, const char *name)
 {
   const struct mq_service *service = mq_text_find_service (maker->text, name);
 
@@ -51,7 +51,7 @@
 /* Body of one call of SERVICE: a model takes "messages" or "input", a plain
    service or tool "arguments".  */
 static bool
-make_call_body (struct mq_api_maker *maker, const struct mq_service *service,
+make_call_body (struct mq_api_parser *maker, const struct mq_service *service,
                 struct mq_request_msg *request)
 {
   bool model = service->kind == MQ_SERVICE_MODEL;
@@ -91,7 +91,7 @@
 
 /* A plain service is called by one of its routes; nothing else has any.  */
 static bool
-check_route (struct mq_api_maker *maker, const struct mq_service *service,
+check_route (struct mq_api_parser *maker, const struct mq_service *service,
              const char *route)
 {
   if (service->kind != MQ_SERVICE_PLAIN && route[0] != '\0')
@@ -107,7 +107,7 @@
 /* Requests.  */
 
 static void
-begin_request (struct mq_api_maker *maker, struct mq_request_msg *request,
+begin_request (struct mq_api_parser *maker, struct mq_request_msg *request,
                enum mq_request_type type)
 {
   memset (request, 0, sizeof *request);
@@ -121,20 +121,20 @@
 }
 
 static const char *
-key_of (const struct mq_api_ask *ask)
+key_of (const struct mq_api_http_input *ask)
 {
   return ask->key != NULL ? ask->key : ask->generated_key;
 }
 
 static void
-name_new_program (struct mq_api_maker *maker, struct mq_request_msg *request)
+name_new_program (struct mq_api_parser *maker, struct mq_request_msg *request)
 {
   request->key = key_of (maker->ask);
   request->program = mq_id_open (maker->ask->organisation, request->key);
 }
 
 static bool
-wants_events (const struct mq_api_ask *ask)
+wants_events (const struct mq_api_http_input *ask)
 {
   return ask->accept != NULL
          && strstr (ask->accept, "text/event-stream") != NULL;
@@ -142,7 +142,7 @@
 
 /* The shape of an answer that may be streamed.  */
 static bool
-read_stream (struct mq_api_maker *maker)
+read_stream (struct mq_api_parser *maker)
 {
   bool stream = wants_events (maker->ask);
 
@@ -155,7 +155,7 @@
 
 /* The shape of a new program's answer, which may also be left.  */
 static bool
-read_shape (struct mq_api_maker *maker)
+read_shape (struct mq_api_parser *maker)
 {
   bool wait = true;
 
@@ -169,7 +169,7 @@
 }
 
 static bool
-make_open_body (struct mq_api_maker *maker, struct mq_request_msg *request)
+make_open_body (struct mq_api_parser *maker, struct mq_request_msg *request)
 {
   const char *input = "";
   bool keep_open = false;
@@ -189,7 +189,7 @@
 }
 
 static bool
-read_continues (struct mq_api_maker *maker, struct mq_request_msg *request)
+read_continues (struct mq_api_parser *maker, struct mq_request_msg *request)
 {
   const char *continues = "";
 
@@ -208,7 +208,7 @@
 /* POST /v1/programs with "driver":"caller".  The agent gives the budget, the
    prompt and what may be called.  */
 static bool
-plan_create (struct mq_api_maker *maker, const struct mq_service *service)
+plan_create (struct mq_api_parser *maker, const struct mq_service *service)
 {
   static const char *const members[]
       = { "service", "driver", "continues", NULL };
@@ -217,7 +217,7 @@
   if (service->kind != MQ_SERVICE_AGENT)
     return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, request->service,
                         "an agent");
-  if (!mq_api_only_members (maker, members)
+  if (!mq_api_check_members (maker, members)
       || !read_continues (maker, request))
     return false;
   request->type = MQ_REQUEST_CREATE;
@@ -228,7 +228,7 @@
 
 /* POST /v1/programs for an agent: the system drives the program.  */
 static bool
-plan_agent (struct mq_api_maker *maker, const struct mq_service *service)
+plan_agent (struct mq_api_parser *maker, const struct mq_service *service)
 {
   static const char *const members[]
       = { "service", "input",  "keep_open", "continues",
@@ -236,7 +236,7 @@
   struct mq_request_msg *request = &maker->plan->first;
 
   maker->plan->wait_ms = service_wait_ms (service);
-  return mq_api_only_members (maker, members)
+  return mq_api_check_members (maker, members)
          && make_open_body (maker, request) && read_continues (maker, request)
          && read_shape (maker);
 }
@@ -244,7 +244,7 @@
 /* POST /v1/programs for a model, plain service or tool: a program of one
    call.  Its history is its own, so a model takes "input" only.  */
 static bool
-plan_single (struct mq_api_maker *maker, const struct mq_service *service)
+plan_single (struct mq_api_parser *maker, const struct mq_service *service)
 {
   static const char *const members[]
       = { "service", "route",  "input", "arguments", "max_tokens",
@@ -252,7 +252,7 @@
   struct mq_request_msg *request = &maker->plan->first;
 
   maker->plan->wait_ms = service_wait_ms (service);
-  return mq_api_only_members (maker, members)
+  return mq_api_check_members (maker, members)
          && mq_api_read_name (maker, "route", &request->route)
          && check_route (maker, service, request->route)
          && mq_api_read_number (maker, "max_tokens", &request->max_tokens)
@@ -260,7 +260,7 @@
 }
 
 static bool
-plan_programs (struct mq_api_maker *maker)
+plan_programs (struct mq_api_parser *maker)
 {
   struct mq_request_msg *request = &maker->plan->first;
   const struct mq_service *service;
@@ -287,7 +287,7 @@
 
 /* The service, route, cap and body of a step, from the JSON body.  */
 static bool
-fill_step (struct mq_api_maker *maker, struct mq_request_msg *request)
+fill_step (struct mq_api_parser *maker, struct mq_request_msg *request)
 {
   const struct mq_service *service = find_service (maker, request->service);
 
@@ -304,7 +304,7 @@
 
 /* POST /v1/programs/ID/calls  */
 static bool
-plan_call (struct mq_api_maker *maker)
+plan_call (struct mq_api_parser *maker)
 {
   static const char *const members[]
       = { "service",   "route",      "sequence", "input", "messages",
@@ -312,7 +312,7 @@
   struct mq_request_msg *request = &maker->plan->first;
 
   request->type = MQ_REQUEST_STEP;
-  if (!mq_api_read_body (maker) || !mq_api_only_members (maker, members)
+  if (!mq_api_read_body (maker) || !mq_api_check_members (maker, members)
       || !mq_api_read_name (maker, "service", &request->service)
       || !mq_api_read_name (maker, "route", &request->route)
       || !mq_api_read_number (maker, "sequence", &request->sequence))
@@ -326,7 +326,7 @@
 
 /* POST /v1/programs/ID/turns  */
 static bool
-plan_turn (struct mq_api_maker *maker)
+plan_turn (struct mq_api_parser *maker)
 {
   static const char *const members[] = { "input", "stream", NULL };
   struct mq_request_msg *request = &maker->plan->first;
@@ -335,7 +335,7 @@
 
   request->type = MQ_REQUEST_TURN;
   request->key = key_of (maker->ask);
-  if (!mq_api_read_body (maker) || !mq_api_only_members (maker, members))
+  if (!mq_api_read_body (maker) || !mq_api_check_members (maker, members))
     return false;
   input = json_object_get (maker->json, "input");
   if (!json_is_string (input))
@@ -349,7 +349,7 @@
 
 /* GET /v1/programs/ID  */
 static bool
-plan_get (struct mq_api_maker *maker)
+plan_get (struct mq_api_parser *maker)
 {
   struct mq_request_msg *request = &maker->plan->first;
   bool stream = wants_events (maker->ask);
@@ -364,7 +364,7 @@
 }
 
 static bool
-plan_history (struct mq_api_maker *maker)
+plan_history (struct mq_api_parser *maker)
 {
   maker->plan->first.type = MQ_REQUEST_GET;
   maker->plan->first.route = "history";
@@ -372,7 +372,7 @@
 }
 
 static bool
-plan_delete (struct mq_api_maker *maker)
+plan_delete (struct mq_api_parser *maker)
 {
   maker->plan->first.type
       = is_set (maker->ask->cancel) ? MQ_REQUEST_CANCEL : MQ_REQUEST_CLOSE;
@@ -381,7 +381,7 @@
 
 /* /v1/programs/ID…  */
 static bool
-plan_program (struct mq_api_maker *maker, const struct mq_api_path *path)
+plan_program (struct mq_api_parser *maker, const struct mq_api_path *path)
 {
   const char *method = maker->ask->method;
   struct mq_request_msg *request = &maker->plan->first;
@@ -395,11 +395,11 @@
     return plan_get (maker);
   if (path->count == 3 && strcmp (method, "DELETE") == 0)
     return plan_delete (maker);
-  if (path->count == 4 && mq_api_part_is (path, 3, "calls") && post)
+  if (path->count == 4 && mq_api_segment_is (path, 3, "calls") && post)
     return plan_call (maker);
-  if (path->count == 4 && mq_api_part_is (path, 3, "turns") && post)
+  if (path->count == 4 && mq_api_segment_is (path, 3, "turns") && post)
     return plan_turn (maker);
-  if (path->count == 4 && mq_api_part_is (path, 3, "history") && get)
+  if (path->count == 4 && mq_api_segment_is (path, 3, "history") && get)
     return plan_history (maker);
   return mq_api_fail (maker, MQ_ERR_NOT_FOUND, maker->ask->path,
                       "see docs/API.md");
@@ -407,7 +407,7 @@
 
 /* The step of POST /v1/chat/completions.  */
 static bool
-fill_chat_step (struct mq_api_maker *maker, struct mq_request_msg *request)
+fill_chat_step (struct mq_api_parser *maker, struct mq_request_msg *request)
 {
   if (json_object_get (maker->json, "messages") == NULL)
     return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, "messages", "an array");
@@ -423,7 +423,7 @@
 /* The agent whose budget a chat without a program draws on: the one that the
    caller names, else the first of the text that may call the model.  */
 static const struct mq_service *
-find_chat_agent (struct mq_api_maker *maker, const char *model)
+find_chat_agent (struct mq_api_parser *maker, const char *model)
 {
   const struct mq_text *text = maker->text;
   const struct mq_service *called = mq_text_find_service (text, model);
@@ -441,7 +441,7 @@
 
 /* Without a program one is created first.  */
 static bool
-plan_new_chat (struct mq_api_maker *maker)
+plan_new_chat (struct mq_api_parser *maker)
 {
   struct mq_api_plan *plan = maker->plan;
   const struct mq_service *agent;
@@ -465,7 +465,7 @@
    "model" names the service.  Members that OpenAI's clients send besides are
    left out.  */
 static bool
-plan_chat (struct mq_api_maker *maker)
+plan_chat (struct mq_api_parser *maker)
 {
   struct mq_api_plan *plan = maker->plan;
 
@@ -481,7 +481,7 @@
 
 /* POST /v1/services/NAME[/ROUTE]: the body is the call's own.  */
 static bool
-plan_service (struct mq_api_maker *maker, const struct mq_api_path *path)
+plan_service (struct mq_api_parser *maker, const struct mq_api_path *path)
 {
   struct mq_request_msg *request = &maker->plan->first;
   const struct mq_service *service;
@@ -506,22 +506,22 @@
 }
 
 static bool
-plan_path (struct mq_api_maker *maker, const struct mq_api_path *path)
+plan_path (struct mq_api_parser *maker, const struct mq_api_path *path)
 {
   bool post = strcmp (maker->ask->method, "POST") == 0;
 
-  if (path->count < 2 || !mq_api_part_is (path, 0, "v1"))
+  if (path->count < 2 || !mq_api_segment_is (path, 0, "v1"))
     return mq_api_fail (maker, MQ_ERR_NOT_FOUND, maker->ask->path,
                         "see docs/API.md");
-  if (path->count == 2 && mq_api_part_is (path, 1, "programs") && post)
+  if (path->count == 2 && mq_api_segment_is (path, 1, "programs") && post)
     return plan_programs (maker);
-  if (path->count >= 3 && mq_api_part_is (path, 1, "programs"))
+  if (path->count >= 3 && mq_api_segment_is (path, 1, "programs"))
     return plan_program (maker, path);
-  if (path->count == 3 && mq_api_part_is (path, 1, "chat")
-      && mq_api_part_is (path, 2, "completions") && post)
+  if (path->count == 3 && mq_api_segment_is (path, 1, "chat")
+      && mq_api_segment_is (path, 2, "completions") && post)
     return plan_chat (maker);
   if ((path->count == 3 || path->count == 4)
-      && mq_api_part_is (path, 1, "services") && post)
+      && mq_api_segment_is (path, 1, "services") && post)
     return plan_service (maker, path);
   return mq_api_fail (maker, MQ_ERR_NOT_FOUND, maker->ask->path,
                       "see docs/API.md");
@@ -529,7 +529,7 @@
 
 /* The caller may wait for less than the service may take.  */
 static bool
-read_timeout (struct mq_api_maker *maker)
+read_timeout (struct mq_api_parser *maker)
 {
   uint32_t timeout_ms = maker->plan->wait_ms;
 
@@ -545,10 +545,11 @@
 }
 
 struct mq_api_plan *
-mq_api_plan_make (TALLOC_CTX *ctx, const struct mq_text *text,
-                  const struct mq_api_ask *ask, struct mq_error *error)
+mq_api_plan_create (TALLOC_CTX *ctx, const struct mq_text *text,
+                    const struct mq_api_http_input *ask,
+                    struct mq_error *error)
 {
-  struct mq_api_maker maker = { .text = text, .ask = ask, .error = error };
+  struct mq_api_parser maker = { .text = text, .ask = ask, .error = error };
   struct mq_api_path path;
   bool made;
 
--- a/src/entry/api_plan.h
+++ b/src/entry/api_plan.h
@@ -11,7 +11,7 @@
 #include "core/text/text.h"
 
 /* How the answer is given.  */
-enum mq_api_shape
+enum mq_api_response_format
 {
   MQ_API_JSON,       /* one JSON answer when FINAL comes */
   MQ_API_STREAM,     /* server-sent events */
@@ -22,7 +22,7 @@
 };
 
 /**
- * struct mq_api_ask - a caller's HTTP request
+ * struct mq_api_http_input - a caller's HTTP request
  * @method: "GET", "POST", …
  * @path: without the query
  * @body: zero-terminated
@@ -39,7 +39,7 @@
  * @cancel: query parameter; NULL when absent
  * @timeout_ms: query parameter; NULL when absent
  */
-struct mq_api_ask
+struct mq_api_http_input
 {
   const char *method;
   const char *path;
@@ -68,7 +68,7 @@
  */
 struct mq_api_plan
 {
-  enum mq_api_shape shape;
+  enum mq_api_response_format shape;
   struct mq_request_msg first;
   bool has_second;
   struct mq_request_msg second;
@@ -76,10 +76,10 @@
 };
 
 /* Plan below CTX; NULL with the failure in ERROR.  */
-struct mq_api_plan *mq_api_plan_make (TALLOC_CTX *ctx,
-                                      const struct mq_text *text,
-                                      const struct mq_api_ask *ask,
-                                      struct mq_error *error);
+struct mq_api_plan *mq_api_plan_create (TALLOC_CTX *ctx,
+                                        const struct mq_text *text,
+                                        const struct mq_api_http_input *ask,
+                                        struct mq_error *error);
 /* True for a well-formed W3C traceparent.  */
 bool mq_api_traceparent_valid (const char *text);
 
--- a/src/entry/api_read.c
+++ b/src/entry/api_read.c
@@ -16,7 +16,7 @@
 };
 
 bool
-mq_api_fail (struct mq_api_maker *maker, enum mq_error_type type,
+mq_api_fail (struct mq_api_parser *maker, enum mq_error_type type,
              const char *subject, const char *allowed)
 {
   mq_error_set (maker->error, type, subject, allowed);
@@ -26,7 +26,7 @@
 /* Checked reading of single values.  */
 
 bool
-mq_api_split_path (struct mq_api_maker *maker, struct mq_api_path *path)
+mq_api_split_path (struct mq_api_parser *maker, struct mq_api_path *path)
 {
   char *rest = mq_text_copy (maker->ctx, maker->ask->path);
   char *part;
@@ -44,13 +44,14 @@
 }
 
 bool
-mq_api_part_is (const struct mq_api_path *path, size_t place, const char *name)
+mq_api_segment_is (const struct mq_api_path *path, size_t place,
+                   const char *name)
 {
   return place < path->count && strcmp (path->parts[place], name) == 0;
 }
 
 bool
-mq_api_read_decimal (struct mq_api_maker *maker, const char *name,
+mq_api_read_decimal (struct mq_api_parser *maker, const char *name,
                      const char *text, uint32_t *number)
 {
   char *end = NULL;
@@ -68,7 +69,8 @@
 }
 
 bool
-mq_api_read_id (struct mq_api_maker *maker, const char *text, struct mq_id *id)
+mq_api_read_id (struct mq_api_parser *maker, const char *text,
+                struct mq_id *id)
 {
   if (!mq_id_parse (text, id))
     return mq_api_fail (maker, MQ_ERR_NOT_FOUND, text,
@@ -111,9 +113,9 @@
 /* JSON bodies.  */
 
 bool
-mq_api_read_body (struct mq_api_maker *maker)
+mq_api_read_body (struct mq_api_parser *maker)
 {
-  const struct mq_api_ask *ask = maker->ask;
+  const struct mq_api_http_input *ask = maker->ask;
   json_error_t where;
 
   maker->json = json_loadb (ask->len == 0 ? "{}" : ask->body,
@@ -127,7 +129,7 @@
 }
 
 bool
-mq_api_only_members (struct mq_api_maker *maker, const char *const *names)
+mq_api_check_members (struct mq_api_parser *maker, const char *const *names)
 {
   const char *key;
   json_t *value;
@@ -145,7 +147,7 @@
 }
 
 bool
-mq_api_read_text (struct mq_api_maker *maker, const char *name,
+mq_api_read_text (struct mq_api_parser *maker, const char *name,
                   const char **text)
 {
   json_t *value = json_object_get (maker->json, name);
@@ -160,7 +162,7 @@
 }
 
 bool
-mq_api_read_name (struct mq_api_maker *maker, const char *name,
+mq_api_read_name (struct mq_api_parser *maker, const char *name,
                   const char **text)
 {
   if (!mq_api_read_text (maker, name, text))
@@ -171,7 +173,7 @@
 }
 
 bool
-mq_api_read_flag (struct mq_api_maker *maker, const char *name, bool *flag)
+mq_api_read_flag (struct mq_api_parser *maker, const char *name, bool *flag)
 {
   json_t *value = json_object_get (maker->json, name);
 
@@ -184,7 +186,7 @@
 }
 
 bool
-mq_api_read_number (struct mq_api_maker *maker, const char *name,
+mq_api_read_number (struct mq_api_parser *maker, const char *name,
                     uint32_t *number)
 {
   json_t *value = json_object_get (maker->json, name);
@@ -199,7 +201,7 @@
 }
 
 const char *
-mq_api_dump (struct mq_api_maker *maker, json_t *json)
+mq_api_dump (struct mq_api_parser *maker, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
   const char *copy;
--- a/src/entry/api_state.h
+++ b/src/entry/api_state.h
@@ -60,21 +60,21 @@
 };
 
 /* Answers with REFUSAL.  */
-void mq_api_refuse_with (struct mq_api *api, struct mq_http_request *http,
-                         const struct mq_api_refusal *refusal);
+void mq_api_send_refusal (struct mq_api *api, struct mq_http_request *http,
+                          const struct mq_api_refusal *refusal);
 
 /* NULL when the exchange of HANDLE has ended.  */
 struct mq_exchange *mq_exchange_find (const struct mq_api *api,
                                       uint64_t handle);
 /* A new handle: events for the one before find nothing any more.  */
-void mq_exchange_renew (struct mq_exchange *exchange);
-void mq_exchange_ask (struct mq_exchange *exchange,
-                      const struct mq_request_msg *request);
+void mq_exchange_renew_handle (struct mq_exchange *exchange);
+void mq_exchange_send (struct mq_exchange *exchange,
+                       const struct mq_request_msg *request);
 /* What the front still has of the exchange is not wanted any more.  */
-void mq_exchange_leave (struct mq_exchange *exchange);
+void mq_exchange_abandon (struct mq_exchange *exchange);
 /* The hop between the caller's request and its answer has ended.  */
-void mq_exchange_span (const struct mq_exchange *exchange,
-                       enum mq_error_type error);
+void mq_exchange_record_span (const struct mq_exchange *exchange,
+                              enum mq_error_type error);
 
 /* Each counts the end of a program that the caller waited for; BODY is that
    of the answer.  */
@@ -82,6 +82,6 @@
                                  const char *body);
 void mq_exchange_count_refused (const struct mq_exchange *exchange,
                                 const struct mq_event_msg *event);
-void mq_exchange_count_gone (const struct mq_exchange *exchange);
+void mq_exchange_count_disconnected (const struct mq_exchange *exchange);
 
 #endif
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -64,7 +64,7 @@
 }
 
 void
-mq_entry_leave (struct mq_entry *entry)
+mq_entry_drain (struct mq_entry *entry)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_LEAVE };
 
@@ -74,9 +74,9 @@
   entry->leave_until_us
       = mq_clock_us ()
         + (uint64_t)entry->settings->drain_seconds * US_PER_SECOND;
-  mq_api_leave (entry->api);
-  mq_entry_tell_owner (entry, &input);
-  mq_entry_settle (entry);
+  mq_api_drain (entry->api);
+  mq_entry_dispatch_owner (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
 /* Time.  */
@@ -97,12 +97,12 @@
   uint64_t now = mq_clock_us ();
 
   if (mq_spread_next_tick (entry->spread) <= now)
-    mq_entry_tell_spread (entry, &spread);
+    mq_entry_dispatch_spread (entry, &spread);
   if (owner_next_tick (entry) <= now)
-    mq_entry_tell_owner (entry, &owner);
+    mq_entry_dispatch_owner (entry, &owner);
   if (mq_front_next_tick (entry->front) <= now)
-    mq_entry_tell_front (entry, &front);
-  mq_entry_release_held (entry);
+    mq_entry_dispatch_front (entry, &front);
+  mq_entry_release_waiting (entry);
 }
 
 static void
@@ -112,7 +112,7 @@
 
   entry->tick.timer = NULL;
   tick_cores (entry);
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static uint64_t
@@ -122,7 +122,7 @@
 
   next = earlier (next, mq_front_next_tick (entry->front));
   next = earlier (next, mq_spread_next_tick (entry->spread));
-  next = earlier (next, mq_hold_next (entry->hold));
+  next = earlier (next, mq_config_wait_next (entry->hold));
   /* What is in progress over HTTP ends without telling a core.  */
   if (entry->leaving && entry->stop == NULL)
     next = earlier (next,
@@ -132,7 +132,7 @@
 
 /* Carries out all that is queued, and what it leads to.  */
 void
-mq_entry_settle (struct mq_entry *entry)
+mq_entry_run_queue (struct mq_entry *entry)
 {
   struct mq_batch *batch;
 
@@ -142,10 +142,10 @@
   while ((batch = mq_batch_take (&entry->queue)) != NULL)
     {
       for (size_t i = 0; i < batch->actions->count; i++)
-        mq_entry_carry_out (entry, (enum mq_entry_origin)batch->origin,
-                            &batch->actions->items[i]);
+        mq_entry_run_action (entry, (enum mq_entry_origin)batch->origin,
+                             &batch->actions->items[i]);
       talloc_free (batch);
-      mq_entry_look_at_version (entry);
+      mq_entry_update_config (entry);
     }
   entry->working = false;
   look_at_leaving (entry);
@@ -207,9 +207,9 @@
   entry->client = mq_http_client_create (entry, entry->ev, error);
   if (entry->client == NULL)
     return false;
-  entry->platform
-      = mq_platform_create (entry, entry->ev, entry->client,
-                            entry->settings->platform, mq_entry_stored, entry);
+  entry->platform = mq_platform_create (entry, entry->ev, entry->client,
+                                        entry->settings->platform,
+                                        mq_entry_on_store_result, entry);
   if (entry->platform == NULL)
     {
       mq_error_set (error, MQ_ERR_IO, entry->settings->platform, "");
@@ -238,7 +238,7 @@
   options.policy = policy;
   options.commit_each_step = settings->commit_each_step;
   entry->owner = mq_owner_create (entry, &options);
-  entry->hold = mq_hold_create (entry);
+  entry->hold = mq_config_wait_create (entry);
   entry->front = mq_front_create (entry, &lookup, mq_clock_random ());
   entry->spread = mq_spread_create (entry, settings->host,
                                     settings->data_centre, mq_clock_random ());
@@ -265,9 +265,9 @@
       mq_entry_destroy (entry);
       return NULL;
     }
-  mq_platform_watch_hosts (entry->platform, MQ_HOSTS_POLL_MS, mq_entry_listed,
-                           entry);
-  mq_entry_settle (entry);
+  mq_platform_watch_hosts (entry->platform, MQ_HOSTS_POLL_MS,
+                           mq_entry_on_hosts, entry);
+  mq_entry_run_queue (entry);
   return entry;
 }
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -13,7 +13,7 @@
 
 struct mq_entry;
 
-/* DONE is called once after mq_entry_leave, when everything was handed over
+/* DONE is called once after mq_entry_drain, when everything was handed over
    or drain_seconds have passed.  */
 struct mq_entry *mq_entry_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                   const struct mq_settings *settings,
@@ -23,7 +23,7 @@
 void mq_entry_destroy (struct mq_entry *entry);
 /* Planned stop: partitions are handed over, new callers are refused, what
    is in progress ends.  */
-void mq_entry_leave (struct mq_entry *entry);
+void mq_entry_drain (struct mq_entry *entry);
 /* "IP:PORT" as reached by callers, and by other hosts.  */
 const char *mq_entry_http_address (const struct mq_entry *entry);
 const char *mq_entry_peer_address (const struct mq_entry *entry);
--- a/src/entry/entry_action.c
+++ b/src/entry/entry_action.c
@@ -10,7 +10,7 @@
 /* Inputs of the cores.  */
 
 void
-mq_entry_tell_owner (struct mq_entry *entry, struct mq_owner_input *input)
+mq_entry_dispatch_owner (struct mq_entry *entry, struct mq_owner_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_owner_handle (entry->owner, input,
@@ -18,7 +18,7 @@
 }
 
 void
-mq_entry_tell_front (struct mq_entry *entry, struct mq_front_input *input)
+mq_entry_dispatch_front (struct mq_entry *entry, struct mq_front_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_front_handle (entry->front, input,
@@ -26,7 +26,8 @@
 }
 
 void
-mq_entry_tell_spread (struct mq_entry *entry, struct mq_spread_input *input)
+mq_entry_dispatch_spread (struct mq_entry *entry,
+                          struct mq_spread_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_spread_handle (entry->spread, input,
@@ -53,7 +54,7 @@
   event.body = "";
   event.redirect = "";
   input.u.event = &event;
-  mq_entry_tell_front (entry, &input);
+  mq_entry_dispatch_front (entry, &input);
 }
 
 /* A caller's request, or its end, for the owner in this process.  */
@@ -67,13 +68,13 @@
       input.type = MQ_OWNER_REQUEST;
       input.handle = message->u.forward.handle;
       input.u.request = &message->u.forward.request;
-      mq_entry_tell_owner (entry, &input);
+      mq_entry_dispatch_owner (entry, &input);
     }
   else if (message->type == MQ_MSG_FORWARD_CLOSE)
     {
       input.type = MQ_OWNER_CALLER_GONE;
       input.handle = message->u.forward_close.handle;
-      mq_entry_tell_owner (entry, &input);
+      mq_entry_dispatch_owner (entry, &input);
     }
 }
 
@@ -93,7 +94,7 @@
     {
       input.peer = MQ_PEER_SELF;
       input.u.event = &action->u.event;
-      mq_entry_tell_front (entry, &input);
+      mq_entry_dispatch_front (entry, &input);
       return;
     }
   message.u.event = action->u.event;
@@ -101,8 +102,8 @@
 }
 
 void
-mq_entry_carry_out (struct mq_entry *entry, enum mq_entry_origin origin,
-                    const struct mq_action *action)
+mq_entry_run_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                     const struct mq_action *action)
 {
   switch (action->type)
     {
@@ -160,12 +161,12 @@
   entry->text = text;
   mq_api_set_text (entry->api, text);
   input.u.text = text;
-  mq_entry_tell_owner (entry, &input);
+  mq_entry_dispatch_owner (entry, &input);
   talloc_free (older);
 }
 
 void
-mq_entry_look_at_version (struct mq_entry *entry)
+mq_entry_update_config (struct mq_entry *entry)
 {
   uint64_t version = mq_spread_version (entry->spread);
 
@@ -174,5 +175,5 @@
   entry->seen_version = version;
   mq_peer_net_set_version (entry->net, version);
   take_text (entry);
-  mq_entry_release_held (entry);
+  mq_entry_release_waiting (entry);
 }
--- a/src/entry/entry_input.c
+++ b/src/entry/entry_input.c
@@ -22,17 +22,17 @@
   struct mq_owner_input owner = { .type = MQ_OWNER_PEER_UP, .peer = peer };
   struct mq_front_input front = { .type = MQ_FRONT_PEER_UP, .peer = peer };
 
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   owner.u.peer_up.host = info->host;
   owner.u.peer_up.role = info->role;
   owner.u.peer_up.boot = info->boot;
-  mq_entry_tell_owner (entry, &owner);
+  mq_entry_dispatch_owner (entry, &owner);
   if (info->role == MQ_HOST_ENTRY)
     {
       front.u.address = info->address;
-      mq_entry_tell_front (entry, &front);
+      mq_entry_dispatch_front (entry, &front);
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static void
@@ -45,11 +45,11 @@
   struct mq_front_input front = { .type = MQ_FRONT_PEER_DOWN, .peer = peer };
 
   (void)why;
-  mq_hold_forget (entry->hold, peer);
-  mq_entry_tell_spread (entry, &spread);
-  mq_entry_tell_owner (entry, &owner);
-  mq_entry_tell_front (entry, &front);
-  mq_entry_settle (entry);
+  mq_config_wait_drop_peer (entry->hold, peer);
+  mq_entry_dispatch_spread (entry, &spread);
+  mq_entry_dispatch_owner (entry, &owner);
+  mq_entry_dispatch_front (entry, &front);
+  mq_entry_run_queue (entry);
 }
 
 static void
@@ -75,15 +75,15 @@
       input.u.message = message;
       break;
     }
-  mq_entry_tell_owner (entry, &input);
+  mq_entry_dispatch_owner (entry, &input);
 }
 
 void
-mq_entry_release_held (struct mq_entry *entry)
+mq_entry_release_waiting (struct mq_entry *entry)
 {
-  mq_hold_release (entry->hold, mq_clock_us (),
-                   mq_spread_version (entry->spread), tell_owner_of_peer,
-                   entry);
+  mq_config_wait_release (entry->hold, mq_clock_us (),
+                          mq_spread_version (entry->spread),
+                          tell_owner_of_peer, entry);
 }
 
 /* A caller's request, or its end, from another entry host.  */
@@ -91,8 +91,8 @@
 take_forward (struct mq_entry *entry, uint32_t peer,
               const struct mq_message *message)
 {
-  if (!mq_hold_take (entry->hold, mq_clock_us (),
-                     mq_spread_version (entry->spread), peer, message))
+  if (!mq_config_wait_add (entry->hold, mq_clock_us (),
+                           mq_spread_version (entry->spread), peer, message))
     tell_owner_of_peer (peer, message, entry);
 }
 
@@ -105,12 +105,12 @@
   struct mq_front_input front = { .type = MQ_FRONT_EVENT, .peer = peer };
 
   spread.u.message = message;
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   switch (message->type)
     {
     case MQ_MSG_FORWARD_EVENT:
       front.u.event = &message->u.event;
-      mq_entry_tell_front (entry, &front);
+      mq_entry_dispatch_front (entry, &front);
       break;
     case MQ_MSG_FORWARD:
     case MQ_MSG_FORWARD_CLOSE:
@@ -125,7 +125,7 @@
       tell_owner_of_peer (peer, message, entry);
       break;
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 struct mq_peer_callbacks
@@ -142,7 +142,7 @@
 /* The platform.  */
 
 void
-mq_entry_stored (const struct mq_store_result *result, void *user)
+mq_entry_on_store_result (const struct mq_store_result *result, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_STORE };
@@ -151,14 +151,14 @@
   if ((result->id & MQ_SPREAD_STORE_BIT) != 0)
     {
       spread.u.store = result;
-      mq_entry_tell_spread (entry, &spread);
+      mq_entry_dispatch_spread (entry, &spread);
     }
   else
     {
       owner.u.store = result;
-      mq_entry_tell_owner (entry, &owner);
+      mq_entry_dispatch_owner (entry, &owner);
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static bool
@@ -170,7 +170,7 @@
 }
 
 void
-mq_entry_listed (const struct mq_host_list *hosts, void *user)
+mq_entry_on_hosts (const struct mq_host_list *hosts, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
@@ -179,10 +179,10 @@
   mq_kept_hosts_update (entry, &entry->kept, entry->net, hosts, is_other_host,
                         entry);
   spread.u.hosts = hosts;
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   owner.u.hosts = hosts;
-  mq_entry_tell_owner (entry, &owner);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_owner (entry, &owner);
+  mq_entry_run_queue (entry);
 }
 
 /* Callers and operators.  */
@@ -198,8 +198,8 @@
   input.partition = partition;
   input.deadline_us = mq_clock_us () + (uint64_t)wait_ms * US_PER_MS;
   input.u.request = request;
-  mq_entry_tell_front (entry, &input);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_front (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
 static void
@@ -209,14 +209,14 @@
   struct mq_front_input input = { .type = MQ_FRONT_CALLER_GONE };
 
   input.handle = handle;
-  mq_entry_tell_front (entry, &input);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_front (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
 static void
 on_drain (void *user)
 {
-  mq_entry_leave (user);
+  mq_entry_drain (user);
 }
 
 static bool
--- a/src/entry/entry_state.h
+++ b/src/entry/entry_state.h
@@ -47,7 +47,7 @@
   struct mq_owner *owner;
   struct mq_front *front;
   struct mq_spread *spread;
-  struct mq_hold *hold;
+  struct mq_config_wait *hold;
   struct mq_text *text;
   uint64_t seen_version; /* of the last text that was looked at */
   uint64_t texts_refused;
@@ -62,24 +62,25 @@
 };
 
 /* Each tells one core; the time goes in here.  */
-void mq_entry_tell_owner (struct mq_entry *entry,
-                          struct mq_owner_input *input);
-void mq_entry_tell_front (struct mq_entry *entry,
-                          struct mq_front_input *input);
-void mq_entry_tell_spread (struct mq_entry *entry,
-                           struct mq_spread_input *input);
-void mq_entry_carry_out (struct mq_entry *entry, enum mq_entry_origin origin,
-                         const struct mq_action *action);
+void mq_entry_dispatch_owner (struct mq_entry *entry,
+                              struct mq_owner_input *input);
+void mq_entry_dispatch_front (struct mq_entry *entry,
+                              struct mq_front_input *input);
+void mq_entry_dispatch_spread (struct mq_entry *entry,
+                               struct mq_spread_input *input);
+void mq_entry_run_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                          const struct mq_action *action);
 /* Takes a newer configuration into use.  */
-void mq_entry_look_at_version (struct mq_entry *entry);
+void mq_entry_update_config (struct mq_entry *entry);
 /* Carries out all that is queued, and what it leads to.  */
-void mq_entry_settle (struct mq_entry *entry);
+void mq_entry_run_queue (struct mq_entry *entry);
 
 struct mq_peer_callbacks mq_entry_peer_callbacks (struct mq_entry *entry);
 struct mq_api_callbacks mq_entry_api_callbacks (struct mq_entry *entry);
-void mq_entry_stored (const struct mq_store_result *result, void *user);
-void mq_entry_listed (const struct mq_host_list *hosts, void *user);
+void mq_entry_on_store_result (const struct mq_store_result *result,
+                               void *user);
+void mq_entry_on_hosts (const struct mq_host_list *hosts, void *user);
 /* Hands on requests that waited for a configuration that is here now.  */
-void mq_entry_release_held (struct mq_entry *entry);
+void mq_entry_release_waiting (struct mq_entry *entry);
 
 #endif
--- a/src/entry/hold.c
+++ b/src/entry/hold.c
@@ -20,17 +20,17 @@
   struct mq_message message;
 };
 
-struct mq_hold
+struct mq_config_wait
 {
   struct held *first; /* in the order of their coming */
   struct held *last;
   size_t count;
 };
 
-struct mq_hold *
-mq_hold_create (TALLOC_CTX *ctx)
+struct mq_config_wait *
+mq_config_wait_create (TALLOC_CTX *ctx)
 {
-  struct mq_hold *hold = talloc_zero (ctx, struct mq_hold);
+  struct mq_config_wait *hold = talloc_zero (ctx, struct mq_config_wait);
 
   if (hold == NULL)
     abort ();
@@ -38,7 +38,7 @@
 }
 
 static bool
-peer_waits (const struct mq_hold *hold, uint32_t peer)
+peer_waits (const struct mq_config_wait *hold, uint32_t peer)
 {
   const struct held *held = hold->first;
 
@@ -48,8 +48,9 @@
 }
 
 bool
-mq_hold_take (struct mq_hold *hold, uint64_t now_us, uint64_t version,
-              uint32_t peer, const struct mq_message *message)
+mq_config_wait_add (struct mq_config_wait *hold, uint64_t now_us,
+                    uint64_t version, uint32_t peer,
+                    const struct mq_message *message)
 {
   struct held *held;
 
@@ -76,7 +77,8 @@
 
 /* Takes HELD, which follows BEFORE, out of the list.  */
 static void
-unlink_held (struct mq_hold *hold, struct held *before, struct held *held)
+unlink_held (struct mq_config_wait *hold, struct held *before,
+             struct held *held)
 {
   if (before == NULL)
     hold->first = held->next;
@@ -88,8 +90,9 @@
 }
 
 void
-mq_hold_release (struct mq_hold *hold, uint64_t now_us, uint64_t version,
-                 mq_hold_out *out, void *user)
+mq_config_wait_release (struct mq_config_wait *hold, uint64_t now_us,
+                        uint64_t version, mq_config_wait_deliver *out,
+                        void *user)
 {
   while (hold->first != NULL)
     {
@@ -106,7 +109,7 @@
 }
 
 void
-mq_hold_forget (struct mq_hold *hold, uint32_t peer)
+mq_config_wait_drop_peer (struct mq_config_wait *hold, uint32_t peer)
 {
   struct held *before = NULL;
   struct held *held = hold->first;
@@ -127,7 +130,7 @@
 }
 
 uint64_t
-mq_hold_next (const struct mq_hold *hold)
+mq_config_wait_next (const struct mq_config_wait *hold)
 {
   return hold->first == NULL ? UINT64_MAX : hold->first->until_us;
 }
--- a/src/entry/hold.h
+++ b/src/entry/hold.h
@@ -11,23 +11,26 @@
 
 #include "core/message.h"
 
-struct mq_hold;
+struct mq_config_wait;
 
-typedef void mq_hold_out (uint32_t peer, const struct mq_message *message,
-                          void *user);
+typedef void mq_config_wait_deliver (uint32_t peer,
+                                     const struct mq_message *message,
+                                     void *user);
 
-struct mq_hold *mq_hold_create (TALLOC_CTX *ctx);
+struct mq_config_wait *mq_config_wait_create (TALLOC_CTX *ctx);
 /* Keeps a copy of MESSAGE and is true when it has to wait: VERSION is lower
    than its own, or an earlier one of PEER waits.  False when it can be
    handed on at once, also when too many wait.  */
-bool mq_hold_take (struct mq_hold *hold, uint64_t now_us, uint64_t version,
-                   uint32_t peer, const struct mq_message *message);
+bool mq_config_wait_add (struct mq_config_wait *hold, uint64_t now_us,
+                         uint64_t version, uint32_t peer,
+                         const struct mq_message *message);
 /* Hands on, by OUT, what need not wait longer.  */
-void mq_hold_release (struct mq_hold *hold, uint64_t now_us, uint64_t version,
-                      mq_hold_out *out, void *user);
+void mq_config_wait_release (struct mq_config_wait *hold, uint64_t now_us,
+                             uint64_t version, mq_config_wait_deliver *out,
+                             void *user);
 /* Forgets what PEER sent.  */
-void mq_hold_forget (struct mq_hold *hold, uint32_t peer);
-/* When mq_hold_release is due, UINT64_MAX when nothing waits.  */
-uint64_t mq_hold_next (const struct mq_hold *hold);
+void mq_config_wait_drop_peer (struct mq_config_wait *hold, uint32_t peer);
+/* When mq_config_wait_release is due, UINT64_MAX when nothing waits.  */
+uint64_t mq_config_wait_next (const struct mq_config_wait *hold);
 
 #endif
--- a/tests/fuzz/fuzz_api.c
+++ b/tests/fuzz/fuzz_api.c
@@ -1,4 +1,4 @@
-/* fuzz_api.c - callers' requests (mq_api_plan_make).
+/* fuzz_api.c - callers' requests (mq_api_plan_create).
 
    Input: "METHOD PATH", lines "name: value" of what the HTTP server hands
    on, an empty line, the body.
@@ -28,18 +28,18 @@
   const char *name;
   size_t offset;
 } members[] = {
-  { "key", offsetof (struct mq_api_ask, key) },
-  { "accept", offsetof (struct mq_api_ask, accept) },
-  { "program", offsetof (struct mq_api_ask, program) },
-  { "service", offsetof (struct mq_api_ask, service) },
-  { "after", offsetof (struct mq_api_ask, after) },
-  { "wait", offsetof (struct mq_api_ask, wait) },
-  { "cancel", offsetof (struct mq_api_ask, cancel) },
-  { "timeout_ms", offsetof (struct mq_api_ask, timeout_ms) },
+  { "key", offsetof (struct mq_api_http_input, key) },
+  { "accept", offsetof (struct mq_api_http_input, accept) },
+  { "program", offsetof (struct mq_api_http_input, program) },
+  { "service", offsetof (struct mq_api_http_input, service) },
+  { "after", offsetof (struct mq_api_http_input, after) },
+  { "wait", offsetof (struct mq_api_http_input, wait) },
+  { "cancel", offsetof (struct mq_api_http_input, cancel) },
+  { "timeout_ms", offsetof (struct mq_api_http_input, timeout_ms) },
 };
 
 static void
-set_member (struct mq_api_ask *ask, char *line)
+set_member (struct mq_api_http_input *ask, char *line)
 {
   char *value = strstr (line, ": ");
 
@@ -57,7 +57,8 @@
 
 /* False when there is no line with method and path.  */
 static bool
-read_ask (TALLOC_CTX *ctx, struct fuzz_input *input, struct mq_api_ask *ask)
+read_ask (TALLOC_CTX *ctx, struct fuzz_input *input,
+          struct mq_api_http_input *ask)
 {
   char *line = fuzz_next_line (ctx, input);
   char *space = line == NULL ? NULL : strchr (line, ' ');
@@ -106,7 +107,7 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct fuzz_input input = { data, len };
-  struct mq_api_ask ask = { 0 };
+  struct mq_api_http_input ask = { 0 };
   struct mq_text_errors errors = { 0 };
   struct mq_error error = { 0 };
   struct mq_text *text = mq_text_parse (ctx, site, strlen (site), &errors);
@@ -116,7 +117,7 @@
   FUZZ_CHECK (text != NULL);
   if (read_ask (ctx, &input, &ask))
     {
-      plan = mq_api_plan_make (ctx, text, &ask, &error);
+      plan = mq_api_plan_create (ctx, text, &ask, &error);
       FUZZ_CHECK (plan != NULL || error.type != MQ_ERR_NONE);
     }
   accepted = plan != NULL;
--- a/tests/test_api.c
+++ b/tests/test_api.c
@@ -311,7 +311,7 @@
   for (size_t i = 0; i < sizeof plan_cases / sizeof plan_cases[0]; i++)
     {
       const struct plan_case *row = &plan_cases[i];
-      struct mq_api_ask ask
+      struct mq_api_http_input ask
           = { .method = row->method == NULL ? "POST" : row->method };
       struct mq_error error = { 0 };
       struct mq_api_plan *plan;
@@ -329,7 +329,7 @@
       ask.wait = row->wait;
       ask.cancel = row->cancel;
       ask.timeout_ms = row->timeout_ms;
-      plan = mq_api_plan_make (ctx, text, &ask, &error);
+      plan = mq_api_plan_create (ctx, text, &ask, &error);
       cr_expect_eq (error.type, row->error, "%s %s %s: %s", ask.method,
                     ask.path, ask.body, mq_error_name (error.type));
       if (plan != NULL && row->expect != NULL)
@@ -353,7 +353,7 @@
   for (size_t i = 0; i < 3; i++)
     {
       struct mq_error error = { 0 };
-      struct mq_api_ask ask
+      struct mq_api_http_input ask
           = { .method = "POST", .path = "/v1/programs", .key = "day-1" };
 
       ask.body = "{\"service\":\"guide\",\"input\":\"x\"}";
@@ -361,7 +361,7 @@
       ask.organisation = organisations[i];
       ask.generated_key = "";
       ask.traceparent = "";
-      ids[i] = mq_api_plan_make (ctx, text, &ask, &error)->first.program;
+      ids[i] = mq_api_plan_create (ctx, text, &ask, &error)->first.program;
     }
   cr_expect (mq_id_equal (ids[0], ids[1]));
   cr_expect (!mq_id_equal (ids[0], ids[2]));
@@ -829,7 +829,7 @@
       if (door_cases[i].state == WITHOUT_TEXT)
         mq_api_set_text (bench->api, NULL);
       if (door_cases[i].state == LEAVING)
-        mq_api_leave (bench->api);
+        mq_api_drain (bench->api);
       call (bench, door_cases[i].method, door_cases[i].path, headers,
             door_cases[i].method[0] == 'P' ? "{}" : NULL);
       cr_expect_eq (bench->result.status, door_cases[i].status, "row %zu: %d",
--- a/tests/test_hold.c
+++ b/tests/test_hold.c
@@ -82,7 +82,7 @@
 {
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct mq_hold *hold = mq_hold_create (NULL);
+      struct mq_config_wait *hold = mq_config_wait_create (NULL);
       uint64_t version = 7;
       uint64_t now_us = 5;
 
@@ -98,14 +98,16 @@
           if (step->what == WAITS)
             now_us += (uint64_t)step->a * MS;
           if (step->what == LOST)
-            mq_hold_forget (hold, step->b);
+            mq_config_wait_drop_peer (hold, step->b);
           if (step->what != COMES)
-            mq_hold_release (hold, now_us, version, hand_on, &out);
-          else if (!mq_hold_take (hold, now_us, version, step->b, &message))
+            mq_config_wait_release (hold, now_us, version, hand_on, &out);
+          else if (!mq_config_wait_add (hold, now_us, version, step->b,
+                                        &message))
             hand_on (step->b, &message, &out);
           cr_expect_str_eq (out, step->expect, "%s", cases[i].story);
         }
-      cr_expect_eq (mq_hold_next (hold), UINT64_MAX, "%s", cases[i].story);
+      cr_expect_eq (mq_config_wait_next (hold), UINT64_MAX, "%s",
+                    cases[i].story);
       talloc_free (hold);
     }
 }
@@ -114,12 +116,12 @@
    on at once.  */
 Test (hold, bounded)
 {
-  struct mq_hold *hold = mq_hold_create (NULL);
+  struct mq_config_wait *hold = mq_config_wait_create (NULL);
   struct mq_message message
       = { .type = MQ_MSG_FORWARD_CLOSE, .config_version = 2 };
 
   for (uint32_t i = 0; i < MQ_HOLD_MAX; i++)
-    cr_assert (mq_hold_take (hold, 0, 1, 1, &message));
-  cr_expect (!mq_hold_take (hold, 0, 1, 1, &message));
+    cr_assert (mq_config_wait_add (hold, 0, 1, 1, &message));
+  cr_expect (!mq_config_wait_add (hold, 0, 1, 1, &message));
   talloc_free (hold);
 }
