--- a/src/entry/api.c
+++ b/src/entry/api.c
@@ -1,8 +1,8 @@
-/* api.c - callers' and operators' HTTP on an entry host.
+/* api.c - HTTP API of an entry host, for callers and operators.
 
-   One exchange for each caller's HTTP request, in a table of slots; its
-   handle at the front carries the slot and a serial number, so that an
-   event for an earlier exchange of the slot is told apart.
+   Each HTTP request of a caller is an exchange in a table of slots.  Its
+   handle at the front combines the slot with a serial number, so that late
+   events for an earlier exchange in the same slot are recognised.
    Needs: api_state.h, id.h, limits.h, gnutls.  */
 
 #include "api.h"
@@ -26,7 +26,7 @@
 
 static const char json_type[] = "application/json";
 
-/* Plain answers.  */
+/* Responses without the front.  */
 
 void
 mq_api_send_refusal (struct mq_api *api, struct mq_http_request *http,
@@ -48,7 +48,7 @@
   talloc_free (json);
 }
 
-/* A refusal by this process, which has asked nobody yet.  */
+/* Refuses a request that was not sent to the front.  */
 static void
 refuse (struct mq_api *api, struct mq_http_request *http,
         enum mq_error_type type, const char *subject, uint32_t retry_after_ms)
@@ -125,7 +125,7 @@
   return exchange;
 }
 
-/* The HTTP request has ended: answered, or its caller is gone.  */
+/* The response was completed or the caller disconnected.  */
 static void
 exchange_closed (struct mq_http_request *http, void *data)
 {
@@ -144,10 +144,10 @@
   talloc_free (exchange);
 }
 
-/* Asking the front.  */
+/* Requests to the front.  */
 
 static const struct mq_organisation *
-caller_of (const struct mq_api *api, struct mq_http_request *http)
+find_organisation (const struct mq_api *api, struct mq_http_request *http)
 {
   uint8_t hash[MQ_KEY_BYTES];
 
@@ -156,9 +156,9 @@
   return mq_text_find_key (api->text, hash);
 }
 
-/* The caller's trace context, or a new one.  */
+/* Returns the caller's trace context, or a new one if it sent none.  */
 static const char *
-trace_of (TALLOC_CTX *ctx, struct mq_http_request *http)
+get_traceparent (TALLOC_CTX *ctx, struct mq_http_request *http)
 {
   const char *header = mq_http_header (http, "traceparent");
   uint8_t random[TRACE_BYTES];
@@ -185,7 +185,7 @@
       = mq_id_partition (request->program, api->text->partitions);
 
   exchange->asked = true;
-  /* The answer may come from within; EXCHANGE may be gone afterwards.  */
+  /* The callback may respond and free EXCHANGE before it returns.  */
   api->callbacks.request (exchange->handle, partition, exchange->plan->wait_ms,
                           request, api->callbacks.user);
 }
@@ -214,10 +214,10 @@
   api->callbacks.span (&span, api->callbacks.user);
 }
 
-/* The plan outlives the request's headers and the text it was made from:
-   its second request is sent later.  */
+/* Copies the plan: its second request is sent after the request's headers
+   and the configuration that it refers to may have been freed.  */
 static void
-keep_plan (struct mq_exchange *exchange, const struct mq_api_plan *plan)
+copy_plan (struct mq_exchange *exchange, const struct mq_api_plan *plan)
 {
   exchange->plan = mq_must (talloc_zero (exchange, struct mq_api_plan));
   *exchange->plan = *plan;
@@ -235,7 +235,8 @@
   mq_http_set_header (exchange->http, "Mimosa-Program", text);
 }
 
-/* A key of this one request, unique among all runs of all processes.  */
+/* Generates an idempotency key that is unique across processes and
+   restarts.  */
 static char *
 make_key (TALLOC_CTX *ctx, const struct mq_exchange *exchange)
 {
@@ -261,7 +262,7 @@
   ask->organisation = caller->name;
   ask->key = mq_http_header (http, "Idempotency-Key");
   ask->generated_key = make_key (ctx, exchange);
-  ask->traceparent = trace_of (ctx, http);
+  ask->traceparent = get_traceparent (ctx, http);
   ask->accept = mq_http_header (http, "Accept");
   ask->program = mq_http_header (http, "Mimosa-Program");
   ask->service = mq_http_header (http, "Mimosa-Service");
@@ -288,7 +289,7 @@
       talloc_free (ctx);
       return;
     }
-  keep_plan (exchange, plan);
+  copy_plan (exchange, plan);
   talloc_free (ctx);
   name_program (exchange);
   mq_exchange_send (exchange, &exchange->plan->first);
@@ -310,7 +311,7 @@
       refuse (api, http, MQ_ERR_NOT_READY, "", MQ_FRONT_RETRY_MAX_MS);
       return;
     }
-  caller = caller_of (api, http);
+  caller = find_organisation (api, http);
   if (caller == NULL)
     {
       api->counters.unauthorised++;
@@ -410,7 +411,7 @@
     serve_caller (api, http);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 struct mq_api *
 mq_api_create (TALLOC_CTX *ctx, struct tevent_context *ev,
@@ -434,7 +435,8 @@
   return api;
 }
 
-/* The server goes first: it reports each request in progress as closed.  */
+/* Destroys the server first, which reports each request in progress as
+   closed.  */
 void
 mq_api_destroy (struct mq_api *api)
 {
--- a/src/entry/api.h
+++ b/src/entry/api.h
@@ -1,8 +1,8 @@
-/* api.h - callers' and operators' HTTP on an entry host.
+/* api.h - HTTP API of an entry host, for callers and operators.
 
-   Turns HTTP requests into requests for the front (front.h) and the events
-   of their answers into JSON or server-sent events.  docs/API.md is the
-   reference.  Decides nothing about programs.
+   Translates HTTP requests into requests to the front (front.h), and the
+   front's events into JSON responses or server-sent events.  Holds no
+   program state.  docs/API.md is the reference.
    Needs: http_server.h, text.h, message.h, jansson, gnutls.  */
 
 #ifndef MQ_API_H
@@ -16,17 +16,18 @@
 struct mq_api;
 
 /**
- * struct mq_api_callbacks - what the daemon does for the API
- * @request: a caller's request; its events come back by mq_api_event with
- *           the same handle; given up after @wait_ms
- * @gone: the caller of @handle went away or has all it wanted
- * @drain: the operator asks for a planned stop
- * @metrics: Prometheus text below CTX
- * @status: JSON object text below CTX
- * @spans: JSON array text of PROGRAM's hops below CTX
- * @span: the hop between a caller's request and its answer has ended
- * @ready: a configuration and a map of owners are there
- * @now_us: the daemon's monotonic clock
+ * struct mq_api_callbacks - functions that the daemon provides to the API
+ * @request: sends a caller's request to the front; its events are returned
+ *           through mq_api_event with the same handle; times out after
+ *           wait_ms
+ * @gone: the caller of handle disconnected or needs no further events
+ * @drain: an operator requested a graceful shutdown
+ * @metrics: returns metrics in Prometheus text format, owned by ctx
+ * @status: returns the text of a JSON object, owned by ctx
+ * @spans: returns the text of a JSON array of program's spans, owned by ctx
+ * @span: records the span between a caller's request and its response
+ * @ready: true once a configuration and a map of partition owners are loaded
+ * @now_us: monotonic clock
  *
  * mq_api_event may be called from within @request.
  */
@@ -46,10 +47,10 @@
 };
 
 /**
- * struct mq_api_options - fixed for the life of a process
- * @http: where to listen and within which bounds
- * @boot: random id of this run; goes into generated idempotency keys
- * @operator_key_hash: SHA-256 of the key that operators send
+ * struct mq_api_options - settings that stay fixed while the process runs
+ * @http: listening address and limits
+ * @boot: random id of this process; part of generated idempotency keys
+ * @operator_key_hash: SHA-256 of the operators' API key
  */
 struct mq_api_options
 {
@@ -64,20 +65,20 @@
                               struct mq_error *error);
 void mq_api_destroy (struct mq_api *api);
 uint16_t mq_api_port (const struct mq_api *api);
-/* TEXT is borrowed until the next call; before the first one every caller
-   is refused with NOT_READY.  */
+/* Sets the configuration.  TEXT is borrowed until the next call.  Before the
+   first call, requests of callers are refused with NOT_READY.  */
 void mq_api_set_text (struct mq_api *api, const struct mq_text *text);
-/* One event of an answer, from the front.  */
+/* Handles an event from the front.  */
 void mq_api_event (struct mq_api *api, const struct mq_event_msg *event);
-/* From now on new callers are refused with LEAVING; operators are served,
-   and answers in progress go on.  */
+/* Refuses new requests of callers with LEAVING.  Requests in progress and
+   operators are still served.  */
 void mq_api_drain (struct mq_api *api);
 /* Closes the listening socket.  */
 void mq_api_stop_accepting (struct mq_api *api);
-/* HTTP requests that are not answered whole.  */
+/* Number of HTTP requests whose response is incomplete.  */
 size_t mq_api_in_progress (const struct mq_api *api);
 
-/* Counters, one name each, read by the daemon.  */
+/* Counters: name and help text.  */
 #define MQ_API_COUNTER_LIST(X)                                                \
   X (requests, "HTTP requests taken")                                         \
   X (refused, "HTTP requests answered with a typed refusal")                  \
@@ -95,7 +96,8 @@
 };
 
 const struct mq_api_counters *mq_api_read_counters (const struct mq_api *api);
-/* Latency of the programs whose callers waited here; see docs/MEASURES.md. */
+/* Latency of programs whose callers waited for the result on this host; see
+   docs/MEASURES.md.  */
 const struct mq_latency *mq_api_latency (const struct mq_api *api);
 
 #endif
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -1,4 +1,4 @@
-/* api_event.c - the front's events as answers to callers.
+/* api_event.c - turns the front's events into HTTP responses.
 
    Needs: api_state.h.  */
 
@@ -21,8 +21,8 @@
   mq_http_stream_begin (exchange->http, 200, event_type);
 }
 
-/* False when the caller was given up; the end of its exchange is told later.
-   TEXT is freed.  */
+/* Writes TEXT to the stream and frees it.  Returns false if the stream was
+   aborted; exchange_closed is called later.  */
 static bool
 write_stream (struct mq_exchange *exchange, char *text)
 {
@@ -31,8 +31,8 @@
   begin_stream (exchange);
   written = mq_http_stream_write (exchange->http, text, strlen (text));
   talloc_free (text);
-  /* More events may come before the connection is told to be closed; the
-     reader still counts as one.  */
+  /* More events may arrive before the connection is reported as closed; the
+     slow reader is counted once.  */
   if (!written && !exchange->cut_off)
     {
       exchange->cut_off = true;
@@ -79,10 +79,10 @@
     finish_stream (exchange, mq_api_sse (api, event, refusal.program));
 }
 
-/* Who cancels a program hears that it ended so: that is no failure.  */
+/* Cancellation is a success for the caller that requested it.  */
 static bool
-is_wanted (const struct mq_exchange *exchange,
-           const struct mq_event_msg *event)
+is_requested_cancel (const struct mq_exchange *exchange,
+                     const struct mq_event_msg *event)
 {
   return exchange->plan->first.type == MQ_REQUEST_CANCEL
          && event->error == MQ_ERR_CANCELLED;
@@ -93,7 +93,7 @@
 {
   exchange->asked = false;
   mq_exchange_record_span (exchange, event->error);
-  if (is_wanted (exchange, event))
+  if (is_requested_cancel (exchange, event))
     mq_respond_text (exchange->http, 200, json_type,
                      mq_api_program_json (
                          exchange, exchange->plan->first.program, "ended"));
@@ -104,9 +104,10 @@
     }
 }
 
-/* The final answer is not in the form that was asked for.  */
+/* Refuses with BAD_ANSWER: the result cannot be converted to the requested
+   format.  */
 static void
-answer_unusable (struct mq_exchange *exchange)
+refuse_bad_answer (struct mq_exchange *exchange)
 {
   struct mq_event_msg event = { .type = MQ_EVENT_REFUSED };
 
@@ -131,14 +132,14 @@
                                  program, time (NULL));
 
   if (json == NULL)
-    answer_unusable (exchange);
+    refuse_bad_answer (exchange);
   else
     mq_respond_text (exchange->http, 200, json_type, json);
 }
 
-/* The stream ends well only when what the caller holds is the beginning of
-   the final answer; the rest of it goes out in one piece.  After a reset
-   the text may have changed: then the stream ends without [DONE].  */
+/* Sends the rest of the final text and [DONE] if the text sent so far is a
+   prefix of it.  After a reset the text may differ; the stream then ends
+   without [DONE].  */
 static void
 end_chat_stream (struct mq_exchange *exchange, const char *final)
 {
@@ -150,7 +151,7 @@
 
   if (strncmp (content, exchange->streamed, held) != 0)
     {
-      answer_unusable (exchange);
+      refuse_bad_answer (exchange);
       return;
     }
   if (content[held] != '\0'
@@ -190,7 +191,7 @@
     }
 }
 
-/* The program that the second request belongs to is durable.  */
+/* Sends the second request; the program that it belongs to is durable.  */
 static void
 start_second (struct mq_exchange *exchange)
 {
@@ -199,7 +200,7 @@
   mq_exchange_send (exchange, &exchange->plan->second);
 }
 
-/* The id is all that the caller waits for.  */
+/* Responds with the id of a durable program.  */
 static void
 answer_accepted (struct mq_exchange *exchange)
 {
@@ -248,7 +249,7 @@
                                              time (NULL)));
 }
 
-/* TOKEN, STEP and RESET.  */
+/* Handles TOKEN, STEP and RESET events.  */
 static void
 handle_progress (struct mq_exchange *exchange,
                  const struct mq_event_msg *event)
@@ -273,8 +274,8 @@
     }
 }
 
-/* Events of the first of two requests: once the program is durable the
-   second one follows.  */
+/* Handles an event of the first of two requests; sends the second one when
+   the program is durable.  */
 static bool
 handle_first (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
--- a/src/entry/api_latency.c
+++ b/src/entry/api_latency.c
@@ -1,12 +1,12 @@
-/* api_latency.c - program latency, by what the API's exchanges show.
+/* api_latency.c - latency of programs, as observed by the API.
 
    Needs: api_state.h, latency.h, id.h.  */
 
 #include "core/id.h"
 #include "api_state.h"
 
-/* A program whose caller waits for its answer: one that is opened and left,
-   created, or looked at again is not.  */
+/* Whether the caller waits for the program's result.  False for requests
+   that only create or read a program, or respond before it ends.  */
 static bool
 is_measured (const struct mq_exchange *exchange)
 {
@@ -18,8 +18,8 @@
          || plan->first.type == MQ_REQUEST_TURN;
 }
 
-/* The series that the exchange counts in.  A turn names no service, its
-   answer does: BODY, which may be NULL.  */
+/* Returns the latency series of the exchange.  The request of a turn names no
+   service; it is read from the response BODY, which may be NULL.  */
 static struct mq_latency_series *
 find_series (const struct mq_exchange *exchange, const char *body)
 {
--- a/src/entry/api_plan.h
+++ b/src/entry/api_plan.h
@@ -1,7 +1,7 @@
-/* api_plan.h - a caller's HTTP request as requests for the front.
+/* api_plan.h - translates a caller's HTTP request into requests to the front.
 
-   Checks and bounds every part of it.  Knows no sockets: the HTTP request
-   comes in as plain values.
+   Validates every part of the request.  Does no I/O: the HTTP request is
+   passed as plain values.
    Needs: text.h, message.h, id.h, jansson.  */
 
 #ifndef MQ_API_PLAN_H
@@ -10,13 +10,13 @@
 #include "core/message.h"
 #include "core/text/text.h"
 
-/* How the answer is given.  */
+/* Format of the HTTP response.  */
 enum mq_api_response_format
 {
-  MQ_API_JSON,       /* one JSON answer when FINAL comes */
+  MQ_API_JSON,       /* one JSON body, sent on the FINAL event */
   MQ_API_STREAM,     /* server-sent events */
-  MQ_API_ACCEPT,     /* 202 with the program's id once it is durable */
-  MQ_API_CREATE,     /* 201 with the program's id once it is durable */
+  MQ_API_ACCEPT,     /* 202 with the program's id, once durable */
+  MQ_API_CREATE,     /* 201 with the program's id, once durable */
   MQ_API_CHAT,       /* OpenAI's chat.completion */
   MQ_API_CHAT_STREAM /* OpenAI's chat.completion.chunk events */
 };
@@ -24,20 +24,20 @@
 /**
  * struct mq_api_http_input - a caller's HTTP request
  * @method: "GET", "POST", …
- * @path: without the query
- * @body: zero-terminated
- * @len: its length
- * @organisation: by the caller's key
- * @key: Idempotency-Key; NULL when absent
- * @generated_key: used where the caller sent none; unique to this request
- * @traceparent: checked or generated
- * @accept: Accept header; NULL when absent
- * @program: Mimosa-Program header; NULL when absent
- * @service: Mimosa-Service header; NULL when absent
- * @after: query parameter; NULL when absent
- * @wait: query parameter; NULL when absent
- * @cancel: query parameter; NULL when absent
- * @timeout_ms: query parameter; NULL when absent
+ * @path: without the query string
+ * @body: NUL-terminated
+ * @len: length of @body in bytes, without the NUL
+ * @organisation: the organisation that the caller's API key belongs to
+ * @key: Idempotency-Key header; NULL if absent
+ * @generated_key: idempotency key to use if @key is NULL; unique per request
+ * @traceparent: valid W3C traceparent, received or generated
+ * @accept: Accept header; NULL if absent
+ * @program: Mimosa-Program header; NULL if absent
+ * @service: Mimosa-Service header; NULL if absent
+ * @after: query parameter; NULL if absent
+ * @wait: query parameter; NULL if absent
+ * @cancel: query parameter; NULL if absent
+ * @timeout_ms: query parameter; NULL if absent
  */
 struct mq_api_http_input
 {
@@ -59,12 +59,10 @@
 };
 
 /**
- * struct mq_api_plan - what is asked of the front
- * @shape: how the answer is given
- * @first: the request
- * @has_second: @second follows once @first is durable
+ * struct mq_api_plan - requests to send to the front
+ * @has_second: send @second once @first is durable
  * @second: a step of the program that @first creates
- * @wait_ms: when the caller's wait is given up
+ * @wait_ms: timeout of the whole HTTP request
  */
 struct mq_api_plan
 {
@@ -75,12 +73,12 @@
   uint32_t wait_ms;
 };
 
-/* Plan below CTX; NULL with the failure in ERROR.  */
+/* Returns a plan owned by CTX, or NULL with ERROR set.  */
 struct mq_api_plan *mq_api_plan_create (TALLOC_CTX *ctx,
                                         const struct mq_text *text,
                                         const struct mq_api_http_input *ask,
                                         struct mq_error *error);
-/* True for a well-formed W3C traceparent.  */
+/* Whether TEXT is a well-formed W3C traceparent.  */
 bool mq_api_traceparent_valid (const char *text);
 
 #endif
--- a/src/entry/api_read.c
+++ b/src/entry/api_read.c
@@ -1,4 +1,4 @@
-/* api_read.c - checked reading of a caller's request.
+/* api_read.c - validating parser of callers' requests.
 
    Needs: api_read.h, id.h, limits.h, memory.h.  */
 
@@ -16,19 +16,19 @@
 };
 
 bool
-mq_api_fail (struct mq_api_parser *maker, enum mq_error_type type,
+mq_api_fail (struct mq_api_parser *parser, enum mq_error_type type,
              const char *subject, const char *allowed)
 {
-  mq_error_set (maker->error, type, subject, allowed);
+  mq_error_set (parser->error, type, subject, allowed);
   return false;
 }
 
-/* Checked reading of single values.  */
+/* Single values.  */
 
 bool
-mq_api_split_path (struct mq_api_parser *maker, struct mq_api_path *path)
+mq_api_split_path (struct mq_api_parser *parser, struct mq_api_path *path)
 {
-  char *rest = mq_text_copy (maker->ctx, maker->ask->path);
+  char *rest = mq_text_copy (parser->ctx, parser->ask->path);
   char *part;
 
   path->count = 0;
@@ -37,7 +37,7 @@
       if (part[0] == '\0')
         continue;
       if (path->count == MQ_API_SEGMENTS_MAX || strlen (part) >= MQ_NAME_MAX)
-        return mq_api_fail (maker, MQ_ERR_NOT_FOUND, maker->ask->path, "");
+        return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->ask->path, "");
       path->parts[path->count++] = part;
     }
   return true;
@@ -51,7 +51,7 @@
 }
 
 bool
-mq_api_read_decimal (struct mq_api_parser *maker, const char *name,
+mq_api_read_decimal (struct mq_api_parser *parser, const char *name,
                      const char *text, uint32_t *number)
 {
   char *end = NULL;
@@ -60,20 +60,20 @@
   if (text == NULL)
     return true;
   if (text[0] < '0' || text[0] > '9' || strlen (text) > DECIMAL_MAX)
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "a number from 0");
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "a number from 0");
   value = strtoull (text, &end, 10);
   if (*end != '\0' || value > UINT32_MAX)
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "a number from 0");
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "a number from 0");
   *number = (uint32_t)value;
   return true;
 }
 
 bool
-mq_api_read_id (struct mq_api_parser *maker, const char *text,
+mq_api_read_id (struct mq_api_parser *parser, const char *text,
                 struct mq_id *id)
 {
   if (!mq_id_parse (text, id))
-    return mq_api_fail (maker, MQ_ERR_NOT_FOUND, text,
+    return mq_api_fail (parser, MQ_ERR_NOT_FOUND, text,
                         "a program's id: 32 hexadecimal digits");
   return true;
 }
@@ -113,102 +113,103 @@
 /* JSON bodies.  */
 
 bool
-mq_api_read_body (struct mq_api_parser *maker)
+mq_api_read_body (struct mq_api_parser *parser)
 {
-  const struct mq_api_http_input *ask = maker->ask;
+  const struct mq_api_http_input *ask = parser->ask;
   json_error_t where;
 
-  maker->json = json_loadb (ask->len == 0 ? "{}" : ask->body,
-                            ask->len == 0 ? 2 : ask->len,
-                            JSON_REJECT_DUPLICATES, &where);
-  if (maker->json == NULL)
-    return mq_api_fail (maker, MQ_ERR_BAD_JSON, where.text, "one JSON object");
-  if (!json_is_object (maker->json))
-    return mq_api_fail (maker, MQ_ERR_BAD_JSON, "", "one JSON object");
+  parser->json = json_loadb (ask->len == 0 ? "{}" : ask->body,
+                             ask->len == 0 ? 2 : ask->len,
+                             JSON_REJECT_DUPLICATES, &where);
+  if (parser->json == NULL)
+    return mq_api_fail (parser, MQ_ERR_BAD_JSON, where.text,
+                        "one JSON object");
+  if (!json_is_object (parser->json))
+    return mq_api_fail (parser, MQ_ERR_BAD_JSON, "", "one JSON object");
   return true;
 }
 
 bool
-mq_api_check_members (struct mq_api_parser *maker, const char *const *names)
+mq_api_check_members (struct mq_api_parser *parser, const char *const *names)
 {
   const char *key;
   json_t *value;
 
-  json_object_foreach (maker->json, key, value)
+  json_object_foreach (parser->json, key, value)
   {
     size_t i = 0;
 
     while (names[i] != NULL && strcmp (names[i], key) != 0)
       i++;
     if (names[i] == NULL)
-      return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, key, "see docs/API.md");
+      return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, key, "see docs/API.md");
   }
   return true;
 }
 
 bool
-mq_api_read_text (struct mq_api_parser *maker, const char *name,
+mq_api_read_text (struct mq_api_parser *parser, const char *name,
                   const char **text)
 {
-  json_t *value = json_object_get (maker->json, name);
+  json_t *value = json_object_get (parser->json, name);
 
   if (value == NULL)
     return true;
   if (!json_is_string (value)
       || strlen (json_string_value (value)) != json_string_length (value))
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "a text");
-  *text = mq_text_copy (maker->ctx, json_string_value (value));
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "a text");
+  *text = mq_text_copy (parser->ctx, json_string_value (value));
   return true;
 }
 
 bool
-mq_api_read_name (struct mq_api_parser *maker, const char *name,
+mq_api_read_name (struct mq_api_parser *parser, const char *name,
                   const char **text)
 {
-  if (!mq_api_read_text (maker, name, text))
+  if (!mq_api_read_text (parser, name, text))
     return false;
   if (strlen (*text) >= MQ_NAME_MAX)
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "a name");
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "a name");
   return true;
 }
 
 bool
-mq_api_read_flag (struct mq_api_parser *maker, const char *name, bool *flag)
+mq_api_read_flag (struct mq_api_parser *parser, const char *name, bool *flag)
 {
-  json_t *value = json_object_get (maker->json, name);
+  json_t *value = json_object_get (parser->json, name);
 
   if (value == NULL)
     return true;
   if (!json_is_boolean (value))
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "true or false");
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "true or false");
   *flag = json_is_true (value);
   return true;
 }
 
 bool
-mq_api_read_number (struct mq_api_parser *maker, const char *name,
+mq_api_read_number (struct mq_api_parser *parser, const char *name,
                     uint32_t *number)
 {
-  json_t *value = json_object_get (maker->json, name);
+  json_t *value = json_object_get (parser->json, name);
 
   if (value == NULL || json_is_null (value))
     return true;
   if (!json_is_integer (value) || json_integer_value (value) < 0
       || json_integer_value (value) > UINT32_MAX)
-    return mq_api_fail (maker, MQ_ERR_BAD_REQUEST, name, "a number from 0");
+    return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, name, "a number from 0");
   *number = (uint32_t)json_integer_value (value);
   return true;
 }
 
 const char *
-mq_api_dump (struct mq_api_parser *maker, json_t *json)
+mq_api_dump (struct mq_api_parser *parser, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
   const char *copy;
 
   if (text == NULL)
     abort ();
-  copy = mq_text_copy (maker->ctx, text);
+  copy = mq_text_copy (parser->ctx, text);
   free (text);
   return copy;
 }
--- a/src/entry/api_read.h
+++ b/src/entry/api_read.h
@@ -1,7 +1,7 @@
-/* api_read.h - checked reading of a caller's request; for api_plan.c.
+/* api_read.h - validating parser of callers' requests; for api_plan.c.
 
-   The bytes come from outside: a part that is malformed, unknown or over its
-   bound fails the whole request, with the failure in the maker's error.
+   The input is untrusted.  A part that is malformed, unknown or over its
+   limit fails the whole request and sets the parser's error.
    Needs: api_plan.h, jansson.  */
 
 #ifndef MQ_API_READ_H
@@ -15,7 +15,7 @@
   MQ_API_SEGMENTS_MAX = 5
 };
 
-/* Parts of a path between slashes.  */
+/* Segments of a URL path.  */
 struct mq_api_path
 {
   char *parts[MQ_API_SEGMENTS_MAX];
@@ -23,12 +23,11 @@
 };
 
 /**
- * struct mq_api_parser - what one plan is made from
- * @ctx: owner of the texts that are read
- * @text: the configuration in force
- * @ask: the request
- * @plan: the plan
- * @json: the request's body, once it was read
+ * struct mq_api_parser - state of parsing one request
+ * @ctx: owner of the strings that are read
+ * @text: the active configuration
+ * @plan: the result
+ * @json: the parsed body; NULL until mq_api_read_body
  * @error: set by the first part that fails
  */
 struct mq_api_parser
@@ -41,37 +40,40 @@
   struct mq_error *error;
 };
 
-/* Sets the error; always false.  */
-bool mq_api_fail (struct mq_api_parser *maker, enum mq_error_type type,
+/* Sets the parser's error and returns false.  */
+bool mq_api_fail (struct mq_api_parser *parser, enum mq_error_type type,
                   const char *subject, const char *allowed);
-bool mq_api_split_path (struct mq_api_parser *maker, struct mq_api_path *path);
+bool mq_api_split_path (struct mq_api_parser *parser,
+                        struct mq_api_path *path);
 bool mq_api_segment_is (const struct mq_api_path *path, size_t place,
                         const char *name);
-/* *NUMBER stays as it is when TEXT, a query parameter, is NULL.  */
-bool mq_api_read_decimal (struct mq_api_parser *maker, const char *name,
+/* Parses the query parameter TEXT.  Leaves *NUMBER unchanged if TEXT is
+   NULL.  */
+bool mq_api_read_decimal (struct mq_api_parser *parser, const char *name,
                           const char *text, uint32_t *number);
-bool mq_api_read_id (struct mq_api_parser *maker, const char *text,
+bool mq_api_read_id (struct mq_api_parser *parser, const char *text,
                      struct mq_id *id);
-/* Of an Idempotency-Key.  */
+/* Whether KEY is a valid value of the Idempotency-Key header.  */
 bool mq_api_key_valid (const char *key);
 
-/* The body must be one JSON object; an empty one stands for {}.  */
-bool mq_api_read_body (struct mq_api_parser *maker);
-/* Refuses members that are not among NAMES: a misspelt option would
-   otherwise be left out without a word.  */
-bool mq_api_check_members (struct mq_api_parser *maker,
+/* Parses the body, which must be one JSON object; an empty body is read as
+   {}.  */
+bool mq_api_read_body (struct mq_api_parser *parser);
+/* Fails if the body has a member not listed in NAMES, so that a misspelt
+   option is not silently ignored.  */
+bool mq_api_check_members (struct mq_api_parser *parser,
                            const char *const *names);
-/* Each reads a member of the body and leaves the value as it is when the
+/* Each reads one member of the body and leaves the value unchanged if the
    member is absent.  */
-bool mq_api_read_text (struct mq_api_parser *maker, const char *name,
+bool mq_api_read_text (struct mq_api_parser *parser, const char *name,
                        const char **text);
-bool mq_api_read_name (struct mq_api_parser *maker, const char *name,
+bool mq_api_read_name (struct mq_api_parser *parser, const char *name,
                        const char **text);
-bool mq_api_read_flag (struct mq_api_parser *maker, const char *name,
+bool mq_api_read_flag (struct mq_api_parser *parser, const char *name,
                        bool *flag);
-bool mq_api_read_number (struct mq_api_parser *maker, const char *name,
+bool mq_api_read_number (struct mq_api_parser *parser, const char *name,
                          uint32_t *number);
-/* JSON as text below the maker's context.  */
-const char *mq_api_dump (struct mq_api_parser *maker, json_t *json);
+/* Serialises JSON to a string owned by the parser's context.  */
+const char *mq_api_dump (struct mq_api_parser *parser, json_t *json);
 
 #endif
--- a/src/entry/api_state.h
+++ b/src/entry/api_state.h
@@ -1,7 +1,7 @@
-/* api_state.h - what the parts of the API share; for src/entry only.
+/* api_state.h - internal state of the API; for src/entry only.
 
-   api.c takes requests and asks the front; api_event.c gives the front's
-   events to callers; api_latency.c measures what callers wait for.
+   api.c accepts HTTP requests and sends them to the front; api_event.c turns
+   the front's events into responses; api_latency.c records latency.
    Needs: api.h, api_answer.h, api_plan.h, operator_http.h.  */
 
 #ifndef MQ_API_STATE_H
@@ -13,18 +13,16 @@
 #include "daemon/operator_http.h"
 
 /**
- * struct mq_exchange - one caller's HTTP request until it has ended
- * @handle: its handle at the front, 0 when the slot is free
- * @slot: its place in the table
- * @http: the HTTP request
- * @plan: what is asked of the front
- * @asked: the front has a request of it
- * @second: the second request of the plan is under way
- * @streaming: the head of a streamed answer was sent
- * @cut_off: the stream was given up, as its reader was too slow
- * @streamed: OpenAI's stream: text given to the caller so far
- * @held: OpenAI's stream: tokens are held back after a reset
- * @start_us: when it came in
+ * struct mq_exchange - one HTTP request of a caller and its response
+ * @handle: handle at the front; 0 if the slot is free
+ * @slot: index in the table of exchanges
+ * @asked: a request is pending at the front
+ * @second: the plan's second request was sent
+ * @streaming: the head of a streamed response was sent
+ * @cut_off: the stream was aborted because the caller read too slowly
+ * @streamed: chat completion stream: text sent to the caller so far
+ * @held: chat completion stream: tokens are withheld after a reset
+ * @start_us: time of arrival, monotonic clock
  */
 struct mq_exchange
 {
@@ -59,25 +57,25 @@
   struct mq_latency *latency;
 };
 
-/* Answers with REFUSAL.  */
+/* Responds to HTTP with REFUSAL.  */
 void mq_api_send_refusal (struct mq_api *api, struct mq_http_request *http,
                           const struct mq_api_refusal *refusal);
 
-/* NULL when the exchange of HANDLE has ended.  */
+/* Returns NULL if the exchange of HANDLE has ended.  */
 struct mq_exchange *mq_exchange_find (const struct mq_api *api,
                                       uint64_t handle);
-/* A new handle: events for the one before find nothing any more.  */
+/* Assigns a new handle.  Later events for the previous handle are ignored. */
 void mq_exchange_renew_handle (struct mq_exchange *exchange);
 void mq_exchange_send (struct mq_exchange *exchange,
                        const struct mq_request_msg *request);
-/* What the front still has of the exchange is not wanted any more.  */
+/* Tells the front that the exchange needs no further events.  */
 void mq_exchange_abandon (struct mq_exchange *exchange);
-/* The hop between the caller's request and its answer has ended.  */
+/* Records the span between the caller's request and its response.  */
 void mq_exchange_record_span (const struct mq_exchange *exchange,
                               enum mq_error_type error);
 
-/* Each counts the end of a program that the caller waited for; BODY is that
-   of the answer.  */
+/* Each records the latency of a program whose result the caller waited for.
+   BODY is the body of the response.  */
 void mq_exchange_count_answered (const struct mq_exchange *exchange,
                                  const char *body);
 void mq_exchange_count_refused (const struct mq_exchange *exchange,
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,6 +1,6 @@
-/* entry.c - everything that runs on an entry host, in one event loop.
+/* entry.c - lifecycle and timers of an entry host's daemon.
 
-   Needs: entry_state.h and the modules that it joins.  */
+   Needs: entry_state.h and the modules that it connects.  */
 
 #include "entry.h"
 #include "core/limits.h"
@@ -23,7 +23,7 @@
   return a < b ? a : b;
 }
 
-/* Planned stop.  */
+/* Graceful shutdown.  */
 
 static bool
 is_idle (const struct mq_entry *entry)
@@ -44,10 +44,10 @@
   entry->done (entry->user);
 }
 
-/* The socket for callers closes when everything is handed over and answered;
-   a request that came in with the last moment is still refused in words.  */
+/* Closes the callers' listening socket only when the host is idle, so that
+   late requests receive an error response instead of a refused connection. */
 static void
-look_at_leaving (struct mq_entry *entry)
+check_drained (struct mq_entry *entry)
 {
   bool late = mq_clock_us () >= entry->leave_until_us;
 
@@ -79,9 +79,9 @@
   mq_entry_run_queue (entry);
 }
 
-/* Time.  */
+/* Timers.  */
 
-/* Without a configuration the owner has nothing to do.  */
+/* The owner has no timers before a configuration is loaded.  */
 static uint64_t
 owner_next_tick (const struct mq_entry *entry)
 {
@@ -123,14 +123,14 @@
   next = earlier (next, mq_front_next_tick (entry->front));
   next = earlier (next, mq_spread_next_tick (entry->spread));
   next = earlier (next, mq_config_wait_next (entry->hold));
-  /* What is in progress over HTTP ends without telling a core.  */
+  /* The end of an HTTP request triggers no input to a core, so the drain is
+     polled.  */
   if (entry->leaving && entry->stop == NULL)
     next = earlier (next,
                     mq_clock_us () + (uint64_t)MQ_ENTRY_LEAVE_MS * US_PER_MS);
   return next;
 }
 
-/* Carries out all that is queued, and what it leads to.  */
 void
 mq_entry_run_queue (struct mq_entry *entry)
 {
@@ -148,17 +148,17 @@
       mq_entry_update_config (entry);
     }
   entry->working = false;
-  look_at_leaving (entry);
-  /* A core whose next tick stays in the past would come with every turn of the
-     event loop: the process would run at full load for nothing.  */
+  check_drained (entry);
+  /* The minimum delay prevents a busy loop if a core's next tick stays in the
+     past.  */
   mq_tick_timer_set (&entry->tick, entry->ev, next_tick (entry), US_PER_MS,
                      on_timer, entry);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
-/* Address of a partition's owner as the front wants it: empty when it is
-   this process.  */
+/* Returns the address of a partition's owner: "" for this process, NULL if
+   unknown.  */
 static const char *
 owner_address (const void *data, uint32_t partition)
 {
@@ -271,8 +271,9 @@
   return entry;
 }
 
-/* HTTP goes first: closing its requests still tells the front.  WORKING
-   keeps the cores' last actions from being carried out.  */
+/* Destroys the API first, because closing its requests passes inputs to the
+   front.  Setting the working flag keeps the resulting actions from being
+   run.  */
 void
 mq_entry_destroy (struct mq_entry *entry)
 {
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,9 +1,9 @@
-/* entry.h - everything that runs on an entry host, in one event loop.
+/* entry.h - the daemon of an entry host, on one event loop.
 
-   Joins the cores (owner, front, spread) to HTTP, peers and the platform:
-   inputs go to the cores in the order in which they came, their actions are
-   carried out in the order in which they were given.  Decides nothing.
-   Needs: tevent, settings.h and what the modules that it joins need.  */
+   Connects the I/O-free cores (owner, front, spread) to HTTP, peers and the
+   platform.  Inputs are passed to the cores in order of arrival, and the
+   actions they return are run in the order in which they were returned.
+   Needs: tevent, settings.h and the requirements of the connected modules. */
 
 #ifndef MQ_ENTRY_H
 #define MQ_ENTRY_H
@@ -13,18 +13,18 @@
 
 struct mq_entry;
 
-/* DONE is called once after mq_entry_drain, when everything was handed over
-   or drain_seconds have passed.  */
+/* DONE is called once after mq_entry_drain, when all partitions were handed
+   over and all requests answered, or after drain_seconds.  */
 struct mq_entry *mq_entry_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                   const struct mq_settings *settings,
                                   void (*done) (void *user), void *user,
                                   struct mq_error *error);
-/* Cuts whatever is still in progress.  */
+/* Aborts requests in progress.  */
 void mq_entry_destroy (struct mq_entry *entry);
-/* Planned stop: partitions are handed over, new callers are refused, what
-   is in progress ends.  */
+/* Starts a graceful shutdown: hands partitions over, refuses new requests
+   and completes requests in progress.  */
 void mq_entry_drain (struct mq_entry *entry);
-/* "IP:PORT" as reached by callers, and by other hosts.  */
+/* "IP:PORT" at which callers and other hosts, respectively, connect.  */
 const char *mq_entry_http_address (const struct mq_entry *entry);
 const char *mq_entry_peer_address (const struct mq_entry *entry);
 
--- a/src/entry/entry_action.c
+++ b/src/entry/entry_action.c
@@ -1,4 +1,4 @@
-/* entry_action.c - what the cores of an entry host ask for.
+/* entry_action.c - runs the actions returned by the cores of an entry host.
 
    Needs: entry_state.h, log.h.  */
 
@@ -7,7 +7,7 @@
 #include "net/clock.h"
 #include <string.h>
 
-/* Inputs of the cores.  */
+/* Inputs to the cores.  */
 
 void
 mq_entry_dispatch_owner (struct mq_entry *entry, struct mq_owner_input *input)
@@ -34,10 +34,11 @@
                     mq_batch_add (entry, &entry->queue, MQ_FROM_SPREAD));
 }
 
-/* Carrying out actions.  */
+/* Actions.  */
 
-/* The front has to know that a request did not leave this host; whatever
-   else can't be sent is lost with the connection, which is reported.  */
+/* Reports a forwarded request that could not be sent to the front as not
+   run.  The loss of other messages is covered by the report that the
+   connection is down.  */
 static void
 send_peer (struct mq_entry *entry, uint32_t peer,
            const struct mq_message *message)
@@ -57,7 +58,7 @@
   mq_entry_dispatch_front (entry, &input);
 }
 
-/* A caller's request, or its end, for the owner in this process.  */
+/* Passes a caller's request, or its end, to the owner in this process.  */
 static void
 send_self (struct mq_entry *entry, const struct mq_message *message)
 {
@@ -79,8 +80,8 @@
 }
 
 static void
-carry_event (struct mq_entry *entry, enum mq_entry_origin origin,
-             const struct mq_action *action)
+run_event_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                  const struct mq_action *action)
 {
   struct mq_front_input input = { .type = MQ_FRONT_EVENT };
   struct mq_message message = { .type = MQ_MSG_FORWARD_EVENT };
@@ -117,7 +118,7 @@
       mq_platform_send (entry->platform, &action->u.store);
       break;
     case MQ_ACT_EVENT:
-      carry_event (entry, origin, action);
+      run_event_action (entry, origin, action);
       break;
     case MQ_ACT_SPAN:
       mq_spans_add (entry->spans, &action->u.span);
@@ -125,7 +126,7 @@
     case MQ_ACT_STATE:
       mq_log_state (&action->u.state);
       break;
-    /* Only a target host's core gives these.  */
+    /* Returned only by the core of a target host.  */
     case MQ_ACT_START:
     case MQ_ACT_STOP:
     case MQ_ACT_EVICT:
@@ -136,11 +137,10 @@
 
 /* Configuration.  */
 
-/* A text that does not parse was accepted by a newer version of mimosactl,
-   or was written to the table by hand.  This process goes on with the text
-   that it has, and says so.  */
+/* Applies the latest configuration.  One that does not parse, for example
+   written by a newer mimosactl, is logged and the active one stays.  */
 static void
-take_text (struct mq_entry *entry)
+apply_config (struct mq_entry *entry)
 {
   const char *source = mq_spread_text (entry->spread);
   struct mq_owner_input input = { .type = MQ_OWNER_TEXT };
@@ -174,6 +174,6 @@
     return;
   entry->seen_version = version;
   mq_peer_net_set_version (entry->net, version);
-  take_text (entry);
+  apply_config (entry);
   mq_entry_release_waiting (entry);
 }
--- a/src/entry/entry_input.c
+++ b/src/entry/entry_input.c
@@ -1,4 +1,4 @@
-/* entry_input.c - what comes in at an entry host.
+/* entry_input.c - passes events from the network to an entry host's cores.
 
    Needs: entry_state.h, entry_report.h.  */
 
@@ -53,8 +53,7 @@
 }
 
 static void
-tell_owner_of_peer (uint32_t peer, const struct mq_message *message,
-                    void *user)
+deliver_to_owner (uint32_t peer, const struct mq_message *message, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_owner_input input = { .peer = peer };
@@ -82,21 +81,22 @@
 mq_entry_release_waiting (struct mq_entry *entry)
 {
   mq_config_wait_release (entry->hold, mq_clock_us (),
-                          mq_spread_version (entry->spread),
-                          tell_owner_of_peer, entry);
+                          mq_spread_version (entry->spread), deliver_to_owner,
+                          entry);
 }
 
-/* A caller's request, or its end, from another entry host.  */
+/* Handles a caller's request, or its end, forwarded by another entry host. */
 static void
-take_forward (struct mq_entry *entry, uint32_t peer,
-              const struct mq_message *message)
+handle_forward (struct mq_entry *entry, uint32_t peer,
+                const struct mq_message *message)
 {
   if (!mq_config_wait_add (entry->hold, mq_clock_us (),
                            mq_spread_version (entry->spread), peer, message))
-    tell_owner_of_peer (peer, message, entry);
+    deliver_to_owner (peer, message, entry);
 }
 
-/* The configuration goes first: the lower side fetches before it acts.  */
+/* Passes each message to the spread core first, so that a newer configuration
+   is requested before the message is handled.  */
 static void
 on_message (uint32_t peer, const struct mq_message *message, void *user)
 {
@@ -114,7 +114,7 @@
       break;
     case MQ_MSG_FORWARD:
     case MQ_MSG_FORWARD_CLOSE:
-      take_forward (entry, peer, message);
+      handle_forward (entry, peer, message);
       break;
     case MQ_MSG_NONE:
     case MQ_MSG_CONFIG_HAVE:
@@ -122,7 +122,7 @@
     case MQ_MSG_CONFIG_TEXT:
       break;
     default:
-      tell_owner_of_peer (peer, message, entry);
+      deliver_to_owner (peer, message, entry);
       break;
     }
   mq_entry_run_queue (entry);
--- a/src/entry/entry_report.c
+++ b/src/entry/entry_report.c
@@ -1,4 +1,4 @@
-/* entry_report.c - what an entry host shows to operators.
+/* entry_report.c - metrics and status of an entry host.
 
    Needs: entry_report.h, latency_report.h, metrics.h, report.h,
    jansson.  */
@@ -94,7 +94,8 @@
   json_object_set_new (json, "owner", list);
 }
 
-/* Boot ids have 64 bits and JSON's integers 63: written as a text.  */
+/* Writes the boot id as a string: it has 64 bits, jansson's integers are
+   signed.  */
 static void
 set_boot (json_t *json, uint64_t boot)
 {
--- a/src/entry/entry_report.h
+++ b/src/entry/entry_report.h
@@ -1,4 +1,4 @@
-/* entry_report.h - what an entry host shows to operators.
+/* entry_report.h - metrics and status of an entry host.
 
    Needs: the modules whose counters and state it shows, jansson.  */
 
@@ -28,9 +28,10 @@
   const struct mq_platform *platform;
 };
 
-/* Prometheus text below CTX.  */
+/* Returns metrics in Prometheus text format, owned by CTX.  */
 char *mq_entry_metrics (TALLOC_CTX *ctx, const struct mq_entry_view *view);
-/* JSON object below CTX: this host's state, the owner's status merged in.  */
+/* Returns a JSON object as text, owned by CTX: this host's state merged with
+   the owner's status.  */
 char *mq_entry_status (TALLOC_CTX *ctx, const struct mq_entry_view *view);
 
 #endif
--- a/src/entry/entry_state.h
+++ b/src/entry/entry_state.h
@@ -1,9 +1,9 @@
-/* entry_state.h - what the parts of an entry host's process share; for
-   src/entry only.
+/* entry_state.h - internal state of an entry host's daemon; for src/entry
+   only.
 
-   entry.c holds its life and its time, entry_input.c what comes in,
-   entry_action.c what the cores ask for.
-   Needs: entry.h and the modules that it joins.  */
+   entry.c: lifecycle and timers.  entry_input.c: events from the network.
+   entry_action.c: actions returned by the cores.
+   Needs: entry.h and the modules that it connects.  */
 
 #ifndef MQ_ENTRY_STATE_H
 #define MQ_ENTRY_STATE_H
@@ -21,8 +21,8 @@
 #include "daemon/process.h"
 #include "log/spans.h"
 
-/* Whose actions a list holds: EVENT means the front to the owner, and the
-   caller to the front.  */
+/* The core that returned a list of actions.  An EVENT action of the owner
+   goes to the front, one of the front goes to the caller.  */
 enum mq_entry_origin
 {
   MQ_FROM_OWNER,
@@ -49,7 +49,7 @@
   struct mq_spread *spread;
   struct mq_config_wait *hold;
   struct mq_text *text;
-  uint64_t seen_version; /* of the last text that was looked at */
+  uint64_t seen_version; /* version of the last configuration processed */
   uint64_t texts_refused;
   struct mq_kept_hosts kept;
   struct mq_batch_queue queue;
@@ -61,7 +61,8 @@
   struct tevent_immediate *stop;
 };
 
-/* Each tells one core; the time goes in here.  */
+/* Each passes INPUT to one core with the current time, and queues the
+   resulting actions.  */
 void mq_entry_dispatch_owner (struct mq_entry *entry,
                               struct mq_owner_input *input);
 void mq_entry_dispatch_front (struct mq_entry *entry,
@@ -70,9 +71,10 @@
                                struct mq_spread_input *input);
 void mq_entry_run_action (struct mq_entry *entry, enum mq_entry_origin origin,
                           const struct mq_action *action);
-/* Takes a newer configuration into use.  */
+/* Applies the latest configuration if it is newer than the active one.  */
 void mq_entry_update_config (struct mq_entry *entry);
-/* Carries out all that is queued, and what it leads to.  */
+/* Runs queued actions until the queue is empty, including actions that they
+   add.  */
 void mq_entry_run_queue (struct mq_entry *entry);
 
 struct mq_peer_callbacks mq_entry_peer_callbacks (struct mq_entry *entry);
@@ -80,7 +82,7 @@
 void mq_entry_on_store_result (const struct mq_store_result *result,
                                void *user);
 void mq_entry_on_hosts (const struct mq_host_list *hosts, void *user);
-/* Hands on requests that waited for a configuration that is here now.  */
+/* Passes on requests whose configuration version has arrived.  */
 void mq_entry_release_waiting (struct mq_entry *entry);
 
 #endif
--- a/src/entry/hold.c
+++ b/src/entry/hold.c
@@ -1,4 +1,4 @@
-/* hold.c - requests that wait for the configuration they were sent under.
+/* hold.c - queue of forwarded requests that wait for a newer configuration.
 
    Needs: hold.h, action.h (copies of messages), limits.h.  */
 
@@ -22,7 +22,7 @@
 
 struct mq_config_wait
 {
-  struct held *first; /* in the order of their coming */
+  struct held *first; /* in order of arrival */
   struct held *last;
   size_t count;
 };
@@ -75,7 +75,7 @@
   return true;
 }
 
-/* Takes HELD, which follows BEFORE, out of the list.  */
+/* Unlinks HELD, whose predecessor is BEFORE.  */
 static void
 unlink_held (struct mq_config_wait *hold, struct held *before,
              struct held *held)
@@ -98,8 +98,7 @@
     {
       struct held *held = hold->first;
 
-      /* One by one from the front: those behind came later, and no peer's
-         message overtakes an earlier one of it.  */
+      /* Delivering from the head only preserves each peer's order.  */
       if (held->message.config_version > version && now_us < held->until_us)
         return;
       unlink_held (hold, NULL, held);
--- a/src/entry/hold.h
+++ b/src/entry/hold.h
@@ -1,13 +1,13 @@
-/* hold.h - requests that wait for the configuration they were sent under.
+/* hold.h - queue of forwarded requests that wait for a newer configuration.
 
-   A host that already holds version 8 forwards a request for a service that
-   is new in it; the receiver still holds version 7 and would refuse it as
-   not found.  So requests that show a higher version wait until it is in
-   force here, or a bound has passed, and are handed on in their order.
+   A forwarded request may name a service that exists only in the sender's
+   newer configuration, and would be refused as not found.  Requests sent
+   under a newer version are queued until that version is active here or a
+   timeout has passed, and are then delivered in order.
    Needs: message.h.  */
 
-#ifndef MQ_HOLD_H
-#define MQ_HOLD_H
+#ifndef MQ_CONFIG_WAIT_H
+#define MQ_CONFIG_WAIT_H
 
 #include "core/message.h"
 
@@ -18,19 +18,21 @@
                                      void *user);
 
 struct mq_config_wait *mq_config_wait_create (TALLOC_CTX *ctx);
-/* Keeps a copy of MESSAGE and is true when it has to wait: VERSION is lower
-   than its own, or an earlier one of PEER waits.  False when it can be
-   handed on at once, also when too many wait.  */
+/* Queues a copy of MESSAGE and returns true if VERSION, the active one, is
+   lower than the message's, or if an earlier message of PEER is queued.
+   Returns false if the message is to be delivered at once, which includes a
+   full queue.  */
 bool mq_config_wait_add (struct mq_config_wait *hold, uint64_t now_us,
                          uint64_t version, uint32_t peer,
                          const struct mq_message *message);
-/* Hands on, by OUT, what need not wait longer.  */
+/* Delivers, through OUT, the messages whose wait has ended.  */
 void mq_config_wait_release (struct mq_config_wait *hold, uint64_t now_us,
                              uint64_t version, mq_config_wait_deliver *out,
                              void *user);
-/* Forgets what PEER sent.  */
+/* Drops the queued messages of PEER.  */
 void mq_config_wait_drop_peer (struct mq_config_wait *hold, uint32_t peer);
-/* When mq_config_wait_release is due, UINT64_MAX when nothing waits.  */
+/* Time at which mq_config_wait_release is due, in microseconds; UINT64_MAX if
+   the queue is empty.  */
 uint64_t mq_config_wait_next (const struct mq_config_wait *hold);
 
 #endif
