--- a/src/daemon.c
+++ b/src/daemon.c
@@ -133,7 +133,7 @@
       mq_entry_drain (self->u.entry);
       break;
     case MQ_HOST_TARGET:
-      mq_target_stop (self->u.target);
+      mq_target_drain (self->u.target);
       break;
     }
 }
--- a/src/daemon/api_answer.c
+++ b/src/daemon/api_answer.c
@@ -169,7 +169,7 @@
 }
 
 char *
-mq_api_service_of (TALLOC_CTX *ctx, const char *body)
+mq_api_answer_service (TALLOC_CTX *ctx, const char *body)
 {
   json_t *json = parse_object (body);
   const char *service = json_string_value (json_object_get (json, "service"));
@@ -377,7 +377,7 @@
 }
 
 char *
-mq_api_chat_broken (TALLOC_CTX *ctx, const struct mq_api_refusal *refusal)
+mq_api_chat_error (TALLOC_CTX *ctx, const struct mq_api_refusal *refusal)
 {
   json_t *json = json_object ();
   char *data;
--- a/src/daemon/api_answer.h
+++ b/src/daemon/api_answer.h
@@ -39,14 +39,14 @@
                          struct mq_id program, int64_t created);
 char *mq_api_chat_end (TALLOC_CTX *ctx, const char *final, const char *model,
                        struct mq_id program, int64_t created);
-char *mq_api_chat_broken (TALLOC_CTX *ctx,
-                          const struct mq_api_refusal *refusal);
+char *mq_api_chat_error (TALLOC_CTX *ctx,
+                         const struct mq_api_refusal *refusal);
 /* {"program":HEX,"status":STATUS} below CTX.  */
 char *mq_api_program_json (TALLOC_CTX *ctx, struct mq_id program,
                            const char *status);
 
 /* Member "service" of an answer's JSON below CTX; empty when there is none.
    BODY may be NULL.  */
-char *mq_api_service_of (TALLOC_CTX *ctx, const char *body);
+char *mq_api_answer_service (TALLOC_CTX *ctx, const char *body);
 
 #endif
--- a/src/daemon/kept_hosts.c
+++ b/src/daemon/connected_hosts.c
@@ -2,7 +2,7 @@
 
    Needs: kept_hosts.h, memory.h.  */
 
-#include "kept_hosts.h"
+#include "connected_hosts.h"
 #include "core/memory.h"
 #include <string.h>
 
@@ -16,10 +16,10 @@
 }
 
 void
-mq_kept_hosts_update (TALLOC_CTX *ctx, struct mq_kept_hosts *kept,
-                      struct mq_peer_net *net,
-                      const struct mq_host_list *hosts, mq_host_wanted *wanted,
-                      const void *data)
+mq_connected_hosts_update (TALLOC_CTX *ctx, struct mq_connected_hosts *kept,
+                           struct mq_peer_net *net,
+                           const struct mq_host_list *hosts,
+                           mq_host_filter *wanted, const void *data)
 {
   char **addresses
       = mq_must (talloc_zero_array (ctx, char *, hosts->count + 1));
--- /dev/null
+++ b/src/daemon/connected_hosts.h
@@ -0,0 +1,28 @@
+/* kept_hosts.h - connections to the hosts of the platform's list.
+
+   Needs: host.h, peer.h.  */
+
+#ifndef MQ_CONNECTED_HOSTS_H
+#define MQ_CONNECTED_HOSTS_H
+
+#include "core/host.h"
+#include "net/peer.h"
+
+/* Addresses of hosts to which connections are kept.  */
+struct mq_connected_hosts
+{
+  char **addresses;
+  size_t count;
+};
+
+typedef bool mq_host_filter (const struct mq_host *host, const void *data);
+
+/* Keeps a connection to each host of the list that is WANTED, and releases
+   those to hosts that are no longer listed.  Addresses hang below CTX.  */
+void mq_connected_hosts_update (TALLOC_CTX *ctx,
+                                struct mq_connected_hosts *kept,
+                                struct mq_peer_net *net,
+                                const struct mq_host_list *hosts,
+                                mq_host_filter *wanted, const void *data);
+
+#endif
--- a/src/daemon/platform.c
+++ b/src/daemon/platform.c
@@ -27,7 +27,7 @@
   struct mq_http_call *call;
   uint32_t interval_ms;
   size_t hosts; /* in the last list */
-  mq_platform_listed *listed;
+  mq_platform_hosts_handler *listed;
   void *user;
 };
 
@@ -36,7 +36,7 @@
   struct tevent_context *ev;
   struct mq_http_client *client;
   const char *url;
-  mq_platform_stored *stored;
+  mq_platform_result_handler *stored;
   void *user;
   struct host_watch watch;
   struct mq_platform_counters counters;
@@ -301,7 +301,7 @@
 struct mq_platform *
 mq_platform_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                     struct mq_http_client *client, const char *url,
-                    mq_platform_stored *stored, void *user)
+                    mq_platform_result_handler *stored, void *user)
 {
   struct mq_platform *platform = talloc_zero (ctx, struct mq_platform);
 
@@ -374,7 +374,7 @@
 static void schedule_poll (struct mq_platform *platform, uint32_t after_ms);
 
 uint32_t
-mq_platform_poll_ms (uint32_t interval_ms, size_t hosts)
+mq_platform_poll_interval_ms (uint32_t interval_ms, size_t hosts)
 {
   uint64_t ms = (uint64_t)hosts * MQ_HOSTS_POLL_HOST_MS;
 
@@ -390,8 +390,9 @@
   const struct mq_host_list *hosts;
 
   platform->watch.call = NULL;
-  schedule_poll (platform, mq_platform_poll_ms (platform->watch.interval_ms,
-                                                platform->watch.hosts));
+  schedule_poll (platform,
+                 mq_platform_poll_interval_ms (platform->watch.interval_ms,
+                                               platform->watch.hosts));
   if (http->error != MQ_ERR_NONE || http->status != STATUS_OK)
     {
       platform->counters.failures++;
@@ -442,7 +443,7 @@
 
 void
 mq_platform_watch_hosts (struct mq_platform *platform, uint32_t interval_ms,
-                         mq_platform_listed *listed, void *user)
+                         mq_platform_hosts_handler *listed, void *user)
 {
   platform->watch.interval_ms = interval_ms;
   platform->watch.listed = listed;
--- a/src/daemon/platform.h
+++ b/src/daemon/platform.h
@@ -13,15 +13,16 @@
 
 struct mq_platform;
 
-typedef void mq_platform_stored (const struct mq_store_result *result,
-                                 void *user);
-typedef void mq_platform_listed (const struct mq_host_list *hosts, void *user);
+typedef void mq_platform_result_handler (const struct mq_store_result *result,
+                                         void *user);
+typedef void mq_platform_hosts_handler (const struct mq_host_list *hosts,
+                                        void *user);
 
 /* URL: "http://IP:PORT".  CLIENT must outlive the platform.  */
 struct mq_platform *
 mq_platform_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                     struct mq_http_client *client, const char *url,
-                    mq_platform_stored *stored, void *user);
+                    mq_platform_result_handler *stored, void *user);
 void mq_platform_destroy (struct mq_platform *platform);
 /* The result comes through STORED, never from within this call, and lives
    until STORED returns.  REQUEST is copied.  */
@@ -32,10 +33,10 @@
 /* Pause until the list is read again when it had HOSTS hosts: INTERVAL_MS,
    and longer where the list is long, since every process reads all of it;
    but no longer than a leaving host may get new work.  */
-uint32_t mq_platform_poll_ms (uint32_t interval_ms, size_t hosts);
+uint32_t mq_platform_poll_interval_ms (uint32_t interval_ms, size_t hosts);
 void mq_platform_watch_hosts (struct mq_platform *platform,
-                              uint32_t interval_ms, mq_platform_listed *listed,
-                              void *user);
+                              uint32_t interval_ms,
+                              mq_platform_hosts_handler *listed, void *user);
 
 /**
  * struct mq_platform_counters - what was asked and how it ended
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -15,7 +15,7 @@
 };
 
 char *
-mq_process_address (TALLOC_CTX *ctx, const char *address, uint16_t port)
+mq_process_replace_port (TALLOC_CTX *ctx, const char *address, uint16_t port)
 {
   const char *colon = strrchr (address, ':');
   int len = colon == NULL ? (int)strlen (address) : (int)(colon - address);
@@ -40,8 +40,8 @@
   memcpy (options.site_key, settings->site_key, MQ_KEY_BYTES);
   net = mq_peer_net_create (ctx, ev, &options, callbacks, error);
   if (net != NULL)
-    *address
-        = mq_process_address (ctx, settings->peer, mq_peer_net_port (net));
+    *address = mq_process_replace_port (ctx, settings->peer,
+                                        mq_peer_net_port (net));
   return net;
 }
 
--- a/src/daemon/process.h
+++ b/src/daemon/process.h
@@ -12,7 +12,8 @@
 #include <tevent.h>
 
 /* ADDRESS, "IP:PORT", with PORT in the place of its own, below CTX.  */
-char *mq_process_address (TALLOC_CTX *ctx, const char *address, uint16_t port);
+char *mq_process_replace_port (TALLOC_CTX *ctx, const char *address,
+                               uint16_t port);
 
 /* Connections to the other processes, as SETTINGS have them; *ADDRESS, below
    CTX, is where they reach this one.  NULL with ERROR when it can't listen. */
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -66,7 +66,7 @@
 }
 
 static const char *
-state_name (const struct mq_report_head *head)
+state_name (const struct mq_status_header *head)
 {
   if (head->leaving)
     return "leaving";
@@ -80,7 +80,7 @@
 }
 
 void
-mq_report_set_head (json_t *json, const struct mq_report_head *head)
+mq_status_set_header (json_t *json, const struct mq_status_header *head)
 {
   set_text (json, "host", head->settings->host);
   set_text (json, "role", head->role);
--- a/src/daemon/report.h
+++ b/src/daemon/report.h
@@ -17,14 +17,14 @@
                                  const struct mq_platform *platform);
 
 /**
- * struct mq_report_head - what a status begins with
+ * struct mq_status_header - what a status begins with
  * @settings: of the process
  * @role: "entry" or "target"
  * @ready: the process takes work
  * @leaving: it takes no new work any more
  * @version: configuration in force
  */
-struct mq_report_head
+struct mq_status_header
 {
   const struct mq_settings *settings;
   const char *role;
@@ -33,7 +33,7 @@
   uint64_t version;
 };
 
-void mq_report_set_head (json_t *json, const struct mq_report_head *head);
+void mq_status_set_header (json_t *json, const struct mq_status_header *head);
 /* JSON as text below CTX; JSON is freed.  */
 char *mq_report_text (TALLOC_CTX *ctx, json_t *json);
 
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -74,7 +74,7 @@
     }
   api->counters.refused++;
   if (exchange->plan->shape == MQ_API_CHAT_STREAM)
-    finish_stream (exchange, mq_api_chat_broken (api, &refusal));
+    finish_stream (exchange, mq_api_chat_error (api, &refusal));
   else
     finish_stream (exchange, mq_api_sse (api, event, refusal.program));
 }
--- a/src/entry/api_latency.c
+++ b/src/entry/api_latency.c
@@ -31,7 +31,7 @@
   if (request->type == MQ_REQUEST_OPEN)
     return mq_latency_find (latency, request->service,
                             !mq_id_is_zero (request->continues));
-  service = mq_api_service_of (latency, body);
+  service = mq_api_answer_service (latency, body);
   series = mq_latency_find (latency, service, true);
   talloc_free (service);
   return series;
--- a/src/entry/hold.c
+++ b/src/entry/config_wait.c
@@ -2,7 +2,7 @@
 
    Needs: hold.h, action.h (copies of messages), limits.h.  */
 
-#include "hold.h"
+#include "config_wait.h"
 #include "core/action.h"
 #include "core/limits.h"
 #include <stdlib.h>
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -196,8 +196,8 @@
   entry->api = mq_api_create (entry, entry->ev, &options, &callbacks, error);
   if (entry->api == NULL)
     return false;
-  entry->http_address
-      = mq_process_address (entry, settings->http, mq_api_port (entry->api));
+  entry->http_address = mq_process_replace_port (entry, settings->http,
+                                                 mq_api_port (entry->api));
   return true;
 }
 
--- a/src/entry/entry_input.c
+++ b/src/entry/entry_input.c
@@ -176,8 +176,8 @@
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
   struct mq_owner_input owner = { .type = MQ_OWNER_HOSTS };
 
-  mq_kept_hosts_update (entry, &entry->kept, entry->net, hosts, is_other_host,
-                        entry);
+  mq_connected_hosts_update (entry, &entry->kept, entry->net, hosts,
+                             is_other_host, entry);
   spread.u.hosts = hosts;
   mq_entry_dispatch_spread (entry, &spread);
   owner.u.hosts = hosts;
--- a/src/entry/entry_report.c
+++ b/src/entry/entry_report.c
@@ -117,13 +117,14 @@
 mq_entry_status (TALLOC_CTX *ctx, const struct mq_entry_view *view)
 {
   json_t *json = owner_value (ctx, view->owner);
-  struct mq_report_head head = { .settings = view->settings,
-                                 .role = "entry",
-                                 .ready = view->ready,
-                                 .leaving = view->leaving,
-                                 .version = mq_spread_version (view->spread) };
-
-  mq_report_set_head (json, &head);
+  struct mq_status_header head
+      = { .settings = view->settings,
+          .role = "entry",
+          .ready = view->ready,
+          .leaving = view->leaving,
+          .version = mq_spread_version (view->spread) };
+
+  mq_status_set_header (json, &head);
   json_object_set_new (json, "texts_refused",
                        json_integer ((json_int_t)view->texts_refused));
   set_boot (json, view->boot);
--- a/src/entry/entry_state.h
+++ b/src/entry/entry_state.h
@@ -14,8 +14,8 @@
 #include "api.h"
 #include "daemon/batch.h"
 #include "entry.h"
-#include "hold.h"
-#include "daemon/kept_hosts.h"
+#include "config_wait.h"
+#include "daemon/connected_hosts.h"
 #include "net/peer.h"
 #include "daemon/platform.h"
 #include "daemon/process.h"
@@ -51,7 +51,7 @@
   struct mq_text *text;
   uint64_t seen_version; /* version of the last configuration processed */
   uint64_t texts_refused;
-  struct mq_kept_hosts kept;
+  struct mq_connected_hosts kept;
   struct mq_batch_queue queue;
   bool working;
   struct mq_tick_timer tick;
--- a/src/target/target.c
+++ b/src/target/target.c
@@ -25,7 +25,7 @@
 /* Inputs of the cores.  */
 
 void
-mq_target_tell_gate (struct mq_target *target, struct mq_gate_input *input)
+mq_target_dispatch_gate (struct mq_target *target, struct mq_gate_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_gate_handle (target->gate, input,
@@ -33,7 +33,8 @@
 }
 
 void
-mq_target_tell_spread (struct mq_target *target, struct mq_spread_input *input)
+mq_target_dispatch_spread (struct mq_target *target,
+                           struct mq_spread_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_spread_handle (target->spread, input,
@@ -139,19 +140,19 @@
 }
 
 void
-mq_target_leave (struct mq_target *target)
+mq_target_refuse_new_calls (struct mq_target *target)
 {
   struct mq_gate_input input = { .type = MQ_GATE_LEAVE };
 
   if (target->leaving)
     return;
   target->leaving = true;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 void
-mq_target_stop (struct mq_target *target)
+mq_target_drain (struct mq_target *target)
 {
   if (target->stopping)
     return;
@@ -159,8 +160,8 @@
   target->stop_until_us
       = mq_clock_us ()
         + (uint64_t)target->settings->drain_seconds * US_PER_SECOND;
-  mq_target_leave (target);
-  mq_target_settle (target);
+  mq_target_refuse_new_calls (target);
+  mq_target_run_queue (target);
 }
 
 /* Time.  */
@@ -174,10 +175,10 @@
 
   target->tick.timer = NULL;
   if (mq_spread_next_tick (target->spread) <= mq_clock_us ())
-    mq_target_tell_spread (target, &spread);
+    mq_target_dispatch_spread (target, &spread);
   if (mq_gate_next_tick (target->gate) <= mq_clock_us ())
-    mq_target_tell_gate (target, &gate);
-  mq_target_settle (target);
+    mq_target_dispatch_gate (target, &gate);
+  mq_target_run_queue (target);
 }
 
 static uint64_t
@@ -195,7 +196,7 @@
 
 /* Carries out all that is queued, and what it leads to.  */
 void
-mq_target_settle (struct mq_target *target)
+mq_target_run_queue (struct mq_target *target)
 {
   struct mq_batch *batch;
 
@@ -252,9 +253,9 @@
   target->client = mq_http_client_create (target, target->ev, error);
   if (target->client == NULL)
     return false;
-  target->platform
-      = mq_platform_create (target, target->ev, target->client,
-                            settings->platform, mq_target_stored, target);
+  target->platform = mq_platform_create (target, target->ev, target->client,
+                                         settings->platform,
+                                         mq_target_on_store_result, target);
   if (target->platform != NULL)
     return true;
   mq_error_set (error, MQ_ERR_IO, settings->platform, "");
@@ -293,7 +294,7 @@
                                settings->operator_key_hash, &callbacks, error);
   if (target->http == NULL)
     return false;
-  target->http_address = mq_process_address (
+  target->http_address = mq_process_replace_port (
       target, settings->http, mq_target_http_port (target->http));
   return true;
 }
@@ -322,8 +323,8 @@
     }
   create_workers (target);
   mq_platform_watch_hosts (target->platform, MQ_HOSTS_POLL_MS,
-                           mq_target_listed, target);
-  mq_target_settle (target);
+                           mq_target_on_hosts, target);
+  mq_target_run_queue (target);
   return target;
 }
 
--- a/src/target/target.h
+++ b/src/target/target.h
@@ -14,7 +14,7 @@
 
 struct mq_target;
 
-/* DONE is called once after mq_target_stop, when nothing is left here or
+/* DONE is called once after mq_target_drain, when nothing is left here or
    drain_seconds have passed.  */
 struct mq_target *mq_target_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                     const struct mq_settings *settings,
@@ -24,7 +24,7 @@
 void mq_target_destroy (struct mq_target *target);
 /* Planned stop: new calls are refused, what runs ends, outcomes wait to be
    made durable.  */
-void mq_target_stop (struct mq_target *target);
+void mq_target_drain (struct mq_target *target);
 /* "IP:PORT" as reached by operators, and by other hosts.  */
 const char *mq_target_http_address (const struct mq_target *target);
 const char *mq_target_peer_address (const struct mq_target *target);
--- a/src/target/target_input.c
+++ b/src/target/target_input.c
@@ -15,10 +15,10 @@
   struct mq_spread_input spread = { .type = MQ_SPREAD_PEER_UP, .peer = peer };
   struct mq_gate_input gate = { .type = MQ_GATE_PEER_UP, .peer = peer };
 
-  mq_target_tell_spread (target, &spread);
+  mq_target_dispatch_spread (target, &spread);
   if (info->role == MQ_HOST_ENTRY)
-    mq_target_tell_gate (target, &gate);
-  mq_target_settle (target);
+    mq_target_dispatch_gate (target, &gate);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -30,9 +30,9 @@
   struct mq_gate_input gate = { .type = MQ_GATE_PEER_DOWN, .peer = peer };
 
   (void)why;
-  mq_target_tell_spread (target, &spread);
-  mq_target_tell_gate (target, &gate);
-  mq_target_settle (target);
+  mq_target_dispatch_spread (target, &spread);
+  mq_target_dispatch_gate (target, &gate);
+  mq_target_run_queue (target);
 }
 
 /* The configuration goes first: the lower side fetches before it acts.  */
@@ -44,10 +44,10 @@
   struct mq_gate_input gate = { .type = MQ_GATE_MESSAGE, .peer = peer };
 
   spread.u.message = message;
-  mq_target_tell_spread (target, &spread);
+  mq_target_dispatch_spread (target, &spread);
   gate.u.message = message;
-  mq_target_tell_gate (target, &gate);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &gate);
+  mq_target_run_queue (target);
 }
 
 struct mq_peer_callbacks
@@ -64,14 +64,14 @@
 /* The platform.  */
 
 void
-mq_target_stored (const struct mq_store_result *result, void *user)
+mq_target_on_store_result (const struct mq_store_result *result, void *user)
 {
   struct mq_target *target = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_STORE };
 
   spread.u.store = result;
-  mq_target_tell_spread (target, &spread);
-  mq_target_settle (target);
+  mq_target_dispatch_spread (target, &spread);
+  mq_target_run_queue (target);
 }
 
 /* Which hosts of a list this process connects to.  */
@@ -114,8 +114,8 @@
   struct wanted wanted = { .settings = target->settings };
 
   wanted.entry_here = has_entry_here (target, hosts);
-  mq_kept_hosts_update (target, &target->kept, target->net, hosts, is_wanted,
-                        &wanted);
+  mq_connected_hosts_update (target, &target->kept, target->net, hosts,
+                             is_wanted, &wanted);
 }
 
 /* The platform says that this host is to go: nothing new from now on; the
@@ -126,20 +126,20 @@
   for (size_t i = 0; i < hosts->count; i++)
     if (strcmp (hosts->items[i].name, target->settings->host) == 0
         && hosts->items[i].role == MQ_HOST_TARGET && hosts->items[i].leaving)
-      mq_target_leave (target);
+      mq_target_refuse_new_calls (target);
 }
 
 void
-mq_target_listed (const struct mq_host_list *hosts, void *user)
+mq_target_on_hosts (const struct mq_host_list *hosts, void *user)
 {
   struct mq_target *target = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
 
   keep_hosts (target, hosts);
   spread.u.hosts = hosts;
-  mq_target_tell_spread (target, &spread);
+  mq_target_dispatch_spread (target, &spread);
   look_at_own_entry (target, hosts);
-  mq_target_settle (target);
+  mq_target_run_queue (target);
 }
 
 /* Workers.  */
@@ -151,8 +151,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_TOKEN };
 
   input.u.token = *token;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -162,8 +162,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_DONE };
 
   input.u.done = *done;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -173,8 +173,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_EVICTED };
 
   input.u.evicted = *evicted;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -184,8 +184,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_CACHE };
 
   input.u.cache = *cache;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -196,8 +196,8 @@
       = { .type = MQ_GATE_ENGINE_UP, .engine_boot = boot };
 
   input.u.worker = worker;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -207,8 +207,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_ENGINE_DOWN };
 
   input.u.worker = worker;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 static void
@@ -218,8 +218,8 @@
   struct mq_gate_input input = { .type = MQ_GATE_ORDERED };
 
   input.u.ordered = *ordered;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 struct mq_worker_callbacks
@@ -297,7 +297,7 @@
 static void
 on_drain (void *user)
 {
-  mq_target_stop (user);
+  mq_target_drain (user);
 }
 
 struct mq_operator_callbacks
--- a/src/target/target_report.c
+++ b/src/target/target_report.c
@@ -59,15 +59,16 @@
 {
   char *gate = mq_gate_status (ctx, view->gate);
   json_t *json = json_loads (gate, 0, NULL);
-  struct mq_report_head head = { .settings = view->settings,
-                                 .role = "target",
-                                 .ready = view->ready,
-                                 .leaving = view->leaving,
-                                 .version = mq_spread_version (view->spread) };
+  struct mq_status_header head
+      = { .settings = view->settings,
+          .role = "target",
+          .ready = view->ready,
+          .leaving = view->leaving,
+          .version = mq_spread_version (view->spread) };
 
   if (json == NULL)
     abort ();
-  mq_report_set_head (json, &head);
+  mq_status_set_header (json, &head);
   talloc_free (gate);
   return mq_report_text (ctx, json);
 }
--- a/src/target/target_state.h
+++ b/src/target/target_state.h
@@ -11,7 +11,7 @@
 #include "core/gate/gate.h"
 #include "core/spread.h"
 #include "daemon/batch.h"
-#include "daemon/kept_hosts.h"
+#include "daemon/connected_hosts.h"
 #include "net/peer.h"
 #include "daemon/platform.h"
 #include "daemon/process.h"
@@ -38,7 +38,7 @@
   struct mq_spread *spread;
   struct mq_worker **workers;
   uint64_t seen_version;
-  struct mq_kept_hosts kept;
+  struct mq_connected_hosts kept;
   struct mq_batch_queue queue;
   bool working;
   struct mq_tick_timer tick;
@@ -51,21 +51,22 @@
 };
 
 /* Each tells one core; the time goes in here.  */
-void mq_target_tell_gate (struct mq_target *target,
-                          struct mq_gate_input *input);
-void mq_target_tell_spread (struct mq_target *target,
-                            struct mq_spread_input *input);
+void mq_target_dispatch_gate (struct mq_target *target,
+                              struct mq_gate_input *input);
+void mq_target_dispatch_spread (struct mq_target *target,
+                                struct mq_spread_input *input);
 /* Carries out all that is queued, and what it leads to.  */
-void mq_target_settle (struct mq_target *target);
+void mq_target_run_queue (struct mq_target *target);
 /* Takes nothing new from now on.  */
-void mq_target_leave (struct mq_target *target);
+void mq_target_refuse_new_calls (struct mq_target *target);
 
 struct mq_peer_callbacks mq_target_peer_callbacks (struct mq_target *target);
 struct mq_worker_callbacks
 mq_target_worker_callbacks (struct mq_target *target);
 struct mq_operator_callbacks
 mq_target_operator_callbacks (struct mq_target *target);
-void mq_target_stored (const struct mq_store_result *result, void *user);
-void mq_target_listed (const struct mq_host_list *hosts, void *user);
+void mq_target_on_store_result (const struct mq_store_result *result,
+                                void *user);
+void mq_target_on_hosts (const struct mq_host_list *hosts, void *user);
 
 #endif
--- a/src/target/worker.c
+++ b/src/target/worker.c
@@ -29,12 +29,12 @@
   (void)now;
   worker->poll_timer = NULL;
   worker->polling = true;
-  mq_control_send (mq_control_add (worker, MQ_CONTROL_POLL), "/v1/cache", NULL,
-                   MQ_WORKER_CONTROL_MS);
+  mq_control_send (mq_control_create (worker, MQ_CONTROL_POLL), "/v1/cache",
+                   NULL, MQ_WORKER_CONTROL_MS);
 }
 
 void
-mq_worker_poll_in (struct mq_worker *worker, uint32_t wait_ms)
+mq_worker_schedule_poll (struct mq_worker *worker, uint32_t wait_ms)
 {
   struct timeval at
       = tevent_timeval_current_ofs (wait_ms / 1000, wait_ms % 1000 * 1000);
@@ -47,10 +47,10 @@
 /* A call could not reach the engine, or its answer broke: whether the engine
    is down or was restarted is worth knowing before the next poll.  */
 void
-mq_worker_poll_soon (struct mq_worker *worker)
+mq_worker_poll_now (struct mq_worker *worker)
 {
   if (mq_worker_is_model (worker) && !worker->polling)
-    mq_worker_poll_in (worker, 0);
+    mq_worker_schedule_poll (worker, 0);
 }
 
 static void
@@ -86,20 +86,20 @@
 }
 
 void
-mq_worker_polled (struct mq_worker_control *control,
-                  const struct mq_http_result *result)
+mq_worker_on_cache_response (struct mq_worker_control *control,
+                             const struct mq_http_result *result)
 {
   struct mq_worker *worker = control->worker;
   TALLOC_CTX *answer = talloc_new (worker);
   struct mq_gate_cache cache = { 0 };
   uint64_t boot = 0;
-  bool known = mq_worker_ok (result)
+  bool known = mq_worker_response_ok (result)
                && mq_worker_read_cache (answer, result->body, result->len,
                                         &boot, &cache);
 
   talloc_free (control);
   worker->polling = false;
-  mq_worker_poll_in (worker, worker->options.cache_poll_ms);
+  mq_worker_schedule_poll (worker, worker->options.cache_poll_ms);
   if (known)
     tell_cache (worker, boot, &cache);
   else
@@ -131,7 +131,7 @@
     worker->options.cache_poll_ms = MQ_WORKER_CACHE_POLL_MS;
   worker->callbacks = *callbacks;
   if (mq_worker_is_model (worker))
-    mq_worker_poll_in (worker, 0);
+    mq_worker_schedule_poll (worker, 0);
   return worker;
 }
 
--- a/src/target/worker_call.c
+++ b/src/target/worker_call.c
@@ -116,7 +116,7 @@
 send_cancel (struct mq_worker_call *call)
 {
   struct mq_worker_control *control
-      = mq_control_add (call->worker, MQ_CONTROL_CANCEL);
+      = mq_control_create (call->worker, MQ_CONTROL_CANCEL);
 
   call->cancels++;
   control->u.call = call;
@@ -187,8 +187,8 @@
 }
 
 void
-mq_call_cancelled (struct mq_worker_control *control,
-                   const struct mq_http_result *result)
+mq_call_on_cancel_response (struct mq_worker_control *control,
+                            const struct mq_http_result *result)
 {
   struct mq_worker_call *call = control->u.call;
 
@@ -201,7 +201,7 @@
       cancel_later (call);
       return;
     }
-  if (mq_worker_ok (result))
+  if (mq_worker_response_ok (result))
     call->end.tokens_out
         = mq_worker_read_cancelled (result->body, result->len);
   end_settled (call);
@@ -283,7 +283,7 @@
 {
   enum mq_error_type error = result->error;
 
-  mq_worker_poll_soon (call->worker);
+  mq_worker_poll_now (call->worker);
   if (error != MQ_ERR_TIMEOUT && error != MQ_ERR_NO_MEMORY
       && error != MQ_ERR_BAD_REQUEST)
     error = MQ_ERR_TARGET_FAILED;
@@ -301,7 +301,7 @@
                                              : MQ_ERR_TARGET_FAILED,
            MQ_RAN_RAN);
   cancel_unheard (call);
-  mq_worker_poll_soon (call->worker);
+  mq_worker_poll_now (call->worker);
   tell_done (call);
 }
 
@@ -310,7 +310,7 @@
 {
   struct mq_worker_call *call = user;
   bool whole
-      = mq_worker_ok (result)
+      = mq_worker_response_ok (result)
         && mq_worker_stream_state (call->stream) == MQ_WORKER_STREAM_WHOLE;
 
   call->http = NULL;
--- a/src/target/worker_control.c
+++ b/src/target/worker_control.c
@@ -27,7 +27,7 @@
 }
 
 struct mq_worker_control *
-mq_control_add (struct mq_worker *worker, enum mq_control_type type)
+mq_control_create (struct mq_worker *worker, enum mq_control_type type)
 {
   struct mq_worker_control *control
       = mq_must (talloc_zero (worker, struct mq_worker_control));
@@ -57,7 +57,7 @@
 }
 
 void
-mq_control_skip (struct mq_worker_control *control, bool failed)
+mq_control_complete_later (struct mq_worker_control *control, bool failed)
 {
   control->failed = failed;
   control->later = mq_must (tevent_create_immediate (control));
@@ -85,14 +85,14 @@
 
   control->http = mq_http_client_send (worker->client, &send);
   if (control->http == NULL)
-    mq_control_skip (control, true);
+    mq_control_complete_later (control, true);
   free (text);
   talloc_free (url);
   json_decref (body);
 }
 
 bool
-mq_worker_ok (const struct mq_http_result *result)
+mq_worker_response_ok (const struct mq_http_result *result)
 {
   return result->error == MQ_ERR_NONE && result->status == 200;
 }
@@ -108,7 +108,7 @@
 
   evicted.worker = worker->options.index;
   evicted.program = control->u.program;
-  evicted.confirmed = mq_worker_ok (result);
+  evicted.confirmed = mq_worker_response_ok (result);
   if (evicted.confirmed)
     worker->counters.evictions++;
   else
@@ -123,7 +123,7 @@
 {
   if (!mq_worker_is_model (worker))
     return MQ_ERR_BAD_REQUEST;
-  if (mq_worker_ok (result))
+  if (mq_worker_response_ok (result))
     return MQ_ERR_NONE;
   if (result->error == MQ_ERR_NONE && result->status == 409)
     return MQ_ERR_STALE_FENCE;
@@ -160,10 +160,10 @@
       tell_ordered (control, result);
       break;
     case MQ_CONTROL_CANCEL:
-      mq_call_cancelled (control, result);
+      mq_call_on_cancel_response (control, result);
       break;
     case MQ_CONTROL_POLL:
-      mq_worker_polled (control, result);
+      mq_worker_on_cache_response (control, result);
       break;
     }
 }
@@ -174,7 +174,7 @@
 mq_worker_evict (struct mq_worker *worker, struct mq_id program)
 {
   struct mq_worker_control *control
-      = mq_control_add (worker, MQ_CONTROL_EVICT);
+      = mq_control_create (worker, MQ_CONTROL_EVICT);
   char text[MQ_ID_TEXT];
 
   control->u.program = program;
@@ -184,7 +184,7 @@
                      json_pack ("{s:s}", "program", text),
                      MQ_WORKER_CONTROL_MS);
   else
-    mq_control_skip (control, false);
+    mq_control_complete_later (control, false);
 }
 
 static const char *
@@ -208,12 +208,12 @@
 mq_worker_order (struct mq_worker *worker, const struct mq_order_msg *order)
 {
   struct mq_worker_control *control
-      = mq_control_add (worker, MQ_CONTROL_ORDER);
+      = mq_control_create (worker, MQ_CONTROL_ORDER);
 
   control->u.order = order->order;
   if (!mq_worker_is_model (worker))
     {
-      mq_control_skip (control, false);
+      mq_control_complete_later (control, false);
       return;
     }
   mq_control_send (control, "/v1/orders",
--- a/src/target/worker_state.h
+++ b/src/target/worker_state.h
@@ -93,27 +93,28 @@
 
 bool mq_worker_is_model (const struct mq_worker *worker);
 /* The answer is whole and its status 200.  */
-bool mq_worker_ok (const struct mq_http_result *result);
+bool mq_worker_response_ok (const struct mq_http_result *result);
 
 /* New request to the worker; it is freed when it has ended.  */
-struct mq_worker_control *mq_control_add (struct mq_worker *worker,
-                                          enum mq_control_type type);
+struct mq_worker_control *mq_control_create (struct mq_worker *worker,
+                                             enum mq_control_type type);
 /* Sends BODY, which it takes over, to PATH; a GET when BODY is NULL.  */
 void mq_control_send (struct mq_worker_control *control, const char *path,
                       json_t *body, uint32_t timeout_ms);
 /* Ends CONTROL outside of the caller's call, without asking the worker.  */
-void mq_control_skip (struct mq_worker_control *control, bool failed);
+void mq_control_complete_later (struct mq_worker_control *control,
+                                bool failed);
 
 /* The answer to a CANCEL.  */
-void mq_call_cancelled (struct mq_worker_control *control,
-                        const struct mq_http_result *result);
+void mq_call_on_cancel_response (struct mq_worker_control *control,
+                                 const struct mq_http_result *result);
 
 /* The answer to a POLL.  */
-void mq_worker_polled (struct mq_worker_control *control,
-                       const struct mq_http_result *result);
+void mq_worker_on_cache_response (struct mq_worker_control *control,
+                                  const struct mq_http_result *result);
 /* Reads the engine's cache again after WAIT_MS.  */
-void mq_worker_poll_in (struct mq_worker *worker, uint32_t wait_ms);
+void mq_worker_schedule_poll (struct mq_worker *worker, uint32_t wait_ms);
 /* The same at once, unless a read is under way.  */
-void mq_worker_poll_soon (struct mq_worker *worker);
+void mq_worker_poll_now (struct mq_worker *worker);
 
 #endif
--- a/tests/test_hold.c
+++ b/tests/test_config_wait.c
@@ -6,7 +6,7 @@
    Needs: criterion, hold.h.  */
 
 #include "core/limits.h"
-#include "entry/hold.h"
+#include "entry/config_wait.h"
 #include <criterion/criterion.h>
 #include <string.h>
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -923,8 +923,9 @@
 Test (platform, long_lists_are_read_less_often)
 {
   for (size_t i = 0; i < sizeof polls / sizeof polls[0]; i++)
-    cr_expect_eq (mq_platform_poll_ms (polls[i].interval_ms, polls[i].hosts),
-                  polls[i].pause_ms, "%zu hosts", polls[i].hosts);
+    cr_expect_eq (
+        mq_platform_poll_interval_ms (polls[i].interval_ms, polls[i].hosts),
+        polls[i].pause_ms, "%zu hosts", polls[i].hosts);
 }
 
 /* One entry of the list is broken.  The other hosts must not vanish with it,
