--- a/src/daemon.c
+++ b/src/daemon.c
@@ -21,7 +21,7 @@
     struct mq_target *target;
   } u;
   const char *file;
-  bool leaving;
+  bool draining;
   bool stopped;
 };
 
@@ -125,7 +125,7 @@
 }
 
 static void
-leave (struct daemon *self)
+drain (struct daemon *self)
 {
   switch (self->role)
     {
@@ -178,11 +178,11 @@
   (void)signal_event;
   (void)number;
   (void)info;
-  if (self->leaving || count > 1)
+  if (self->draining || count > 1)
     self->stopped = true;
-  self->leaving = true;
+  self->draining = true;
   if (!self->stopped)
-    leave (self);
+    drain (self);
 }
 
 static struct mq_settings *
--- a/src/daemon/api_answer.c
+++ b/src/daemon/api_answer.c
@@ -197,7 +197,7 @@
 }
 
 static json_t *
-one_choice (const char *name, json_t *content, const char *finish)
+make_choices (const char *name, json_t *content, const char *finish)
 {
   json_t *choice = json_object ();
   json_t *choices = json_array ();
@@ -307,7 +307,7 @@
   json = chat_object ("chat.completion", model, program, created);
   json_object_set_new (
       json, "choices",
-      one_choice ("message", message, finish_reason (&answer)));
+      make_choices ("message", message, finish_reason (&answer)));
   if (json_object_get (answer.body, "usage") != NULL)
     json_object_set (json, "usage", json_object_get (answer.body, "usage"));
   json_decref (answer.body);
@@ -338,7 +338,7 @@
   char *data;
   char *text;
 
-  json_object_set_new (json, "choices", one_choice ("delta", delta, finish));
+  json_object_set_new (json, "choices", make_choices ("delta", delta, finish));
   data = dump (ctx, json);
   text = mq_must (talloc_asprintf (ctx, "data: %s\n\n", data));
   talloc_free (data);
--- a/src/daemon/connected_hosts.c
+++ b/src/daemon/connected_hosts.c
@@ -16,7 +16,8 @@
 }
 
 void
-mq_connected_hosts_update (TALLOC_CTX *ctx, struct mq_connected_hosts *kept,
+mq_connected_hosts_update (TALLOC_CTX *ctx,
+                           struct mq_connected_hosts *connected,
                            struct mq_peer_net *net,
                            const struct mq_host_list *hosts,
                            mq_host_filter *wanted, const void *data)
@@ -25,9 +26,9 @@
       = mq_must (talloc_zero_array (ctx, char *, hosts->count + 1));
   size_t count = 0;
 
-  for (size_t i = 0; i < kept->count; i++)
-    if (!is_listed (hosts, kept->addresses[i]))
-      mq_peer_net_release (net, kept->addresses[i]);
+  for (size_t i = 0; i < connected->count; i++)
+    if (!is_listed (hosts, connected->addresses[i]))
+      mq_peer_net_release (net, connected->addresses[i]);
   for (size_t i = 0; i < hosts->count; i++)
     {
       const struct mq_host *host = &hosts->items[i];
@@ -37,7 +38,7 @@
       mq_peer_net_keep (net, host->address);
       addresses[count++] = mq_text_copy (addresses, host->address);
     }
-  talloc_free (kept->addresses);
-  kept->addresses = addresses;
-  kept->count = count;
+  talloc_free (connected->addresses);
+  connected->addresses = addresses;
+  connected->count = count;
 }
--- a/src/daemon/connected_hosts.h
+++ b/src/daemon/connected_hosts.h
@@ -8,7 +8,7 @@
 #include "core/host.h"
 #include "net/peer.h"
 
-/* Addresses of hosts to which connections are kept.  */
+/* Addresses of hosts to which connections are connected.  */
 struct mq_connected_hosts
 {
   char **addresses;
@@ -20,7 +20,7 @@
 /* Keeps a connection to each host of the list that is WANTED, and releases
    those to hosts that are no longer listed.  Addresses hang below CTX.  */
 void mq_connected_hosts_update (TALLOC_CTX *ctx,
-                                struct mq_connected_hosts *kept,
+                                struct mq_connected_hosts *connected,
                                 struct mq_peer_net *net,
                                 const struct mq_host_list *hosts,
                                 mq_host_filter *wanted, const void *data);
--- a/src/daemon/platform_answer.c
+++ b/src/daemon/platform_answer.c
@@ -112,7 +112,7 @@
 
 /* What is known of a write that got no answer which says more.  */
 static enum mq_store_status
-doubt (const struct mq_http_result *http)
+unanswered_write_status (const struct mq_http_result *http)
 {
   if (http->error != MQ_ERR_NONE)
     return http->sent ? MQ_STORE_LOST : MQ_STORE_DOWN;
@@ -131,17 +131,17 @@
                   struct mq_store_result *result)
 {
   bool applied = http->status == STATUS_OK;
-  bool good;
+  bool valid;
   json_t *json;
 
   if (http->error != MQ_ERR_NONE
       || (!applied && http->status != STATUS_CONFLICT))
-    return doubt (http);
+    return unanswered_write_status (http);
   json = load_json (http);
-  good = applied ? read_applied (reading, json, result)
-                 : read_conflict (reading, json, result);
+  valid = applied ? read_applied (reading, json, result)
+                  : read_conflict (reading, json, result);
   json_decref (json);
-  if (!good)
+  if (!valid)
     {
       count_malformed (reading, result);
       return MQ_STORE_LOST;
@@ -202,14 +202,14 @@
            struct mq_store_result *result)
 {
   json_t *json;
-  bool good;
+  bool valid;
 
   if (http->error != MQ_ERR_NONE || http->status != STATUS_OK)
     return MQ_STORE_DOWN;
   json = load_json (http);
-  good = read_rows (reading, json, result);
+  valid = read_rows (reading, json, result);
   json_decref (json);
-  if (good)
+  if (valid)
     return MQ_STORE_OK;
   count_malformed (reading, result);
   return MQ_STORE_DOWN;
@@ -251,7 +251,7 @@
     case MQ_STORE_PUT:
       break;
     }
-  return done ? MQ_STORE_OK : doubt (http);
+  return done ? MQ_STORE_OK : unanswered_write_status (http);
 }
 
 struct mq_store_result
--- a/src/entry/config_wait.c
+++ b/src/entry/config_wait.c
@@ -1,6 +1,7 @@
-/* hold.c - queue of forwarded requests that wait for a newer configuration.
+/* config_wait.c - queue of forwarded requests that wait for a newer
+   configuration.
 
-   Needs: hold.h, action.h (copies of messages), limits.h.  */
+   Needs: config_wait.h, action.h (copies of messages), limits.h.  */
 
 #include "config_wait.h"
 #include "core/action.h"
--- a/src/entry/config_wait.h
+++ b/src/entry/config_wait.h
@@ -1,4 +1,5 @@
-/* hold.h - queue of forwarded requests that wait for a newer configuration.
+/* config_wait.h - queue of forwarded requests that wait for a newer
+   configuration.
 
    A forwarded request may name a service that exists only in the sender's
    newer configuration, and would be refused as not found.  Requests sent
--- a/src/target/target.c
+++ b/src/target/target.c
@@ -1,6 +1,6 @@
-/* target.c - everything that runs beside a target, in one event loop.
+/* target.c - lifecycle, timers and actions of a target host's daemon.
 
-   Needs: target_state.h and the modules that it joins.  */
+   Needs: target_state.h and the modules that it connects.  */
 
 #include "target.h"
 #include "core/limits.h"
@@ -22,7 +22,7 @@
   return a < b ? a : b;
 }
 
-/* Inputs of the cores.  */
+/* Inputs to the cores.  */
 
 void
 mq_target_dispatch_gate (struct mq_target *target, struct mq_gate_input *input)
@@ -41,10 +41,10 @@
                     mq_batch_add (target, &target->queue, 0));
 }
 
-/* Carrying out actions.  */
+/* Actions.  */
 
 static void
-carry_out (struct mq_target *target, const struct mq_action *action)
+run_action (struct mq_target *target, const struct mq_action *action)
 {
   switch (action->type)
     {
@@ -77,13 +77,13 @@
       mq_log_state (&action->u.state);
       break;
     case MQ_ACT_EVENT:
-      /* Only an entry host's core gives these.  */
+      /* Returned only by the cores of an entry host.  */
       break;
     }
 }
 
 static void
-look_at_version (struct mq_target *target)
+update_config_version (struct mq_target *target)
 {
   uint64_t version = mq_spread_version (target->spread);
 
@@ -93,13 +93,13 @@
   mq_peer_net_set_version (target->net, version);
 }
 
-/* Planned stop.  */
+/* Graceful shutdown.  */
 
-/* Failure: a call that was sent before its owner heard that this host leaves
-   arrives as the process ends, and its owner can't know whether it ran.  So
-   the process goes on refusing calls until none has come for a while.  */
+/* Whether the host is drained and no call has arrived for a grace period.  A
+   call sent before its owner learned of the drain must still be refused: if
+   the process exits instead, the owner can't tell whether the call ran.  */
 static bool
-is_quiet (struct mq_target *target)
+is_idle (struct mq_target *target)
 {
   uint64_t calls = mq_gate_read_counters (target->gate)->calls_received;
   uint64_t now = mq_clock_us ();
@@ -129,11 +129,11 @@
 }
 
 static void
-look_at_stopping (struct mq_target *target)
+check_drained (struct mq_target *target)
 {
   if (!target->stopping || target->stop != NULL)
     return;
-  if (!is_quiet (target) && mq_clock_us () < target->stop_until_us)
+  if (!is_idle (target) && mq_clock_us () < target->stop_until_us)
     return;
   target->stop = mq_must (tevent_create_immediate (target));
   tevent_schedule_immediate (target->stop, target->ev, report_done, target);
@@ -164,7 +164,7 @@
   mq_target_run_queue (target);
 }
 
-/* Time.  */
+/* Timers.  */
 
 static void
 on_timer (void *data)
@@ -187,14 +187,13 @@
   uint64_t next = earlier (mq_gate_next_tick (target->gate),
                            mq_spread_next_tick (target->spread));
 
-  /* Quiet is seen by looking.  */
+  /* The grace period of is_idle triggers no input, so it is polled.  */
   if (target->stopping && target->stop == NULL)
     next = earlier (next,
                     mq_clock_us () + (uint64_t)MQ_TARGET_LOOK_MS * US_PER_MS);
   return next;
 }
 
-/* Carries out all that is queued, and what it leads to.  */
 void
 mq_target_run_queue (struct mq_target *target)
 {
@@ -206,17 +205,17 @@
   while ((batch = mq_batch_take (&target->queue)) != NULL)
     {
       for (size_t i = 0; i < batch->actions->count; i++)
-        carry_out (target, &batch->actions->items[i]);
+        run_action (target, &batch->actions->items[i]);
       talloc_free (batch);
-      look_at_version (target);
+      update_config_version (target);
     }
   target->working = false;
-  look_at_stopping (target);
+  check_drained (target);
   mq_tick_timer_set (&target->tick, target->ev, next_tick (target), 0,
                      on_timer, target);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 static bool
 create_net (struct mq_target *target, struct mq_error *error)
@@ -337,7 +336,7 @@
     mq_worker_destroy (target->workers[i]);
 }
 
-/* WORKING keeps the cores' last actions from being carried out.  */
+/* Setting the working flag keeps the cores' last actions from being run.  */
 void
 mq_target_destroy (struct mq_target *target)
 {
--- a/src/target/target.h
+++ b/src/target/target.h
@@ -1,10 +1,10 @@
-/* target.h - everything that runs beside a target, in one event loop.
+/* target.h - the daemon of a target host, on one event loop.
 
-   Joins the cores (gate, spread) to the workers, peers, the platform and
-   operators' HTTP: inputs go to the cores in the order in which they came,
-   their actions are carried out in the order in which they were given.
-   Decides nothing.
-   Needs: tevent, settings.h and what the modules that it joins need.  */
+   Connects the I/O-free cores (gate, spread) to workers, peers, the platform
+   and operators' HTTP.  Inputs are passed to the cores in order of arrival,
+   and the actions they return are run in the order in which they were
+   returned.
+   Needs: tevent, settings.h and the requirements of the connected modules. */
 
 #ifndef MQ_TARGET_H
 #define MQ_TARGET_H
@@ -14,18 +14,18 @@
 
 struct mq_target;
 
-/* DONE is called once after mq_target_drain, when nothing is left here or
-   drain_seconds have passed.  */
+/* DONE is called once after mq_target_drain, when no call is left or after
+   drain_seconds.  */
 struct mq_target *mq_target_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                                     const struct mq_settings *settings,
                                     void (*done) (void *user), void *user,
                                     struct mq_error *error);
-/* Cuts whatever is still in progress.  */
+/* Aborts calls in progress.  */
 void mq_target_destroy (struct mq_target *target);
-/* Planned stop: new calls are refused, what runs ends, outcomes wait to be
-   made durable.  */
+/* Starts a graceful shutdown: refuses new calls, completes running calls and
+   waits until their outcomes are durable.  */
 void mq_target_drain (struct mq_target *target);
-/* "IP:PORT" as reached by operators, and by other hosts.  */
+/* "IP:PORT" at which operators and other hosts, respectively, connect.  */
 const char *mq_target_http_address (const struct mq_target *target);
 const char *mq_target_peer_address (const struct mq_target *target);
 
--- a/src/target/target_http.c
+++ b/src/target/target_http.c
@@ -1,4 +1,4 @@
-/* target_http.c - operators' HTTP beside a target.
+/* target_http.c - HTTP API of a target host, for operators.
 
    Needs: target_http.h, api_answer.h.  */
 
--- a/src/target/target_http.h
+++ b/src/target/target_http.h
@@ -1,5 +1,5 @@
-/* target_http.h - operators' HTTP beside a target: health, metrics, status,
-   spans, drain.
+/* target_http.h - HTTP API of a target host, for operators: health, metrics,
+   status, spans, drain.
 
    Needs: operator_http.h, api_answer.h.  */
 
@@ -10,7 +10,7 @@
 
 struct mq_target_http;
 
-/* REFUSE of the callbacks is left out: the refusals are given here.  */
+/* The refuse callback is ignored; this module sends the refusals.  */
 struct mq_target_http *mq_target_http_create (
     TALLOC_CTX *ctx, struct tevent_context *ev, const char *address,
     const uint8_t operator_key_hash[MQ_KEY_BYTES],
--- a/src/target/target_input.c
+++ b/src/target/target_input.c
@@ -1,4 +1,4 @@
-/* target_input.c - what comes in beside a target.
+/* target_input.c - passes events from the network to a target host's cores.
 
    Needs: target_state.h, target_report.h.  */
 
@@ -35,7 +35,8 @@
   mq_target_run_queue (target);
 }
 
-/* The configuration goes first: the lower side fetches before it acts.  */
+/* Passes each message to the spread core first, so that a newer configuration
+   is requested before the message is handled.  */
 static void
 on_message (uint32_t peer, const struct mq_message *message, void *user)
 {
@@ -74,16 +75,16 @@
   mq_target_run_queue (target);
 }
 
-/* Which hosts of a list this process connects to.  */
-struct wanted
+/* Selects the hosts to connect to.  */
+struct host_filter
 {
   const struct mq_settings *settings;
-  bool entry_here; /* our data centre has one */
+  bool local_entry; /* an entry host is in this data centre */
 };
 
 static bool
-has_entry_here (const struct mq_target *target,
-                const struct mq_host_list *hosts)
+has_local_entry (const struct mq_target *target,
+                 const struct mq_host_list *hosts)
 {
   for (size_t i = 0; i < hosts->count; i++)
     if (hosts->items[i].role == MQ_HOST_ENTRY
@@ -93,35 +94,35 @@
   return false;
 }
 
-/* Entry hosts of our data centre, or of our region where ours has none; the
-   others connect to us when they place work here.  */
+/* Selects the entry hosts of this data centre, or of this region if the data
+   centre has none.  Other entry hosts connect when they dispatch calls.  */
 static bool
-is_wanted (const struct mq_host *host, const void *data)
+should_connect (const struct mq_host *host, const void *data)
 {
-  const struct wanted *wanted = data;
-  const struct mq_settings *settings = wanted->settings;
+  const struct host_filter *filter = data;
+  const struct mq_settings *settings = filter->settings;
 
   if (host->role != MQ_HOST_ENTRY)
     return false;
-  if (wanted->entry_here)
+  if (filter->local_entry)
     return strcmp (host->data_centre, settings->data_centre) == 0;
   return strcmp (host->region, settings->region) == 0;
 }
 
 static void
-keep_hosts (struct mq_target *target, const struct mq_host_list *hosts)
+connect_hosts (struct mq_target *target, const struct mq_host_list *hosts)
 {
-  struct wanted wanted = { .settings = target->settings };
+  struct host_filter filter = { .settings = target->settings };
 
-  wanted.entry_here = has_entry_here (target, hosts);
+  filter.local_entry = has_local_entry (target, hosts);
   mq_connected_hosts_update (target, &target->kept, target->net, hosts,
-                             is_wanted, &wanted);
+                             should_connect, &filter);
 }
 
-/* The platform says that this host is to go: nothing new from now on; the
-   process itself ends when it is told to.  */
+/* Refuses new calls once the platform lists this host as leaving.  The process
+   keeps running until it is stopped.  */
 static void
-look_at_own_entry (struct mq_target *target, const struct mq_host_list *hosts)
+check_own_host (struct mq_target *target, const struct mq_host_list *hosts)
 {
   for (size_t i = 0; i < hosts->count; i++)
     if (strcmp (hosts->items[i].name, target->settings->host) == 0
@@ -135,10 +136,10 @@
   struct mq_target *target = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
 
-  keep_hosts (target, hosts);
+  connect_hosts (target, hosts);
   spread.u.hosts = hosts;
   mq_target_dispatch_spread (target, &spread);
-  look_at_own_entry (target, hosts);
+  check_own_host (target, hosts);
   mq_target_run_queue (target);
 }
 
--- a/src/target/target_report.c
+++ b/src/target/target_report.c
@@ -1,4 +1,4 @@
-/* target_report.c - what the process beside a target shows to operators.
+/* target_report.c - metrics and status of a target host.
 
    Needs: target_report.h, metrics.h, report.h, jansson.  */
 
--- a/src/target/target_report.h
+++ b/src/target/target_report.h
@@ -1,4 +1,4 @@
-/* target_report.h - what the process beside a target shows to operators.
+/* target_report.h - metrics and status of a target host.
 
    Needs: the modules whose counters and state it shows, jansson.  */
 
@@ -21,12 +21,12 @@
   const struct mq_spread *spread;
   const struct mq_peer_net *net;
   const struct mq_platform *platform;
-  struct mq_worker *const *workers; /* as many as in the settings */
+  struct mq_worker *const *workers; /* settings->worker_count entries */
 };
 
-/* Prometheus text below CTX.  */
+/* Returns metrics in Prometheus text format, owned by CTX.  */
 char *mq_target_metrics (TALLOC_CTX *ctx, const struct mq_target_view *view);
-/* JSON object below CTX.  */
+/* Returns a JSON object as text, owned by CTX.  */
 char *mq_target_status (TALLOC_CTX *ctx, const struct mq_target_view *view);
 
 #endif
--- a/src/target/target_state.h
+++ b/src/target/target_state.h
@@ -1,9 +1,9 @@
-/* target_state.h - what the parts of a target's process share; for src/target
+/* target_state.h - internal state of a target host's daemon; for src/target
    only.
 
-   target.c holds its life, its time and what the cores ask for;
-   target_input.c what comes in.
-   Needs: target.h and the modules that it joins.  */
+   target.c: lifecycle, timers and actions returned by the cores.
+   target_input.c: events from the network.
+   Needs: target.h and the modules that it connects.  */
 
 #ifndef MQ_TARGET_STATE_H
 #define MQ_TARGET_STATE_H
@@ -45,19 +45,20 @@
   bool leaving;
   bool stopping;
   uint64_t stop_until_us;
-  uint64_t quiet_since_us; /* drained, and no call has come since */
-  uint64_t quiet_calls;
+  uint64_t quiet_since_us; /* idle since, or 0 if not idle */
+  uint64_t quiet_calls;    /* calls received when quiet_since_us was set */
   struct tevent_immediate *stop;
 };
 
-/* Each tells one core; the time goes in here.  */
+/* Each passes INPUT to one core with the current time, and queues the
+   resulting actions.  */
 void mq_target_dispatch_gate (struct mq_target *target,
                               struct mq_gate_input *input);
 void mq_target_dispatch_spread (struct mq_target *target,
                                 struct mq_spread_input *input);
-/* Carries out all that is queued, and what it leads to.  */
+/* Runs queued actions until the queue is empty, including actions that they
+   add.  */
 void mq_target_run_queue (struct mq_target *target);
-/* Takes nothing new from now on.  */
 void mq_target_refuse_new_calls (struct mq_target *target);
 
 struct mq_peer_callbacks mq_target_peer_callbacks (struct mq_target *target);
--- a/src/target/worker.c
+++ b/src/target/worker.c
@@ -1,4 +1,4 @@
-/* worker.c - the client of mimosa-targetd towards one worker on its host.
+/* worker.c - HTTP client of one worker on a target host.
 
    Needs: worker_state.h, worker_answer.h.  */
 
@@ -14,13 +14,11 @@
   return worker->options.kind == MQ_SERVICE_MODEL;
 }
 
-/* What the engine holds.  */
-
-/* What the engine holds.  */
+/* Polling of the engine's cache.  */
 
 static void
-poll_now (struct tevent_context *ev, struct tevent_timer *timer,
-          struct timeval now, void *data)
+on_poll_timer (struct tevent_context *ev, struct tevent_timer *timer,
+               struct timeval now, void *data)
 {
   struct mq_worker *worker = data;
 
@@ -41,11 +39,11 @@
 
   TALLOC_FREE (worker->poll_timer);
   worker->poll_timer
-      = tevent_add_timer (worker->ev, worker, at, poll_now, worker);
+      = tevent_add_timer (worker->ev, worker, at, on_poll_timer, worker);
 }
 
-/* A call could not reach the engine, or its answer broke: whether the engine
-   is down or was restarted is worth knowing before the next poll.  */
+/* Called when a call failed, to detect early that the engine is down or was
+   restarted.  */
 void
 mq_worker_poll_now (struct mq_worker *worker)
 {
@@ -54,7 +52,7 @@
 }
 
 static void
-tell_down (struct mq_worker *worker)
+report_down (struct mq_worker *worker)
 {
   worker->counters.polls_failed++;
   if (worker->state == MQ_ENGINE_DOWN)
@@ -64,7 +62,7 @@
 }
 
 static void
-tell_up (struct mq_worker *worker, uint64_t boot)
+report_up (struct mq_worker *worker, uint64_t boot)
 {
   bool known = worker->state == MQ_ENGINE_UP && worker->boot == boot;
 
@@ -77,10 +75,10 @@
 }
 
 static void
-tell_cache (struct mq_worker *worker, uint64_t boot,
-            struct mq_gate_cache *cache)
+report_cache (struct mq_worker *worker, uint64_t boot,
+              struct mq_gate_cache *cache)
 {
-  tell_up (worker, boot);
+  report_up (worker, boot);
   cache->worker = worker->options.index;
   worker->callbacks.cache (cache, worker->callbacks.user);
 }
@@ -101,15 +99,13 @@
   worker->polling = false;
   mq_worker_schedule_poll (worker, worker->options.cache_poll_ms);
   if (known)
-    tell_cache (worker, boot, &cache);
+    report_cache (worker, boot, &cache);
   else
-    tell_down (worker);
+    report_down (worker);
   talloc_free (answer);
 }
 
-/* Start and stop.  */
-
-/* Start and stop.  */
+/* Lifecycle.  */
 
 struct mq_worker *
 mq_worker_create (TALLOC_CTX *ctx, struct tevent_context *ev,
--- a/src/target/worker.h
+++ b/src/target/worker.h
@@ -1,8 +1,8 @@
-/* worker.h - the client of mimosa-targetd towards one worker on its host.
+/* worker.h - HTTP client of one worker on a target host.
 
-   Turns the gate's START, STOP, EVICT and ORDER actions into HTTP as
-   docs/CONTRACTS.md has it, and the worker's answers into the gate's
-   inputs.  It decides nothing and repeats nothing: one START is one POST.
+   Translates the gate's START, STOP, EVICT and ORDER actions into the HTTP
+   requests of docs/CONTRACTS.md, and the worker's responses into inputs of
+   the gate.  Never retries a call: one START is one POST.
    Needs: http_client.h, gate.h, jansson.  */
 
 #ifndef MQ_WORKER_H
@@ -14,23 +14,24 @@
 struct mq_worker;
 
 /**
- * struct mq_worker_callbacks - what the worker tells the gate
+ * struct mq_worker_callbacks - events reported by a worker
  * @token: text of a running model call
  * @done: a call ended; once for each mq_worker_start
- * @evicted: once for each mq_worker_evict, confirmed or not
- * @cache: what a model engine really holds; a zero program id stands for
- *         prefixes that belong to the service and to no program
- * @up: a model engine answered for the first time, after it was down, or
- *      with another boot number than before: its cache is empty
- * @down: a model engine can't be reached
- * @ordered: once for each mq_worker_order
- * @user: given to each
+ * @evicted: an eviction was confirmed or failed; once for each
+ *           mq_worker_evict
+ * @cache: contents of a model engine's cache; a zero program id denotes
+ *         prefixes that belong to the service and not to a program
+ * @up: a model engine responded for the first time, after it was down, or
+ *      with a new boot number; its cache is empty
+ * @down: a model engine is unreachable
+ * @ordered: an order ended; once for each mq_worker_order
+ * @user: passed to each callback
  *
- * Texts and arrays are valid until the callback returns.  No callback comes
- * from within a function of this header, and each may call any of them but
- * mq_worker_destroy.  Plain services and tools report
- * neither cache nor up nor down: they are taken as up from the start, and a
- * call that can't reach them ends with TARGET_FAILED, not_run.
+ * Strings and arrays are valid until the callback returns.  Callbacks are
+ * never called from within a function of this header, and may call any of
+ * these functions except mq_worker_destroy.  Plain services and tools report
+ * neither cache nor up nor down: they are assumed to be up, and a call that
+ * can't reach them ends with TARGET_FAILED, not_run.
  */
 struct mq_worker_callbacks
 {
@@ -45,12 +46,12 @@
 };
 
 /**
- * struct mq_worker_options - fixed for the life of a worker's client
- * @index: index of the worker on its host, given back in callbacks
+ * struct mq_worker_options - fixed for the lifetime of a worker's client
+ * @index: index of the worker on its host, passed to callbacks
  * @kind: MQ_SERVICE_MODEL, _PLAIN or _TOOL
  * @url: "http://IP:PORT", without a path
- * @model: model to ask for where the call's body names none; may be empty
- * @cache_poll_ms: pause between two reads of the engine's cache,
+ * @model: default model for calls whose body names none; may be empty
+ * @cache_poll_ms: interval between reads of the engine's cache;
  *                 0: MQ_WORKER_CACHE_POLL_MS
  */
 struct mq_worker_options
@@ -62,53 +63,53 @@
   uint32_t cache_poll_ms;
 };
 
-/* The options' texts and the callbacks are copied.  CLIENT must outlive the
+/* Copies the options' strings and the callbacks.  CLIENT must outlive the
    worker.  */
 struct mq_worker *
 mq_worker_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                   struct mq_http_client *client,
                   const struct mq_worker_options *options,
                   const struct mq_worker_callbacks *callbacks);
-/* Closes every connection; no callback follows.  */
+/* Closes all connections; no callback is called afterwards.  */
 void mq_worker_destroy (struct mq_worker *worker);
 
 /**
  * mq_worker_start - send one call to the worker
- * @worker: the worker
- * @start: the call; its texts are copied
+ * @start: the call; its strings are copied
  *
  * For a plain service or a tool, @start->route is the path of the POST and
- * begins with '/' (the caller takes it from the operators' text).  For a
- * model it is unused.
+ * begins with '/'; it comes from the configuration.  For a model it is
+ * unused.
  *
- * How the call ends, in @done:
+ * Result passed to the done callback:
  *
- * - a model's whole answer: NONE, ran, body
+ * - complete response of a model: NONE, ran, body
  *   {"content":S,"tool_calls":[{"id":S,"name":S,"arguments":S}],"finish":S}
- * - a plain service's or tool's 2xx: NONE, ran, its body
- * - a plain service's or tool's 4xx: NONE, ran, body
- *   {"status":N,"error":BODY}: the service answered for good
+ * - 2xx of a plain service or tool: NONE, ran, its body
+ * - 4xx of a plain service or tool: NONE, ran, body
+ *   {"status":N,"error":BODY}; a permanent error
  * - 429: OVERLOADED, not_run, with retry_after_ms
- * - a refused connection: TARGET_FAILED, not_run; one that did not come about
- *   in time: TIMEOUT, not_run
- * - no answer within @start->timeout_ms: TIMEOUT; unknown for services and
- *   tools, ran for models (they may be asked again)
- * - 5xx or a broken connection: TARGET_FAILED; unknown or ran likewise
- * - a model's 400, 413 or 422: BAD_REQUEST, not_run; its other 4xx:
+ * - connection refused: TARGET_FAILED, not_run; connection timeout: TIMEOUT,
+ *   not_run
+ * - no response within @start->timeout_ms: TIMEOUT; unknown for services and
+ *   tools, ran for models, whose calls may be retried
+ * - 5xx or connection lost: TARGET_FAILED; unknown or ran as above
+ * - 400, 413 or 422 of a model: BAD_REQUEST, not_run; other 4xx:
  *   TARGET_FAILED, not_run
- * - a whole model answer that can't be read: BAD_ANSWER, ran
- * - mq_worker_stop: CANCELLED; unknown or ran likewise
+ * - complete but malformed response of a model: BAD_ANSWER, ran
+ * - mq_worker_stop: CANCELLED; unknown or ran as above
  *
- * tokens_out is truthful also where a model's answer is not whole.
+ * tokens_out is also set if a model's response is incomplete.
  */
 void mq_worker_start (struct mq_worker *worker, const struct mq_start *start);
-/* Cancels the call in SLOT; its done follows, CANCELLED unless the whole
-   answer came first.  Nothing happens where no call is in SLOT.  */
+/* Cancels the call in SLOT, if there is one.  The done callback follows, with
+   CANCELLED unless the complete response arrived first.  */
 void mq_worker_stop (struct mq_worker *worker, uint32_t slot);
-/* Sent once; where it is not confirmed the gate asks again.  A worker that
-   is no model engine confirms at once.  */
+/* Sends one eviction request; retries are up to the gate.  For plain services
+   and tools the eviction is confirmed without a request.  */
 void mq_worker_evict (struct mq_worker *worker, struct mq_id program);
-/* STALE_FENCE where the engine checks the number and knows a higher one.  */
+/* Sends an order.  Ends with STALE_FENCE if the engine has seen a higher
+   fencing number.  */
 void mq_worker_order (struct mq_worker *worker,
                       const struct mq_order_msg *order);
 
--- a/src/target/worker_answer.c
+++ b/src/target/worker_answer.c
@@ -1,4 +1,4 @@
-/* worker_answer.c - reads a worker's answers that are no stream.
+/* worker_answer.c - parses a worker's responses that are not streamed.
 
    Needs: worker_answer.h, id.h, jansson.  */
 
@@ -16,7 +16,7 @@
   return value < 0 || value > UINT32_MAX ? 0 : (uint32_t)value;
 }
 
-/* Programs whose ids can't be read are left out.  */
+/* Skips programs with a malformed id.  */
 static void
 read_programs (TALLOC_CTX *ctx, const json_t *programs,
                struct mq_gate_cache *cache)
--- a/src/target/worker_answer.h
+++ b/src/target/worker_answer.h
@@ -1,6 +1,6 @@
-/* worker_answer.h - reads a worker's answers that are no stream.
+/* worker_answer.h - parses a worker's responses that are not streamed.
 
-   The bytes come from outside and are checked here.  Knows no sockets.
+   The input is untrusted and validated here.  Does no I/O.
    Needs: gate.h, jansson.  */
 
 #ifndef MQ_WORKER_ANSWER_H
@@ -8,14 +8,15 @@
 
 #include "core/gate/gate.h"
 
-/* What an engine holds; entries hang below CTX and the worker's index is left
-   to the caller.  False when the answer names no boot number.  */
+/* Parses the contents of an engine's cache.  Entries are owned by CTX; the
+   caller sets the worker's index.  Returns false if the boot number is
+   missing.  */
 bool mq_worker_read_cache (TALLOC_CTX *ctx, const char *body, size_t len,
                            uint64_t *boot, struct mq_gate_cache *cache);
-/* Tokens that an engine made before it cancelled a call.  */
+/* Returns the number of tokens generated before the call was cancelled.  */
 uint32_t mq_worker_read_cancelled (const char *body, size_t len);
-/* A service's answer as JSON text below CTX: as it is where it is JSON, else
-   as a string; NULL where it is neither.  */
+/* Returns a service's response as JSON text owned by CTX: unchanged if it is
+   JSON, else as a JSON string; NULL if it is not valid UTF-8.  */
 char *mq_worker_read_service (TALLOC_CTX *ctx, const char *body, size_t len);
 
 #endif
--- a/src/target/worker_call.c
+++ b/src/target/worker_call.c
@@ -1,8 +1,8 @@
 /* worker_call.c - calls of programs at a worker.
 
-   A call is one POST.  A model call that is stopped, or that takes too long,
-   is settled first: the engine is asked to cancel it and says how many
-   tokens it made.
+   A call is one POST.  When a model call is stopped or times out, a cancel
+   request is sent to the engine first; its response contains the number of
+   tokens generated.
    Needs: worker_state.h, worker_answer.h, timer.h.  */
 
 #include "core/limits.h"
@@ -25,9 +25,7 @@
   return text != NULL && *text != '\0';
 }
 
-/* The end of a call.  */
-
-/* The end of a call.  */
+/* Results.  */
 
 static int
 call_freed (struct mq_worker_call *call)
@@ -60,9 +58,9 @@
     counters->broken++;
 }
 
-/* Frees the call, then tells the gate, which may start another.  */
+/* Frees the call before the callback, which may start another one.  */
 static void
-tell_done (struct mq_worker_call *call)
+report_done (struct mq_worker_call *call)
 {
   struct mq_worker *worker = call->worker;
   struct mq_gate_done end = call->end;
@@ -76,20 +74,22 @@
 }
 
 static void
-call_late (struct tevent_context *ev, struct tevent_immediate *im, void *data)
+on_report_done (struct tevent_context *ev, struct tevent_immediate *im,
+                void *data)
 {
   (void)ev;
   (void)im;
-  tell_done (data);
+  report_done (data);
 }
 
 static void
-tell_done_later (struct mq_worker_call *call)
+report_done_later (struct mq_worker_call *call)
 {
   if (call->later != NULL)
     return;
   call->later = mq_must (tevent_create_immediate (call));
-  tevent_schedule_immediate (call->later, call->worker->ev, call_late, call);
+  tevent_schedule_immediate (call->later, call->worker->ev, on_report_done,
+                             call);
 }
 
 static void
@@ -110,7 +110,7 @@
   call->end.cached_tokens = usage.cached_tokens;
 }
 
-/* Model calls that end early.  */
+/* Cancelling model calls.  */
 
 static void
 send_cancel (struct mq_worker_call *call)
@@ -126,64 +126,63 @@
                    MQ_WORKER_CONTROL_MS);
 }
 
-/* The failure: an engine whose stream broke or went silent may not notice
-   and go on generating, which shows as slots and memory in use for nobody.
-   Asking it to cancel frees them whatever became of the connection, and its
-   answer tells how many tokens the call really cost.  */
+/* Sets the result and sends a cancel request.  An engine may not notice that
+   the connection was lost and would go on generating; the cancel frees its
+   slot and memory, and the response has the number of tokens generated.  */
 static void
-settle (struct mq_worker_call *call, enum mq_error_type error)
+end_after_cancel (struct mq_worker_call *call, enum mq_error_type error)
 {
   set_end (call, error, MQ_RAN_RAN);
-  if (call->settling)
+  if (call->cancelling)
     return;
-  call->settling = true;
+  call->cancelling = true;
   send_cancel (call);
 }
 
 static void
-end_settled (struct mq_worker_call *call)
+report_cancelled (struct mq_worker_call *call)
 {
   uint32_t counted = mq_worker_stream_usage (call->stream).tokens_out;
 
   if (call->end.tokens_out < counted)
     call->end.tokens_out = counted;
-  tell_done (call);
+  report_done (call);
 }
 
 static void
-cancel_again (void *data)
+on_cancel_retry (void *data)
 {
   send_cancel (data);
 }
 
-/* The engine does not know the call while its answer is still open: either
-   the cancel overtook the call on its way, or the answer's end is on its way
-   to us.  A moment later one of the two has come in.  */
+/* Retries a cancel that failed with 404 while the response is incomplete:
+   either the cancel arrived before the call, or the end of the response is
+   still in transit.  */
 static void
-cancel_later (struct mq_worker_call *call)
+retry_cancel_later (struct mq_worker_call *call)
 {
   mq_must (mq_timer_add (call, call->worker->ev, MQ_WORKER_CANCEL_RETRY_MS,
-                         cancel_again, call));
+                         on_cancel_retry, call));
 }
 
 static void
-time_out (void *data)
+on_timeout (void *data)
 {
   struct mq_worker_call *call = data;
 
-  if (!call->settling && call->later == NULL)
-    settle (call, MQ_ERR_TIMEOUT);
+  if (!call->cancelling && call->later == NULL)
+    end_after_cancel (call, MQ_ERR_TIMEOUT);
 }
 
-/* The engine cancels by itself when a connection closes, and then no longer
-   knows what the call made.  So curl, which would close it, is not told of
-   the time that the call has: when that is over the cancel goes first.  */
+/* Uses a timer instead of curl's timeout.  Curl would close the connection,
+   and the engine would then discard the call and its token count before the
+   cancel request arrives.  */
 static void
-limit_time (struct mq_worker_call *call, uint32_t timeout_ms)
+start_timeout (struct mq_worker_call *call, uint32_t timeout_ms)
 {
   if (timeout_ms > 0)
     mq_must (
-        mq_timer_add (call, call->worker->ev, timeout_ms, time_out, call));
+        mq_timer_add (call, call->worker->ev, timeout_ms, on_timeout, call));
 }
 
 void
@@ -198,13 +197,13 @@
   if (result->error == MQ_ERR_NONE && result->status == 404
       && call->http != NULL && call->cancels < MQ_WORKER_CANCELS_MAX)
     {
-      cancel_later (call);
+      retry_cancel_later (call);
       return;
     }
   if (mq_worker_response_ok (result))
     call->end.tokens_out
         = mq_worker_read_cancelled (result->body, result->len);
-  end_settled (call);
+  report_cancelled (call);
 }
 
 /* Model calls.  */
@@ -216,7 +215,7 @@
   struct mq_worker *worker = call->worker;
   struct mq_gate_token token = { call->end.slot, text };
 
-  if (!call->settling)
+  if (!call->cancelling)
     worker->callbacks.token (&token, worker->callbacks.user);
 }
 
@@ -228,9 +227,9 @@
   mq_worker_stream_feed (call->stream, data, len, on_text, call);
 }
 
-/* A cancel that nobody waits for: the call has its end already.  */
+/* Sends a cancel request for a call that has its result already.  */
 static void
-cancel_unheard (struct mq_worker_call *call)
+cancel_without_waiting (struct mq_worker_call *call)
 {
   send_cancel (call);
   call->cancel->u.call = NULL;
@@ -238,7 +237,7 @@
 }
 
 static void
-end_whole_stream (struct mq_worker_call *call)
+end_complete_stream (struct mq_worker_call *call)
 {
   set_usage (call);
   switch (mq_worker_stream_state (call->stream))
@@ -254,7 +253,7 @@
       set_end (call, MQ_ERR_BAD_ANSWER, MQ_RAN_RAN);
       break;
     }
-  tell_done (call);
+  report_done (call);
 }
 
 static void
@@ -274,10 +273,10 @@
     set_end (call, MQ_ERR_TARGET_FAILED, MQ_RAN_NOT_RUN);
   else
     set_end (call, MQ_ERR_TARGET_FAILED, MQ_RAN_RAN);
-  tell_done (call);
+  report_done (call);
 }
 
-/* The call never left this host.  */
+/* Ends a call that was not sent.  */
 static void
 end_unsent (struct mq_worker_call *call, const struct mq_http_result *result)
 {
@@ -288,21 +287,21 @@
       && error != MQ_ERR_BAD_REQUEST)
     error = MQ_ERR_TARGET_FAILED;
   set_end (call, error, MQ_RAN_NOT_RUN);
-  tell_done (call);
+  report_done (call);
 }
 
 static void
-end_broken_stream (struct mq_worker_call *call,
-                   const struct mq_http_result *result)
+end_aborted_stream (struct mq_worker_call *call,
+                    const struct mq_http_result *result)
 {
   set_usage (call);
   set_end (call,
            result->error == MQ_ERR_TOO_LARGE ? MQ_ERR_BAD_ANSWER
                                              : MQ_ERR_TARGET_FAILED,
            MQ_RAN_RAN);
-  cancel_unheard (call);
+  cancel_without_waiting (call);
   mq_worker_poll_now (call->worker);
-  tell_done (call);
+  report_done (call);
 }
 
 static void
@@ -314,20 +313,20 @@
         && mq_worker_stream_state (call->stream) == MQ_WORKER_STREAM_WHOLE;
 
   call->http = NULL;
-  if (call->settling && !whole)
-    return; /* ends when the cancel is answered */
+  if (call->cancelling && !whole)
+    return; /* ends on the response to the cancel */
   if (result->error == MQ_ERR_NONE && result->status == 200)
-    end_whole_stream (call);
+    end_complete_stream (call);
   else if (result->error == MQ_ERR_NONE)
     end_model_status (call, result);
   else if (!result->sent)
     end_unsent (call, result);
   else
-    end_broken_stream (call, result);
+    end_aborted_stream (call, result);
 }
 
-/* The owner's body with what the engine needs besides; a new reference, NULL
-   where it is no object.  */
+/* Adds the engine's parameters to the body of the call.  Returns a new
+   reference, or NULL if the body is not a JSON object.  */
 static json_t *
 model_body (const struct mq_worker_call *call, const struct mq_start *start)
 {
@@ -354,7 +353,8 @@
 }
 
 static void
-end_answered (struct mq_worker_call *call, const struct mq_http_result *result)
+end_with_body (struct mq_worker_call *call,
+               const struct mq_http_result *result)
 {
   char *answer = mq_worker_read_service (call, result->body, result->len);
 
@@ -382,16 +382,16 @@
       call->end.retry_after_ms = result->retry_after_ms;
     }
   else if ((status >= 200 && status < 300) || (status >= 400 && status < 500))
-    end_answered (call, result);
+    end_with_body (call, result);
   else
     set_end (call, MQ_ERR_TARGET_FAILED, MQ_RAN_UNKNOWN);
 }
 
-/* The status of an answer that is too long still tells that the service ran
-   the call.  */
+/* A response over the size limit is BAD_ANSWER; its status still shows whether
+   the service ran the call.  */
 static void
-end_service_broken (struct mq_worker_call *call,
-                    const struct mq_http_result *result)
+end_service_aborted (struct mq_worker_call *call,
+                     const struct mq_http_result *result)
 {
   bool answered = result->status >= 200 && result->status < 300;
 
@@ -417,8 +417,8 @@
   if (result->error == MQ_ERR_NONE)
     end_service_status (call, result);
   else
-    end_service_broken (call, result);
-  tell_done (call);
+    end_service_aborted (call, result);
+  report_done (call);
 }
 
 /* Starting and stopping calls.  */
@@ -474,7 +474,7 @@
   if (call->http != NULL)
     return;
   set_end (call, MQ_ERR_NO_MEMORY, MQ_RAN_NOT_RUN);
-  tell_done_later (call);
+  report_done_later (call);
 }
 
 static void
@@ -486,13 +486,13 @@
   if (json == NULL)
     {
       set_end (call, MQ_ERR_BAD_REQUEST, MQ_RAN_NOT_RUN);
-      tell_done_later (call);
+      report_done_later (call);
       return;
     }
   call->stream = mq_worker_stream_create (call);
   text = json_dumps (json, JSON_COMPACT);
   json_decref (json);
-  limit_time (call, start->timeout_ms);
+  start_timeout (call, start->timeout_ms);
   post_call (call, start, "/v1/chat/completions", text);
   free (text);
 }
@@ -520,12 +520,12 @@
     return;
   if (mq_worker_is_model (worker))
     {
-      settle (call, MQ_ERR_CANCELLED);
+      end_after_cancel (call, MQ_ERR_CANCELLED);
       return;
     }
   if (call->http != NULL)
     mq_http_call_cancel (call->http);
   call->http = NULL;
   set_end (call, MQ_ERR_CANCELLED, MQ_RAN_UNKNOWN);
-  tell_done_later (call);
+  report_done_later (call);
 }
--- a/src/target/worker_control.c
+++ b/src/target/worker_control.c
@@ -1,4 +1,4 @@
-/* worker_control.c - requests to a worker that are no calls of programs.
+/* worker_control.c - requests to a worker other than calls of programs.
 
    Needs: worker_state.h.  */
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Requests to the worker that are no calls.  */
+/* Requests.  */
 
 static int
 control_freed (struct mq_worker_control *control)
@@ -43,8 +43,8 @@
 static void control_done (const struct mq_http_result *result, void *user);
 
 static void
-control_late (struct tevent_context *ev, struct tevent_immediate *im,
-              void *data)
+on_complete_later (struct tevent_context *ev, struct tevent_immediate *im,
+                   void *data)
 {
   struct mq_worker_control *control = data;
   struct mq_http_result result = { .body = "", .status = 200 };
@@ -61,8 +61,8 @@
 {
   control->failed = failed;
   control->later = mq_must (tevent_create_immediate (control));
-  tevent_schedule_immediate (control->later, control->worker->ev, control_late,
-                             control);
+  tevent_schedule_immediate (control->later, control->worker->ev,
+                             on_complete_later, control);
 }
 
 void
@@ -97,11 +97,11 @@
   return result->error == MQ_ERR_NONE && result->status == 200;
 }
 
-/* How they end.  */
+/* Results.  */
 
 static void
-tell_evicted (struct mq_worker_control *control,
-              const struct mq_http_result *result)
+report_evicted (struct mq_worker_control *control,
+                const struct mq_http_result *result)
 {
   struct mq_worker *worker = control->worker;
   struct mq_gate_evicted evicted;
@@ -133,8 +133,8 @@
 }
 
 static void
-tell_ordered (struct mq_worker_control *control,
-              const struct mq_http_result *result)
+report_ordered (struct mq_worker_control *control,
+                const struct mq_http_result *result)
 {
   struct mq_worker *worker = control->worker;
   struct mq_order_done_msg ordered;
@@ -154,10 +154,10 @@
   switch (control->type)
     {
     case MQ_CONTROL_EVICT:
-      tell_evicted (control, result);
+      report_evicted (control, result);
       break;
     case MQ_CONTROL_ORDER:
-      tell_ordered (control, result);
+      report_ordered (control, result);
       break;
     case MQ_CONTROL_CANCEL:
       mq_call_on_cancel_response (control, result);
--- a/src/target/worker_state.h
+++ b/src/target/worker_state.h
@@ -1,9 +1,7 @@
-/* worker_state.h - what the parts of a worker's client share; for src/target
-   only.
+/* worker_state.h - internal state of a worker's client; for src/target only.
 
-   worker.c holds the client and its polls; worker_call.c the calls of
-   programs; worker_control.c every other request; worker_answer.c reads what
-   comes back.
+   worker.c: lifecycle and cache polling.  worker_call.c: calls of programs.
+   worker_control.c: all other requests.  worker_answer.c: response parsing.
    Needs: worker.h, worker_stream.h, jansson, tevent.  */
 
 #ifndef MQ_WORKER_STATE_H
@@ -21,14 +19,14 @@
 };
 
 /**
- * struct mq_worker_call - one START under way
- * @http: its POST, NULL once that has ended
- * @stream: a model's answer, NULL for others
- * @settling: an end is known, the engine is asked what it made
- * @cancels: how often it was asked
- * @cancel: the question under way
- * @later: hands in the end outside of the caller's function call
- * @end: how it ended
+ * struct mq_worker_call - one call in progress
+ * @http: the POST; NULL once it has ended
+ * @stream: parser of a model's response; NULL for plain services and tools
+ * @cancelling: the result is set, waiting for the response to a cancel
+ * @cancels: number of cancel requests sent
+ * @cancel: the pending cancel request; NULL if none
+ * @later: reports the result from the event loop; NULL if not scheduled
+ * @end: the result
  */
 struct mq_worker_call
 {
@@ -37,7 +35,7 @@
   char request_id[MQ_REQUEST_ID_MAX];
   struct mq_http_call *http;
   struct mq_worker_stream *stream;
-  bool settling;
+  bool cancelling;
   uint32_t cancels;
   struct mq_worker_control *cancel;
   struct tevent_immediate *later;
@@ -52,7 +50,7 @@
   MQ_CONTROL_POLL
 };
 
-/* A request to the worker that is no call of a program.  */
+/* A request to the worker other than a call of a program.  */
 struct mq_worker_control
 {
   struct mq_worker *worker;
@@ -60,12 +58,12 @@
   enum mq_control_type type;
   struct mq_http_call *http;
   struct tevent_immediate *later;
-  bool failed; /* without having been sent */
+  bool failed; /* could not be sent */
   union
   {
     struct mq_id program;        /* EVICT */
     uint64_t order;              /* ORDER */
-    struct mq_worker_call *call; /* CANCEL; NULL when nobody waits */
+    struct mq_worker_call *call; /* CANCEL; NULL if no call waits for it */
   } u;
 };
 
@@ -92,29 +90,30 @@
 };
 
 bool mq_worker_is_model (const struct mq_worker *worker);
-/* The answer is whole and its status 200.  */
+/* Whether the response is complete and its status 200.  */
 bool mq_worker_response_ok (const struct mq_http_result *result);
 
-/* New request to the worker; it is freed when it has ended.  */
+/* Creates a request to the worker.  It frees itself when it ends.  */
 struct mq_worker_control *mq_control_create (struct mq_worker *worker,
                                              enum mq_control_type type);
-/* Sends BODY, which it takes over, to PATH; a GET when BODY is NULL.  */
+/* Sends a POST of BODY to PATH, or a GET if BODY is NULL.  Takes ownership of
+   BODY.  */
 void mq_control_send (struct mq_worker_control *control, const char *path,
                       json_t *body, uint32_t timeout_ms);
-/* Ends CONTROL outside of the caller's call, without asking the worker.  */
+/* Completes CONTROL from the event loop without sending it.  */
 void mq_control_complete_later (struct mq_worker_control *control,
                                 bool failed);
 
-/* The answer to a CANCEL.  */
+/* Handles the response to a CANCEL.  */
 void mq_call_on_cancel_response (struct mq_worker_control *control,
                                  const struct mq_http_result *result);
 
-/* The answer to a POLL.  */
+/* Handles the response to a POLL.  */
 void mq_worker_on_cache_response (struct mq_worker_control *control,
                                   const struct mq_http_result *result);
-/* Reads the engine's cache again after WAIT_MS.  */
+/* Schedules the next read of the engine's cache in WAIT_MS.  */
 void mq_worker_schedule_poll (struct mq_worker *worker, uint32_t wait_ms);
-/* The same at once, unless a read is under way.  */
+/* Reads the cache as soon as possible, unless a read is in progress.  */
 void mq_worker_poll_now (struct mq_worker *worker);
 
 #endif
--- a/src/target/worker_stream.c
+++ b/src/target/worker_stream.c
@@ -1,4 +1,4 @@
-/* worker_stream.c - reads a model's streamed answer as it comes.
+/* worker_stream.c - incremental parser of a model's streamed response.
 
    Needs: worker_stream.h, jansson.  */
 
@@ -9,27 +9,26 @@
 
 enum
 {
-  TOKEN_BYTES = 4, /* docs/CONTRACTS.md: a token of text */
+  TOKEN_BYTES = 4, /* bytes per token, see docs/CONTRACTS.md */
   FIRST_ROOM = 256
 };
 
 struct buffer
 {
-  char *bytes; /* talloc, zero-terminated */
+  char *bytes; /* talloc, NUL-terminated */
   size_t len;
   size_t room;
 };
 
 /**
- * struct mq_worker_stream - what was read so far
- * @line: begin of a line whose end has not come yet
- * @content: text of the answer
- * @calls: its calls, as the body gives them
- * @finish: why it ended, NULL while that is not known
- * @usage: as the last event gives it
- * @has_usage: it was given
- * @done: the end was read
- * @bad: something could not be read
+ * struct mq_worker_stream - parser state
+ * @line: an incomplete line
+ * @content: generated text so far
+ * @calls: JSON array of tool calls
+ * @finish: finish reason; NULL until received
+ * @usage: valid if @has_usage
+ * @done: [DONE] was received
+ * @bad: the stream is malformed
  */
 struct mq_worker_stream
 {
--- a/src/target/worker_stream.h
+++ b/src/target/worker_stream.h
@@ -1,7 +1,7 @@
-/* worker_stream.h - reads a model's streamed answer as it comes.
+/* worker_stream.h - incremental parser of a model's streamed response.
 
-   Server-sent events with the JSON of docs/CONTRACTS.md "Model engine", in
-   parts of any size.  No input or output of its own.
+   Accepts server-sent events with the JSON of docs/CONTRACTS.md "Model
+   engine", in chunks of any size.  Does no I/O.
    Needs: jansson, talloc.  */
 
 #ifndef MQ_WORKER_STREAM_H
@@ -13,17 +13,18 @@
 
 enum mq_worker_stream_state
 {
-  MQ_WORKER_STREAM_OPEN,  /* more must follow */
-  MQ_WORKER_STREAM_WHOLE, /* the end was read */
-  MQ_WORKER_STREAM_BAD    /* something can't be read */
+  MQ_WORKER_STREAM_OPEN,  /* incomplete */
+  MQ_WORKER_STREAM_WHOLE, /* complete */
+  MQ_WORKER_STREAM_BAD    /* malformed */
 };
 
 /**
- * struct mq_worker_usage - tokens of an answer
- * @tokens_in: prompt tokens, 0 while the answer is not whole
- * @tokens_out: generated tokens; counted from the text while the answer is
- *              not whole
- * @cached_tokens: prompt tokens found in the cache, 0 likewise
+ * struct mq_worker_usage - token counts of a response
+ * @tokens_in: prompt tokens; 0 until the engine reports usage
+ * @tokens_out: generated tokens; estimated from the length of the text until
+ *              the engine reports usage
+ * @cached_tokens: prompt tokens found in the cache; 0 until the engine
+ *                 reports usage
  */
 struct mq_worker_usage
 {
@@ -35,7 +36,8 @@
 typedef void mq_worker_stream_text (const char *text, void *user);
 
 struct mq_worker_stream *mq_worker_stream_create (TALLOC_CTX *ctx);
-/* TEXT is called for each piece of the answer's text; may be NULL.  */
+/* Parses LEN bytes of DATA.  TEXT, which may be NULL, is called for each piece
+   of generated text.  */
 void mq_worker_stream_feed (struct mq_worker_stream *stream, const char *data,
                             size_t len, mq_worker_stream_text *text,
                             void *user);
@@ -43,7 +45,8 @@
 mq_worker_stream_state (const struct mq_worker_stream *stream);
 struct mq_worker_usage
 mq_worker_stream_usage (const struct mq_worker_stream *stream);
-/* {"content":S,"tool_calls":[…],"finish":S} of a whole answer, below CTX.  */
+/* Returns {"content":S,"tool_calls":[…],"finish":S} of a complete response,
+   owned by CTX.  */
 char *mq_worker_stream_body (TALLOC_CTX *ctx,
                              const struct mq_worker_stream *stream);
 
