--- a/src/daemon.c
+++ b/src/daemon.c
@@ -1,4 +1,4 @@
-/* daemon.c - what the main functions of the daemons share.
+/* daemon.c - common main function of the daemons.
 
    Needs: daemon.h, argp, tevent, entry.h, target.h, log.h.  */
 
@@ -48,7 +48,7 @@
     case MQ_HOST_TARGET:
       break;
     }
-  return "Stands before the workers of a target host of mimosaquay.";
+  return "Forwards calls to the workers of a target host of mimosaquay.";
 }
 
 static error_t
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,7 +1,7 @@
-/* daemon.h - what the main functions of the daemons share.
+/* daemon.h - common main function of the daemons.
 
-   Reads the command line and the settings, runs one event loop, and stops as
-   planned on SIGTERM or SIGINT; a second signal cuts what is in progress.
+   Reads the command line and the settings and runs one event loop.  SIGTERM
+   or SIGINT starts a graceful shutdown; a second signal stops at once.
    Needs: argp, tevent, entry.h, target.h, settings.h, log.h.  */
 
 #ifndef MQ_DAEMON_H
@@ -9,7 +9,7 @@
 
 #include "core/host.h"
 
-/* Runs the process of a host with this role; exit status for main.  */
+/* Runs the daemon for ROLE and returns the exit status for main.  */
 int mq_daemon_run (enum mq_host_role role, int argc, char **argv);
 
 #endif
--- a/src/daemon/api_answer.c
+++ b/src/daemon/api_answer.c
@@ -1,4 +1,4 @@
-/* api_answer.c - events of an answer as the texts that callers read.
+/* api_answer.c - serialises events and errors to HTTP response bodies.
 
    Needs: api_answer.h, id.h, jansson.  */
 
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Text of JSON, which is freed.  */
+/* Serialises JSON and frees it.  */
 static char *
 dump (TALLOC_CTX *ctx, json_t *json)
 {
@@ -21,7 +21,8 @@
   return copy;
 }
 
-/* Bytes that are not UTF-8 can't stand in JSON; they become '?'.  */
+/* Converts TEXT to a JSON string.  JSON requires UTF-8: if TEXT is invalid,
+   its non-ASCII bytes are replaced by '?'.  */
 static json_t *
 text_value (const char *text)
 {
@@ -48,7 +49,7 @@
   return json_string (text);
 }
 
-/* Object of a JSON text; an empty one when it is none.  */
+/* Parses a JSON object; returns an empty one on failure.  */
 static json_t *
 parse_object (const char *text)
 {
@@ -179,7 +180,7 @@
   return copy;
 }
 
-/* OpenAI's shapes.  */
+/* OpenAI's formats.  */
 
 static json_t *
 chat_object (const char *object, const char *model, struct mq_id program,
@@ -210,7 +211,7 @@
   return choices;
 }
 
-/* Our tool calls, {"id","name","arguments"}, as OpenAI has them.  */
+/* Converts tool calls, {"id","name","arguments"}, to OpenAI's format.  */
 static json_t *
 chat_tool_calls (json_t *calls)
 {
@@ -235,16 +236,16 @@
   return list;
 }
 
-/* What the FINAL of a model's call says.  */
+/* A model's response in the body of a FINAL event.  */
 struct chat_answer
 {
   json_t *body;    /* {"content":S,"tool_calls":[…]}, owned */
   json_t *content; /* borrowed */
-  json_t *calls;   /* borrowed, NULL when none */
+  json_t *calls;   /* borrowed, NULL if none */
 };
 
-/* The answer of a step is the engine's body as a text; that of a program is
-   the text itself.  */
+/* Returns the body in the member "answer": a step's is the engine's body as a
+   JSON string, a program's is the text itself.  */
 static json_t *
 answer_body (const char *final)
 {
--- a/src/daemon/batch.c
+++ b/src/daemon/batch.c
@@ -1,4 +1,4 @@
-/* batch.c - the queue of actions that a process has still to carry out.
+/* batch.c - queue of actions returned by the cores of a process.
 
    Needs: batch.h, memory.h.  */
 
--- a/src/daemon/batch.h
+++ b/src/daemon/batch.h
@@ -1,7 +1,8 @@
-/* batch.h - the queue of actions that a process has still to carry out.
+/* batch.h - queue of actions returned by the cores of a process.
 
-   A core's handler never runs inside another one, and two batches never
-   interleave: a commit that was asked for first reaches the store first.
+   Keeps the handlers of the cores from being nested, and the actions of
+   different inputs from being interleaved, so that commits reach the store in
+   the order in which they were requested.
    Needs: action.h.  */
 
 #ifndef MQ_BATCH_H
@@ -10,10 +11,9 @@
 #include "core/action.h"
 
 /**
- * struct mq_batch - the actions that one input led to
- * @next: the batch behind it
- * @origin: which core gave them, an enumeration of the process's own
- * @actions: in the order in which they are carried out
+ * struct mq_batch - the actions that one input resulted in
+ * @origin: the core that returned them; values are defined by the process
+ * @actions: in the order in which to run them
  */
 struct mq_batch
 {
@@ -28,11 +28,11 @@
   struct mq_batch *last;
 };
 
-/* The empty list of a new batch below CTX, last in the queue.  */
+/* Appends a new batch, owned by CTX, and returns its empty list of actions. */
 struct mq_actions *mq_batch_add (TALLOC_CTX *ctx, struct mq_batch_queue *queue,
                                  int origin);
-/* Takes the first batch out, for the caller to free; NULL when none is left.
- */
+/* Removes and returns the first batch, which the caller frees; NULL if the
+   queue is empty.  */
 struct mq_batch *mq_batch_take (struct mq_batch_queue *queue);
 
 #endif
--- a/src/daemon/connected_hosts.c
+++ b/src/daemon/connected_hosts.c
@@ -1,6 +1,6 @@
-/* kept_hosts.c - connections to the hosts of the platform's list.
+/* connected_hosts.c - connections to the hosts that the platform lists.
 
-   Needs: kept_hosts.h, memory.h.  */
+   Needs: connected_hosts.h, memory.h.  */
 
 #include "connected_hosts.h"
 #include "core/memory.h"
--- a/src/daemon/connected_hosts.h
+++ b/src/daemon/connected_hosts.h
@@ -1,4 +1,4 @@
-/* kept_hosts.h - connections to the hosts of the platform's list.
+/* connected_hosts.h - connections to the hosts that the platform lists.
 
    Needs: host.h, peer.h.  */
 
@@ -8,7 +8,7 @@
 #include "core/host.h"
 #include "net/peer.h"
 
-/* Addresses of hosts to which connections are connected.  */
+/* Addresses of the hosts to which persistent connections are open.  */
 struct mq_connected_hosts
 {
   char **addresses;
@@ -17,8 +17,9 @@
 
 typedef bool mq_host_filter (const struct mq_host *host, const void *data);
 
-/* Keeps a connection to each host of the list that is WANTED, and releases
-   those to hosts that are no longer listed.  Addresses hang below CTX.  */
+/* Opens a persistent connection to each listed host for which WANTED returns
+   true, and releases those to hosts that are no longer listed.  Addresses are
+   owned by CTX.  */
 void mq_connected_hosts_update (TALLOC_CTX *ctx,
                                 struct mq_connected_hosts *connected,
                                 struct mq_peer_net *net,
--- a/src/daemon/operator_http.c
+++ b/src/daemon/operator_http.c
@@ -1,5 +1,5 @@
-/* operator_http.c - the paths that operators and the platform ask for at
-   every process.
+/* operator_http.c - HTTP endpoints of every daemon for operators and the
+   platform.
 
    Needs: operator_http.h, id.h, memory.h, gnutls.  */
 
@@ -20,7 +20,7 @@
   mq_http_respond (request, status, type, text, strlen (text));
 }
 
-/* Answers with TEXT, a talloc string, and frees it.  */
+/* Responds with TEXT, a talloc string, and frees it.  */
 static void
 respond_owned (struct mq_http_request *request, const char *type, char *text)
 {
@@ -41,8 +41,7 @@
          == 0;
 }
 
-/* Only digests are compared, in constant time, so that the time of an answer
-   tells nothing of the key.  */
+/* Compares digests in constant time to prevent timing attacks.  */
 static bool
 is_operator (const struct mq_operator_http *operators,
              struct mq_http_request *request)
--- a/src/daemon/operator_http.h
+++ b/src/daemon/operator_http.h
@@ -1,5 +1,5 @@
-/* operator_http.h - the paths that operators and the platform ask for at
-   every process: /healthz, /readyz, /metrics and /v1/admin/.
+/* operator_http.h - HTTP endpoints of every daemon for operators and the
+   platform: /healthz, /readyz, /metrics and /v1/admin/.
 
    docs/API.md is the reference.
    Needs: http_server.h, error.h, gnutls.  */
@@ -11,14 +11,14 @@
 #include "net/http_server.h"
 
 /**
- * struct mq_operator_callbacks - what the process does for operators
- * @ready: NONE, or why the process takes no work
- * @metrics: Prometheus text below CTX
- * @status: JSON object text below CTX
- * @spans: JSON array text of PROGRAM's hops below CTX
- * @drain: a planned stop is asked for
- * @refuse: answers with a typed refusal
- * @user: given to each
+ * struct mq_operator_callbacks - functions that the daemon provides
+ * @ready: MQ_ERR_NONE, or why the process accepts no work
+ * @metrics: returns metrics in Prometheus text format, owned by ctx
+ * @status: returns the text of a JSON object, owned by ctx
+ * @spans: returns the text of a JSON array of program's spans, owned by ctx
+ * @drain: an operator requested a graceful shutdown
+ * @refuse: sends an error response
+ * @user: passed to each callback
  */
 struct mq_operator_callbacks
 {
@@ -35,16 +35,17 @@
 struct mq_operator_http
 {
   struct mq_operator_callbacks callbacks;
-  uint8_t key_hash[MQ_KEY_BYTES]; /* SHA-256 of the operators' key */
+  uint8_t key_hash[MQ_KEY_BYTES]; /* SHA-256 of the operators' API key */
 };
 
-/* Answers a request for one of these paths; false: it is for another one.  */
+/* Responds to a request for one of these paths; returns false for any other
+   path.  */
 bool mq_operator_serve (const struct mq_operator_http *operators,
                         struct mq_http_request *request);
-/* SHA-256 of the bearer token; false when there is none.  */
+/* Sets HASH to the SHA-256 of the bearer token; returns false if the request
+   has none.  */
 bool mq_bearer_hash (struct mq_http_request *request,
                      uint8_t hash[MQ_KEY_BYTES]);
-/* Answers with a whole text.  */
 void mq_respond_text (struct mq_http_request *request, int status,
                       const char *type, const char *text);
 
--- a/src/daemon/platform.c
+++ b/src/daemon/platform.c
@@ -1,6 +1,7 @@
-/* platform.c - the platform's table, object store and host list over HTTP.
+/* platform.c - HTTP client of the platform's table, object store and host
+   list.
 
-   platform_answer.c reads what comes back.
+   platform_answer.c parses the responses.
    Needs: platform.h, platform_answer.h, base64.h, limits.h, jansson.  */
 
 #include "platform.h"
@@ -42,12 +43,12 @@
   struct mq_platform_counters counters;
 };
 
-/* A request under way; its parent is the platform.  */
+/* A request in progress; a talloc child of the platform.  */
 struct pending
 {
   struct mq_platform *platform;
-  struct mq_http_call *call;       /* NULL: not sent, or ended */
-  struct mq_store_request request; /* copy, without values of its ops */
+  struct mq_http_call *call;       /* NULL if not sent or ended */
+  struct mq_store_request request; /* copy, without the values of its ops */
   struct mq_bytes body;
 };
 
@@ -152,7 +153,7 @@
   return json;
 }
 
-/* Empty when a key is not UTF-8 or memory is out.  */
+/* Returns an empty body if a key is not UTF-8 or memory is exhausted.  */
 static struct mq_bytes
 describe_transaction (TALLOC_CTX *ctx, const struct mq_store_request *request)
 {
@@ -232,7 +233,7 @@
   return true;
 }
 
-/* Answers.  */
+/* Results.  */
 
 static void
 count_result (struct mq_platform *platform, enum mq_store_status status)
@@ -243,7 +244,8 @@
     platform->counters.lost++;
 }
 
-/* The receiver may destroy the platform, so PENDING leaves it before.  */
+/* Detaches PENDING from the platform first, because the callback may destroy
+   the platform.  */
 static void
 report (struct pending *pending, struct mq_store_result *result)
 {
@@ -280,7 +282,7 @@
   report (pending, &result);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 static int
 free_pending (struct pending *pending)
--- a/src/daemon/platform.h
+++ b/src/daemon/platform.h
@@ -1,7 +1,8 @@
-/* platform.h - the platform's table, object store and host list over HTTP.
+/* platform.h - HTTP client of the platform's table, object store and host
+   list.
 
-   The paths are those of docs/CONTRACTS.md.  Carries struct
-   mq_store_request for the core and reads the list of hosts.
+   Sends the store requests of the cores and polls the list of hosts.
+   docs/CONTRACTS.md is the reference.
    Needs: http_client.h, store.h, host.h, jansson, gnutls (base64).  */
 
 #ifndef MQ_PLATFORM_H
@@ -24,27 +25,27 @@
                     struct mq_http_client *client, const char *url,
                     mq_platform_result_handler *stored, void *user);
 void mq_platform_destroy (struct mq_platform *platform);
-/* The result comes through STORED, never from within this call, and lives
-   until STORED returns.  REQUEST is copied.  */
+/* Sends a copy of REQUEST.  The result is passed to STORED, never from within
+   this function, and is valid until STORED returns.  */
 void mq_platform_send (struct mq_platform *platform,
                        const struct mq_store_request *request);
-/* Reads the list of hosts every INTERVAL_MS and reports each success; the
-   list lives until LISTED returns.  */
-/* Pause until the list is read again when it had HOSTS hosts: INTERVAL_MS,
-   and longer where the list is long, since every process reads all of it;
-   but no longer than a leaving host may get new work.  */
+/* Returns the polling interval for a list of HOSTS hosts: INTERVAL_MS, or more
+   for a long list to limit the platform's load, up to a maximum that bounds
+   how long a leaving host still gets new work.  */
 uint32_t mq_platform_poll_interval_ms (uint32_t interval_ms, size_t hosts);
+/* Starts polling the list of hosts.  LISTED is called after each successful
+   read; the list is valid until it returns.  */
 void mq_platform_watch_hosts (struct mq_platform *platform,
                               uint32_t interval_ms,
                               mq_platform_hosts_handler *listed, void *user);
 
 /**
- * struct mq_platform_counters - what was asked and how it ended
- * @writes: TXN, PUT and DROP sent
- * @reads: SCAN, GET and lists of hosts sent
- * @failures: ended as DOWN
- * @lost: ended as LOST
- * @malformed: answers, and hosts of the list, that could not be read
+ * struct mq_platform_counters - numbers of requests and results
+ * @writes: TXN, PUT and DROP requests
+ * @reads: SCAN, GET and host list requests
+ * @failures: results DOWN, and failed host list requests
+ * @lost: results LOST
+ * @malformed: malformed responses and malformed entries of the host list
  */
 struct mq_platform_counters
 {
--- a/src/daemon/platform_answer.c
+++ b/src/daemon/platform_answer.c
@@ -1,10 +1,10 @@
-/* platform_answer.c - reads the platform's answers.
+/* platform_answer.c - parses the platform's responses.
 
-   What may be said of a write that got no proper answer decides whether work
-   is done twice: a write is DOWN only when it certainly did not take effect
-   (nothing was sent, or 503), a CONFLICT only when the table says so, and
-   LOST in every other case, a malformed answer included.  Reads have no
-   effect, so whatever fails there is DOWN.
+   A wrong result of a failed write could cause work to be done twice.  A
+   write is DOWN only if it certainly did not take effect (it was not sent, or
+   got 503), CONFLICT only if the table reports a conflict, and LOST in all
+   other cases, including a malformed response.  A failed read is always
+   DOWN, as it has no effect.
    Needs: platform_answer.h, base64.h, jansson.  */
 
 #include "platform_answer.h"
@@ -20,7 +20,7 @@
   STATUS_UNAVAILABLE = 503
 };
 
-/* One answer that is being read.  */
+/* State of parsing one response.  */
 struct reading
 {
   TALLOC_CTX *ctx;
@@ -52,7 +52,8 @@
   return result->rows != NULL;
 }
 
-/* One version for each operation, 0 for just those that remove.  */
+/* Reads one version for each operation; it must be 0 for those that remove a
+   key, and only for those.  */
 static bool
 read_versions (const struct mq_store_request *request, json_t *versions,
                struct mq_store_result *result)
@@ -110,7 +111,7 @@
   result->more = false;
 }
 
-/* What is known of a write that got no answer which says more.  */
+/* Status of a write without a conclusive response.  */
 static enum mq_store_status
 unanswered_write_status (const struct mq_http_result *http)
 {
@@ -171,8 +172,9 @@
          && mq_base64_decode (result->rows, value, &row->value);
 }
 
-/* Rows in order below the prefix, and never "more" after none: who reads on
-   after the last key would read the same again for ever.  */
+/* Reads the rows, which must have the prefix and be in ascending order.
+   Rejects "more" without rows: the caller continues after the last key and
+   would loop forever.  */
 static bool
 read_rows (struct reading *reading, json_t *json,
            struct mq_store_result *result)
@@ -288,7 +290,7 @@
   return host->role == MQ_HOST_TARGET || strcmp (role, "entry") == 0;
 }
 
-/* A list and the JSON that its strings lie in.  */
+/* A host list and the JSON that owns its strings.  */
 struct host_answer
 {
   struct mq_host_list list;
@@ -302,8 +304,8 @@
   return 0;
 }
 
-/* One bad entry must not hide all the other hosts: it is left out and
-   counted.  */
+/* Skips and counts malformed entries, so that one of them does not hide all
+   other hosts.  */
 static bool
 read_host_items (struct host_answer *answer, json_t *items,
                  uint64_t *malformed)
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -1,4 +1,4 @@
-/* process.c - addresses, connections and ticks of a process.
+/* process.c - addresses, peer connections and timers of a daemon.
 
    Needs: process.h, memory.h, clock.h.  */
 
@@ -45,10 +45,9 @@
   return net;
 }
 
-/* Failure: a process that was held up looks at its cores before it has read
-   what arrived meanwhile: a stop beside a target finds that no call has come
-   for a while, and one that lies unread is lost with the process.  These
-   timers come after what has arrived.  */
+/* Uses mq_timer, which fires after pending input has been read.  Otherwise a
+   target host's daemon that was suspended while draining could exit with an
+   unread call in its socket.  */
 void
 mq_tick_timer_set (struct mq_tick_timer *tick, struct tevent_context *ev,
                    uint64_t at_us, uint64_t least_us,
--- a/src/daemon/process.h
+++ b/src/daemon/process.h
@@ -1,6 +1,6 @@
-/* process.h - addresses, connections and ticks of a process.
+/* process.h - addresses, peer connections and timers of a daemon.
 
-   Shared by the processes on entry and target hosts.
+   Shared by the daemons of entry and target hosts.
    Needs: tevent, peer.h, settings.h, timer.h.  */
 
 #ifndef MQ_PROCESS_H
@@ -11,12 +11,13 @@
 #include "net/timer.h"
 #include <tevent.h>
 
-/* ADDRESS, "IP:PORT", with PORT in the place of its own, below CTX.  */
+/* Returns ADDRESS, "IP:PORT", with its port replaced by PORT, owned by CTX. */
 char *mq_process_replace_port (TALLOC_CTX *ctx, const char *address,
                                uint16_t port);
 
-/* Connections to the other processes, as SETTINGS have them; *ADDRESS, below
-   CTX, is where they reach this one.  NULL with ERROR when it can't listen. */
+/* Creates the connections to other daemons, and sets *ADDRESS to this daemon's
+   own address, owned by CTX.  Returns NULL with ERROR set if it can't
+   listen.  */
 struct mq_peer_net *
 mq_process_create_net (TALLOC_CTX *ctx, struct tevent_context *ev,
                        const struct mq_settings *settings,
@@ -25,9 +26,9 @@
                        char **address, struct mq_error *error);
 
 /**
- * struct mq_tick_timer - the next tick of a process's cores
- * @timer: NULL when none is set; its handler sets it to NULL
- * @at_us: when it is due
+ * struct mq_tick_timer - timer for the next tick of the cores
+ * @timer: NULL if not set; its handler must set it to NULL
+ * @at_us: expiry, monotonic clock
  */
 struct mq_tick_timer
 {
@@ -35,8 +36,8 @@
   uint64_t at_us;
 };
 
-/* Sets TICK, a child of DATA, to AT_US: at least LEAST_US and at most a second
-   from now, to the millisecond.  */
+/* Sets TICK, a talloc child of DATA, to AT_US, limited to between LEAST_US and
+   one second from now, and rounded up to milliseconds.  */
 void mq_tick_timer_set (struct mq_tick_timer *tick, struct tevent_context *ev,
                         uint64_t at_us, uint64_t least_us,
                         mq_timer_handler *handler, void *data);
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -1,4 +1,4 @@
-/* report.c - what every process shows to operators in the same way.
+/* report.c - metrics and status that all daemons have in common.
 
    Needs: report.h, memory.h.  */
 
@@ -7,7 +7,7 @@
 #include "log/metrics.h"
 #include <stdlib.h>
 
-/* Counters of the peers and the platform, which keep no list of names.  */
+/* Counters of peer.h and platform.h, which define no list of names.  */
 #define PEER_COUNTERS(X)                                                      \
   X (frames_in, "frames received from other processes")                       \
   X (frames_out, "frames sent to other processes")                            \
--- a/src/daemon/report.h
+++ b/src/daemon/report.h
@@ -1,4 +1,4 @@
-/* report.h - what every process shows to operators in the same way.
+/* report.h - metrics and status that all daemons have in common.
 
    Needs: metrics.h, peer.h, platform.h, spread.h, settings.h, jansson.  */
 
@@ -17,12 +17,11 @@
                                  const struct mq_platform *platform);
 
 /**
- * struct mq_status_header - what a status begins with
- * @settings: of the process
+ * struct mq_status_header - first members of a daemon's status
  * @role: "entry" or "target"
- * @ready: the process takes work
- * @leaving: it takes no new work any more
- * @version: configuration in force
+ * @ready: the daemon accepts work
+ * @leaving: the daemon is draining and accepts no new work
+ * @version: version of the active configuration
  */
 struct mq_status_header
 {
@@ -34,7 +33,7 @@
 };
 
 void mq_status_set_header (json_t *json, const struct mq_status_header *head);
-/* JSON as text below CTX; JSON is freed.  */
+/* Serialises JSON to a string owned by CTX and frees JSON.  */
 char *mq_report_text (TALLOC_CTX *ctx, json_t *json);
 
 #endif
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -1,4 +1,4 @@
-/* settings.c - settings of one process, INI, checked whole.
+/* settings.c - parser of a daemon's settings file, in INI format.
 
    Needs: settings.h, settings_file.h.  */
 
@@ -33,7 +33,7 @@
         { "tool", MQ_SERVICE_TOOL },
         { NULL, 0 } };
 
-/* What the keys of a section fill.  */
+/* Values of the keys of a section.  */
 struct process_section
 {
   struct mq_settings settings;
@@ -229,7 +229,7 @@
   return &table;
 }
 
-/* A file that is being read.  */
+/* State of parsing one file.  */
 struct settings_draft
 {
   struct process_section process;
@@ -306,8 +306,8 @@
     }
 }
 
-/* Workers were gathered in the structure given back, the keys of [process]
-   in a copy, so that one does not overwrite the other.  */
+/* Merges the keys of [process] into the result, which has the workers
+   already.  */
 static void
 join_parts (struct settings_draft *draft)
 {
@@ -343,7 +343,7 @@
   return true;
 }
 
-/* A targetd without a worker would hold its slot and serve nothing.  */
+/* A target host without a worker could serve no calls.  */
 static void
 check_workers (struct settings_draft *draft)
 {
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -1,6 +1,7 @@
-/* settings.h - settings of one process, INI, checked whole.
+/* settings.h - parser of a daemon's settings file, in INI format.
 
-   One table of keys serves parsing, --help and the documentation check.
+   One table of keys is used for parsing, --help and the check of the
+   documentation.
    Needs: text_keys.h (tables of keys), gate.h, host.h.  */
 
 #ifndef MQ_SETTINGS_H
@@ -11,23 +12,23 @@
 #include "core/text/text_keys.h"
 
 /**
- * struct mq_settings - what a process learns from its settings file
+ * struct mq_settings - settings of a daemon
  * @host: name of this host
- * @data_centre: where it stands
- * @region: where its data centre stands
- * @http: "IP:PORT" for callers (entryd) or operators (targetd)
- * @peer: "IP:PORT" for the system's own processes
+ * @data_centre: data centre of this host
+ * @region: region of the data centre
+ * @http: listening "IP:PORT" for callers (entryd) or operators (targetd)
+ * @peer: listening "IP:PORT" for other daemons
  * @platform: "http://IP:PORT" of the platform
- * @site_key: 32 bytes, written as 64 hexadecimal digits
- * @operator_key_hash: SHA-256 of the key that operators send
+ * @site_key: shared secret of the site's daemons
+ * @operator_key_hash: SHA-256 of the operators' API key
  * @policy: name of the placement policy (entryd)
  * @commit_each_step: every step waits for the store, for comparison (entryd)
  * @order: order of the queue (targetd)
  * @workers: [worker NAME] sections (targetd)
  * @worker_urls: "http://IP:PORT" of each worker
- * @worker_count: how many
- * @drain_seconds: a planned stop that takes longer is cut
- * @stream_buffer_kb: KiB that a caller's stream may hold unsent (entryd)
+ * @worker_count: length of @workers and @worker_urls
+ * @drain_seconds: timeout of a graceful shutdown
+ * @stream_buffer_kb: limit of unsent data of a stream, in KiB (entryd)
  */
 struct mq_settings
 {
@@ -49,14 +50,16 @@
   uint32_t stream_buffer_kb;
 };
 
-/* The kinds of [process] are the roles of processes.  */
+/* Returns the table of keys.  The kinds of [process] are the daemons'
+   roles.  */
 const struct mq_key_table *mq_settings_keys (void);
-/* NULL when there is an error; ERRORS then lists all of them, below CTX.
-   Values of keys are never shown in them.  */
+/* Returns NULL if there is an error; ERRORS then lists all errors, owned by
+   CTX.  They never contain the values of keys, which may be secret.  */
 struct mq_settings *mq_settings_parse (TALLOC_CTX *ctx, enum mq_host_role role,
                                        const char *source, size_t len,
                                        struct mq_text_errors *errors);
-/* A file that can't be read is IO with the errno as number.  */
+/* Reads and parses FILE.  If it can't be read, the error is IO with errno as
+   its number.  */
 struct mq_settings *mq_settings_read (TALLOC_CTX *ctx, enum mq_host_role role,
                                       const char *file,
                                       struct mq_text_errors *errors);
--- a/src/daemon/settings_file.c
+++ b/src/daemon/settings_file.c
@@ -1,4 +1,4 @@
-/* settings_file.c - the text of a settings file.
+/* settings_file.c - reads the text of a settings file.
 
    Needs: settings_file.h, the C library's files.  */
 
@@ -11,7 +11,7 @@
 static char *
 read_stream (TALLOC_CTX *ctx, FILE *stream, size_t *len)
 {
-  /* One byte more than is allowed, so that a longer file is noticed.  */
+  /* One byte over the limit, so that the parser detects a longer file.  */
   char *text = talloc_array (ctx, char, MQ_TEXT_MAX_BYTES + 2);
   int failure;
 
--- a/src/daemon/settings_file.h
+++ b/src/daemon/settings_file.h
@@ -1,4 +1,4 @@
-/* settings_file.h - the text of a settings file.
+/* settings_file.h - reads the text of a settings file.
 
    Needs: text_ini.h.  */
 
@@ -7,12 +7,12 @@
 
 #include "core/text/text_ini.h"
 
-/* Text of FILE ("-": standard input) below CTX, zero-terminated, one byte more
-   than is allowed at most, so that a longer file is noticed.  NULL with IO and
-   its errno in ERROR.  */
+/* Reads FILE, or standard input for "-", into a NUL-terminated string owned by
+   CTX.  Reads at most one byte more than the allowed size, so that the parser
+   detects a longer file.  Returns NULL with ERROR set to IO and errno.  */
 char *mq_settings_file_text (TALLOC_CTX *ctx, const char *file, size_t *len,
                              struct mq_error *error);
-/* The same with the failure as an error of the file.  */
+/* The same, but reports a failure in ERRORS.  */
 char *mq_settings_file_read (TALLOC_CTX *ctx, const char *file, size_t *len,
                              struct mq_text_errors *errors);
 
--- a/src/entryd.c
+++ b/src/entryd.c
@@ -1,6 +1,6 @@
-/* entryd.c - the process on an entry host: mimosa-entryd.
+/* entryd.c - main function of mimosa-entryd, the daemon of an entry host.
 
-   Needs: io/daemon.h.  */
+   Needs: daemon.h.  */
 
 #include "daemon.h"
 
--- a/src/targetd.c
+++ b/src/targetd.c
@@ -1,6 +1,6 @@
-/* targetd.c - the process on a target host: mimosa-targetd.
+/* targetd.c - main function of mimosa-targetd, the daemon of a target host.
 
-   Needs: io/daemon.h.  */
+   Needs: daemon.h.  */
 
 #include "daemon.h"
 
--- a/tests/test_api.c
+++ b/tests/test_api.c
@@ -1,9 +1,9 @@
-/* test_api.c - callers' HTTP: what is asked of the front, and what callers
-   read.
+/* test_api.c - HTTP API of an entry host: requests to the front and responses
+   to callers.
 
-   A real server and client on free ports of the loopback; the front is a
-   script of events.
-   Needs: criterion, api.h, http_client.h.  */
+   Uses a real HTTP server and client on the loopback interface, and a front
+   that replays scripted events.
+   Needs: Criterion, api.h, http_client.h.  */
 
 #include "core/id.h"
 #include "entry/api.h"
@@ -20,7 +20,7 @@
   CALL_SHIFT = 16
 };
 
-/* The organisations' keys are "key-of-hr" and "key-of-leads".  */
+/* The organisations' API keys are "key-of-hr" and "key-of-leads".  */
 static const char source[]
     = "[site]\nname = test\n"
       "[organisation hr]\nkey_sha256 = %s\n"
@@ -65,7 +65,7 @@
   return parsed;
 }
 
-/* What a request is read as: a table of methods, paths and bodies.  */
+/* Parsing of requests.  */
 
 #define ID "00112233445566778899aabbccddeeff"
 
@@ -86,7 +86,7 @@
   const char *cancel;
   const char *accept;
   const char *timeout_ms;
-  /* What is expected: a refusal, or the request as words.  */
+  /* Expected error, or the expected request as text.  */
   enum mq_error_type error;
   const char *expect;
 };
@@ -176,7 +176,7 @@
     .expect = "chat-stream create guide key=c {} then "
               "step+events models sequence=1 {\"messages\":[]} "
               "wait=150000" },
-  /* What can't be asked.  */
+  /* Invalid requests.  */
   { .body = "{\"service\":\"guide\"", .error = MQ_ERR_BAD_JSON },
   { .body = "[1]", .error = MQ_ERR_BAD_JSON },
   { .body = "{\"service\":\"guide\",\"service\":\"guide\",\"input\":\"\"}",
@@ -341,9 +341,9 @@
   talloc_free (ctx);
 }
 
-/* The same organisation and key open the same program through any host; the
-   same key of another organisation is another program.  */
-Test (api, opening_twice_names_one_program)
+/* The program id depends only on organisation and idempotency key, so that a
+   retry through another host opens the same program.  */
+Test (api, same_key_opens_same_program)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_text *text = make_text (ctx);
@@ -387,7 +387,7 @@
   struct mq_http_client *client;
   struct mq_api *api;
   struct mq_text *text;
-  const struct scripted *script; /* of each request in turn */
+  const struct scripted *script; /* events of consecutive requests */
   size_t script_at;
   uint64_t handle;
   size_t asked;
@@ -399,7 +399,7 @@
   char *body;
 };
 
-/* Gives the events of the script up to the end of one request's answer.  */
+/* Sends scripted events up to the one that ends the response.  */
 static void
 play (struct tevent_context *ev, struct tevent_immediate *immediate,
       void *data)
@@ -615,7 +615,7 @@
 #define CHAT_STREAM "{\"model\":\"models\",\"messages\":[],\"stream\":true}"
 #define DONE "{\"answer\":\"ab\",\"status\":\"waiting\"}"
 
-/* A step's answer is the engine's body as a text.  */
+/* The answer of a step is the engine's body as a JSON string.  */
 #define ASKS_CALL                                                             \
   "{\"answer\":\"{\\\"content\\\":\\\"\\\",\\\"tool_calls\\\":["              \
   "{\\\"id\\\":\\\"i\\\",\\\"name\\\":\\\"n\\\",\\\"arguments\\\":\\\"{}"     \
@@ -773,8 +773,8 @@
   bench_destroy (bench);
 }
 
-/* Who is let in: callers by their organisation's key, operators by theirs,
-   everybody to the health of the process.  */
+/* Access control: callers need their organisation's key, operators the
+   operators' key, health endpoints none.  */
 
 enum bench_state
 {
@@ -792,7 +792,7 @@
   const char *path;
   const char *key;
   const char *has;
-} door_cases[] = {
+} access_cases[] = {
   { READY, 200, "GET", "/healthz", NULL, "alive" },
   { READY, 200, "GET", "/readyz", NULL, "ready" },
   { READY, 200, "GET", "/metrics", NULL, "shown" },
@@ -815,33 +815,33 @@
   { LEAVING, 200, "GET", "/v1/admin/status", "operator", "shown" },
 };
 
-Test (api, doors)
+Test (api, access_control)
 {
-  for (size_t i = 0; i < sizeof door_cases / sizeof door_cases[0]; i++)
+  for (size_t i = 0; i < sizeof access_cases / sizeof access_cases[0]; i++)
     {
       struct bench *bench = bench_create ();
       const char *headers[2] = { NULL, NULL };
 
-      if (door_cases[i].key != NULL)
+      if (access_cases[i].key != NULL)
         headers[0] = talloc_asprintf (bench, "Authorization: Bearer %s",
-                                      door_cases[i].key);
-      bench->is_ready = door_cases[i].state != NOT_READY;
-      if (door_cases[i].state == WITHOUT_TEXT)
+                                      access_cases[i].key);
+      bench->is_ready = access_cases[i].state != NOT_READY;
+      if (access_cases[i].state == WITHOUT_TEXT)
         mq_api_set_text (bench->api, NULL);
-      if (door_cases[i].state == LEAVING)
+      if (access_cases[i].state == LEAVING)
         mq_api_drain (bench->api);
-      call (bench, door_cases[i].method, door_cases[i].path, headers,
-            door_cases[i].method[0] == 'P' ? "{}" : NULL);
-      cr_expect_eq (bench->result.status, door_cases[i].status, "row %zu: %d",
-                    i, bench->result.status);
-      cr_expect_not_null (strstr (bench->body, door_cases[i].has),
+      call (bench, access_cases[i].method, access_cases[i].path, headers,
+            access_cases[i].method[0] == 'P' ? "{}" : NULL);
+      cr_expect_eq (bench->result.status, access_cases[i].status,
+                    "row %zu: %d", i, bench->result.status);
+      cr_expect_not_null (strstr (bench->body, access_cases[i].has),
                           "row %zu: %s", i, bench->body);
       cr_expect_eq (bench->asked, 0, "row %zu reached the front", i);
       bench_destroy (bench);
     }
 }
 
-/* An operator's drain answers before the process stops.  */
+/* A drain request is answered before the process stops.  */
 Test (api, drain)
 {
   struct bench *bench = bench_create ();
@@ -853,9 +853,9 @@
   bench_destroy (bench);
 }
 
-/* The caller hangs up while it waits: the front is told once, and an answer
-   that comes later finds nobody and is counted.  */
-Test (api, caller_hangs_up)
+/* A caller that disconnects is reported to the front once, and a late event
+   is counted as unknown.  */
+Test (api, caller_disconnects)
 {
   struct bench *bench = bench_create ();
   static const struct scripted nothing[EVENTS_MAX] = { { 0 } };
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* test_settings.c - the settings of a process.
+/* test_settings.c - parser of a daemon's settings file.
 
    Needs: settings.h, Criterion.  */
 
@@ -78,7 +78,7 @@
   talloc_free (ctx);
 }
 
-/* One error, expected at a line.  */
+/* One expected error and its line.  */
 struct bad_settings
 {
   const char *name;
@@ -175,8 +175,7 @@
     }
 }
 
-/* An operator mistypes the line of the site key and sends the output of the
-   check to a colleague.  Whatever the slip was, the key is not in it.  */
+/* Error messages for a malformed site key must not contain the key.  */
 Test (settings, errors_never_show_a_secret)
 {
   static const char secret[] = "5ec3e75ec3e7";
@@ -206,7 +205,7 @@
     }
 }
 
-Test (settings, file_that_is_not_there)
+Test (settings, missing_file)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_text_errors errors;
@@ -220,9 +219,9 @@
   talloc_free (ctx);
 }
 
-/* The words of the settings are the policies' own names: with another word
-   the check passes and mimosa-entryd refuses to start.  */
-Test (settings, policies_have_their_own_names)
+/* Every policy name that the settings accept must be known to the placement
+   code, or mimosa-entryd fails to start with valid settings.  */
+Test (settings, policy_names_match)
 {
   const struct mq_key *key
       = mq_key_find (mq_settings_keys (), "process", "policy");
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -1,5 +1,5 @@
-/* test_worker.c - the client towards a worker, against a stand-in engine and
-   a scripted plain service in the same event loop.
+/* test_worker.c - HTTP client of a worker, against a simulated engine and a
+   scripted plain service on the same event loop.
 
    Needs: Criterion, worker.h, engine_server.h, http_server.h, listen.h.  */
 
@@ -17,9 +17,9 @@
 
 enum
 {
-  WAIT_SECONDS = 30, /* generous: only a fault waits this long */
+  WAIT_SECONDS = 30,
   NEVER = 1000000,
-  HELD_UP_MS = 1200, /* longer than a call may take */
+  HELD_UP_MS = 1200, /* exceeds the timeout of the call */
   SLOT = 7,
   WORKER = 3
 };
@@ -32,8 +32,8 @@
 #define REQUEST_ID "00000000000000010000000000000002-5-1"
 
 /**
- * struct bench - a worker's client and what it said
- * @stop_after: stop the call after so many pieces of text
+ * struct bench - a worker's client and the events that it reported
+ * @stop_after: number of pieces of text after which to stop the call
  */
 struct bench
 {
@@ -271,18 +271,18 @@
   "{\"messages\":[{\"role\":\"user\",\"content\":\"plan=" plan "\"}]}"
 #define ANSWER_40 SAY ("[{\\\"answer\\\":40}]")
 #define ANSWER_9000 SAY ("[{\\\"answer\\\":9000}]")
-/* Strikes the next POST to a path that begins so.  */
+/* Injects a fault into the next POST to a path with this prefix.  */
 #define FAULT_AT(name, path, more)                                            \
   "{\"fault\":\"" name "\",\"count\":1,\"match\":\"" path "\"" more "}"
 #define FAULT(name, more) FAULT_AT (name, "/v1/chat", more)
 
 /**
  * struct model_case - one model call
- * @fault: set before it
- * @stop_after: stopped after so many pieces of text, 0: at once
- * @least: least tokens_out
- * @most: greatest tokens_out
- * @seen: times that the engine ran it
+ * @fault: fault injected before the call; NULL if none
+ * @stop_after: pieces of text after which to stop the call, 0: at once
+ * @least: lower bound of tokens_out
+ * @most: upper bound of tokens_out
+ * @seen: number of times that the engine runs the call
  */
 struct model_case
 {
@@ -335,10 +335,9 @@
     MQ_ERR_CANCELLED, MQ_RAN_RAN, 0, 0, 0, 0 },
 };
 
-/* A caller reads a model's answer that is cut, refused, late or cancelled at
-   any point.  The gate must hear of the end exactly once, with the right type
-   and the tokens that were really made, and the engine must be left with
-   nothing to do.  */
+/* However a model call ends, its result must be reported exactly once, with
+   the right error and the number of tokens generated, and the engine must not
+   keep running it.  */
 static void
 run_model_case (const struct model_case *c)
 {
@@ -356,7 +355,7 @@
   mq_worker_start (bench->worker, &start);
   if (c->stop_after == 0)
     mq_worker_stop (bench->worker, SLOT);
-  cr_assert_eq (bench->dones, 0, "no callback from within");
+  cr_assert_eq (bench->dones, 0, "callback from within a function");
   wait_for (bench, &bench->dones, 1);
   cr_expect_eq (bench->done.slot, SLOT);
   cr_expect_eq (bench->done.error, c->error, "%s: %s", c->name,
@@ -367,7 +366,7 @@
                  && bench->done.tokens_out <= c->most,
              "%s: %u", c->name, bench->done.tokens_out);
   let_pass (bench, 50);
-  cr_expect_eq (bench->dones, 1, "%s: told once", c->name);
+  cr_expect_eq (bench->dones, 1, "%s: reported once", c->name);
   cr_expect_eq (stat_number (bench, "seen"), c->seen, "%s", c->name);
   cr_expect_eq (stat_number (bench, "running"), 0, "%s", c->name);
   cr_expect_eq (stat_number (bench, "queued"), 0, "%s", c->name);
@@ -386,8 +385,8 @@
     run_model_case (&model_cases[i]);
 }
 
-/* What the caller heard in pieces is what the body says, to the last byte. */
-Test (worker, model_answer_is_whole)
+/* The streamed pieces of text equal the content of the body.  */
+Test (worker, streamed_text_equals_body)
 {
   struct bench *bench = bench_create ();
   struct mq_start start = make_start (
@@ -419,8 +418,8 @@
   bench_destroy (bench);
 }
 
-/* An engine dies in the middle of an answer and comes back empty.  The call
-   ends as failed, and the gate hears of the new boot number.  */
+/* An engine that restarts during a call ends the call as failed and is
+   reported with its new boot number.  */
 Test (worker, engine_restarts)
 {
   struct bench *bench = bench_create ();
@@ -444,9 +443,9 @@
   bench_destroy (bench);
 }
 
-/* An engine that can't be reached is reported as down once, and a call to it
-   is known not to have run.  */
-Test (worker, engine_is_gone)
+/* An unreachable engine is reported as down once, and a call to it ends as not
+   run.  */
+Test (worker, engine_unreachable)
 {
   struct bench *bench = bench_create ();
   struct mq_start start = make_start (ANSWER_40, 0);
@@ -469,8 +468,8 @@
   bench_destroy (bench);
 }
 
-/* A program ends and the first eviction fails: it is reported as such, and
-   once a later one is confirmed the engine's cache lists nothing of it.  */
+/* A failed eviction is reported as not confirmed; after a confirmed one the
+   engine's cache no longer lists the program.  */
 Test (worker, evictions_and_cache)
 {
   static const struct mq_id program = PROGRAM;
@@ -544,9 +543,9 @@
 enum behaviour
 {
   ANSWER,
-  BREAK, /* takes the request and closes the connection */
+  BREAK, /* receives the request and closes the connection */
   HANG,
-  GONE /* nobody listens */
+  GONE /* connection refused */
 };
 
 struct script
@@ -665,10 +664,9 @@
   mq_worker_start (bench->worker, &start);
 }
 
-/* A tool takes a starter's bank details.  Its answer is lost in one of many
-   ways.  The form must have gone out once, whatever became of the answer: two
-   forms cost payroll an afternoon each.  A first call leaves an open
-   connection behind, on which a client is tempted to send again.  */
+/* A call with side effects must be sent exactly once, whatever becomes of the
+   response.  A first call leaves an open connection that HTTP clients may
+   reuse and retry on.  */
 static void
 run_service_case (size_t i, enum mq_service_kind kind)
 {
@@ -694,7 +692,7 @@
     {
       wait_for (bench, &script.hits, 1);
       mq_worker_stop (bench->worker, SLOT);
-      cr_assert_eq (bench->dones, 1, "no callback from within");
+      cr_assert_eq (bench->dones, 1, "callback from within a function");
     }
   wait_for (bench, &bench->dones, 2);
   cr_expect_eq (bench->done.error, c->error, "case %zu: %s", i,
@@ -705,7 +703,7 @@
   cr_expect_str_eq (bench->done.body, c->answer, "case %zu: %s", i,
                     bench->done.body);
   let_pass (bench, 30);
-  cr_expect_eq (bench->dones, 2, "case %zu: told once", i);
+  cr_expect_eq (bench->dones, 2, "case %zu: reported once", i);
   cr_expect_eq (script.hits, c->hits, "case %zu: sent %u times", i,
                 script.hits);
   bench_destroy (bench);
@@ -720,8 +718,8 @@
     }
 }
 
-/* Evictions and orders mean nothing to a plain service; each is still
-   answered, and not from within the call.  */
+/* Evictions and orders to a plain service complete without a request, and not
+   from within the function.  */
 Test (worker, services_hold_no_cache)
 {
   static const struct mq_id program = PROGRAM;
@@ -753,19 +751,18 @@
     }
 }
 
-/* A client that is closed with calls under way leaves nothing behind and says
-   nothing more: not of a call that goes on, not of one that was stopped in
-   the same moment, and not again of one whose end it has told.  */
-Test (worker, destroyed_with_calls_under_way)
+/* A client destroyed with calls in progress calls no callback afterwards and
+   leaves no call running at the engine.  */
+Test (worker, destroyed_with_calls_in_progress)
 {
   static const struct
   {
     const char *name;
     json_int_t running; /* at the engine before the stop */
-    uint32_t told;      /* ends told before the client is closed */
+    uint32_t reported;  /* results reported before the client is destroyed */
   } cases[] = {
     { "not sent yet", 0, 0 },
-    { "both under way", 2, 0 },
+    { "both in progress", 2, 0 },
     { "the stopped one has ended", 2, 1 },
   };
 
@@ -783,12 +780,12 @@
       mq_worker_start (bench->worker, &start);
       wait_for_running (bench, cases[i].running);
       mq_worker_stop (bench->worker, SLOT + 1);
-      wait_for (bench, &bench->dones, cases[i].told);
+      wait_for (bench, &bench->dones, cases[i].reported);
       mq_worker_destroy (bench->worker);
       bench->worker = NULL;
       let_pass (bench, 100);
-      cr_expect_eq (bench->dones, cases[i].told, "%s: told %u", cases[i].name,
-                    bench->dones);
+      cr_expect_eq (bench->dones, cases[i].reported, "%s: reported %u",
+                    cases[i].name, bench->dones);
       wait_for_running (bench, 0);
       bench_destroy (bench);
     }
@@ -804,12 +801,12 @@
   "\"cached_tokens\":4}}\n\n"
 #define DONE "data: [DONE]\n\n"
 
-/* Connections to an engine that the test itself plays.  */
+/* Maximum number of connections to the engine played by the test.  */
 #define ENDS 4
 
-/* The end of the connection on which the model call came.  */
+/* Returns the socket on which the model call arrived.  */
 static int
-hear_call (struct bench *bench, int listening, int *ends)
+accept_call (struct bench *bench, int listening, int *ends)
 {
   int count = 0;
 
@@ -829,11 +826,9 @@
     }
 }
 
-/* The process beside a target is held up for longer than a model call may
-   take, and the engine's whole answer comes meanwhile.  The call was over by
-   the time before the answer was read: the engine was told to cancel, and the
-   pieces of text, which had come in time, were not passed on.  */
-Test (worker, text_that_came_in_time_is_passed_on)
+/* If the process is suspended past the timeout of a call, a response that
+   arrived in time must still be read before the timeout is handled.  */
+Test (worker, response_in_time_after_suspension)
 {
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" TEXT ("abc") END DONE;
@@ -845,7 +840,7 @@
 
   add_worker (bench, MQ_SERVICE_MODEL, mq_listen_port (listening), 0);
   mq_worker_start (bench->worker, &start);
-  fd = hear_call (bench, listening, ends);
+  fd = accept_call (bench, listening, ends);
   cr_assert_eq (send (fd, answer, sizeof answer - 1, MSG_NOSIGNAL),
                 (ssize_t)sizeof answer - 1);
   shutdown (fd, SHUT_WR);
@@ -869,8 +864,8 @@
   *all = talloc_strdup_append (*all, text);
 }
 
-/* However the bytes are cut on their way, the same is read.  */
-Test (worker_stream, cut_anywhere)
+/* The result does not depend on how the stream is split into chunks.  */
+Test (worker_stream, split_anywhere)
 {
   static const struct
   {
