--- a/src/entry/api.c
+++ b/src/entry/api.c
@@ -135,7 +135,7 @@
   (void)http;
   api->slots[exchange->slot] = NULL;
   api->live--;
-  if (exchange->asked)
+  if (exchange->pending)
     {
       api->counters.callers_gone++;
       mq_exchange_count_disconnected (exchange);
@@ -184,7 +184,7 @@
   uint32_t partition
       = mq_id_partition (request->program, api->text->partitions);
 
-  exchange->asked = true;
+  exchange->pending = true;
   /* The callback may respond and free EXCHANGE before it returns.  */
   api->callbacks.request (exchange->handle, partition, exchange->plan->wait_ms,
                           request, api->callbacks.user);
@@ -195,7 +195,7 @@
 {
   struct mq_api *api = exchange->api;
 
-  exchange->asked = false;
+  exchange->pending = false;
   api->callbacks.gone (exchange->handle, api->callbacks.user);
 }
 
@@ -251,25 +251,26 @@
 }
 
 static void
-fill_ask (TALLOC_CTX *ctx, const struct mq_exchange *exchange,
-          const struct mq_organisation *caller, struct mq_api_http_input *ask)
+fill_http_input (TALLOC_CTX *ctx, const struct mq_exchange *exchange,
+                 const struct mq_organisation *caller,
+                 struct mq_api_http_input *input)
 {
   struct mq_http_request *http = exchange->http;
 
-  ask->method = mq_http_method (http);
-  ask->path = mq_http_path (http);
-  ask->body = mq_http_body (http, &ask->len);
-  ask->organisation = caller->name;
-  ask->key = mq_http_header (http, "Idempotency-Key");
-  ask->generated_key = make_key (ctx, exchange);
-  ask->traceparent = get_traceparent (ctx, http);
-  ask->accept = mq_http_header (http, "Accept");
-  ask->program = mq_http_header (http, "Mimosa-Program");
-  ask->service = mq_http_header (http, "Mimosa-Service");
-  ask->after = mq_http_query (http, "after");
-  ask->wait = mq_http_query (http, "wait");
-  ask->cancel = mq_http_query (http, "cancel");
-  ask->timeout_ms = mq_http_query (http, "timeout_ms");
+  input->method = mq_http_method (http);
+  input->path = mq_http_path (http);
+  input->body = mq_http_body (http, &input->len);
+  input->organisation = caller->name;
+  input->key = mq_http_header (http, "Idempotency-Key");
+  input->generated_key = make_key (ctx, exchange);
+  input->traceparent = get_traceparent (ctx, http);
+  input->accept = mq_http_header (http, "Accept");
+  input->program = mq_http_header (http, "Mimosa-Program");
+  input->service = mq_http_header (http, "Mimosa-Service");
+  input->after = mq_http_query (http, "after");
+  input->wait = mq_http_query (http, "wait");
+  input->cancel = mq_http_query (http, "cancel");
+  input->timeout_ms = mq_http_query (http, "timeout_ms");
 }
 
 static void
@@ -278,11 +279,11 @@
 {
   struct mq_api_refusal refusal = { .ran = MQ_RAN_NOT_RUN };
   TALLOC_CTX *ctx = mq_must (talloc_new (NULL));
-  struct mq_api_http_input ask = { 0 };
+  struct mq_api_http_input input = { 0 };
   struct mq_api_plan *plan;
 
-  fill_ask (ctx, exchange, caller, &ask);
-  plan = mq_api_plan_create (ctx, exchange->api->text, &ask, &refusal.error);
+  fill_http_input (ctx, exchange, caller, &input);
+  plan = mq_api_plan_create (ctx, exchange->api->text, &input, &refusal.error);
   if (plan == NULL)
     {
       mq_api_send_refusal (exchange->api, exchange->http, &refusal);
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -33,9 +33,9 @@
   talloc_free (text);
   /* More events may arrive before the connection is reported as closed; the
      slow reader is counted once.  */
-  if (!written && !exchange->cut_off)
+  if (!written && !exchange->aborted)
     {
-      exchange->cut_off = true;
+      exchange->aborted = true;
       exchange->api->counters.slow_readers++;
     }
   return written;
@@ -61,7 +61,7 @@
 }
 
 static void
-give_refusal (struct mq_exchange *exchange, const struct mq_event_msg *event)
+send_refusal (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
   struct mq_api *api = exchange->api;
   struct mq_api_refusal refusal;
@@ -91,7 +91,7 @@
 static void
 answer_refused (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
-  exchange->asked = false;
+  exchange->pending = false;
   mq_exchange_record_span (exchange, event->error);
   if (is_requested_cancel (exchange, event))
     mq_respond_text (exchange->http, 200, json_type,
@@ -100,7 +100,7 @@
   else
     {
       mq_exchange_count_refused (exchange, event);
-      give_refusal (exchange, event);
+      send_refusal (exchange, event);
     }
 }
 
@@ -113,7 +113,7 @@
 
   event.error = MQ_ERR_BAD_ANSWER;
   event.ran = MQ_RAN_RAN;
-  give_refusal (exchange, &event);
+  send_refusal (exchange, &event);
 }
 
 static const char *
@@ -145,18 +145,18 @@
 {
   struct mq_id program = exchange->plan->first.program;
   const char *model = chat_model (exchange);
-  size_t held = strlen (exchange->streamed);
+  size_t sent = strlen (exchange->streamed);
   int64_t now = time (NULL);
   char *content = mq_api_chat_content (exchange, final);
 
-  if (strncmp (content, exchange->streamed, held) != 0)
+  if (strncmp (content, exchange->streamed, sent) != 0)
     {
       refuse_bad_answer (exchange);
       return;
     }
-  if (content[held] != '\0'
+  if (content[sent] != '\0'
       && !write_stream (exchange,
-                        mq_api_chat_token (exchange->api, content + held,
+                        mq_api_chat_token (exchange->api, content + sent,
                                            model, program, now)))
     return;
   finish_stream (exchange,
@@ -166,7 +166,7 @@
 static void
 answer_final (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
-  exchange->asked = false;
+  exchange->pending = false;
   mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_exchange_count_answered (exchange, event->body);
   switch (exchange->plan->shape)
@@ -208,7 +208,7 @@
   char *json = mq_api_program_json (exchange, exchange->plan->first.program,
                                     create ? "waiting" : "running");
 
-  if (exchange->asked)
+  if (exchange->pending)
     mq_exchange_abandon (exchange);
   mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_respond_text (exchange->http, create ? 201 : 202, json_type, json);
@@ -239,7 +239,7 @@
 stream_chat_token (struct mq_exchange *exchange,
                    const struct mq_event_msg *event)
 {
-  if (exchange->held)
+  if (exchange->withheld)
     return;
   exchange->streamed = mq_must (
       talloc_strdup_append_buffer (exchange->streamed, event->body));
@@ -262,7 +262,7 @@
       break;
     case MQ_API_CHAT_STREAM:
       if (event->type == MQ_EVENT_RESET)
-        exchange->held = true;
+        exchange->withheld = true;
       else if (event->type == MQ_EVENT_TOKEN)
         stream_chat_token (exchange, event);
       break;
@@ -283,7 +283,7 @@
       || event->type == MQ_EVENT_REFUSED)
     return false;
   if (event->type == MQ_EVENT_FINAL)
-    exchange->asked = false;
+    exchange->pending = false;
   else if (event->type == MQ_EVENT_ACCEPTED)
     mq_exchange_abandon (exchange);
   else
@@ -297,7 +297,7 @@
 {
   struct mq_exchange *exchange = mq_exchange_find (api, event->handle);
 
-  if (exchange == NULL || !exchange->asked)
+  if (exchange == NULL || !exchange->pending)
     {
       api->counters.events_unknown++;
       return;
--- a/src/entry/api_plan.c
+++ b/src/entry/api_plan.c
@@ -112,39 +112,40 @@
 {
   memset (request, 0, sizeof *request);
   request->type = type;
-  request->organisation = parser->ask->organisation;
+  request->organisation = parser->http_input->organisation;
   request->service = "";
   request->route = "";
   request->key = "";
-  request->traceparent = parser->ask->traceparent;
+  request->traceparent = parser->http_input->traceparent;
   request->body = "{}";
 }
 
 static const char *
-key_of (const struct mq_api_http_input *ask)
+key_of (const struct mq_api_http_input *http_input)
 {
-  return ask->key != NULL ? ask->key : ask->generated_key;
+  return http_input->key != NULL ? http_input->key : http_input->generated_key;
 }
 
 static void
 name_new_program (struct mq_api_parser *parser, struct mq_request_msg *request)
 {
-  request->key = key_of (parser->ask);
-  request->program = mq_id_open (parser->ask->organisation, request->key);
+  request->key = key_of (parser->http_input);
+  request->program
+      = mq_id_open (parser->http_input->organisation, request->key);
 }
 
 static bool
-wants_events (const struct mq_api_http_input *ask)
+wants_events (const struct mq_api_http_input *http_input)
 {
-  return ask->accept != NULL
-         && strstr (ask->accept, "text/event-stream") != NULL;
+  return http_input->accept != NULL
+         && strstr (http_input->accept, "text/event-stream") != NULL;
 }
 
 /* Reads whether the response is to be streamed.  */
 static bool
 read_stream (struct mq_api_parser *parser)
 {
-  bool stream = wants_events (parser->ask);
+  bool stream = wants_events (parser->http_input);
 
   if (!mq_api_read_flag (parser, "stream", &stream))
     return false;
@@ -324,8 +325,8 @@
     return false;
   /* The sequence number makes the call idempotent.  A generated key would
      differ on each retry and conflict with it.  */
-  if (parser->ask->key != NULL || request->sequence == 0)
-    request->key = key_of (parser->ask);
+  if (parser->http_input->key != NULL || request->sequence == 0)
+    request->key = key_of (parser->http_input);
   return fill_step (parser, request) && read_stream (parser);
 }
 
@@ -339,7 +340,7 @@
   json_t *body;
 
   request->type = MQ_REQUEST_TURN;
-  request->key = key_of (parser->ask);
+  request->key = key_of (parser->http_input);
   if (!mq_api_read_body (parser) || !mq_api_check_members (parser, members))
     return false;
   input = json_object_get (parser->json, "input");
@@ -357,14 +358,14 @@
 plan_get (struct mq_api_parser *parser)
 {
   struct mq_request_msg *request = &parser->plan->first;
-  bool stream = wants_events (parser->ask);
+  bool stream = wants_events (parser->http_input);
 
   request->type = MQ_REQUEST_GET;
   parser->plan->shape = stream ? MQ_API_STREAM : MQ_API_JSON;
   /* Waiting for the final result subscribes to all events; only the last one
      is used.  */
-  request->stream = stream || is_set (parser->ask->wait);
-  return mq_api_read_decimal (parser, "after", parser->ask->after,
+  request->stream = stream || is_set (parser->http_input->wait);
+  return mq_api_read_decimal (parser, "after", parser->http_input->after,
                               &request->after);
 }
 
@@ -379,8 +380,9 @@
 static bool
 plan_delete (struct mq_api_parser *parser)
 {
-  parser->plan->first.type
-      = is_set (parser->ask->cancel) ? MQ_REQUEST_CANCEL : MQ_REQUEST_CLOSE;
+  parser->plan->first.type = is_set (parser->http_input->cancel)
+                                 ? MQ_REQUEST_CANCEL
+                                 : MQ_REQUEST_CLOSE;
   return true;
 }
 
@@ -388,7 +390,7 @@
 static bool
 plan_program (struct mq_api_parser *parser, const struct mq_api_path *path)
 {
-  const char *method = parser->ask->method;
+  const char *method = parser->http_input->method;
   struct mq_request_msg *request = &parser->plan->first;
   bool post = strcmp (method, "POST") == 0;
   bool get = strcmp (method, "GET") == 0;
@@ -406,7 +408,7 @@
     return plan_turn (parser);
   if (path->count == 4 && mq_api_segment_is (path, 3, "history") && get)
     return plan_history (parser);
-  return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->ask->path,
+  return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->http_input->path,
                       "see docs/API.md");
 }
 
@@ -434,8 +436,8 @@
   const struct mq_text *text = parser->text;
   const struct mq_service *called = mq_text_find_service (text, model);
 
-  if (parser->ask->service != NULL)
-    return find_service (parser, parser->ask->service);
+  if (parser->http_input->service != NULL)
+    return find_service (parser, parser->http_input->service);
   for (size_t i = 0; i < text->service_count; i++)
     if (text->services[i].kind == MQ_SERVICE_AGENT
         && mq_text_depends (text, &text->services[i], called))
@@ -477,11 +479,12 @@
 
   if (!mq_api_read_body (parser))
     return false;
-  if (parser->ask->program == NULL)
+  if (parser->http_input->program == NULL)
     return plan_new_chat (parser);
   begin_request (parser, &plan->first, MQ_REQUEST_STEP);
-  plan->first.key = key_of (parser->ask);
-  return mq_api_read_id (parser, parser->ask->program, &plan->first.program)
+  plan->first.key = key_of (parser->http_input);
+  return mq_api_read_id (parser, parser->http_input->program,
+                         &plan->first.program)
          && fill_chat_step (parser, &plan->first);
 }
 
@@ -514,10 +517,10 @@
 static bool
 plan_path (struct mq_api_parser *parser, const struct mq_api_path *path)
 {
-  bool post = strcmp (parser->ask->method, "POST") == 0;
+  bool post = strcmp (parser->http_input->method, "POST") == 0;
 
   if (path->count < 2 || !mq_api_segment_is (path, 0, "v1"))
-    return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->ask->path,
+    return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->http_input->path,
                         "see docs/API.md");
   if (path->count == 2 && mq_api_segment_is (path, 1, "programs") && post)
     return plan_programs (parser);
@@ -529,7 +532,7 @@
   if ((path->count == 3 || path->count == 4)
       && mq_api_segment_is (path, 1, "services") && post)
     return plan_service (parser, path);
-  return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->ask->path,
+  return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->http_input->path,
                       "see docs/API.md");
 }
 
@@ -539,8 +542,8 @@
 {
   uint32_t timeout_ms = parser->plan->wait_ms;
 
-  if (!mq_api_read_decimal (parser, "timeout_ms", parser->ask->timeout_ms,
-                            &timeout_ms))
+  if (!mq_api_read_decimal (parser, "timeout_ms",
+                            parser->http_input->timeout_ms, &timeout_ms))
     return false;
   if (timeout_ms == 0)
     return mq_api_fail (parser, MQ_ERR_BAD_REQUEST, "timeout_ms",
@@ -552,10 +555,11 @@
 
 struct mq_api_plan *
 mq_api_plan_create (TALLOC_CTX *ctx, const struct mq_text *text,
-                    const struct mq_api_http_input *ask,
+                    const struct mq_api_http_input *http_input,
                     struct mq_error *error)
 {
-  struct mq_api_parser parser = { .text = text, .ask = ask, .error = error };
+  struct mq_api_parser parser
+      = { .text = text, .http_input = http_input, .error = error };
   struct mq_api_path path;
   bool made;
 
@@ -564,7 +568,7 @@
     abort ();
   parser.ctx = parser.plan;
   parser.plan->wait_ms = MQ_API_WAIT_MAX_MS;
-  if (ask->key != NULL && !mq_api_key_valid (ask->key))
+  if (http_input->key != NULL && !mq_api_key_valid (http_input->key))
     made = mq_api_fail (&parser, MQ_ERR_BAD_REQUEST, "Idempotency-Key",
                         "1 to 255 printable characters");
   else
--- a/src/entry/api_plan.h
+++ b/src/entry/api_plan.h
@@ -74,10 +74,10 @@
 };
 
 /* Returns a plan owned by CTX, or NULL with ERROR set.  */
-struct mq_api_plan *mq_api_plan_create (TALLOC_CTX *ctx,
-                                        const struct mq_text *text,
-                                        const struct mq_api_http_input *ask,
-                                        struct mq_error *error);
+struct mq_api_plan *
+mq_api_plan_create (TALLOC_CTX *ctx, const struct mq_text *text,
+                    const struct mq_api_http_input *http_input,
+                    struct mq_error *error);
 /* Whether TEXT is a well-formed W3C traceparent.  */
 bool mq_api_traceparent_valid (const char *text);
 
--- a/src/entry/api_read.c
+++ b/src/entry/api_read.c
@@ -28,7 +28,7 @@
 bool
 mq_api_split_path (struct mq_api_parser *parser, struct mq_api_path *path)
 {
-  char *rest = mq_text_copy (parser->ctx, parser->ask->path);
+  char *rest = mq_text_copy (parser->ctx, parser->http_input->path);
   char *part;
 
   path->count = 0;
@@ -37,7 +37,8 @@
       if (part[0] == '\0')
         continue;
       if (path->count == MQ_API_SEGMENTS_MAX || strlen (part) >= MQ_NAME_MAX)
-        return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->ask->path, "");
+        return mq_api_fail (parser, MQ_ERR_NOT_FOUND, parser->http_input->path,
+                            "");
       path->parts[path->count++] = part;
     }
   return true;
@@ -115,11 +116,11 @@
 bool
 mq_api_read_body (struct mq_api_parser *parser)
 {
-  const struct mq_api_http_input *ask = parser->ask;
+  const struct mq_api_http_input *http_input = parser->http_input;
   json_error_t where;
 
-  parser->json = json_loadb (ask->len == 0 ? "{}" : ask->body,
-                             ask->len == 0 ? 2 : ask->len,
+  parser->json = json_loadb (http_input->len == 0 ? "{}" : http_input->body,
+                             http_input->len == 0 ? 2 : http_input->len,
                              JSON_REJECT_DUPLICATES, &where);
   if (parser->json == NULL)
     return mq_api_fail (parser, MQ_ERR_BAD_JSON, where.text,
--- a/src/entry/api_read.h
+++ b/src/entry/api_read.h
@@ -34,7 +34,7 @@
 {
   TALLOC_CTX *ctx;
   const struct mq_text *text;
-  const struct mq_api_http_input *ask;
+  const struct mq_api_http_input *http_input;
   struct mq_api_plan *plan;
   json_t *json;
   struct mq_error *error;
--- a/src/entry/api_state.h
+++ b/src/entry/api_state.h
@@ -16,12 +16,12 @@
  * struct mq_exchange - one HTTP request of a caller and its response
  * @handle: handle at the front; 0 if the slot is free
  * @slot: index in the table of exchanges
- * @asked: a request is pending at the front
+ * @pending: a request is pending at the front
  * @second: the plan's second request was sent
  * @streaming: the head of a streamed response was sent
- * @cut_off: the stream was aborted because the caller read too slowly
+ * @aborted: the stream was aborted because the caller read too slowly
  * @streamed: chat completion stream: text sent to the caller so far
- * @held: chat completion stream: tokens are withheld after a reset
+ * @withheld: chat completion stream: tokens are withheld after a reset
  * @start_us: time of arrival, monotonic clock
  */
 struct mq_exchange
@@ -31,12 +31,12 @@
   struct mq_api *api;
   struct mq_http_request *http;
   struct mq_api_plan *plan;
-  bool asked;
+  bool pending;
   bool second;
   bool streaming;
-  bool cut_off;
+  bool aborted;
   char *streamed;
-  bool held;
+  bool withheld;
   uint64_t start_us;
 };
 
--- a/src/entry/config_wait.c
+++ b/src/entry/config_wait.c
@@ -13,9 +13,9 @@
   US_PER_MS = 1000
 };
 
-struct held
+struct waiting
 {
-  struct held *next;
+  struct waiting *next;
   uint32_t peer;
   uint64_t until_us;
   struct mq_message message;
@@ -23,114 +23,114 @@
 
 struct mq_config_wait
 {
-  struct held *first; /* in order of arrival */
-  struct held *last;
+  struct waiting *first; /* in order of arrival */
+  struct waiting *last;
   size_t count;
 };
 
 struct mq_config_wait *
 mq_config_wait_create (TALLOC_CTX *ctx)
 {
-  struct mq_config_wait *hold = talloc_zero (ctx, struct mq_config_wait);
+  struct mq_config_wait *queue = talloc_zero (ctx, struct mq_config_wait);
 
-  if (hold == NULL)
+  if (queue == NULL)
     abort ();
-  return hold;
+  return queue;
 }
 
 static bool
-peer_waits (const struct mq_config_wait *hold, uint32_t peer)
+peer_has_waiting (const struct mq_config_wait *queue, uint32_t peer)
 {
-  const struct held *held = hold->first;
+  const struct waiting *entry = queue->first;
 
-  while (held != NULL && held->peer != peer)
-    held = held->next;
-  return held != NULL;
+  while (entry != NULL && entry->peer != peer)
+    entry = entry->next;
+  return entry != NULL;
 }
 
 bool
-mq_config_wait_add (struct mq_config_wait *hold, uint64_t now_us,
+mq_config_wait_add (struct mq_config_wait *queue, uint64_t now_us,
                     uint64_t version, uint32_t peer,
                     const struct mq_message *message)
 {
-  struct held *held;
+  struct waiting *entry;
 
-  if (hold->first == NULL && message->config_version <= version)
+  if (queue->first == NULL && message->config_version <= version)
     return false;
-  if (message->config_version <= version && !peer_waits (hold, peer))
+  if (message->config_version <= version && !peer_has_waiting (queue, peer))
     return false;
-  if (hold->count >= MQ_HOLD_MAX)
+  if (queue->count >= MQ_HOLD_MAX)
     return false;
-  held = talloc_zero (hold, struct held);
-  if (held == NULL)
+  entry = talloc_zero (queue, struct waiting);
+  if (entry == NULL)
     abort ();
-  held->peer = peer;
-  held->until_us = now_us + (uint64_t)MQ_HOLD_MS * US_PER_MS;
-  mq_message_copy (held, &held->message, message);
-  if (hold->last == NULL)
-    hold->first = held;
+  entry->peer = peer;
+  entry->until_us = now_us + (uint64_t)MQ_HOLD_MS * US_PER_MS;
+  mq_message_copy (entry, &entry->message, message);
+  if (queue->last == NULL)
+    queue->first = entry;
   else
-    hold->last->next = held;
-  hold->last = held;
-  hold->count++;
+    queue->last->next = entry;
+  queue->last = entry;
+  queue->count++;
   return true;
 }
 
-/* Unlinks HELD, whose predecessor is BEFORE.  */
+/* Unlinks ENTRY, whose predecessor is BEFORE.  */
 static void
-unlink_held (struct mq_config_wait *hold, struct held *before,
-             struct held *held)
+unlink_entry (struct mq_config_wait *queue, struct waiting *before,
+              struct waiting *entry)
 {
   if (before == NULL)
-    hold->first = held->next;
+    queue->first = entry->next;
   else
-    before->next = held->next;
-  if (hold->last == held)
-    hold->last = before;
-  hold->count--;
+    before->next = entry->next;
+  if (queue->last == entry)
+    queue->last = before;
+  queue->count--;
 }
 
 void
-mq_config_wait_release (struct mq_config_wait *hold, uint64_t now_us,
+mq_config_wait_release (struct mq_config_wait *queue, uint64_t now_us,
                         uint64_t version, mq_config_wait_deliver *out,
                         void *user)
 {
-  while (hold->first != NULL)
+  while (queue->first != NULL)
     {
-      struct held *held = hold->first;
+      struct waiting *entry = queue->first;
 
       /* Delivering from the head only preserves each peer's order.  */
-      if (held->message.config_version > version && now_us < held->until_us)
+      if (entry->message.config_version > version && now_us < entry->until_us)
         return;
-      unlink_held (hold, NULL, held);
-      out (held->peer, &held->message, user);
-      talloc_free (held);
+      unlink_entry (queue, NULL, entry);
+      out (entry->peer, &entry->message, user);
+      talloc_free (entry);
     }
 }
 
 void
-mq_config_wait_drop_peer (struct mq_config_wait *hold, uint32_t peer)
+mq_config_wait_drop_peer (struct mq_config_wait *queue, uint32_t peer)
 {
-  struct held *before = NULL;
-  struct held *held = hold->first;
+  struct waiting *before = NULL;
+  struct waiting *entry = queue->first;
 
-  while (held != NULL)
+  while (entry != NULL)
     {
-      struct held *next = held->next;
+      struct waiting *next = entry->next;
 
-      if (held->peer == peer)
+      if (entry->peer == peer)
         {
-          unlink_held (hold, before, held);
-          talloc_free (held);
+          unlink_entry (queue, before, entry);
+          talloc_free (entry);
         }
       else
-        before = held;
-      held = next;
+        before = entry;
+      entry = next;
     }
 }
 
 uint64_t
-mq_config_wait_next (const struct mq_config_wait *hold)
+mq_config_wait_next (const struct mq_config_wait *queue)
 {
-  return hold->first == NULL ? UINT64_MAX : hold->first->until_us;
+  return queue->first == NULL ? UINT64_MAX : queue->first->until_us;
 }
--- a/src/entry/config_wait.h
+++ b/src/entry/config_wait.h
@@ -23,17 +23,17 @@
    lower than the message's, or if an earlier message of PEER is queued.
    Returns false if the message is to be delivered at once, which includes a
    full queue.  */
-bool mq_config_wait_add (struct mq_config_wait *hold, uint64_t now_us,
+bool mq_config_wait_add (struct mq_config_wait *queue, uint64_t now_us,
                          uint64_t version, uint32_t peer,
                          const struct mq_message *message);
 /* Delivers, through OUT, the messages whose wait has ended.  */
-void mq_config_wait_release (struct mq_config_wait *hold, uint64_t now_us,
+void mq_config_wait_release (struct mq_config_wait *queue, uint64_t now_us,
                              uint64_t version, mq_config_wait_deliver *out,
                              void *user);
 /* Drops the queued messages of PEER.  */
-void mq_config_wait_drop_peer (struct mq_config_wait *hold, uint32_t peer);
+void mq_config_wait_drop_peer (struct mq_config_wait *queue, uint32_t peer);
 /* Time at which mq_config_wait_release is due, in microseconds; UINT64_MAX if
    the queue is empty.  */
-uint64_t mq_config_wait_next (const struct mq_config_wait *hold);
+uint64_t mq_config_wait_next (const struct mq_config_wait *queue);
 
 #endif
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -122,7 +122,7 @@
 
   next = earlier (next, mq_front_next_tick (entry->front));
   next = earlier (next, mq_spread_next_tick (entry->spread));
-  next = earlier (next, mq_config_wait_next (entry->hold));
+  next = earlier (next, mq_config_wait_next (entry->config_wait));
   /* The end of an HTTP request triggers no input to a core, so the drain is
      polled.  */
   if (entry->leaving && entry->stop == NULL)
@@ -238,7 +238,7 @@
   options.policy = policy;
   options.commit_each_step = settings->commit_each_step;
   entry->owner = mq_owner_create (entry, &options);
-  entry->hold = mq_config_wait_create (entry);
+  entry->config_wait = mq_config_wait_create (entry);
   entry->front = mq_front_create (entry, &lookup, mq_clock_random ());
   entry->spread = mq_spread_create (entry, settings->host,
                                     settings->data_centre, mq_clock_random ());
--- a/src/entry/entry_input.c
+++ b/src/entry/entry_input.c
@@ -45,7 +45,7 @@
   struct mq_front_input front = { .type = MQ_FRONT_PEER_DOWN, .peer = peer };
 
   (void)why;
-  mq_config_wait_drop_peer (entry->hold, peer);
+  mq_config_wait_drop_peer (entry->config_wait, peer);
   mq_entry_dispatch_spread (entry, &spread);
   mq_entry_dispatch_owner (entry, &owner);
   mq_entry_dispatch_front (entry, &front);
@@ -80,7 +80,7 @@
 void
 mq_entry_release_waiting (struct mq_entry *entry)
 {
-  mq_config_wait_release (entry->hold, mq_clock_us (),
+  mq_config_wait_release (entry->config_wait, mq_clock_us (),
                           mq_spread_version (entry->spread), deliver_to_owner,
                           entry);
 }
@@ -90,7 +90,7 @@
 handle_forward (struct mq_entry *entry, uint32_t peer,
                 const struct mq_message *message)
 {
-  if (!mq_config_wait_add (entry->hold, mq_clock_us (),
+  if (!mq_config_wait_add (entry->config_wait, mq_clock_us (),
                            mq_spread_version (entry->spread), peer, message))
     deliver_to_owner (peer, message, entry);
 }
@@ -176,7 +176,7 @@
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
   struct mq_owner_input owner = { .type = MQ_OWNER_HOSTS };
 
-  mq_connected_hosts_update (entry, &entry->kept, entry->net, hosts,
+  mq_connected_hosts_update (entry, &entry->connected, entry->net, hosts,
                              is_other_host, entry);
   spread.u.hosts = hosts;
   mq_entry_dispatch_spread (entry, &spread);
--- a/src/entry/entry_state.h
+++ b/src/entry/entry_state.h
@@ -47,13 +47,13 @@
   struct mq_owner *owner;
   struct mq_front *front;
   struct mq_spread *spread;
-  struct mq_config_wait *hold;
+  struct mq_config_wait *config_wait;
   struct mq_text *text;
   uint64_t seen_version; /* version of the last configuration processed */
   uint64_t texts_refused;
-  struct mq_connected_hosts kept;
+  struct mq_connected_hosts connected;
   struct mq_batch_queue queue;
-  bool working;
+  bool working; /* actions are being run */
   struct mq_tick_timer tick;
   bool leaving;
   uint64_t leave_until_us;
--- a/src/target/target_input.c
+++ b/src/target/target_input.c
@@ -115,7 +115,7 @@
   struct host_filter filter = { .settings = target->settings };
 
   filter.local_entry = has_local_entry (target, hosts);
-  mq_connected_hosts_update (target, &target->kept, target->net, hosts,
+  mq_connected_hosts_update (target, &target->connected, target->net, hosts,
                              should_connect, &filter);
 }
 
--- a/src/target/target_state.h
+++ b/src/target/target_state.h
@@ -38,9 +38,9 @@
   struct mq_spread *spread;
   struct mq_worker **workers;
   uint64_t seen_version;
-  struct mq_connected_hosts kept;
+  struct mq_connected_hosts connected;
   struct mq_batch_queue queue;
-  bool working;
+  bool working; /* actions are being run */
   struct mq_tick_timer tick;
   bool leaving;
   bool stopping;
