--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -73,7 +73,7 @@
       return;
     }
   api->counters.refused++;
-  if (exchange->plan->shape == MQ_API_CHAT_STREAM)
+  if (exchange->plan->format == MQ_API_CHAT_STREAM)
     finish_stream (exchange, mq_api_chat_error (api, &refusal));
   else
     finish_stream (exchange, mq_api_sse (api, event, refusal.program));
@@ -169,7 +169,7 @@
   exchange->pending = false;
   mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_exchange_count_answered (exchange, event->body);
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_JSON:
     case MQ_API_ACCEPT:
@@ -204,7 +204,7 @@
 static void
 answer_accepted (struct mq_exchange *exchange)
 {
-  bool create = exchange->plan->shape == MQ_API_CREATE;
+  bool create = exchange->plan->format == MQ_API_CREATE;
   char *json = mq_api_program_json (exchange, exchange->plan->first.program,
                                     create ? "waiting" : "running");
 
@@ -218,7 +218,7 @@
 handle_accepted (struct mq_exchange *exchange,
                  const struct mq_event_msg *event)
 {
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_ACCEPT:
     case MQ_API_CREATE:
@@ -254,7 +254,7 @@
 handle_progress (struct mq_exchange *exchange,
                  const struct mq_event_msg *event)
 {
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_STREAM:
       write_stream (exchange, mq_api_sse (exchange->api, event,
--- a/src/entry/api_latency.c
+++ b/src/entry/api_latency.c
@@ -12,7 +12,7 @@
 {
   const struct mq_api_plan *plan = exchange->plan;
 
-  if (plan == NULL || plan->shape == MQ_API_ACCEPT)
+  if (plan == NULL || plan->format == MQ_API_ACCEPT)
     return false;
   return plan->first.type == MQ_REQUEST_OPEN
          || plan->first.type == MQ_REQUEST_TURN;
--- a/src/entry/api_plan.c
+++ b/src/entry/api_plan.c
@@ -149,7 +149,7 @@
 
   if (!mq_api_read_flag (parser, "stream", &stream))
     return false;
-  parser->plan->shape = stream ? MQ_API_STREAM : MQ_API_JSON;
+  parser->plan->format = stream ? MQ_API_STREAM : MQ_API_JSON;
   parser->plan->first.stream = stream;
   return true;
 }
@@ -165,7 +165,7 @@
     return false;
   if (wait)
     return true;
-  parser->plan->shape = MQ_API_ACCEPT;
+  parser->plan->format = MQ_API_ACCEPT;
   parser->plan->first.stream = false;
   return true;
 }
@@ -224,7 +224,7 @@
       || !read_continued_program (parser, request))
     return false;
   request->type = MQ_REQUEST_CREATE;
-  parser->plan->shape = MQ_API_CREATE;
+  parser->plan->format = MQ_API_CREATE;
   parser->plan->wait_ms = service_wait_ms (service);
   return true;
 }
@@ -361,7 +361,7 @@
   bool stream = wants_events (parser->http_input);
 
   request->type = MQ_REQUEST_GET;
-  parser->plan->shape = stream ? MQ_API_STREAM : MQ_API_JSON;
+  parser->plan->format = stream ? MQ_API_STREAM : MQ_API_JSON;
   /* Waiting for the final result subscribes to all events; only the last one
      is used.  */
   request->stream = stream || is_set (parser->http_input->wait);
@@ -423,7 +423,7 @@
                               &request->max_tokens)
       || !mq_api_read_flag (parser, "stream", &request->stream))
     return false;
-  parser->plan->shape = request->stream ? MQ_API_CHAT_STREAM : MQ_API_CHAT;
+  parser->plan->format = request->stream ? MQ_API_CHAT_STREAM : MQ_API_CHAT;
   return fill_step (parser, request);
 }
 
--- a/src/entry/api_plan.h
+++ b/src/entry/api_plan.h
@@ -66,7 +66,7 @@
  */
 struct mq_api_plan
 {
-  enum mq_api_response_format shape;
+  enum mq_api_response_format format;
   struct mq_request_msg first;
   bool has_second;
   struct mq_request_msg second;
--- a/tests/test_api.c
+++ b/tests/test_api.c
@@ -290,10 +290,10 @@
 plan_words (TALLOC_CTX *ctx, const struct mq_api_plan *plan,
             const char *generated)
 {
-  static const char *const shapes[]
+  static const char *const formats[]
       = { "json", "stream", "accept", "create", "chat", "chat-stream" };
   char *words
-      = talloc_asprintf (ctx, "%s %s", shapes[plan->shape],
+      = talloc_asprintf (ctx, "%s %s", formats[plan->format],
                          request_words (ctx, &plan->first, generated, true));
 
   if (plan->has_second)
@@ -311,29 +311,29 @@
   for (size_t i = 0; i < sizeof plan_cases / sizeof plan_cases[0]; i++)
     {
       const struct plan_case *row = &plan_cases[i];
-      struct mq_api_http_input ask
+      struct mq_api_http_input input
           = { .method = row->method == NULL ? "POST" : row->method };
       struct mq_error error = { 0 };
       struct mq_api_plan *plan;
 
-      ask.path = row->path == NULL ? "/v1/programs" : row->path;
-      ask.body = row->body == NULL ? "" : row->body;
-      ask.len = strlen (ask.body);
-      ask.organisation = "hr";
-      ask.key = row->key;
-      ask.generated_key = "auto-1";
-      ask.traceparent = "";
-      ask.accept = row->accept;
-      ask.program = row->program;
-      ask.after = row->after;
-      ask.wait = row->wait;
-      ask.cancel = row->cancel;
-      ask.timeout_ms = row->timeout_ms;
-      plan = mq_api_plan_create (ctx, text, &ask, &error);
-      cr_expect_eq (error.type, row->error, "%s %s %s: %s", ask.method,
-                    ask.path, ask.body, mq_error_name (error.type));
+      input.path = row->path == NULL ? "/v1/programs" : row->path;
+      input.body = row->body == NULL ? "" : row->body;
+      input.len = strlen (input.body);
+      input.organisation = "hr";
+      input.key = row->key;
+      input.generated_key = "auto-1";
+      input.traceparent = "";
+      input.accept = row->accept;
+      input.program = row->program;
+      input.after = row->after;
+      input.wait = row->wait;
+      input.cancel = row->cancel;
+      input.timeout_ms = row->timeout_ms;
+      plan = mq_api_plan_create (ctx, text, &input, &error);
+      cr_expect_eq (error.type, row->error, "%s %s %s: %s", input.method,
+                    input.path, input.body, mq_error_name (error.type));
       if (plan != NULL && row->expect != NULL)
-        cr_expect_str_eq (plan_words (ctx, plan, ask.generated_key),
+        cr_expect_str_eq (plan_words (ctx, plan, input.generated_key),
                           row->expect);
       if (plan == NULL && row->expect != NULL)
         cr_expect_str_eq (error.subject, row->expect);
@@ -353,15 +353,15 @@
   for (size_t i = 0; i < 3; i++)
     {
       struct mq_error error = { 0 };
-      struct mq_api_http_input ask
+      struct mq_api_http_input input
           = { .method = "POST", .path = "/v1/programs", .key = "day-1" };
 
-      ask.body = "{\"service\":\"guide\",\"input\":\"x\"}";
-      ask.len = strlen (ask.body);
-      ask.organisation = organisations[i];
-      ask.generated_key = "";
-      ask.traceparent = "";
-      ids[i] = mq_api_plan_create (ctx, text, &ask, &error)->first.program;
+      input.body = "{\"service\":\"guide\",\"input\":\"x\"}";
+      input.len = strlen (input.body);
+      input.organisation = organisations[i];
+      input.generated_key = "";
+      input.traceparent = "";
+      ids[i] = mq_api_plan_create (ctx, text, &input, &error)->first.program;
     }
   cr_expect (mq_id_equal (ids[0], ids[1]));
   cr_expect (!mq_id_equal (ids[0], ids[2]));
@@ -381,7 +381,7 @@
   uint32_t retry_after_ms;
 };
 
-struct bench
+struct fixture
 {
   struct tevent_context *ev;
   struct mq_http_client *client;
@@ -390,7 +390,7 @@
   const struct scripted *script; /* events of consecutive requests */
   size_t script_at;
   uint64_t handle;
-  size_t asked;
+  size_t requests;
   size_t gone;
   bool drained;
   bool is_ready;
@@ -401,21 +401,21 @@
 
 /* Sends scripted events up to the one that ends the response.  */
 static void
-play (struct tevent_context *ev, struct tevent_immediate *immediate,
-      void *data)
+send_scripted_events (struct tevent_context *ev,
+                      struct tevent_immediate *immediate, void *data)
 {
-  struct bench *bench = data;
+  struct fixture *fixture = data;
 
   (void)ev;
   (void)immediate;
-  for (size_t i = bench->script_at; i < EVENTS_MAX; i++)
+  for (size_t i = fixture->script_at; i < EVENTS_MAX; i++)
     {
-      const struct scripted *row = &bench->script[i];
-      struct mq_event_msg event = { .handle = bench->handle };
+      const struct scripted *row = &fixture->script[i];
+      struct mq_event_msg event = { .handle = fixture->handle };
 
       if (row->body == NULL)
         return;
-      bench->script_at = i + 1;
+      fixture->script_at = i + 1;
       event.type = row->type;
       event.number = row->number;
       event.call = row->call;
@@ -424,8 +424,8 @@
       event.ran = row->ran;
       event.retry_after_ms = row->retry_after_ms;
       event.redirect = "";
-      mq_api_event (bench->api, &event);
-      if (bench->handle != event.handle)
+      mq_api_event (fixture->api, &event);
+      if (fixture->handle != event.handle)
         return;
     }
 }
@@ -434,33 +434,33 @@
 on_request (uint64_t handle, uint32_t partition, uint32_t wait_ms,
             const struct mq_request_msg *request, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   (void)partition;
   (void)wait_ms;
   cr_expect_str_eq (request->organisation, "hr");
   cr_expect (mq_api_traceparent_valid (request->traceparent));
-  bench->handle = handle;
-  bench->asked++;
-  tevent_schedule_immediate (tevent_create_immediate (bench), bench->ev, play,
-                             bench);
+  fixture->handle = handle;
+  fixture->requests++;
+  tevent_schedule_immediate (tevent_create_immediate (fixture), fixture->ev,
+                             send_scripted_events, fixture);
 }
 
 static void
 on_gone (uint64_t handle, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   (void)handle;
-  bench->gone++;
+  fixture->gone++;
 }
 
 static void
 on_drain (void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  bench->drained = true;
+  fixture->drained = true;
 }
 
 static char *
@@ -488,9 +488,9 @@
 static bool
 on_ready (void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  return bench->is_ready;
+  return fixture->is_ready;
 }
 
 static uint64_t
@@ -503,18 +503,18 @@
 static void
 on_done (const struct mq_http_result *result, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  bench->result = *result;
-  talloc_free (bench->body);
-  bench->body = talloc_strndup (bench, result->body, result->len);
-  bench->done = true;
+  fixture->result = *result;
+  talloc_free (fixture->body);
+  fixture->body = talloc_strndup (fixture, result->body, result->len);
+  fixture->done = true;
 }
 
-static struct bench *
-bench_create (void)
+static struct fixture *
+fixture_create (void)
 {
-  struct bench *bench = talloc_zero (NULL, struct bench);
+  struct fixture *fixture = talloc_zero (NULL, struct fixture);
   struct mq_api_callbacks callbacks = { .request = on_request,
                                         .gone = on_gone,
                                         .drain = on_drain,
@@ -524,55 +524,56 @@
                                         .span = on_span,
                                         .ready = on_ready,
                                         .now_us = on_now,
-                                        .user = bench };
+                                        .user = fixture };
   struct mq_api_options options = { .boot = 5 };
   struct mq_error error = { 0 };
 
   options.http.address = "127.0.0.1:0";
   hash_key ("operator", options.operator_key_hash);
-  bench->ev = tevent_context_init (bench);
-  bench->client = mq_http_client_create (bench, bench->ev, &error);
-  bench->api = mq_api_create (bench, bench->ev, &options, &callbacks, &error);
-  cr_assert_not_null (bench->api);
-  bench->text = make_text (bench);
-  bench->is_ready = true;
-  mq_api_set_text (bench->api, bench->text);
-  return bench;
+  fixture->ev = tevent_context_init (fixture);
+  fixture->client = mq_http_client_create (fixture, fixture->ev, &error);
+  fixture->api
+      = mq_api_create (fixture, fixture->ev, &options, &callbacks, &error);
+  cr_assert_not_null (fixture->api);
+  fixture->text = make_text (fixture);
+  fixture->is_ready = true;
+  mq_api_set_text (fixture->api, fixture->text);
+  return fixture;
 }
 
 static void
-bench_destroy (struct bench *bench)
+fixture_destroy (struct fixture *fixture)
 {
-  mq_http_client_destroy (bench->client);
-  mq_api_destroy (bench->api);
-  talloc_free (bench);
+  mq_http_client_destroy (fixture->client);
+  mq_api_destroy (fixture->api);
+  talloc_free (fixture);
 }
 
 static struct mq_http_call *
-begin (struct bench *bench, const char *method, const char *path,
+begin (struct fixture *fixture, const char *method, const char *path,
        const char *const *headers, const char *body)
 {
   struct mq_http_send send = { .method = method, .timeout_ms = 60000 };
 
-  send.url = talloc_asprintf (bench, "http://127.0.0.1:%u%s",
-                              mq_api_port (bench->api), path);
+  send.url = talloc_asprintf (fixture, "http://127.0.0.1:%u%s",
+                              mq_api_port (fixture->api), path);
   send.headers = headers;
   send.body = body;
   send.len = body == NULL ? 0 : strlen (body);
   send.done = on_done;
-  send.user = bench;
-  bench->done = false;
-  return mq_http_client_send (bench->client, &send);
+  send.user = fixture;
+  fixture->done = false;
+  return mq_http_client_send (fixture->client, &send);
 }
 
 static void
-call (struct bench *bench, const char *method, const char *path,
+call (struct fixture *fixture, const char *method, const char *path,
       const char *const *headers, const char *body)
 {
-  begin (bench, method, path, headers, body);
-  while (!bench->done)
-    tevent_loop_once (bench->ev);
-  cr_assert_eq (bench->result.error, MQ_ERR_NONE, "%s %s", method, path);
+  begin (fixture, method, path, headers, body);
+  while (!fixture->done)
+    tevent_loop_once (fixture->ev);
+  cr_assert_eq (fixture->result.error, MQ_ERR_NONE, "%s %s", method, path);
 }
 
 /* The whole text of an answer.  OPENID is the program that hr opens with
@@ -624,7 +625,7 @@
 
 struct answer_case
 {
-  const char *story;
+  const char *name;
   const char *method; /* NULL: POST */
   const char *path;   /* NULL: /v1/programs */
   const char *body;
@@ -636,12 +637,12 @@
 };
 
 static const struct answer_case answer_cases[] = {
-  { .story = "one JSON answer",
+  { .name = "one JSON response",
     .body = OPEN,
     .script = { ACCEPTED, TOKEN (1, 0, "a"), FINAL (DONE) },
     .status = 200,
     .has = { DONE } },
-  { .story = "a stream of every event",
+  { .name = "stream of all events",
     .body = OPEN_STREAM,
     .script = { ACCEPTED, TOKEN (1, 0, "a\n\"b"), RESET (1), TOKEN (1, 0, "c"),
                 STEP (1, "{\"call\":1}"), FINAL (DONE) },
@@ -653,42 +654,42 @@
              "id: 65537\nevent: token\ndata: {\"call\":1,\"text\":\"c\"}\n\n"
              "id: 131071\nevent: step\ndata: {\"call\":1}\n\n"
              "id: 131072\nevent: final\ndata: " DONE "\n\n" } },
-  { .story = "a refusal before the first event has its own status",
+  { .name = "refusal before the first event sets the HTTP status",
     .body = OPEN_STREAM,
     .script = { REFUSED (MQ_ERR_OVERLOADED, MQ_RAN_NOT_RUN, 1500) },
     .status = 429,
     .retry_after_ms = 2000,
     .has = { "\"error\":\"overloaded\"", "\"ran\":\"not_run\"",
              "\"retry_after_ms\":1500", "\"program\":\"" } },
-  { .story = "a refusal in a stream is its last event",
+  { .name = "refusal during a stream is its last event",
     .body = OPEN_STREAM,
     .script = { ACCEPTED, REFUSED (MQ_ERR_BUDGET_TOKENS, MQ_RAN_RAN, 0) },
     .status = 200,
     .has = { "event: refused\ndata: {\"error\":\"budget_tokens\","
              "\"ran\":\"ran\"" } },
-  { .story = "the caller does not wait",
+  { .name = "accepted without waiting",
     .body = OPEN_LEAVE,
     .script = { ACCEPTED },
     .status = 202,
     .has = { "\"status\":\"running\"" } },
-  { .story = "the caller drives",
+  { .name = "created, driven by the caller",
     .body = CREATE,
     .script = { ACCEPTED },
     .status = 201,
     .has = { "\"status\":\"waiting\"" } },
-  { .story = "a program is cancelled by its caller",
+  { .name = "program cancelled by this request",
     .method = "DELETE",
     .path = PROGRAM "?cancel=1",
     .script = { REFUSED (MQ_ERR_CANCELLED, MQ_RAN_RAN, 0) },
     .status = 200,
     .has = { "{\"program\":\"" ID "\",\"status\":\"ended\"}" } },
-  { .story = "a program was cancelled by somebody else",
+  { .name = "program cancelled by another request",
     .method = "GET",
     .path = PROGRAM,
     .script = { REFUSED (MQ_ERR_CANCELLED, MQ_RAN_RAN, 0) },
     .status = 499,
     .has = { "\"error\":\"cancelled\"" } },
-  { .story = "chat: a program is made first, then the step",
+  { .name = "chat: creates a program, then sends the step",
     .path = CHATS,
     .body = CHAT,
     .script = { ACCEPTED, FINAL (STEP_DONE) },
@@ -696,40 +697,39 @@
     .has = { "\"object\":\"chat.completion\"",
              "\"message\":{\"role\":\"assistant\",\"content\":\"ab\"},"
              "\"finish_reason\":\"stop\"" } },
-  { .story = "chat: the model asks for calls",
+  { .name = "chat: tool calls",
     .path = CHATS,
     .body = CHAT,
     .script = { ACCEPTED, FINAL (ASKS_CALL) },
     .status = 200,
     .has = { "\"finish_reason\":\"tool_calls\"",
              "\"function\":{\"name\":\"n\",\"arguments\":\"{}\"}" } },
-  { .story = "chat: the program can't be made",
+  { .name = "chat: program creation refused",
     .path = CHATS,
     .body = CHAT,
     .script = { REFUSED (MQ_ERR_OVERLOADED, MQ_RAN_NOT_RUN, 0) },
     .status = 429 },
-  { .story = "chat: the answer is not a model's",
+  { .name = "chat: result is not a model response",
     .path = CHATS,
     .body = CHAT,
     .script = { ACCEPTED, FINAL ("{}") },
     .status = 502,
     .has = { "bad_answer" } },
-  { .story = "chat stream: whole",
+  { .name = "chat stream: complete",
     .path = CHATS,
     .body = CHAT_STREAM,
     .script = { ACCEPTED, TOKEN (1, 0, "a"), FINAL (STEP_DONE) },
     .status = 200,
     .has = { "\"delta\":{\"content\":\"a\"}", "\"delta\":{\"content\":\"b\"}",
              "\"finish_reason\":\"stop\"", "data: [DONE]\n\n" } },
-  { .story = "chat stream: begun again with the same words",
+  { .name = "chat stream: restarted with the same text",
     .path = CHATS,
     .body = CHAT_STREAM,
     .script = { ACCEPTED, TOKEN (1, 0, "a"), RESET (1), TOKEN (1, 0, "a"),
                 FINAL (DONE) },
     .status = 200,
     .has = { "\"delta\":{\"content\":\"b\"}", "data: [DONE]\n\n" } },
-  { .story = "chat stream: begun again with other words; OpenAI's stream has "
-             "no reset, so it ends without its mark",
+  { .name = "chat stream: restarted with different text, ends with an error",
     .path = CHATS,
     .body = CHAT_STREAM,
     .script = { ACCEPTED, TOKEN (1, 0, "x"), RESET (1), TOKEN (1, 0, "a"),
@@ -745,38 +745,38 @@
 
 Test (api, answers)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
 
   for (size_t i = 0; i < sizeof answer_cases / sizeof answer_cases[0]; i++)
     {
       const struct answer_case *row = &answer_cases[i];
 
-      bench->script = row->script;
-      bench->script_at = 0;
-      call (bench, row->method == NULL ? "POST" : row->method,
+      fixture->script = row->script;
+      fixture->script_at = 0;
+      call (fixture, row->method == NULL ? "POST" : row->method,
             row->path == NULL ? "/v1/programs" : row->path, hr_headers,
             row->body);
-      cr_expect_eq (bench->result.status, row->status, "%s: %d", row->story,
-                    bench->result.status);
-      cr_expect_eq (bench->result.retry_after_ms, row->retry_after_ms, "%s",
-                    row->story);
+      cr_expect_eq (fixture->result.status, row->status, "%s: %d", row->name,
+                    fixture->result.status);
+      cr_expect_eq (fixture->result.retry_after_ms, row->retry_after_ms, "%s",
+                    row->name);
       for (size_t j = 0; j < 4 && row->has[j] != NULL; j++)
-        cr_expect_not_null (strstr (bench->body, row->has[j]),
-                            "%s: no %s in %s", row->story, row->has[j],
-                            bench->body);
+        cr_expect_not_null (strstr (fixture->body, row->has[j]),
+                            "%s: no %s in %s", row->name, row->has[j],
+                            fixture->body);
       cr_expect (row->has_not == NULL
-                     || strstr (bench->body, row->has_not) == NULL,
-                 "%s: %s", row->story, bench->body);
+                     || strstr (fixture->body, row->has_not) == NULL,
+                 "%s: %s", row->name, fixture->body);
     }
-  while (mq_api_in_progress (bench->api) > 0)
-    tevent_loop_once (bench->ev);
-  bench_destroy (bench);
+  while (mq_api_in_progress (fixture->api) > 0)
+    tevent_loop_once (fixture->ev);
+  fixture_destroy (fixture);
 }
 
 /* Access control: callers need their organisation's key, operators the
    operators' key, health endpoints none.  */
 
-enum bench_state
+enum fixture_state
 {
   READY,
   NOT_READY,
@@ -786,7 +786,7 @@
 
 static const struct
 {
-  enum bench_state state;
+  enum fixture_state state;
   int status;
   const char *method;
   const char *path;
@@ -819,60 +819,60 @@
 {
   for (size_t i = 0; i < sizeof access_cases / sizeof access_cases[0]; i++)
     {
-      struct bench *bench = bench_create ();
+      struct fixture *fixture = fixture_create ();
       const char *headers[2] = { NULL, NULL };
 
       if (access_cases[i].key != NULL)
-        headers[0] = talloc_asprintf (bench, "Authorization: Bearer %s",
+        headers[0] = talloc_asprintf (fixture, "Authorization: Bearer %s",
                                       access_cases[i].key);
-      bench->is_ready = access_cases[i].state != NOT_READY;
+      fixture->is_ready = access_cases[i].state != NOT_READY;
       if (access_cases[i].state == WITHOUT_TEXT)
-        mq_api_set_text (bench->api, NULL);
+        mq_api_set_text (fixture->api, NULL);
       if (access_cases[i].state == LEAVING)
-        mq_api_drain (bench->api);
-      call (bench, access_cases[i].method, access_cases[i].path, headers,
+        mq_api_drain (fixture->api);
+      call (fixture, access_cases[i].method, access_cases[i].path, headers,
             access_cases[i].method[0] == 'P' ? "{}" : NULL);
-      cr_expect_eq (bench->result.status, access_cases[i].status,
-                    "row %zu: %d", i, bench->result.status);
-      cr_expect_not_null (strstr (bench->body, access_cases[i].has),
-                          "row %zu: %s", i, bench->body);
-      cr_expect_eq (bench->asked, 0, "row %zu reached the front", i);
-      bench_destroy (bench);
+      cr_expect_eq (fixture->result.status, access_cases[i].status,
+                    "row %zu: %d", i, fixture->result.status);
+      cr_expect_not_null (strstr (fixture->body, access_cases[i].has),
+                          "row %zu: %s", i, fixture->body);
+      cr_expect_eq (fixture->requests, 0, "row %zu reached the front", i);
+      fixture_destroy (fixture);
     }
 }
 
 /* A drain request is answered before the process stops.  */
 Test (api, drain)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   const char *headers[] = { "Authorization: Bearer operator", NULL };
 
-  call (bench, "POST", "/v1/admin/drain", headers, "");
-  cr_expect_eq (bench->result.status, 202);
-  cr_expect (bench->drained);
-  bench_destroy (bench);
+  call (fixture, "POST", "/v1/admin/drain", headers, "");
+  cr_expect_eq (fixture->result.status, 202);
+  cr_expect (fixture->drained);
+  fixture_destroy (fixture);
 }
 
 /* A caller that disconnects is reported to the front once, and a late event
    is counted as unknown.  */
 Test (api, caller_disconnects)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   static const struct scripted nothing[EVENTS_MAX] = { { 0 } };
   struct mq_event_msg late = { .type = MQ_EVENT_FINAL, .body = DONE };
   struct mq_http_call *open;
 
-  bench->script = nothing;
-  open = begin (bench, "POST", "/v1/programs", hr_headers, OPEN);
-  while (bench->asked == 0)
-    tevent_loop_once (bench->ev);
+  fixture->script = nothing;
+  open = begin (fixture, "POST", "/v1/programs", hr_headers, OPEN);
+  while (fixture->requests == 0)
+    tevent_loop_once (fixture->ev);
   mq_http_call_cancel (open);
-  while (bench->gone == 0)
-    tevent_loop_once (bench->ev);
-  late.handle = bench->handle;
-  mq_api_event (bench->api, &late);
-  cr_expect_eq (bench->gone, 1);
-  cr_expect_eq (mq_api_read_counters (bench->api)->events_unknown, 1);
-  cr_expect_eq (mq_api_in_progress (bench->api), 0);
-  bench_destroy (bench);
+  while (fixture->gone == 0)
+    tevent_loop_once (fixture->ev);
+  late.handle = fixture->handle;
+  mq_api_event (fixture->api, &late);
+  cr_expect_eq (fixture->gone, 1);
+  cr_expect_eq (mq_api_read_counters (fixture->api)->events_unknown, 1);
+  cr_expect_eq (mq_api_in_progress (fixture->api), 0);
+  fixture_destroy (fixture);
 }
--- a/tests/test_docs.c
+++ b/tests/test_docs.c
@@ -1,5 +1,5 @@
-/* test_docs.c - pages against the code: counters, errors, and the functions
-   and modules that docs/ARCHITECTURE.md names.
+/* test_docs.c - consistency of the documentation with the code: counters,
+   errors, log events, functions, modules and links.
 
    Needs: the reports of both daemons, docs/, Criterion.  */
 
@@ -109,7 +109,7 @@
   return mq_target_metrics (self, &view);
 }
 
-/* Copies the word of NAME's characters at AT.  */
+/* Copies the identifier at AT.  */
 static void
 take_word (const char *at, char word[WORD_BYTES])
 {
@@ -141,8 +141,7 @@
   return count;
 }
 
-/* An operator who finds a number at /metrics finds its meaning in the page,
-   and no number of the page is missing at /metrics.  */
+/* The metrics at /metrics and those in the documentation are the same.  */
 Test (docs, every_counter)
 {
   struct daemons *self = create_daemons ();
@@ -169,7 +168,7 @@
   destroy_daemons (self);
 }
 
-/* The same of the router's numbers and its page.  */
+/* The same for the router's metrics.  */
 Test (docs, every_counter_of_the_router)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -244,8 +243,8 @@
 
 static const char architecture[] = "docs/ARCHITECTURE.md";
 
-/* Rows "| N | `file` | `function` | …" of the walk: each function is defined
-   in its file, its name at the beginning of a line.  */
+/* Each row "| N | `file` | `function` | …" of the walk-through names a
+   function that is defined in that file.  */
 Test (docs, walk_names_functions)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -283,7 +282,7 @@
                                           { "src/core/*/*.c", 50 },
                                           { "platform/*.c", 3 } };
 
-/* Copies TEXT with each run of blanks and line ends as one blank.  */
+/* Copies TEXT with each run of white space replaced by one blank.  */
 static const char *
 join_lines (TALLOC_CTX *ctx, const char *text, size_t most)
 {
@@ -298,8 +297,8 @@
   return joined;
 }
 
-/* Each source file has its row "| `file` | what it does |", and what it does
-   is what the file's head note begins with.  */
+/* Each source file has a row "| `file` | purpose |", and the file's head note
+   begins with the same purpose.  */
 Test (docs, every_module)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -384,7 +383,7 @@
   talloc_free (ctx);
 }
 
-/* The row of the page's table of events that names EVENT, below CTX.  */
+/* Returns the row of the table of log events for EVENT, owned by CTX.  */
 static char *
 event_row (TALLOC_CTX *ctx, const char *page, const char *event)
 {
@@ -402,8 +401,7 @@
   return NULL;
 }
 
-/* Whoever is on call reads the page beside the lines: every event that a
-   process may write has a row there, which names each of its keys.  */
+/* Every log event is documented, with all of its keys.  */
 Test (docs, log_events)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -32,10 +32,10 @@
 #define REQUEST_ID "00000000000000010000000000000002-5-1"
 
 /**
- * struct bench - a worker's client and the events that it reported
+ * struct fixture - a worker's client and the events that it reported
  * @stop_after: number of pieces of text after which to stop the call
  */
-struct bench
+struct fixture
 {
   struct tevent_context *ev;
   struct mq_http_client *client;
@@ -63,71 +63,71 @@
 static void
 on_token (const struct mq_gate_token *token, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   cr_assert_eq (token->slot, SLOT);
-  bench->text = talloc_strdup_append (bench->text, token->text);
-  if (++bench->tokens == bench->stop_after)
-    mq_worker_stop (bench->worker, SLOT);
+  fixture->text = talloc_strdup_append (fixture->text, token->text);
+  if (++fixture->tokens == fixture->stop_after)
+    mq_worker_stop (fixture->worker, SLOT);
 }
 
 static void
 on_done (const struct mq_gate_done *done, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  bench->dones++;
-  bench->done = *done;
-  bench->done.body = talloc_strdup (bench, done->body);
+  fixture->dones++;
+  fixture->done = *done;
+  fixture->done.body = talloc_strdup (fixture, done->body);
 }
 
 static void
 on_evicted (const struct mq_gate_evicted *evicted, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  bench->evictions++;
-  bench->evicted = *evicted;
+  fixture->evictions++;
+  fixture->evicted = *evicted;
 }
 
 static void
 on_cache (const struct mq_gate_cache *cache, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   cr_assert_eq (cache->worker, WORKER);
-  bench->caches++;
-  bench->cache_count = (uint32_t)cache->entry_count;
+  fixture->caches++;
+  fixture->cache_count = (uint32_t)cache->entry_count;
   for (size_t i = 0; i < cache->entry_count && i < 8; i++)
-    bench->cache[i] = cache->entries[i];
+    fixture->cache[i] = cache->entries[i];
 }
 
 static void
 on_up (uint32_t worker, uint64_t boot, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   cr_assert_eq (worker, WORKER);
-  bench->ups++;
-  bench->boot = boot;
+  fixture->ups++;
+  fixture->boot = boot;
 }
 
 static void
 on_down (uint32_t worker, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
   cr_assert_eq (worker, WORKER);
-  bench->downs++;
+  fixture->downs++;
 }
 
 static void
 on_ordered (const struct mq_order_done_msg *ordered, void *user)
 {
-  struct bench *bench = user;
+  struct fixture *fixture = user;
 
-  bench->orders++;
-  bench->ordered = *ordered;
+  fixture->orders++;
+  fixture->ordered = *ordered;
 }
 
 static void
@@ -141,64 +141,64 @@
 }
 
 static void
-wait_for (struct bench *bench, const uint32_t *counter, uint32_t least)
+wait_for (struct fixture *fixture, const uint32_t *counter, uint32_t least)
 {
   bool late = false;
   struct tevent_timer *timer = tevent_add_timer (
-      bench->ev, bench, tevent_timeval_current_ofs (WAIT_SECONDS, 0), time_out,
-      &late);
+      fixture->ev, fixture, tevent_timeval_current_ofs (WAIT_SECONDS, 0),
+      time_out, &late);
 
   while (*counter < least && !late)
-    tevent_loop_once (bench->ev);
+    tevent_loop_once (fixture->ev);
   cr_assert_not (late, "waited for %u, have %u", least, *counter);
   talloc_free (timer);
 }
 
 static void
-let_pass (struct bench *bench, uint32_t ms)
+let_pass (struct fixture *fixture, uint32_t ms)
 {
   bool over = false;
 
-  tevent_add_timer (bench->ev, bench,
+  tevent_add_timer (fixture->ev, fixture,
                     tevent_timeval_current_ofs (ms / 1000, ms % 1000 * 1000),
                     time_out, &over);
   while (!over)
-    tevent_loop_once (bench->ev);
+    tevent_loop_once (fixture->ev);
 }
 
-static struct bench *
-bench_create (void)
+static struct fixture *
+fixture_create (void)
 {
-  struct bench *bench = talloc_zero (NULL, struct bench);
+  struct fixture *fixture = talloc_zero (NULL, struct fixture);
   struct mq_error error;
 
-  bench->ev = tevent_context_init (bench);
-  bench->client = mq_http_client_create (bench, bench->ev, &error);
-  bench->text = talloc_strdup (bench, "");
-  cr_assert_not_null (bench->client);
-  return bench;
+  fixture->ev = tevent_context_init (fixture);
+  fixture->client = mq_http_client_create (fixture, fixture->ev, &error);
+  fixture->text = talloc_strdup (fixture, "");
+  cr_assert_not_null (fixture->client);
+  return fixture;
 }
 
 static void
-add_worker (struct bench *bench, enum mq_service_kind kind, uint16_t port,
+add_worker (struct fixture *fixture, enum mq_service_kind kind, uint16_t port,
             uint32_t poll_ms)
 {
   struct mq_worker_callbacks callbacks
       = { on_token, on_done, on_evicted, on_cache,
-          on_up,    on_down, on_ordered, bench };
+          on_up,    on_down, on_ordered, fixture };
   struct mq_worker_options options = {
     .index = WORKER, .kind = kind, .model = "m7", .cache_poll_ms = poll_ms
   };
 
-  bench->url = talloc_asprintf (bench, "http://127.0.0.1:%u", port);
-  options.url = bench->url;
-  bench->worker = mq_worker_create (bench, bench->ev, bench->client, &options,
-                                    &callbacks);
-  cr_assert_not_null (bench->worker);
+  fixture->url = talloc_asprintf (fixture, "http://127.0.0.1:%u", port);
+  options.url = fixture->url;
+  fixture->worker = mq_worker_create (fixture, fixture->ev, fixture->client,
+                                      &options, &callbacks);
+  cr_assert_not_null (fixture->worker);
 }
 
 static void
-add_engine (struct bench *bench)
+add_engine (struct fixture *fixture)
 {
   struct mq_engine_server_options options
       = { .address = "127.0.0.1:0", .model = "m7", .boot = 10 };
@@ -207,32 +207,33 @@
   mq_engine_params_default (&options.params);
   options.params.time_scale = 0.1;
   options.params.check_fence = true;
-  bench->engine = mq_engine_server_create (bench, bench->ev, &options, &error);
-  cr_assert_not_null (bench->engine);
+  fixture->engine
+      = mq_engine_server_create (fixture, fixture->ev, &options, &error);
+  cr_assert_not_null (fixture->engine);
 }
 
 static void
-bench_destroy (struct bench *bench)
+fixture_destroy (struct fixture *fixture)
 {
-  mq_worker_destroy (bench->worker);
-  mq_http_client_destroy (bench->client);
-  if (bench->engine != NULL)
-    mq_engine_server_destroy (bench->engine);
-  if (bench->service != NULL)
-    mq_http_server_destroy (bench->service);
-  talloc_free (bench);
+  mq_worker_destroy (fixture->worker);
+  mq_http_client_destroy (fixture->client);
+  if (fixture->engine != NULL)
+    mq_engine_server_destroy (fixture->engine);
+  if (fixture->service != NULL)
+    mq_http_server_destroy (fixture->service);
+  talloc_free (fixture);
 }
 
 static void
-set_fault (struct bench *bench, const char *text)
+set_fault (struct fixture *fixture, const char *text)
 {
-  cr_assert (mq_engine_server_fault (bench->engine, text), "%s", text);
+  cr_assert (mq_engine_server_fault (fixture->engine, text), "%s", text);
 }
 
 static json_int_t
-stat_number (struct bench *bench, const char *key)
+stat_number (struct fixture *fixture, const char *key)
 {
-  json_t *stats = mq_engine_server_stats (bench->engine);
+  json_t *stats = mq_engine_server_stats (fixture->engine);
   json_t *requests = json_object_get (stats, "requests");
   json_int_t value = json_integer_value (json_object_get (stats, key));
 
@@ -341,42 +342,43 @@
 static void
 run_model_case (const struct model_case *c)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (c->body, c->timeout_ms);
   bool ran_whole;
 
-  add_engine (bench);
+  add_engine (fixture);
   if (c->fault != NULL)
-    set_fault (bench, c->fault);
-  add_worker (bench, MQ_SERVICE_MODEL, mq_engine_server_port (bench->engine),
-              0);
-  bench->stop_after = c->stop_after;
+    set_fault (fixture, c->fault);
+  add_worker (fixture, MQ_SERVICE_MODEL,
+              mq_engine_server_port (fixture->engine), 0);
+  fixture->stop_after = c->stop_after;
   start.max_tokens = c->max_tokens;
-  mq_worker_start (bench->worker, &start);
+  mq_worker_start (fixture->worker, &start);
   if (c->stop_after == 0)
-    mq_worker_stop (bench->worker, SLOT);
-  cr_assert_eq (bench->dones, 0, "callback from within a function");
-  wait_for (bench, &bench->dones, 1);
-  cr_expect_eq (bench->done.slot, SLOT);
-  cr_expect_eq (bench->done.error, c->error, "%s: %s", c->name,
-                mq_error_name (bench->done.error));
-  cr_expect_eq (bench->done.ran, c->ran, "%s", c->name);
-  cr_expect_eq (bench->done.retry_after_ms, c->retry_after_ms, "%s", c->name);
-  cr_expect (bench->done.tokens_out >= c->least
-                 && bench->done.tokens_out <= c->most,
-             "%s: %u", c->name, bench->done.tokens_out);
-  let_pass (bench, 50);
-  cr_expect_eq (bench->dones, 1, "%s: reported once", c->name);
-  cr_expect_eq (stat_number (bench, "seen"), c->seen, "%s", c->name);
-  cr_expect_eq (stat_number (bench, "running"), 0, "%s", c->name);
-  cr_expect_eq (stat_number (bench, "queued"), 0, "%s", c->name);
+    mq_worker_stop (fixture->worker, SLOT);
+  cr_assert_eq (fixture->dones, 0, "callback from within a function");
+  wait_for (fixture, &fixture->dones, 1);
+  cr_expect_eq (fixture->done.slot, SLOT);
+  cr_expect_eq (fixture->done.error, c->error, "%s: %s", c->name,
+                mq_error_name (fixture->done.error));
+  cr_expect_eq (fixture->done.ran, c->ran, "%s", c->name);
+  cr_expect_eq (fixture->done.retry_after_ms, c->retry_after_ms, "%s",
+                c->name);
+  cr_expect (fixture->done.tokens_out >= c->least
+                 && fixture->done.tokens_out <= c->most,
+             "%s: %u", c->name, fixture->done.tokens_out);
+  let_pass (fixture, 50);
+  cr_expect_eq (fixture->dones, 1, "%s: reported once", c->name);
+  cr_expect_eq (stat_number (fixture, "seen"), c->seen, "%s", c->name);
+  cr_expect_eq (stat_number (fixture, "running"), 0, "%s", c->name);
+  cr_expect_eq (stat_number (fixture, "queued"), 0, "%s", c->name);
   ran_whole = c->error == MQ_ERR_CANCELLED || c->error == MQ_ERR_TIMEOUT
               || c->error == MQ_ERR_NONE;
   if (ran_whole)
-    cr_expect_eq (stat_number (bench, "completion_tokens"),
-                  bench->done.tokens_out, "%s: %u", c->name,
-                  bench->done.tokens_out);
-  bench_destroy (bench);
+    cr_expect_eq (stat_number (fixture, "completion_tokens"),
+                  fixture->done.tokens_out, "%s: %u", c->name,
+                  fixture->done.tokens_out);
+  fixture_destroy (fixture);
 }
 
 Test (worker, model_calls)
@@ -388,7 +390,7 @@
 /* The streamed pieces of text equal the content of the body.  */
 Test (worker, streamed_text_equals_body)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (
       SAY ("[{\\\"call\\\":\\\"badge\\\",\\\"arguments\\\":{\\\"who\\\":"
            "\\\"Awa\\\"},\\\"tokens\\\":30}]"),
@@ -396,76 +398,77 @@
   json_t *body;
   json_t *call;
 
-  add_engine (bench);
-  add_worker (bench, MQ_SERVICE_MODEL, mq_engine_server_port (bench->engine),
-              0);
-  mq_worker_start (bench->worker, &start);
-  wait_for (bench, &bench->dones, 1);
-  body = json_loads (bench->done.body, 0, NULL);
+  add_engine (fixture);
+  add_worker (fixture, MQ_SERVICE_MODEL,
+              mq_engine_server_port (fixture->engine), 0);
+  mq_worker_start (fixture->worker, &start);
+  wait_for (fixture, &fixture->dones, 1);
+  body = json_loads (fixture->done.body, 0, NULL);
   call = json_array_get (json_object_get (body, "tool_calls"), 0);
   cr_expect_str_eq (json_string_value (json_object_get (body, "content")),
-                    bench->text);
-  cr_expect_eq (strlen (bench->text), 120);
-  cr_expect_not_null (strstr (bench->text, "[seen 1 "));
+                    fixture->text);
+  cr_expect_eq (strlen (fixture->text), 120);
+  cr_expect_not_null (strstr (fixture->text, "[seen 1 "));
   cr_expect_str_eq (json_string_value (json_object_get (body, "finish")),
                     "tool_calls");
   cr_expect_str_eq (json_string_value (json_object_get (call, "name")),
                     "badge");
   cr_expect_str_eq (json_string_value (json_object_get (call, "arguments")),
                     "{\"who\":\"Awa\"}");
-  cr_expect_eq (bench->done.tokens_in, stat_number (bench, "prompt_tokens"));
+  cr_expect_eq (fixture->done.tokens_in,
+                stat_number (fixture, "prompt_tokens"));
   json_decref (body);
-  bench_destroy (bench);
+  fixture_destroy (fixture);
 }
 
 /* An engine that restarts during a call ends the call as failed and is
    reported with its new boot number.  */
 Test (worker, engine_restarts)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (ANSWER_9000, 0);
 
-  add_engine (bench);
-  add_worker (bench, MQ_SERVICE_MODEL, mq_engine_server_port (bench->engine),
-              0);
-  mq_worker_start (bench->worker, &start);
-  wait_for (bench, &bench->ups, 1);
-  cr_expect_eq (bench->boot, 10);
-  wait_for (bench, &bench->tokens, 3);
-  set_fault (bench, "{\"fault\":\"restart\"}");
-  wait_for (bench, &bench->dones, 1);
-  cr_expect_eq (bench->done.error, MQ_ERR_TARGET_FAILED);
-  cr_expect_eq (bench->done.ran, MQ_RAN_RAN);
-  cr_expect (bench->done.tokens_out >= 3);
-  wait_for (bench, &bench->ups, 2);
-  cr_expect_eq (bench->boot, 11);
-  cr_expect_eq (mq_worker_read_counters (bench->worker)->restarts, 1);
-  bench_destroy (bench);
+  add_engine (fixture);
+  add_worker (fixture, MQ_SERVICE_MODEL,
+              mq_engine_server_port (fixture->engine), 0);
+  mq_worker_start (fixture->worker, &start);
+  wait_for (fixture, &fixture->ups, 1);
+  cr_expect_eq (fixture->boot, 10);
+  wait_for (fixture, &fixture->tokens, 3);
+  set_fault (fixture, "{\"fault\":\"restart\"}");
+  wait_for (fixture, &fixture->dones, 1);
+  cr_expect_eq (fixture->done.error, MQ_ERR_TARGET_FAILED);
+  cr_expect_eq (fixture->done.ran, MQ_RAN_RAN);
+  cr_expect (fixture->done.tokens_out >= 3);
+  wait_for (fixture, &fixture->ups, 2);
+  cr_expect_eq (fixture->boot, 11);
+  cr_expect_eq (mq_worker_read_counters (fixture->worker)->restarts, 1);
+  fixture_destroy (fixture);
 }
 
 /* An unreachable engine is reported as down once, and a call to it ends as not
    run.  */
 Test (worker, engine_unreachable)
 {
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (ANSWER_40, 0);
   uint16_t port;
 
-  add_engine (bench);
-  port = mq_engine_server_port (bench->engine);
-  add_worker (bench, MQ_SERVICE_MODEL, port, 20);
-  wait_for (bench, &bench->ups, 1);
-  mq_engine_server_destroy (bench->engine);
-  bench->engine = NULL;
-  wait_for (bench, &bench->downs, 1);
-  mq_worker_start (bench->worker, &start);
-  wait_for (bench, &bench->dones, 1);
-  cr_expect_eq (bench->done.error, MQ_ERR_TARGET_FAILED);
-  cr_expect_eq (bench->done.ran, MQ_RAN_NOT_RUN);
-  let_pass (bench, 100);
-  cr_expect_eq (bench->downs, 1);
-  cr_expect_eq (bench->ups, 1);
-  bench_destroy (bench);
+  add_engine (fixture);
+  port = mq_engine_server_port (fixture->engine);
+  add_worker (fixture, MQ_SERVICE_MODEL, port, 20);
+  wait_for (fixture, &fixture->ups, 1);
+  mq_engine_server_destroy (fixture->engine);
+  fixture->engine = NULL;
+  wait_for (fixture, &fixture->downs, 1);
+  mq_worker_start (fixture->worker, &start);
+  wait_for (fixture, &fixture->dones, 1);
+  cr_expect_eq (fixture->done.error, MQ_ERR_TARGET_FAILED);
+  cr_expect_eq (fixture->done.ran, MQ_RAN_NOT_RUN);
+  let_pass (fixture, 100);
+  cr_expect_eq (fixture->downs, 1);
+  cr_expect_eq (fixture->ups, 1);
+  fixture_destroy (fixture);
 }
 
 /* A failed eviction is reported as not confirmed; after a confirmed one the
@@ -473,30 +476,30 @@
 Test (worker, evictions_and_cache)
 {
   static const struct mq_id program = PROGRAM;
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (ANSWER_40, 0);
 
-  add_engine (bench);
-  add_worker (bench, MQ_SERVICE_MODEL, mq_engine_server_port (bench->engine),
-              20);
-  mq_worker_start (bench->worker, &start);
-  wait_for (bench, &bench->dones, 1);
-  wait_for (bench, &bench->caches, bench->caches + 2);
-  cr_assert_eq (bench->cache_count, 1);
-  cr_expect (mq_id_equal (bench->cache[0].program, program));
-  cr_expect (bench->cache[0].tokens >= 40);
-  set_fault (bench, "{\"fault\":\"evict_fails\",\"count\":1}");
-  mq_worker_evict (bench->worker, program);
-  wait_for (bench, &bench->evictions, 1);
-  cr_expect_not (bench->evicted.confirmed);
-  cr_expect_eq (bench->evicted.worker, WORKER);
-  mq_worker_evict (bench->worker, program);
-  wait_for (bench, &bench->evictions, 2);
-  cr_expect (bench->evicted.confirmed);
-  cr_expect (mq_id_equal (bench->evicted.program, program));
-  wait_for (bench, &bench->caches, bench->caches + 2);
-  cr_expect_eq (bench->cache_count, 0);
-  bench_destroy (bench);
+  add_engine (fixture);
+  add_worker (fixture, MQ_SERVICE_MODEL,
+              mq_engine_server_port (fixture->engine), 20);
+  mq_worker_start (fixture->worker, &start);
+  wait_for (fixture, &fixture->dones, 1);
+  wait_for (fixture, &fixture->caches, fixture->caches + 2);
+  cr_assert_eq (fixture->cache_count, 1);
+  cr_expect (mq_id_equal (fixture->cache[0].program, program));
+  cr_expect (fixture->cache[0].tokens >= 40);
+  set_fault (fixture, "{\"fault\":\"evict_fails\",\"count\":1}");
+  mq_worker_evict (fixture->worker, program);
+  wait_for (fixture, &fixture->evictions, 1);
+  cr_expect_not (fixture->evicted.confirmed);
+  cr_expect_eq (fixture->evicted.worker, WORKER);
+  mq_worker_evict (fixture->worker, program);
+  wait_for (fixture, &fixture->evictions, 2);
+  cr_expect (fixture->evicted.confirmed);
+  cr_expect (mq_id_equal (fixture->evicted.program, program));
+  wait_for (fixture, &fixture->caches, fixture->caches + 2);
+  cr_expect_eq (fixture->cache_count, 0);
+  fixture_destroy (fixture);
 }
 
 Test (worker, orders)
@@ -514,11 +517,11 @@
     { 6, FAULT_AT ("status", "/v1/orders", ",\"status\":500"),
       MQ_ORDER_SET_ROLE, MQ_ERR_TARGET_FAILED },
   };
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
 
-  add_engine (bench);
-  add_worker (bench, MQ_SERVICE_MODEL, mq_engine_server_port (bench->engine),
-              0);
+  add_engine (fixture);
+  add_worker (fixture, MQ_SERVICE_MODEL,
+              mq_engine_server_port (fixture->engine), 0);
   for (uint32_t i = 0; i < COUNT (cases); i++)
     {
       struct mq_order_msg order = { .order = 100 + i,
@@ -528,14 +531,14 @@
                                     .argument = "draft" };
 
       if (cases[i].fault != NULL)
-        set_fault (bench, cases[i].fault);
-      mq_worker_order (bench->worker, &order);
-      wait_for (bench, &bench->orders, i + 1);
-      cr_expect_eq (bench->ordered.order, 100 + i);
-      cr_expect_eq (bench->ordered.error, cases[i].error, "case %u: %s", i,
-                    mq_error_name (bench->ordered.error));
+        set_fault (fixture, cases[i].fault);
+      mq_worker_order (fixture->worker, &order);
+      wait_for (fixture, &fixture->orders, i + 1);
+      cr_expect_eq (fixture->ordered.order, 100 + i);
+      cr_expect_eq (fixture->ordered.error, cases[i].error, "case %u: %s", i,
+                    mq_error_name (fixture->ordered.error));
     }
-  bench_destroy (bench);
+  fixture_destroy (fixture);
 }
 
 /* Plain services and tools.  */
@@ -644,24 +647,24 @@
 };
 
 static void
-start_service (struct bench *bench, struct script *script,
+start_service (struct fixture *fixture, struct script *script,
                enum mq_service_kind kind)
 {
   struct mq_http_server_options options = { .address = "127.0.0.1:0" };
   struct mq_error error;
 
-  bench->service = mq_http_server_create (bench, bench->ev, &options,
-                                          serve_script, script, &error);
-  cr_assert_not_null (bench->service);
-  add_worker (bench, kind, mq_http_server_port (bench->service), 0);
+  fixture->service = mq_http_server_create (fixture, fixture->ev, &options,
+                                            serve_script, script, &error);
+  cr_assert_not_null (fixture->service);
+  add_worker (fixture, kind, mq_http_server_port (fixture->service), 0);
 }
 
 static void
-post_sum (struct bench *bench, uint32_t timeout_ms)
+post_sum (struct fixture *fixture, uint32_t timeout_ms)
 {
   struct mq_start start = make_start ("{\"sum\":1}", timeout_ms);
 
-  mq_worker_start (bench->worker, &start);
+  mq_worker_start (fixture->worker, &start);
 }
 
 /* A call with side effects must be sent exactly once, whatever becomes of the
@@ -672,41 +675,41 @@
 {
   const struct service_case *c = &service_cases[i];
   struct script script = { .behaviour = ANSWER, .status = 200, .body = "1" };
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
 
-  start_service (bench, &script, kind);
-  post_sum (bench, 0);
-  wait_for (bench, &bench->dones, 1);
-  cr_assert_eq (bench->done.error, MQ_ERR_NONE);
+  start_service (fixture, &script, kind);
+  post_sum (fixture, 0);
+  wait_for (fixture, &fixture->dones, 1);
+  cr_assert_eq (fixture->done.error, MQ_ERR_NONE);
   cr_expect (script.as_sent);
   script = (struct script){ .behaviour = c->behaviour,
                             .status = c->status,
                             .body = c->body };
   if (c->behaviour == GONE)
     {
-      mq_http_server_destroy (bench->service);
-      bench->service = NULL;
+      mq_http_server_destroy (fixture->service);
+      fixture->service = NULL;
     }
-  post_sum (bench, c->timeout_ms);
+  post_sum (fixture, c->timeout_ms);
   if (c->stop)
     {
-      wait_for (bench, &script.hits, 1);
-      mq_worker_stop (bench->worker, SLOT);
-      cr_assert_eq (bench->dones, 1, "callback from within a function");
+      wait_for (fixture, &script.hits, 1);
+      mq_worker_stop (fixture->worker, SLOT);
+      cr_assert_eq (fixture->dones, 1, "callback from within a function");
     }
-  wait_for (bench, &bench->dones, 2);
-  cr_expect_eq (bench->done.error, c->error, "case %zu: %s", i,
-                mq_error_name (bench->done.error));
-  cr_expect_eq (bench->done.ran, c->ran, "case %zu: %s", i,
-                mq_ran_name (bench->done.ran));
-  cr_expect_eq (bench->done.retry_after_ms, c->retry_after_ms);
-  cr_expect_str_eq (bench->done.body, c->answer, "case %zu: %s", i,
-                    bench->done.body);
-  let_pass (bench, 30);
-  cr_expect_eq (bench->dones, 2, "case %zu: reported once", i);
+  wait_for (fixture, &fixture->dones, 2);
+  cr_expect_eq (fixture->done.error, c->error, "case %zu: %s", i,
+                mq_error_name (fixture->done.error));
+  cr_expect_eq (fixture->done.ran, c->ran, "case %zu: %s", i,
+                mq_ran_name (fixture->done.ran));
+  cr_expect_eq (fixture->done.retry_after_ms, c->retry_after_ms);
+  cr_expect_str_eq (fixture->done.body, c->answer, "case %zu: %s", i,
+                    fixture->done.body);
+  let_pass (fixture, 30);
+  cr_expect_eq (fixture->dones, 2, "case %zu: reported once", i);
   cr_expect_eq (script.hits, c->hits, "case %zu: sent %u times", i,
                 script.hits);
-  bench_destroy (bench);
+  fixture_destroy (fixture);
 }
 
 Test (worker, service_calls)
@@ -725,29 +728,29 @@
   static const struct mq_id program = PROGRAM;
   struct script script = { .behaviour = HANG };
   struct mq_order_msg order = { .order = 9, .argument = "" };
-  struct bench *bench = bench_create ();
-
-  start_service (bench, &script, MQ_SERVICE_PLAIN);
-  mq_worker_evict (bench->worker, program);
-  mq_worker_order (bench->worker, &order);
-  cr_expect_eq (bench->evictions + bench->orders, 0);
-  wait_for (bench, &bench->evictions, 1);
-  wait_for (bench, &bench->orders, 1);
-  cr_expect (bench->evicted.confirmed);
-  cr_expect_eq (bench->ordered.error, MQ_ERR_BAD_REQUEST);
+  struct fixture *fixture = fixture_create ();
+
+  start_service (fixture, &script, MQ_SERVICE_PLAIN);
+  mq_worker_evict (fixture->worker, program);
+  mq_worker_order (fixture->worker, &order);
+  cr_expect_eq (fixture->evictions + fixture->orders, 0);
+  wait_for (fixture, &fixture->evictions, 1);
+  wait_for (fixture, &fixture->orders, 1);
+  cr_expect (fixture->evicted.confirmed);
+  cr_expect_eq (fixture->ordered.error, MQ_ERR_BAD_REQUEST);
   cr_expect_eq (script.hits, 0);
-  bench_destroy (bench);
+  fixture_destroy (fixture);
 }
 
 /* Waits until the engine runs COUNT calls.  */
 static void
-wait_for_running (struct bench *bench, json_int_t count)
+wait_for_running (struct fixture *fixture, json_int_t count)
 {
-  for (uint32_t ms = 0; stat_number (bench, "running") != count; ms++)
+  for (uint32_t ms = 0; stat_number (fixture, "running") != count; ms++)
     {
       cr_assert_lt (ms, WAIT_SECONDS * 1000, "the engine runs %d",
-                    (int)stat_number (bench, "running"));
-      let_pass (bench, 1);
+                    (int)stat_number (fixture, "running"));
+      let_pass (fixture, 1);
     }
 }
 
@@ -768,26 +771,26 @@
 
   for (size_t i = 0; i < COUNT (cases); i++)
     {
-      struct bench *bench = bench_create ();
+      struct fixture *fixture = fixture_create ();
       struct mq_start start = make_start (ANSWER_9000, 0);
 
-      add_engine (bench);
-      add_worker (bench, MQ_SERVICE_MODEL,
-                  mq_engine_server_port (bench->engine), 0);
-      mq_worker_start (bench->worker, &start);
+      add_engine (fixture);
+      add_worker (fixture, MQ_SERVICE_MODEL,
+                  mq_engine_server_port (fixture->engine), 0);
+      mq_worker_start (fixture->worker, &start);
       start.slot = SLOT + 1;
       start.ref.call++;
-      mq_worker_start (bench->worker, &start);
-      wait_for_running (bench, cases[i].running);
-      mq_worker_stop (bench->worker, SLOT + 1);
-      wait_for (bench, &bench->dones, cases[i].reported);
-      mq_worker_destroy (bench->worker);
-      bench->worker = NULL;
-      let_pass (bench, 100);
-      cr_expect_eq (bench->dones, cases[i].reported, "%s: reported %u",
-                    cases[i].name, bench->dones);
-      wait_for_running (bench, 0);
-      bench_destroy (bench);
+      mq_worker_start (fixture->worker, &start);
+      wait_for_running (fixture, cases[i].running);
+      mq_worker_stop (fixture->worker, SLOT + 1);
+      wait_for (fixture, &fixture->dones, cases[i].reported);
+      mq_worker_destroy (fixture->worker);
+      fixture->worker = NULL;
+      let_pass (fixture, 100);
+      cr_expect_eq (fixture->dones, cases[i].reported, "%s: reported %u",
+                    cases[i].name, fixture->dones);
+      wait_for_running (fixture, 0);
+      fixture_destroy (fixture);
     }
 }
 
@@ -806,7 +809,7 @@
 
 /* Returns the socket on which the model call arrived.  */
 static int
-accept_call (struct bench *bench, int listening, int *ends)
+accept_call (struct fixture *fixture, int listening, int *ends)
 {
   int count = 0;
 
@@ -814,7 +817,7 @@
     {
       char request[4096] = "";
 
-      let_pass (bench, 5);
+      let_pass (fixture, 5);
       if (count < ENDS)
         ends[count] = accept (listening, NULL, NULL);
       if (count < ENDS && ends[count] >= 0)
@@ -832,28 +835,28 @@
 {
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" TEXT ("abc") END DONE;
-  struct bench *bench = bench_create ();
+  struct fixture *fixture = fixture_create ();
   struct mq_start start = make_start (ANSWER_40, HELD_UP_MS - 200);
   int listening = mq_listen_open ("127.0.0.1:0", NULL);
   int ends[ENDS] = { -1, -1, -1, -1 };
   int fd;
 
-  add_worker (bench, MQ_SERVICE_MODEL, mq_listen_port (listening), 0);
-  mq_worker_start (bench->worker, &start);
-  fd = accept_call (bench, listening, ends);
+  add_worker (fixture, MQ_SERVICE_MODEL, mq_listen_port (listening), 0);
+  mq_worker_start (fixture->worker, &start);
+  fd = accept_call (fixture, listening, ends);
   cr_assert_eq (send (fd, answer, sizeof answer - 1, MSG_NOSIGNAL),
                 (ssize_t)sizeof answer - 1);
   shutdown (fd, SHUT_WR);
   usleep (HELD_UP_MS * 1000);
-  wait_for (bench, &bench->dones, 1);
-  cr_expect_eq (bench->done.error, MQ_ERR_NONE, "%s",
-                mq_error_name (bench->done.error));
-  cr_expect_str_eq (bench->text, "abc");
+  wait_for (fixture, &fixture->dones, 1);
+  cr_expect_eq (fixture->done.error, MQ_ERR_NONE, "%s",
+                mq_error_name (fixture->done.error));
+  cr_expect_str_eq (fixture->text, "abc");
   for (int i = 0; i < ENDS; i++)
     if (ends[i] >= 0)
       close (ends[i]);
   close (listening);
-  bench_destroy (bench);
+  fixture_destroy (fixture);
 }
 
 static void
