--- a/src/entry/api_plan.h
+++ b/src/entry/api_plan.h
@@ -62,7 +62,7 @@
  * struct mq_api_plan - requests to send to the front
  * @has_second: send @second once @first is durable
  * @second: a step of the program that @first creates
- * @wait_ms: timeout of the whole HTTP request
+ * @wait_ms: timeout of the HTTP request
  */
 struct mq_api_plan
 {
--- a/src/target/worker_call.c
+++ b/src/target/worker_call.c
@@ -308,12 +308,12 @@
 model_done (const struct mq_http_result *result, void *user)
 {
   struct mq_worker_call *call = user;
-  bool whole
+  bool complete
       = mq_worker_response_ok (result)
         && mq_worker_stream_state (call->stream) == MQ_WORKER_STREAM_WHOLE;
 
   call->http = NULL;
-  if (call->cancelling && !whole)
+  if (call->cancelling && !complete)
     return; /* ends on the response to the cancel */
   if (result->error == MQ_ERR_NONE && result->status == 200)
     end_complete_stream (call);
