--- a/src/daemon.c
+++ b/src/daemon.c
@@ -1,4 +1,4 @@
-/* daemon.c - what the main functions of the daemons share.
+/* daemon.c - common main function of the daemons.
 
    Needs: daemon.h, argp, tevent, entry.h, target.h, log.h.  */
 
@@ -21,7 +21,7 @@
     struct mq_target *target;
   } u;
   const char *file;
-  bool leaving;
+  bool draining;
   bool stopped;
 };
 
@@ -48,7 +48,7 @@
     case MQ_HOST_TARGET:
       break;
     }
-  return "Stands before the workers of a target host of mimosaquay.";
+  return "Forwards calls to the workers of a target host of mimosaquay.";
 }
 
 static error_t
@@ -125,15 +125,15 @@
 }
 
 static void
-leave (struct daemon *self)
+drain (struct daemon *self)
 {
   switch (self->role)
     {
     case MQ_HOST_ENTRY:
-      mq_entry_leave (self->u.entry);
+      mq_entry_drain (self->u.entry);
       break;
     case MQ_HOST_TARGET:
-      mq_target_stop (self->u.target);
+      mq_target_drain (self->u.target);
       break;
     }
 }
@@ -178,11 +178,11 @@
   (void)signal_event;
   (void)number;
   (void)info;
-  if (self->leaving || count > 1)
+  if (self->draining || count > 1)
     self->stopped = true;
-  self->leaving = true;
+  self->draining = true;
   if (!self->stopped)
-    leave (self);
+    drain (self);
 }
 
 static struct mq_settings *
--- a/src/daemon/platform.c
+++ b/src/daemon/platform.c
@@ -1,6 +1,7 @@
-/* platform.c - the platform's table, object store and host list over HTTP.
+/* platform.c - HTTP client of the platform's table, object store and host
+   list.
 
-   platform_answer.c reads what comes back.
+   platform_answer.c parses the responses.
    Needs: platform.h, platform_answer.h, base64.h, limits.h, jansson.  */
 
 #include "platform.h"
@@ -27,7 +28,7 @@
   struct mq_http_call *call;
   uint32_t interval_ms;
   size_t hosts; /* in the last list */
-  mq_platform_listed *listed;
+  mq_platform_hosts_handler *listed;
   void *user;
 };
 
@@ -36,18 +37,18 @@
   struct tevent_context *ev;
   struct mq_http_client *client;
   const char *url;
-  mq_platform_stored *stored;
+  mq_platform_result_handler *stored;
   void *user;
   struct host_watch watch;
   struct mq_platform_counters counters;
 };
 
-/* A request under way; its parent is the platform.  */
+/* A request in progress; a talloc child of the platform.  */
 struct pending
 {
   struct mq_platform *platform;
-  struct mq_http_call *call;       /* NULL: not sent, or ended */
-  struct mq_store_request request; /* copy, without values of its ops */
+  struct mq_http_call *call;       /* NULL if not sent or ended */
+  struct mq_store_request request; /* copy, without the values of its ops */
   struct mq_bytes body;
 };
 
@@ -152,7 +153,7 @@
   return json;
 }
 
-/* Empty when a key is not UTF-8 or memory is out.  */
+/* Returns an empty body if a key is not UTF-8 or memory is exhausted.  */
 static struct mq_bytes
 describe_transaction (TALLOC_CTX *ctx, const struct mq_store_request *request)
 {
@@ -232,7 +233,7 @@
   return true;
 }
 
-/* Answers.  */
+/* Results.  */
 
 static void
 count_result (struct mq_platform *platform, enum mq_store_status status)
@@ -243,7 +244,8 @@
     platform->counters.lost++;
 }
 
-/* The receiver may destroy the platform, so PENDING leaves it before.  */
+/* Detaches PENDING from the platform first, because the callback may destroy
+   the platform.  */
 static void
 report (struct pending *pending, struct mq_store_result *result)
 {
@@ -280,7 +282,7 @@
   report (pending, &result);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 static int
 free_pending (struct pending *pending)
@@ -301,7 +303,7 @@
 struct mq_platform *
 mq_platform_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                     struct mq_http_client *client, const char *url,
-                    mq_platform_stored *stored, void *user)
+                    mq_platform_result_handler *stored, void *user)
 {
   struct mq_platform *platform = talloc_zero (ctx, struct mq_platform);
 
@@ -374,7 +376,7 @@
 static void schedule_poll (struct mq_platform *platform, uint32_t after_ms);
 
 uint32_t
-mq_platform_poll_ms (uint32_t interval_ms, size_t hosts)
+mq_platform_poll_interval_ms (uint32_t interval_ms, size_t hosts)
 {
   uint64_t ms = (uint64_t)hosts * MQ_HOSTS_POLL_HOST_MS;
 
@@ -390,8 +392,9 @@
   const struct mq_host_list *hosts;
 
   platform->watch.call = NULL;
-  schedule_poll (platform, mq_platform_poll_ms (platform->watch.interval_ms,
-                                                platform->watch.hosts));
+  schedule_poll (platform,
+                 mq_platform_poll_interval_ms (platform->watch.interval_ms,
+                                               platform->watch.hosts));
   if (http->error != MQ_ERR_NONE || http->status != STATUS_OK)
     {
       platform->counters.failures++;
@@ -442,7 +445,7 @@
 
 void
 mq_platform_watch_hosts (struct mq_platform *platform, uint32_t interval_ms,
-                         mq_platform_listed *listed, void *user)
+                         mq_platform_hosts_handler *listed, void *user)
 {
   platform->watch.interval_ms = interval_ms;
   platform->watch.listed = listed;
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -1,4 +1,4 @@
-/* process.c - addresses, connections and ticks of a process.
+/* process.c - addresses, peer connections and timers of a daemon.
 
    Needs: process.h, memory.h, clock.h.  */
 
@@ -15,7 +15,7 @@
 };
 
 char *
-mq_process_address (TALLOC_CTX *ctx, const char *address, uint16_t port)
+mq_process_replace_port (TALLOC_CTX *ctx, const char *address, uint16_t port)
 {
   const char *colon = strrchr (address, ':');
   int len = colon == NULL ? (int)strlen (address) : (int)(colon - address);
@@ -40,15 +40,14 @@
   memcpy (options.site_key, settings->site_key, MQ_KEY_BYTES);
   net = mq_peer_net_create (ctx, ev, &options, callbacks, error);
   if (net != NULL)
-    *address
-        = mq_process_address (ctx, settings->peer, mq_peer_net_port (net));
+    *address = mq_process_replace_port (ctx, settings->peer,
+                                        mq_peer_net_port (net));
   return net;
 }
 
-/* Failure: a process that was held up looks at its cores before it has read
-   what arrived meanwhile: a stop beside a target finds that no call has come
-   for a while, and one that lies unread is lost with the process.  These
-   timers come after what has arrived.  */
+/* Uses mq_timer, which fires after pending input has been read.  Otherwise a
+   target host's daemon that was suspended while draining could exit with an
+   unread call in its socket.  */
 void
 mq_tick_timer_set (struct mq_tick_timer *tick, struct tevent_context *ev,
                    uint64_t at_us, uint64_t least_us,
--- a/src/entry/api.c
+++ b/src/entry/api.c
@@ -1,8 +1,8 @@
-/* api.c - callers' and operators' HTTP on an entry host.
+/* api.c - HTTP API of an entry host, for callers and operators.
 
-   One exchange for each caller's HTTP request, in a table of slots; its
-   handle at the front carries the slot and a serial number, so that an
-   event for an earlier exchange of the slot is told apart.
+   Each HTTP request of a caller is an exchange in a table of slots.  Its
+   handle at the front combines the slot with a serial number, so that late
+   events for an earlier exchange in the same slot are recognised.
    Needs: api_state.h, id.h, limits.h, gnutls.  */
 
 #include "api.h"
@@ -26,11 +26,11 @@
 
 static const char json_type[] = "application/json";
 
-/* Plain answers.  */
+/* Responses without the front.  */
 
 void
-mq_api_refuse_with (struct mq_api *api, struct mq_http_request *http,
-                    const struct mq_api_refusal *refusal)
+mq_api_send_refusal (struct mq_api *api, struct mq_http_request *http,
+                     const struct mq_api_refusal *refusal)
 {
   char *json = mq_api_refusal_json (api, refusal);
 
@@ -48,7 +48,7 @@
   talloc_free (json);
 }
 
-/* A refusal by this process, which has asked nobody yet.  */
+/* Refuses a request that was not sent to the front.  */
 static void
 refuse (struct mq_api *api, struct mq_http_request *http,
         enum mq_error_type type, const char *subject, uint32_t retry_after_ms)
@@ -57,7 +57,7 @@
       = { .ran = MQ_RAN_NOT_RUN, .retry_after_ms = retry_after_ms };
 
   mq_error_set (&refusal.error, type, subject, "");
-  mq_api_refuse_with (api, http, &refusal);
+  mq_api_send_refusal (api, http, &refusal);
 }
 
 /* Table of exchanges.  */
@@ -90,7 +90,7 @@
 }
 
 void
-mq_exchange_renew (struct mq_exchange *exchange)
+mq_exchange_renew_handle (struct mq_exchange *exchange)
 {
   exchange->handle = ++exchange->api->serial << SLOT_BITS | exchange->slot;
 }
@@ -119,13 +119,13 @@
   exchange->http = http;
   exchange->start_us = api->callbacks.now_us (api->callbacks.user);
   exchange->streamed = mq_check_alloc (talloc_strdup (exchange, ""));
-  mq_exchange_renew (exchange);
+  mq_exchange_renew_handle (exchange);
   api->slots[slot] = exchange;
   api->live++;
   return exchange;
 }
 
-/* The HTTP request has ended: answered, or its caller is gone.  */
+/* The response was completed or the caller disconnected.  */
 static void
 exchange_closed (struct mq_http_request *http, void *data)
 {
@@ -135,19 +135,19 @@
   (void)http;
   api->slots[exchange->slot] = NULL;
   api->live--;
-  if (exchange->asked)
+  if (exchange->pending)
     {
       api->counters.callers_gone++;
-      mq_exchange_count_gone (exchange);
+      mq_exchange_count_disconnected (exchange);
       api->callbacks.gone (exchange->handle, api->callbacks.user);
     }
   talloc_free (exchange);
 }
 
-/* Asking the front.  */
+/* Requests to the front.  */
 
 static const struct mq_organisation *
-caller_of (const struct mq_api *api, struct mq_http_request *http)
+find_organisation (const struct mq_api *api, struct mq_http_request *http)
 {
   uint8_t hash[MQ_KEY_BYTES];
 
@@ -156,9 +156,9 @@
   return mq_text_find_key (api->text, hash);
 }
 
-/* The caller's trace context, or a new one.  */
+/* Returns the caller's trace context, or a new one if it sent none.  */
 static const char *
-trace_of (TALLOC_CTX *ctx, struct mq_http_request *http)
+get_traceparent (TALLOC_CTX *ctx, struct mq_http_request *http)
 {
   const char *header = mq_http_header (http, "traceparent");
   uint8_t random[TRACE_BYTES];
@@ -177,30 +177,31 @@
 }
 
 void
-mq_exchange_ask (struct mq_exchange *exchange,
-                 const struct mq_request_msg *request)
+mq_exchange_send (struct mq_exchange *exchange,
+                  const struct mq_request_msg *request)
 {
   struct mq_api *api = exchange->api;
   uint32_t partition
       = mq_id_partition (request->program, api->text->partitions);
 
-  exchange->asked = true;
-  /* The answer may come from within; EXCHANGE may be gone afterwards.  */
+  exchange->pending = true;
+  /* The callback may respond and free EXCHANGE before it returns.  */
   api->callbacks.request (exchange->handle, partition, exchange->plan->wait_ms,
                           request, api->callbacks.user);
 }
 
 void
-mq_exchange_leave (struct mq_exchange *exchange)
+mq_exchange_abandon (struct mq_exchange *exchange)
 {
   struct mq_api *api = exchange->api;
 
-  exchange->asked = false;
+  exchange->pending = false;
   api->callbacks.gone (exchange->handle, api->callbacks.user);
 }
 
 void
-mq_exchange_span (const struct mq_exchange *exchange, enum mq_error_type error)
+mq_exchange_record_span (const struct mq_exchange *exchange,
+                         enum mq_error_type error)
 {
   struct mq_api *api = exchange->api;
   struct mq_span span = { .name = "entry" };
@@ -213,10 +214,10 @@
   api->callbacks.span (&span, api->callbacks.user);
 }
 
-/* The plan outlives the request's headers and the text it was made from:
-   its second request is sent later.  */
+/* Copies the plan: its second request is sent after the request's headers
+   and the configuration that it refers to may have been freed.  */
 static void
-keep_plan (struct mq_exchange *exchange, const struct mq_api_plan *plan)
+copy_plan (struct mq_exchange *exchange, const struct mq_api_plan *plan)
 {
   exchange->plan = mq_check_alloc (talloc_zero (exchange, struct mq_api_plan));
   *exchange->plan = *plan;
@@ -234,7 +235,8 @@
   mq_http_set_header (exchange->http, "Mimosa-Program", text);
 }
 
-/* A key of this one request, unique among all runs of all processes.  */
+/* Generates an idempotency key that is unique across processes and
+   restarts.  */
 static char *
 make_key (TALLOC_CTX *ctx, const struct mq_exchange *exchange)
 {
@@ -249,25 +251,26 @@
 }
 
 static void
-fill_ask (TALLOC_CTX *ctx, const struct mq_exchange *exchange,
-          const struct mq_organisation *caller, struct mq_api_ask *ask)
+fill_http_input (TALLOC_CTX *ctx, const struct mq_exchange *exchange,
+                 const struct mq_organisation *caller,
+                 struct mq_api_http_input *input)
 {
   struct mq_http_request *http = exchange->http;
 
-  ask->method = mq_http_method (http);
-  ask->path = mq_http_path (http);
-  ask->body = mq_http_body (http, &ask->len);
-  ask->organisation = caller->name;
-  ask->key = mq_http_header (http, "Idempotency-Key");
-  ask->generated_key = make_key (ctx, exchange);
-  ask->traceparent = trace_of (ctx, http);
-  ask->accept = mq_http_header (http, "Accept");
-  ask->program = mq_http_header (http, "Mimosa-Program");
-  ask->service = mq_http_header (http, "Mimosa-Service");
-  ask->after = mq_http_query (http, "after");
-  ask->wait = mq_http_query (http, "wait");
-  ask->cancel = mq_http_query (http, "cancel");
-  ask->timeout_ms = mq_http_query (http, "timeout_ms");
+  input->method = mq_http_method (http);
+  input->path = mq_http_path (http);
+  input->body = mq_http_body (http, &input->len);
+  input->organisation = caller->name;
+  input->key = mq_http_header (http, "Idempotency-Key");
+  input->generated_key = make_key (ctx, exchange);
+  input->traceparent = get_traceparent (ctx, http);
+  input->accept = mq_http_header (http, "Accept");
+  input->program = mq_http_header (http, "Mimosa-Program");
+  input->service = mq_http_header (http, "Mimosa-Service");
+  input->after = mq_http_query (http, "after");
+  input->wait = mq_http_query (http, "wait");
+  input->cancel = mq_http_query (http, "cancel");
+  input->timeout_ms = mq_http_query (http, "timeout_ms");
 }
 
 static void
@@ -276,21 +279,21 @@
 {
   struct mq_api_refusal refusal = { .ran = MQ_RAN_NOT_RUN };
   TALLOC_CTX *ctx = mq_check_alloc (talloc_new (NULL));
-  struct mq_api_ask ask = { 0 };
+  struct mq_api_http_input input = { 0 };
   struct mq_api_plan *plan;
 
-  fill_ask (ctx, exchange, caller, &ask);
-  plan = mq_api_plan_make (ctx, exchange->api->text, &ask, &refusal.error);
+  fill_http_input (ctx, exchange, caller, &input);
+  plan = mq_api_plan_create (ctx, exchange->api->text, &input, &refusal.error);
   if (plan == NULL)
     {
-      mq_api_refuse_with (exchange->api, exchange->http, &refusal);
+      mq_api_send_refusal (exchange->api, exchange->http, &refusal);
       talloc_free (ctx);
       return;
     }
-  keep_plan (exchange, plan);
+  copy_plan (exchange, plan);
   talloc_free (ctx);
   name_program (exchange);
-  mq_exchange_ask (exchange, &exchange->plan->first);
+  mq_exchange_send (exchange, &exchange->plan->first);
 }
 
 static void
@@ -309,7 +312,7 @@
       refuse (api, http, MQ_ERR_NOT_READY, "", MQ_FRONT_RETRY_MAX_MS);
       return;
     }
-  caller = caller_of (api, http);
+  caller = find_organisation (api, http);
   if (caller == NULL)
     {
       api->counters.unauthorised++;
@@ -409,7 +412,7 @@
     serve_caller (api, http);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 struct mq_api *
 mq_api_create (TALLOC_CTX *ctx, struct tevent_context *ev,
@@ -433,7 +436,8 @@
   return api;
 }
 
-/* The server goes first: it reports each request in progress as closed.  */
+/* Destroys the server first, which reports each request in progress as
+   closed.  */
 void
 mq_api_destroy (struct mq_api *api)
 {
@@ -456,7 +460,7 @@
 }
 
 void
-mq_api_leave (struct mq_api *api)
+mq_api_drain (struct mq_api *api)
 {
   api->leaving = true;
 }
--- a/src/entry/api_event.c
+++ b/src/entry/api_event.c
@@ -1,4 +1,4 @@
-/* api_event.c - the front's events as answers to callers.
+/* api_event.c - turns the front's events into HTTP responses.
 
    Needs: api_state.h.  */
 
@@ -21,8 +21,8 @@
   mq_http_stream_begin (exchange->http, 200, event_type);
 }
 
-/* False when the caller was given up; the end of its exchange is told later.
-   TEXT is freed.  */
+/* Writes TEXT to the stream and frees it.  Returns false if the stream was
+   aborted; exchange_closed is called later.  */
 static bool
 write_stream (struct mq_exchange *exchange, char *text)
 {
@@ -31,11 +31,11 @@
   begin_stream (exchange);
   written = mq_http_stream_write (exchange->http, text, strlen (text));
   talloc_free (text);
-  /* More events may come before the connection is told to be closed; the
-     reader still counts as one.  */
-  if (!written && !exchange->cut_off)
+  /* More events may arrive before the connection is reported as closed; the
+     slow reader is counted once.  */
+  if (!written && !exchange->aborted)
     {
-      exchange->cut_off = true;
+      exchange->aborted = true;
       exchange->api->counters.slow_readers++;
     }
   return written;
@@ -61,7 +61,7 @@
 }
 
 static void
-give_refusal (struct mq_exchange *exchange, const struct mq_event_msg *event)
+send_refusal (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
   struct mq_api *api = exchange->api;
   struct mq_api_refusal refusal;
@@ -69,20 +69,20 @@
   fill_refusal (exchange, event, &refusal);
   if (!exchange->streaming)
     {
-      mq_api_refuse_with (api, exchange->http, &refusal);
+      mq_api_send_refusal (api, exchange->http, &refusal);
       return;
     }
   api->counters.refused++;
-  if (exchange->plan->shape == MQ_API_CHAT_STREAM)
-    finish_stream (exchange, mq_api_chat_broken (api, &refusal));
+  if (exchange->plan->format == MQ_API_CHAT_STREAM)
+    finish_stream (exchange, mq_api_chat_error (api, &refusal));
   else
     finish_stream (exchange, mq_api_sse (api, event, refusal.program));
 }
 
-/* Who cancels a program hears that it ended so: that is no failure.  */
+/* Cancellation is a success for the caller that requested it.  */
 static bool
-is_wanted (const struct mq_exchange *exchange,
-           const struct mq_event_msg *event)
+is_requested_cancel (const struct mq_exchange *exchange,
+                     const struct mq_event_msg *event)
 {
   return exchange->plan->first.type == MQ_REQUEST_CANCEL
          && event->error == MQ_ERR_CANCELLED;
@@ -91,28 +91,29 @@
 static void
 answer_refused (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
-  exchange->asked = false;
-  mq_exchange_span (exchange, event->error);
-  if (is_wanted (exchange, event))
+  exchange->pending = false;
+  mq_exchange_record_span (exchange, event->error);
+  if (is_requested_cancel (exchange, event))
     mq_respond_text (exchange->http, 200, json_type,
                      mq_api_program_json (
                          exchange, exchange->plan->first.program, "ended"));
   else
     {
       mq_exchange_count_refused (exchange, event);
-      give_refusal (exchange, event);
+      send_refusal (exchange, event);
     }
 }
 
-/* The final answer is not in the form that was asked for.  */
+/* Refuses with BAD_ANSWER: the result cannot be converted to the requested
+   format.  */
 static void
-answer_unusable (struct mq_exchange *exchange)
+refuse_bad_answer (struct mq_exchange *exchange)
 {
   struct mq_event_msg event = { .type = MQ_EVENT_REFUSED };
 
   event.error = MQ_ERR_BAD_ANSWER;
   event.ran = MQ_RAN_RAN;
-  give_refusal (exchange, &event);
+  send_refusal (exchange, &event);
 }
 
 static const char *
@@ -131,31 +132,31 @@
                                  program, time (NULL));
 
   if (json == NULL)
-    answer_unusable (exchange);
+    refuse_bad_answer (exchange);
   else
     mq_respond_text (exchange->http, 200, json_type, json);
 }
 
-/* The stream ends well only when what the caller holds is the beginning of
-   the final answer; the rest of it goes out in one piece.  After a reset
-   the text may have changed: then the stream ends without [DONE].  */
+/* Sends the rest of the final text and [DONE] if the text sent so far is a
+   prefix of it.  After a reset the text may differ; the stream then ends
+   without [DONE].  */
 static void
 end_chat_stream (struct mq_exchange *exchange, const char *final)
 {
   struct mq_id program = exchange->plan->first.program;
   const char *model = chat_model (exchange);
-  size_t held = strlen (exchange->streamed);
+  size_t sent = strlen (exchange->streamed);
   int64_t now = time (NULL);
   char *content = mq_api_chat_content (exchange, final);
 
-  if (strncmp (content, exchange->streamed, held) != 0)
+  if (strncmp (content, exchange->streamed, sent) != 0)
     {
-      answer_unusable (exchange);
+      refuse_bad_answer (exchange);
       return;
     }
-  if (content[held] != '\0'
+  if (content[sent] != '\0'
       && !write_stream (exchange,
-                        mq_api_chat_token (exchange->api, content + held,
+                        mq_api_chat_token (exchange->api, content + sent,
                                            model, program, now)))
     return;
   finish_stream (exchange,
@@ -165,10 +166,10 @@
 static void
 answer_final (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
-  exchange->asked = false;
-  mq_exchange_span (exchange, MQ_ERR_NONE);
+  exchange->pending = false;
+  mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_exchange_count_answered (exchange, event->body);
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_JSON:
     case MQ_API_ACCEPT:
@@ -190,26 +191,26 @@
     }
 }
 
-/* The program that the second request belongs to is durable.  */
+/* Sends the second request; the program that it belongs to is durable.  */
 static void
 start_second (struct mq_exchange *exchange)
 {
   exchange->second = true;
-  mq_exchange_renew (exchange);
-  mq_exchange_ask (exchange, &exchange->plan->second);
+  mq_exchange_renew_handle (exchange);
+  mq_exchange_send (exchange, &exchange->plan->second);
 }
 
-/* The id is all that the caller waits for.  */
+/* Responds with the id of a durable program.  */
 static void
 answer_accepted (struct mq_exchange *exchange)
 {
-  bool create = exchange->plan->shape == MQ_API_CREATE;
+  bool create = exchange->plan->format == MQ_API_CREATE;
   char *json = mq_api_program_json (exchange, exchange->plan->first.program,
                                     create ? "waiting" : "running");
 
-  if (exchange->asked)
-    mq_exchange_leave (exchange);
-  mq_exchange_span (exchange, MQ_ERR_NONE);
+  if (exchange->pending)
+    mq_exchange_abandon (exchange);
+  mq_exchange_record_span (exchange, MQ_ERR_NONE);
   mq_respond_text (exchange->http, create ? 201 : 202, json_type, json);
 }
 
@@ -217,7 +218,7 @@
 handle_accepted (struct mq_exchange *exchange,
                  const struct mq_event_msg *event)
 {
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_ACCEPT:
     case MQ_API_CREATE:
@@ -238,7 +239,7 @@
 stream_chat_token (struct mq_exchange *exchange,
                    const struct mq_event_msg *event)
 {
-  if (exchange->held)
+  if (exchange->withheld)
     return;
   exchange->streamed = mq_check_alloc (
       talloc_strdup_append_buffer (exchange->streamed, event->body));
@@ -248,12 +249,12 @@
                                              time (NULL)));
 }
 
-/* TOKEN, STEP and RESET.  */
+/* Handles TOKEN, STEP and RESET events.  */
 static void
 handle_progress (struct mq_exchange *exchange,
                  const struct mq_event_msg *event)
 {
-  switch (exchange->plan->shape)
+  switch (exchange->plan->format)
     {
     case MQ_API_STREAM:
       write_stream (exchange, mq_api_sse (exchange->api, event,
@@ -261,7 +262,7 @@
       break;
     case MQ_API_CHAT_STREAM:
       if (event->type == MQ_EVENT_RESET)
-        exchange->held = true;
+        exchange->withheld = true;
       else if (event->type == MQ_EVENT_TOKEN)
         stream_chat_token (exchange, event);
       break;
@@ -273,8 +274,8 @@
     }
 }
 
-/* Events of the first of two requests: once the program is durable the
-   second one follows.  */
+/* Handles an event of the first of two requests; sends the second one when
+   the program is durable.  */
 static bool
 handle_first (struct mq_exchange *exchange, const struct mq_event_msg *event)
 {
@@ -282,9 +283,9 @@
       || event->type == MQ_EVENT_REFUSED)
     return false;
   if (event->type == MQ_EVENT_FINAL)
-    exchange->asked = false;
+    exchange->pending = false;
   else if (event->type == MQ_EVENT_ACCEPTED)
-    mq_exchange_leave (exchange);
+    mq_exchange_abandon (exchange);
   else
     return true;
   start_second (exchange);
@@ -296,7 +297,7 @@
 {
   struct mq_exchange *exchange = mq_exchange_find (api, event->handle);
 
-  if (exchange == NULL || !exchange->asked)
+  if (exchange == NULL || !exchange->pending)
     {
       api->counters.events_unknown++;
       return;
--- a/src/entry/api_latency.c
+++ b/src/entry/api_latency.c
@@ -1,25 +1,25 @@
-/* api_latency.c - program latency, by what the API's exchanges show.
+/* api_latency.c - latency of programs, as observed by the API.
 
    Needs: api_state.h, latency.h, id.h.  */
 
 #include "core/id.h"
 #include "api_state.h"
 
-/* A program whose caller waits for its answer: one that is opened and left,
-   created, or looked at again is not.  */
+/* Whether the caller waits for the program's result.  False for requests
+   that only create or read a program, or respond before it ends.  */
 static bool
 is_measured (const struct mq_exchange *exchange)
 {
   const struct mq_api_plan *plan = exchange->plan;
 
-  if (plan == NULL || plan->shape == MQ_API_ACCEPT)
+  if (plan == NULL || plan->format == MQ_API_ACCEPT)
     return false;
   return plan->first.type == MQ_REQUEST_OPEN
          || plan->first.type == MQ_REQUEST_TURN;
 }
 
-/* The series that the exchange counts in.  A turn names no service, its
-   answer does: BODY, which may be NULL.  */
+/* Returns the latency series of the exchange.  The request of a turn names no
+   service; it is read from the response BODY, which may be NULL.  */
 static struct mq_latency_series *
 find_series (const struct mq_exchange *exchange, const char *body)
 {
@@ -31,7 +31,7 @@
   if (request->type == MQ_REQUEST_OPEN)
     return mq_latency_find (latency, request->service,
                             !mq_id_is_zero (request->continues));
-  service = mq_api_service_of (latency, body);
+  service = mq_api_answer_service (latency, body);
   series = mq_latency_find (latency, service, true);
   talloc_free (service);
   return series;
@@ -65,7 +65,7 @@
 }
 
 void
-mq_exchange_count_gone (const struct mq_exchange *exchange)
+mq_exchange_count_disconnected (const struct mq_exchange *exchange)
 {
   if (is_measured (exchange))
     find_series (exchange, NULL)->gone++;
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,6 +1,6 @@
-/* entry.c - everything that runs on an entry host, in one event loop.
+/* entry.c - lifecycle and timers of an entry host's daemon.
 
-   Needs: entry_state.h and the modules that it joins.  */
+   Needs: entry_state.h and the modules that it connects.  */
 
 #include "entry.h"
 #include "core/limits.h"
@@ -23,7 +23,7 @@
   return a < b ? a : b;
 }
 
-/* Planned stop.  */
+/* Graceful shutdown.  */
 
 static bool
 is_idle (const struct mq_entry *entry)
@@ -44,10 +44,10 @@
   entry->done (entry->user);
 }
 
-/* The socket for callers closes when everything is handed over and answered;
-   a request that came in with the last moment is still refused in words.  */
+/* Closes the callers' listening socket only when the host is idle, so that
+   late requests receive an error response instead of a refused connection. */
 static void
-look_at_leaving (struct mq_entry *entry)
+check_drained (struct mq_entry *entry)
 {
   bool late = mq_clock_us () >= entry->leave_until_us;
 
@@ -64,7 +64,7 @@
 }
 
 void
-mq_entry_leave (struct mq_entry *entry)
+mq_entry_drain (struct mq_entry *entry)
 {
   struct mq_owner_input input = { .type = MQ_OWNER_LEAVE };
 
@@ -74,14 +74,14 @@
   entry->leave_until_us
       = mq_clock_us ()
         + (uint64_t)entry->settings->drain_seconds * US_PER_SECOND;
-  mq_api_leave (entry->api);
-  mq_entry_tell_owner (entry, &input);
-  mq_entry_settle (entry);
+  mq_api_drain (entry->api);
+  mq_entry_dispatch_owner (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
-/* Time.  */
+/* Timers.  */
 
-/* Without a configuration the owner has nothing to do.  */
+/* The owner has no timers before a configuration is loaded.  */
 static uint64_t
 owner_next_tick (const struct mq_entry *entry)
 {
@@ -97,12 +97,12 @@
   uint64_t now = mq_clock_us ();
 
   if (mq_spread_next_tick (entry->spread) <= now)
-    mq_entry_tell_spread (entry, &spread);
+    mq_entry_dispatch_spread (entry, &spread);
   if (owner_next_tick (entry) <= now)
-    mq_entry_tell_owner (entry, &owner);
+    mq_entry_dispatch_owner (entry, &owner);
   if (mq_front_next_tick (entry->front) <= now)
-    mq_entry_tell_front (entry, &front);
-  mq_entry_release_held (entry);
+    mq_entry_dispatch_front (entry, &front);
+  mq_entry_release_waiting (entry);
 }
 
 static void
@@ -112,7 +112,7 @@
 
   entry->tick.timer = NULL;
   tick_cores (entry);
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static uint64_t
@@ -122,17 +122,17 @@
 
   next = earlier (next, mq_front_next_tick (entry->front));
   next = earlier (next, mq_spread_next_tick (entry->spread));
-  next = earlier (next, mq_hold_next (entry->hold));
-  /* What is in progress over HTTP ends without telling a core.  */
+  next = earlier (next, mq_config_wait_next (entry->config_wait));
+  /* The end of an HTTP request triggers no input to a core, so the drain is
+     polled.  */
   if (entry->leaving && entry->stop == NULL)
     next = earlier (next, mq_clock_us ()
                               + (uint64_t)MQ_ENTRY_STOP_POLL_MS * US_PER_MS);
   return next;
 }
 
-/* Carries out all that is queued, and what it leads to.  */
 void
-mq_entry_settle (struct mq_entry *entry)
+mq_entry_run_queue (struct mq_entry *entry)
 {
   struct mq_batch *batch;
 
@@ -142,23 +142,23 @@
   while ((batch = mq_batch_take (&entry->queue)) != NULL)
     {
       for (size_t i = 0; i < batch->actions->count; i++)
-        mq_entry_carry_out (entry, (enum mq_entry_origin)batch->origin,
-                            &batch->actions->items[i]);
+        mq_entry_run_action (entry, (enum mq_entry_origin)batch->origin,
+                             &batch->actions->items[i]);
       talloc_free (batch);
-      mq_entry_look_at_version (entry);
+      mq_entry_update_config (entry);
     }
   entry->working = false;
-  look_at_leaving (entry);
-  /* A core whose next tick stays in the past would come with every turn of the
-     event loop: the process would run at full load for nothing.  */
+  check_drained (entry);
+  /* The minimum delay prevents a busy loop if a core's next tick stays in the
+     past.  */
   mq_tick_timer_set (&entry->tick, entry->ev, next_tick (entry), US_PER_MS,
                      on_timer, entry);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
-/* Address of a partition's owner as the front wants it: empty when it is
-   this process.  */
+/* Returns the address of a partition's owner: "" for this process, NULL if
+   unknown.  */
 static const char *
 owner_address (const void *data, uint32_t partition)
 {
@@ -196,8 +196,8 @@
   entry->api = mq_api_create (entry, entry->ev, &options, &callbacks, error);
   if (entry->api == NULL)
     return false;
-  entry->http_address
-      = mq_process_address (entry, settings->http, mq_api_port (entry->api));
+  entry->http_address = mq_process_replace_port (entry, settings->http,
+                                                 mq_api_port (entry->api));
   return true;
 }
 
@@ -207,9 +207,9 @@
   entry->client = mq_http_client_create (entry, entry->ev, error);
   if (entry->client == NULL)
     return false;
-  entry->platform
-      = mq_platform_create (entry, entry->ev, entry->client,
-                            entry->settings->platform, mq_entry_stored, entry);
+  entry->platform = mq_platform_create (entry, entry->ev, entry->client,
+                                        entry->settings->platform,
+                                        mq_entry_on_store_result, entry);
   if (entry->platform == NULL)
     {
       mq_error_set (error, MQ_ERR_IO, entry->settings->platform, "");
@@ -238,7 +238,7 @@
   options.policy = policy;
   options.commit_each_step = settings->commit_each_step;
   entry->owner = mq_owner_create (entry, &options);
-  entry->hold = mq_hold_create (entry);
+  entry->config_wait = mq_config_wait_create (entry);
   entry->front = mq_front_create (entry, &lookup, mq_clock_random ());
   entry->spread = mq_spread_create (entry, settings->host,
                                     settings->data_centre, mq_clock_random ());
@@ -265,14 +265,15 @@
       mq_entry_destroy (entry);
       return NULL;
     }
-  mq_platform_watch_hosts (entry->platform, MQ_HOSTS_POLL_MS, mq_entry_listed,
-                           entry);
-  mq_entry_settle (entry);
+  mq_platform_watch_hosts (entry->platform, MQ_HOSTS_POLL_MS,
+                           mq_entry_on_hosts, entry);
+  mq_entry_run_queue (entry);
   return entry;
 }
 
-/* HTTP goes first: closing its requests still tells the front.  WORKING
-   keeps the cores' last actions from being carried out.  */
+/* Destroys the API first, because closing its requests passes inputs to the
+   front.  Setting the working flag keeps the resulting actions from being
+   run.  */
 void
 mq_entry_destroy (struct mq_entry *entry)
 {
--- a/src/entry/entry_action.c
+++ b/src/entry/entry_action.c
@@ -1,4 +1,4 @@
-/* entry_action.c - what the cores of an entry host ask for.
+/* entry_action.c - runs the actions returned by the cores of an entry host.
 
    Needs: entry_state.h, log.h.  */
 
@@ -7,10 +7,10 @@
 #include "net/clock.h"
 #include <string.h>
 
-/* Inputs of the cores.  */
+/* Inputs to the cores.  */
 
 void
-mq_entry_tell_owner (struct mq_entry *entry, struct mq_owner_input *input)
+mq_entry_dispatch_owner (struct mq_entry *entry, struct mq_owner_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_owner_handle (entry->owner, input,
@@ -18,7 +18,7 @@
 }
 
 void
-mq_entry_tell_front (struct mq_entry *entry, struct mq_front_input *input)
+mq_entry_dispatch_front (struct mq_entry *entry, struct mq_front_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_front_handle (entry->front, input,
@@ -26,17 +26,19 @@
 }
 
 void
-mq_entry_tell_spread (struct mq_entry *entry, struct mq_spread_input *input)
+mq_entry_dispatch_spread (struct mq_entry *entry,
+                          struct mq_spread_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_spread_handle (entry->spread, input,
                     mq_batch_add (entry, &entry->queue, MQ_FROM_SPREAD));
 }
 
-/* Carrying out actions.  */
+/* Actions.  */
 
-/* The front has to know that a request did not leave this host; whatever
-   else can't be sent is lost with the connection, which is reported.  */
+/* Reports a forwarded request that could not be sent to the front as not
+   run.  The loss of other messages is covered by the report that the
+   connection is down.  */
 static void
 send_peer (struct mq_entry *entry, uint32_t peer,
            const struct mq_message *message)
@@ -53,10 +55,10 @@
   event.body = "";
   event.redirect = "";
   input.u.event = &event;
-  mq_entry_tell_front (entry, &input);
+  mq_entry_dispatch_front (entry, &input);
 }
 
-/* A caller's request, or its end, for the owner in this process.  */
+/* Passes a caller's request, or its end, to the owner in this process.  */
 static void
 send_self (struct mq_entry *entry, const struct mq_message *message)
 {
@@ -67,19 +69,19 @@
       input.type = MQ_OWNER_REQUEST;
       input.handle = message->u.forward.handle;
       input.u.request = &message->u.forward.request;
-      mq_entry_tell_owner (entry, &input);
+      mq_entry_dispatch_owner (entry, &input);
     }
   else if (message->type == MQ_MSG_FORWARD_CLOSE)
     {
       input.type = MQ_OWNER_CALLER_GONE;
       input.handle = message->u.forward_close.handle;
-      mq_entry_tell_owner (entry, &input);
+      mq_entry_dispatch_owner (entry, &input);
     }
 }
 
 static void
-carry_event (struct mq_entry *entry, enum mq_entry_origin origin,
-             const struct mq_action *action)
+run_event_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                  const struct mq_action *action)
 {
   struct mq_front_input input = { .type = MQ_FRONT_EVENT };
   struct mq_message message = { .type = MQ_MSG_FORWARD_EVENT };
@@ -93,7 +95,7 @@
     {
       input.peer = MQ_PEER_SELF;
       input.u.event = &action->u.event;
-      mq_entry_tell_front (entry, &input);
+      mq_entry_dispatch_front (entry, &input);
       return;
     }
   message.u.event = action->u.event;
@@ -101,8 +103,8 @@
 }
 
 void
-mq_entry_carry_out (struct mq_entry *entry, enum mq_entry_origin origin,
-                    const struct mq_action *action)
+mq_entry_run_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                     const struct mq_action *action)
 {
   switch (action->type)
     {
@@ -116,7 +118,7 @@
       mq_platform_send (entry->platform, &action->u.store);
       break;
     case MQ_ACT_EVENT:
-      carry_event (entry, origin, action);
+      run_event_action (entry, origin, action);
       break;
     case MQ_ACT_SPAN:
       mq_spans_add (entry->spans, &action->u.span);
@@ -124,7 +126,7 @@
     case MQ_ACT_STATE:
       mq_log_state (&action->u.state);
       break;
-    /* Only a target host's core gives these.  */
+    /* Returned only by the core of a target host.  */
     case MQ_ACT_START:
     case MQ_ACT_STOP:
     case MQ_ACT_EVICT:
@@ -135,11 +137,10 @@
 
 /* Configuration.  */
 
-/* A text that does not parse was accepted by a newer version of mimosactl,
-   or was written to the table by hand.  This process goes on with the text
-   that it has, and says so.  */
+/* Applies the latest configuration.  One that does not parse, for example
+   written by a newer mimosactl, is logged and the active one stays.  */
 static void
-take_text (struct mq_entry *entry)
+apply_config (struct mq_entry *entry)
 {
   const char *source = mq_spread_text (entry->spread);
   struct mq_owner_input input = { .type = MQ_OWNER_CONFIG };
@@ -160,12 +161,12 @@
   entry->text = text;
   mq_api_set_text (entry->api, text);
   input.u.text = text;
-  mq_entry_tell_owner (entry, &input);
+  mq_entry_dispatch_owner (entry, &input);
   talloc_free (older);
 }
 
 void
-mq_entry_look_at_version (struct mq_entry *entry)
+mq_entry_update_config (struct mq_entry *entry)
 {
   uint64_t version = mq_spread_version (entry->spread);
 
@@ -173,6 +174,6 @@
     return;
   entry->seen_version = version;
   mq_peer_net_set_version (entry->net, version);
-  take_text (entry);
-  mq_entry_release_held (entry);
+  apply_config (entry);
+  mq_entry_release_waiting (entry);
 }
--- a/src/entry/entry_input.c
+++ b/src/entry/entry_input.c
@@ -1,4 +1,4 @@
-/* entry_input.c - what comes in at an entry host.
+/* entry_input.c - passes events from the network to an entry host's cores.
 
    Needs: entry_state.h, entry_report.h.  */
 
@@ -22,17 +22,17 @@
   struct mq_owner_input owner = { .type = MQ_OWNER_PEER_UP, .peer = peer };
   struct mq_front_input front = { .type = MQ_FRONT_PEER_UP, .peer = peer };
 
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   owner.u.peer_up.host = info->host;
   owner.u.peer_up.role = info->role;
   owner.u.peer_up.boot = info->boot;
-  mq_entry_tell_owner (entry, &owner);
+  mq_entry_dispatch_owner (entry, &owner);
   if (info->role == MQ_HOST_ENTRY)
     {
       front.u.address = info->address;
-      mq_entry_tell_front (entry, &front);
+      mq_entry_dispatch_front (entry, &front);
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static void
@@ -45,16 +45,15 @@
   struct mq_front_input front = { .type = MQ_FRONT_PEER_DOWN, .peer = peer };
 
   (void)why;
-  mq_hold_forget (entry->hold, peer);
-  mq_entry_tell_spread (entry, &spread);
-  mq_entry_tell_owner (entry, &owner);
-  mq_entry_tell_front (entry, &front);
-  mq_entry_settle (entry);
+  mq_config_wait_drop_peer (entry->config_wait, peer);
+  mq_entry_dispatch_spread (entry, &spread);
+  mq_entry_dispatch_owner (entry, &owner);
+  mq_entry_dispatch_front (entry, &front);
+  mq_entry_run_queue (entry);
 }
 
 static void
-tell_owner_of_peer (uint32_t peer, const struct mq_message *message,
-                    void *user)
+deliver_to_owner (uint32_t peer, const struct mq_message *message, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_owner_input input = { .peer = peer };
@@ -75,28 +74,29 @@
       input.u.message = message;
       break;
     }
-  mq_entry_tell_owner (entry, &input);
+  mq_entry_dispatch_owner (entry, &input);
 }
 
 void
-mq_entry_release_held (struct mq_entry *entry)
+mq_entry_release_waiting (struct mq_entry *entry)
 {
-  mq_hold_release (entry->hold, mq_clock_us (),
-                   mq_spread_version (entry->spread), tell_owner_of_peer,
-                   entry);
+  mq_config_wait_release (entry->config_wait, mq_clock_us (),
+                          mq_spread_version (entry->spread), deliver_to_owner,
+                          entry);
 }
 
-/* A caller's request, or its end, from another entry host.  */
+/* Handles a caller's request, or its end, forwarded by another entry host. */
 static void
-take_forward (struct mq_entry *entry, uint32_t peer,
-              const struct mq_message *message)
+handle_forward (struct mq_entry *entry, uint32_t peer,
+                const struct mq_message *message)
 {
-  if (!mq_hold_take (entry->hold, mq_clock_us (),
-                     mq_spread_version (entry->spread), peer, message))
-    tell_owner_of_peer (peer, message, entry);
+  if (!mq_config_wait_add (entry->config_wait, mq_clock_us (),
+                           mq_spread_version (entry->spread), peer, message))
+    deliver_to_owner (peer, message, entry);
 }
 
-/* The configuration goes first: the lower side fetches before it acts.  */
+/* Passes each message to the spread core first, so that a newer configuration
+   is requested before the message is handled.  */
 static void
 on_message (uint32_t peer, const struct mq_message *message, void *user)
 {
@@ -105,16 +105,16 @@
   struct mq_front_input front = { .type = MQ_FRONT_EVENT, .peer = peer };
 
   spread.u.message = message;
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   switch (message->type)
     {
     case MQ_MSG_FORWARD_EVENT:
       front.u.event = &message->u.event;
-      mq_entry_tell_front (entry, &front);
+      mq_entry_dispatch_front (entry, &front);
       break;
     case MQ_MSG_FORWARD:
     case MQ_MSG_FORWARD_CLOSE:
-      take_forward (entry, peer, message);
+      handle_forward (entry, peer, message);
       break;
     case MQ_MSG_NONE:
     case MQ_MSG_CONFIG_HAVE:
@@ -122,10 +122,10 @@
     case MQ_MSG_CONFIG_TEXT:
       break;
     default:
-      tell_owner_of_peer (peer, message, entry);
+      deliver_to_owner (peer, message, entry);
       break;
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 struct mq_peer_callbacks
@@ -142,7 +142,7 @@
 /* The platform.  */
 
 void
-mq_entry_stored (const struct mq_store_result *result, void *user)
+mq_entry_on_store_result (const struct mq_store_result *result, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_STORE };
@@ -151,14 +151,14 @@
   if ((result->id & MQ_SPREAD_STORE_BIT) != 0)
     {
       spread.u.store = result;
-      mq_entry_tell_spread (entry, &spread);
+      mq_entry_dispatch_spread (entry, &spread);
     }
   else
     {
       owner.u.store = result;
-      mq_entry_tell_owner (entry, &owner);
+      mq_entry_dispatch_owner (entry, &owner);
     }
-  mq_entry_settle (entry);
+  mq_entry_run_queue (entry);
 }
 
 static bool
@@ -170,19 +170,19 @@
 }
 
 void
-mq_entry_listed (const struct mq_host_list *hosts, void *user)
+mq_entry_on_hosts (const struct mq_host_list *hosts, void *user)
 {
   struct mq_entry *entry = user;
   struct mq_spread_input spread = { .type = MQ_SPREAD_HOSTS };
   struct mq_owner_input owner = { .type = MQ_OWNER_HOSTS };
 
-  mq_kept_hosts_update (entry, &entry->kept, entry->net, hosts, is_other_host,
-                        entry);
+  mq_connected_hosts_update (entry, &entry->connected, entry->net, hosts,
+                             is_other_host, entry);
   spread.u.hosts = hosts;
-  mq_entry_tell_spread (entry, &spread);
+  mq_entry_dispatch_spread (entry, &spread);
   owner.u.hosts = hosts;
-  mq_entry_tell_owner (entry, &owner);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_owner (entry, &owner);
+  mq_entry_run_queue (entry);
 }
 
 /* Callers and operators.  */
@@ -198,8 +198,8 @@
   input.partition = partition;
   input.deadline_us = mq_clock_us () + (uint64_t)wait_ms * US_PER_MS;
   input.u.request = request;
-  mq_entry_tell_front (entry, &input);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_front (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
 static void
@@ -209,14 +209,14 @@
   struct mq_front_input input = { .type = MQ_FRONT_CALLER_GONE };
 
   input.handle = handle;
-  mq_entry_tell_front (entry, &input);
-  mq_entry_settle (entry);
+  mq_entry_dispatch_front (entry, &input);
+  mq_entry_run_queue (entry);
 }
 
 static void
 on_drain (void *user)
 {
-  mq_entry_leave (user);
+  mq_entry_drain (user);
 }
 
 static bool
--- a/src/entry/entry_state.h
+++ b/src/entry/entry_state.h
@@ -1,9 +1,9 @@
-/* entry_state.h - what the parts of an entry host's process share; for
-   src/entry only.
+/* entry_state.h - internal state of an entry host's daemon; for src/entry
+   only.
 
-   entry.c holds its life and its time, entry_input.c what comes in,
-   entry_action.c what the cores ask for.
-   Needs: entry.h and the modules that it joins.  */
+   entry.c: lifecycle and timers.  entry_input.c: events from the network.
+   entry_action.c: actions returned by the cores.
+   Needs: entry.h and the modules that it connects.  */
 
 #ifndef MQ_ENTRY_STATE_H
 #define MQ_ENTRY_STATE_H
@@ -14,15 +14,15 @@
 #include "api.h"
 #include "daemon/batch.h"
 #include "entry.h"
-#include "hold.h"
-#include "daemon/kept_hosts.h"
+#include "config_wait.h"
+#include "daemon/connected_hosts.h"
 #include "net/peer.h"
 #include "daemon/platform.h"
 #include "daemon/process.h"
 #include "log/spans.h"
 
-/* Whose actions a list holds: EVENT means the front to the owner, and the
-   caller to the front.  */
+/* The core that returned a list of actions.  An EVENT action of the owner
+   goes to the front, one of the front goes to the caller.  */
 enum mq_entry_origin
 {
   MQ_FROM_OWNER,
@@ -47,13 +47,13 @@
   struct mq_owner *owner;
   struct mq_front *front;
   struct mq_spread *spread;
-  struct mq_hold *hold;
+  struct mq_config_wait *config_wait;
   struct mq_text *text;
-  uint64_t seen_version; /* of the last text that was looked at */
+  uint64_t seen_version; /* version of the last configuration processed */
   uint64_t texts_refused;
-  struct mq_kept_hosts kept;
+  struct mq_connected_hosts connected;
   struct mq_batch_queue queue;
-  bool working;
+  bool working; /* actions are being run */
   struct mq_tick_timer tick;
   bool leaving;
   uint64_t leave_until_us;
@@ -61,25 +61,28 @@
   struct tevent_immediate *stop;
 };
 
-/* Each tells one core; the time goes in here.  */
-void mq_entry_tell_owner (struct mq_entry *entry,
-                          struct mq_owner_input *input);
-void mq_entry_tell_front (struct mq_entry *entry,
-                          struct mq_front_input *input);
-void mq_entry_tell_spread (struct mq_entry *entry,
-                           struct mq_spread_input *input);
-void mq_entry_carry_out (struct mq_entry *entry, enum mq_entry_origin origin,
-                         const struct mq_action *action);
-/* Takes a newer configuration into use.  */
-void mq_entry_look_at_version (struct mq_entry *entry);
-/* Carries out all that is queued, and what it leads to.  */
-void mq_entry_settle (struct mq_entry *entry);
+/* Each passes INPUT to one core with the current time, and queues the
+   resulting actions.  */
+void mq_entry_dispatch_owner (struct mq_entry *entry,
+                              struct mq_owner_input *input);
+void mq_entry_dispatch_front (struct mq_entry *entry,
+                              struct mq_front_input *input);
+void mq_entry_dispatch_spread (struct mq_entry *entry,
+                               struct mq_spread_input *input);
+void mq_entry_run_action (struct mq_entry *entry, enum mq_entry_origin origin,
+                          const struct mq_action *action);
+/* Applies the latest configuration if it is newer than the active one.  */
+void mq_entry_update_config (struct mq_entry *entry);
+/* Runs queued actions until the queue is empty, including actions that they
+   add.  */
+void mq_entry_run_queue (struct mq_entry *entry);
 
 struct mq_peer_callbacks mq_entry_peer_callbacks (struct mq_entry *entry);
 struct mq_api_callbacks mq_entry_api_callbacks (struct mq_entry *entry);
-void mq_entry_stored (const struct mq_store_result *result, void *user);
-void mq_entry_listed (const struct mq_host_list *hosts, void *user);
-/* Hands on requests that waited for a configuration that is here now.  */
-void mq_entry_release_held (struct mq_entry *entry);
+void mq_entry_on_store_result (const struct mq_store_result *result,
+                               void *user);
+void mq_entry_on_hosts (const struct mq_host_list *hosts, void *user);
+/* Passes on requests whose configuration version has arrived.  */
+void mq_entry_release_waiting (struct mq_entry *entry);
 
 #endif
--- a/src/target/target.c
+++ b/src/target/target.c
@@ -1,6 +1,6 @@
-/* target.c - everything that runs beside a target, in one event loop.
+/* target.c - lifecycle, timers and actions of a target host's daemon.
 
-   Needs: target_state.h and the modules that it joins.  */
+   Needs: target_state.h and the modules that it connects.  */
 
 #include "target.h"
 #include "core/limits.h"
@@ -22,10 +22,10 @@
   return a < b ? a : b;
 }
 
-/* Inputs of the cores.  */
+/* Inputs to the cores.  */
 
 void
-mq_target_tell_gate (struct mq_target *target, struct mq_gate_input *input)
+mq_target_dispatch_gate (struct mq_target *target, struct mq_gate_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_gate_handle (target->gate, input,
@@ -33,17 +33,18 @@
 }
 
 void
-mq_target_tell_spread (struct mq_target *target, struct mq_spread_input *input)
+mq_target_dispatch_spread (struct mq_target *target,
+                           struct mq_spread_input *input)
 {
   input->now_us = mq_clock_us ();
   mq_spread_handle (target->spread, input,
                     mq_batch_add (target, &target->queue, 0));
 }
 
-/* Carrying out actions.  */
+/* Actions.  */
 
 static void
-carry_out (struct mq_target *target, const struct mq_action *action)
+run_action (struct mq_target *target, const struct mq_action *action)
 {
   switch (action->type)
     {
@@ -76,13 +77,13 @@
       mq_log_state (&action->u.state);
       break;
     case MQ_ACT_EVENT:
-      /* Only an entry host's core gives these.  */
+      /* Returned only by the cores of an entry host.  */
       break;
     }
 }
 
 static void
-look_at_version (struct mq_target *target)
+update_config_version (struct mq_target *target)
 {
   uint64_t version = mq_spread_version (target->spread);
 
@@ -92,13 +93,13 @@
   mq_peer_net_set_version (target->net, version);
 }
 
-/* Planned stop.  */
+/* Graceful shutdown.  */
 
-/* Failure: a call that was sent before its owner heard that this host leaves
-   arrives as the process ends, and its owner can't know whether it ran.  So
-   the process goes on refusing calls until none has come for a while.  */
+/* Whether the host is drained and no call has arrived for a grace period.  A
+   call sent before its owner learned of the drain must still be refused: if
+   the process exits instead, the owner can't tell whether the call ran.  */
 static bool
-is_quiet (struct mq_target *target)
+is_idle (struct mq_target *target)
 {
   uint64_t calls = mq_gate_read_counters (target->gate)->calls_received;
   uint64_t now = mq_clock_us ();
@@ -128,30 +129,30 @@
 }
 
 static void
-look_at_stopping (struct mq_target *target)
+check_drained (struct mq_target *target)
 {
   if (!target->stopping || target->stop != NULL)
     return;
-  if (!is_quiet (target) && mq_clock_us () < target->stop_until_us)
+  if (!is_idle (target) && mq_clock_us () < target->stop_until_us)
     return;
   target->stop = mq_check_alloc (tevent_create_immediate (target));
   tevent_schedule_immediate (target->stop, target->ev, report_done, target);
 }
 
 void
-mq_target_leave (struct mq_target *target)
+mq_target_refuse_new_calls (struct mq_target *target)
 {
   struct mq_gate_input input = { .type = MQ_GATE_LEAVE };
 
   if (target->leaving)
     return;
   target->leaving = true;
-  mq_target_tell_gate (target, &input);
-  mq_target_settle (target);
+  mq_target_dispatch_gate (target, &input);
+  mq_target_run_queue (target);
 }
 
 void
-mq_target_stop (struct mq_target *target)
+mq_target_drain (struct mq_target *target)
 {
   if (target->stopping)
     return;
@@ -159,11 +160,11 @@
   target->stop_until_us
       = mq_clock_us ()
         + (uint64_t)target->settings->drain_seconds * US_PER_SECOND;
-  mq_target_leave (target);
-  mq_target_settle (target);
+  mq_target_refuse_new_calls (target);
+  mq_target_run_queue (target);
 }
 
-/* Time.  */
+/* Timers.  */
 
 static void
 on_timer (void *data)
@@ -174,10 +175,10 @@
 
   target->tick.timer = NULL;
   if (mq_spread_next_tick (target->spread) <= mq_clock_us ())
-    mq_target_tell_spread (target, &spread);
+    mq_target_dispatch_spread (target, &spread);
   if (mq_gate_next_tick (target->gate) <= mq_clock_us ())
-    mq_target_tell_gate (target, &gate);
-  mq_target_settle (target);
+    mq_target_dispatch_gate (target, &gate);
+  mq_target_run_queue (target);
 }
 
 static uint64_t
@@ -186,16 +187,15 @@
   uint64_t next = earlier (mq_gate_next_tick (target->gate),
                            mq_spread_next_tick (target->spread));
 
-  /* Quiet is seen by looking.  */
+  /* The grace period of is_idle triggers no input, so it is polled.  */
   if (target->stopping && target->stop == NULL)
     next = earlier (next, mq_clock_us ()
                               + (uint64_t)MQ_TARGET_STOP_POLL_MS * US_PER_MS);
   return next;
 }
 
-/* Carries out all that is queued, and what it leads to.  */
 void
-mq_target_settle (struct mq_target *target)
+mq_target_run_queue (struct mq_target *target)
 {
   struct mq_batch *batch;
 
@@ -205,17 +205,17 @@
   while ((batch = mq_batch_take (&target->queue)) != NULL)
     {
       for (size_t i = 0; i < batch->actions->count; i++)
-        carry_out (target, &batch->actions->items[i]);
+        run_action (target, &batch->actions->items[i]);
       talloc_free (batch);
-      look_at_version (target);
+      update_config_version (target);
     }
   target->working = false;
-  look_at_stopping (target);
+  check_drained (target);
   mq_tick_timer_set (&target->tick, target->ev, next_tick (target), 0,
                      on_timer, target);
 }
 
-/* Life.  */
+/* Lifecycle.  */
 
 static bool
 create_net (struct mq_target *target, struct mq_error *error)
@@ -252,9 +252,9 @@
   target->client = mq_http_client_create (target, target->ev, error);
   if (target->client == NULL)
     return false;
-  target->platform
-      = mq_platform_create (target, target->ev, target->client,
-                            settings->platform, mq_target_stored, target);
+  target->platform = mq_platform_create (target, target->ev, target->client,
+                                         settings->platform,
+                                         mq_target_on_store_result, target);
   if (target->platform != NULL)
     return true;
   mq_error_set (error, MQ_ERR_IO, settings->platform, "");
@@ -293,7 +293,7 @@
                                settings->operator_key_hash, &callbacks, error);
   if (target->http == NULL)
     return false;
-  target->http_address = mq_process_address (
+  target->http_address = mq_process_replace_port (
       target, settings->http, mq_target_http_port (target->http));
   return true;
 }
@@ -323,8 +323,8 @@
     }
   create_workers (target);
   mq_platform_watch_hosts (target->platform, MQ_HOSTS_POLL_MS,
-                           mq_target_listed, target);
-  mq_target_settle (target);
+                           mq_target_on_hosts, target);
+  mq_target_run_queue (target);
   return target;
 }
 
@@ -337,7 +337,7 @@
     mq_worker_destroy (target->workers[i]);
 }
 
-/* WORKING keeps the cores' last actions from being carried out.  */
+/* Setting the working flag keeps the cores' last actions from being run.  */
 void
 mq_target_destroy (struct mq_target *target)
 {
--- a/src/target/target_state.h
+++ b/src/target/target_state.h
@@ -1,9 +1,9 @@
-/* target_state.h - what the parts of a target's process share; for src/target
+/* target_state.h - internal state of a target host's daemon; for src/target
    only.
 
-   target.c holds its life, its time and what the cores ask for;
-   target_input.c what comes in.
-   Needs: target.h and the modules that it joins.  */
+   target.c: lifecycle, timers and actions returned by the cores.
+   target_input.c: events from the network.
+   Needs: target.h and the modules that it connects.  */
 
 #ifndef MQ_TARGET_STATE_H
 #define MQ_TARGET_STATE_H
@@ -11,7 +11,7 @@
 #include "core/gate/gate.h"
 #include "core/spread.h"
 #include "daemon/batch.h"
-#include "daemon/kept_hosts.h"
+#include "daemon/connected_hosts.h"
 #include "net/peer.h"
 #include "daemon/platform.h"
 #include "daemon/process.h"
@@ -38,34 +38,36 @@
   struct mq_spread *spread;
   struct mq_worker **workers;
   uint64_t seen_version;
-  struct mq_kept_hosts kept;
+  struct mq_connected_hosts connected;
   struct mq_batch_queue queue;
-  bool working;
+  bool working; /* actions are being run */
   struct mq_tick_timer tick;
   bool leaving;
   bool stopping;
   uint64_t stop_until_us;
-  uint64_t quiet_since_us; /* drained, and no call has come since */
-  uint64_t quiet_calls;
+  uint64_t quiet_since_us; /* idle since, or 0 if not idle */
+  uint64_t quiet_calls;    /* calls received when quiet_since_us was set */
   struct tevent_immediate *stop;
 };
 
-/* Each tells one core; the time goes in here.  */
-void mq_target_tell_gate (struct mq_target *target,
-                          struct mq_gate_input *input);
-void mq_target_tell_spread (struct mq_target *target,
-                            struct mq_spread_input *input);
-/* Carries out all that is queued, and what it leads to.  */
-void mq_target_settle (struct mq_target *target);
-/* Takes nothing new from now on.  */
-void mq_target_leave (struct mq_target *target);
+/* Each passes INPUT to one core with the current time, and queues the
+   resulting actions.  */
+void mq_target_dispatch_gate (struct mq_target *target,
+                              struct mq_gate_input *input);
+void mq_target_dispatch_spread (struct mq_target *target,
+                                struct mq_spread_input *input);
+/* Runs queued actions until the queue is empty, including actions that they
+   add.  */
+void mq_target_run_queue (struct mq_target *target);
+void mq_target_refuse_new_calls (struct mq_target *target);
 
 struct mq_peer_callbacks mq_target_peer_callbacks (struct mq_target *target);
 struct mq_worker_callbacks
 mq_target_worker_callbacks (struct mq_target *target);
 struct mq_operator_callbacks
 mq_target_operator_callbacks (struct mq_target *target);
-void mq_target_stored (const struct mq_store_result *result, void *user);
-void mq_target_listed (const struct mq_host_list *hosts, void *user);
+void mq_target_on_store_result (const struct mq_store_result *result,
+                                void *user);
+void mq_target_on_hosts (const struct mq_host_list *hosts, void *user);
 
 #endif
--- a/src/target/worker.c
+++ b/src/target/worker.c
@@ -1,4 +1,4 @@
-/* worker.c - the client of mimosa-targetd towards one worker on its host.
+/* worker.c - HTTP client of one worker on a target host.
 
    Needs: worker_state.h, worker_answer.h.  */
 
@@ -14,13 +14,11 @@
   return worker->options.kind == MQ_SERVICE_MODEL;
 }
 
-/* What the engine holds.  */
-
-/* What the engine holds.  */
+/* Polling of the engine's cache.  */
 
 static void
-poll_now (struct tevent_context *ev, struct tevent_timer *timer,
-          struct timeval now, void *data)
+on_poll_timer (struct tevent_context *ev, struct tevent_timer *timer,
+               struct timeval now, void *data)
 {
   struct mq_worker *worker = data;
 
@@ -29,32 +27,32 @@
   (void)now;
   worker->poll_timer = NULL;
   worker->polling = true;
-  mq_control_send (mq_control_add (worker, MQ_CONTROL_POLL), "/v1/cache", NULL,
-                   MQ_WORKER_CONTROL_MS);
+  mq_control_send (mq_control_create (worker, MQ_CONTROL_POLL), "/v1/cache",
+                   NULL, MQ_WORKER_CONTROL_MS);
 }
 
 void
-mq_worker_poll_in (struct mq_worker *worker, uint32_t wait_ms)
+mq_worker_schedule_poll (struct mq_worker *worker, uint32_t wait_ms)
 {
   struct timeval at
       = tevent_timeval_current_ofs (wait_ms / 1000, wait_ms % 1000 * 1000);
 
   TALLOC_FREE (worker->poll_timer);
   worker->poll_timer
-      = tevent_add_timer (worker->ev, worker, at, poll_now, worker);
+      = tevent_add_timer (worker->ev, worker, at, on_poll_timer, worker);
 }
 
-/* A call could not reach the engine, or its answer broke: whether the engine
-   is down or was restarted is worth knowing before the next poll.  */
+/* Called when a call failed, to detect early that the engine is down or was
+   restarted.  */
 void
-mq_worker_poll_soon (struct mq_worker *worker)
+mq_worker_poll_now (struct mq_worker *worker)
 {
   if (mq_worker_is_model (worker) && !worker->polling)
-    mq_worker_poll_in (worker, 0);
+    mq_worker_schedule_poll (worker, 0);
 }
 
 static void
-tell_down (struct mq_worker *worker)
+report_down (struct mq_worker *worker)
 {
   worker->counters.polls_failed++;
   if (worker->state == MQ_ENGINE_DOWN)
@@ -64,7 +62,7 @@
 }
 
 static void
-tell_up (struct mq_worker *worker, uint64_t boot)
+report_up (struct mq_worker *worker, uint64_t boot)
 {
   bool known = worker->state == MQ_ENGINE_UP && worker->boot == boot;
 
@@ -77,39 +75,37 @@
 }
 
 static void
-tell_cache (struct mq_worker *worker, uint64_t boot,
-            struct mq_gate_cache *cache)
+report_cache (struct mq_worker *worker, uint64_t boot,
+              struct mq_gate_cache *cache)
 {
-  tell_up (worker, boot);
+  report_up (worker, boot);
   cache->worker = worker->options.index;
   worker->callbacks.cache (cache, worker->callbacks.user);
 }
 
 void
-mq_worker_polled (struct mq_worker_control *control,
-                  const struct mq_http_result *result)
+mq_worker_on_cache_response (struct mq_worker_control *control,
+                             const struct mq_http_result *result)
 {
   struct mq_worker *worker = control->worker;
   TALLOC_CTX *answer = talloc_new (worker);
   struct mq_gate_cache cache = { 0 };
   uint64_t boot = 0;
-  bool known = mq_worker_ok (result)
+  bool known = mq_worker_response_ok (result)
                && mq_worker_read_cache (answer, result->body, result->len,
                                         &boot, &cache);
 
   talloc_free (control);
   worker->polling = false;
-  mq_worker_poll_in (worker, worker->options.cache_poll_ms);
+  mq_worker_schedule_poll (worker, worker->options.cache_poll_ms);
   if (known)
-    tell_cache (worker, boot, &cache);
+    report_cache (worker, boot, &cache);
   else
-    tell_down (worker);
+    report_down (worker);
   talloc_free (answer);
 }
 
-/* Start and stop.  */
-
-/* Start and stop.  */
+/* Lifecycle.  */
 
 struct mq_worker *
 mq_worker_create (TALLOC_CTX *ctx, struct tevent_context *ev,
@@ -131,7 +127,7 @@
     worker->options.cache_poll_ms = MQ_WORKER_CACHE_POLL_MS;
   worker->callbacks = *callbacks;
   if (mq_worker_is_model (worker))
-    mq_worker_poll_in (worker, 0);
+    mq_worker_schedule_poll (worker, 0);
   return worker;
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -928,8 +928,9 @@
 Test (platform, poll_interval_grows_with_the_list)
 {
   for (size_t i = 0; i < sizeof polls / sizeof polls[0]; i++)
-    cr_expect_eq (mq_platform_poll_ms (polls[i].interval_ms, polls[i].hosts),
-                  polls[i].pause_ms, "%zu hosts", polls[i].hosts);
+    cr_expect_eq (
+        mq_platform_poll_interval_ms (polls[i].interval_ms, polls[i].hosts),
+        polls[i].pause_ms, "%zu hosts", polls[i].hosts);
 }
 
 /* A malformed entry must not hide the other hosts, and a malformed response
