--- a/src/ctl/ctl.c
+++ b/src/ctl/ctl.c
@@ -10,7 +10,7 @@
 
 /* Hosts asked at a time: enough to hide those that don't answer, few enough
    for the open files of a shell.  */
-#define FETCHES_AT_A_TIME 128
+#define FETCHES_CONCURRENT_MAX 128
 #define HOSTS_POLL_MS 1000U
 #define MS_PER_S 1000U
 #define US_PER_MS 1000U
@@ -95,8 +95,8 @@
 }
 
 struct mq_store_result *
-mq_ctl_store (struct mq_ctl *ctl, TALLOC_CTX *ctx,
-              const struct mq_store_request *request)
+mq_ctl_store_send (struct mq_ctl *ctl, TALLOC_CTX *ctx,
+                   const struct mq_store_request *request)
 {
   ctl->stored = NULL;
   ctl->stored_ctx = ctx;
@@ -220,7 +220,7 @@
 
   while (next < count || round.pending > 0)
     {
-      while (next < count && round.pending < FETCHES_AT_A_TIME)
+      while (next < count && round.pending < FETCHES_CONCURRENT_MAX)
         start_fetch (&round, &fetches[next++]);
       if (round.pending > 0)
         tevent_loop_once (ctl->ev);
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -51,8 +51,9 @@
                               struct mq_error *error);
 void mq_ctl_destroy (struct mq_ctl *ctl);
 /* Result below CTX.  */
-struct mq_store_result *mq_ctl_store (struct mq_ctl *ctl, TALLOC_CTX *ctx,
-                                      const struct mq_store_request *request);
+struct mq_store_result *
+mq_ctl_store_send (struct mq_ctl *ctl, TALLOC_CTX *ctx,
+                   const struct mq_store_request *request);
 /* The platform's list below CTX; NULL with STORE_DOWN in ERROR.  */
 struct mq_host_list *mq_ctl_hosts (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                    struct mq_error *error);
--- a/src/ctl/ctl_change.c
+++ b/src/ctl/ctl_change.c
@@ -49,7 +49,7 @@
 static void
 print_json (const struct mq_ctl_run *run, json_t *value)
 {
-  fputs (mq_ctl_dump (run->ctx, value), run->out);
+  fputs (mq_ctl_json_line (run->ctx, value), run->out);
 }
 
 /* show  */
@@ -67,7 +67,7 @@
     return code;
   now = mq_ctl_config_read (ctl, run->ctx, &error);
   if (now == NULL)
-    code = mq_ctl_fail (run, &error);
+    code = mq_ctl_report_error (run, &error);
   else if (run->json)
     print_json (run,
                 json_pack ("{sI ss ss}", "version", (json_int_t)now->version,
@@ -126,7 +126,7 @@
     return code;
   change->now = mq_ctl_config_read (change->ctl, change->run->ctx, &error);
   if (change->now == NULL)
-    return mq_ctl_fail (change->run, &error);
+    return mq_ctl_report_error (change->run, &error);
   return MQ_CTL_OK;
 }
 
@@ -173,7 +173,7 @@
   struct mq_error error;
 
   mq_error_set (&error, MQ_ERR_BAD_REQUEST, subject, allowed);
-  return mq_ctl_fail (change->run, &error);
+  return mq_ctl_report_error (change->run, &error);
 }
 
 /* Guards against a change of the number of partitions: programs would be
@@ -198,7 +198,7 @@
   struct mq_error error;
 
   mq_error_set (&error, MQ_ERR_TEXT_BAD_VALUE, subject, allowed);
-  mq_ctl_fail (change->run, &error);
+  mq_ctl_report_error (change->run, &error);
   return MQ_CTL_BAD_INPUT;
 }
 
@@ -230,7 +230,7 @@
                 "the store's answer was lost: the text may have been, or may "
                 "yet be accepted",
                 "look at 'mimosactl show' before the next apply");
-  return mq_ctl_fail (change->run, &error);
+  return mq_ctl_report_error (change->run, &error);
 }
 
 static enum mq_ctl_exit
@@ -240,11 +240,11 @@
 
   mq_error_set (&error, MQ_ERR_STORE_DOWN, "not applied: the platform's table",
                 "");
-  return mq_ctl_fail (change->run, &error);
+  return mq_ctl_report_error (change->run, &error);
 }
 
 static void
-show_progress (const struct mq_ctl_spread *spread, void *user)
+show_progress (const struct mq_ctl_rollout *spread, void *user)
 {
   const struct mq_ctl_run *run = user;
 
@@ -254,7 +254,7 @@
 
 static void
 print_accepted (const struct change *change,
-                const struct mq_ctl_spread *spread)
+                const struct mq_ctl_rollout *spread)
 {
   const struct mq_ctl_run *run = change->run;
   uint64_t version = change->now->version;
@@ -264,9 +264,9 @@
     print_json (
         run, json_pack ("{ss sI ss so*}", "result", "accepted", "version",
                         (json_int_t)version, "apply_id", id, "spread",
-                        spread == NULL ? NULL : mq_ctl_spread_json (spread)));
+                        spread == NULL ? NULL : mq_ctl_rollout_json (spread)));
   else if (spread != NULL)
-    fputs (mq_ctl_spread_text (run->ctx, spread, version), run->out);
+    fputs (mq_ctl_rollout_text (run->ctx, spread, version), run->out);
 }
 
 /* Accepted is not yet in force: that is said only of hosts that say so.  */
@@ -274,7 +274,7 @@
 wait_for_hosts (const struct change *change, const char *how)
 {
   const struct mq_ctl_run *run = change->run;
-  struct mq_ctl_spread *spread = NULL;
+  struct mq_ctl_rollout *spread = NULL;
   struct mq_error error = { 0 };
 
   if (!run->json)
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -64,7 +64,7 @@
 {
   struct mq_store_request request
       = { .kind = MQ_STORE_SCAN, .key = (char *)MQ_CONFIG_KEY, .limit = 1 };
-  struct mq_store_result *result = mq_ctl_store (ctl, ctx, &request);
+  struct mq_store_result *result = mq_ctl_store_send (ctl, ctx, &request);
   struct mq_ctl_config *config = talloc_zero (ctx, struct mq_ctl_config);
   const struct mq_row *row = find_row (result);
 
@@ -185,7 +185,7 @@
   struct mq_store_request request
       = { .kind = MQ_STORE_TXN, .ops = &op, .op_count = 1 };
   struct mq_store_result *result
-      = mq_ctl_store (work->ctl, work->ctx, &request);
+      = mq_ctl_store_send (work->ctl, work->ctx, &request);
   enum mq_store_status status = result->status;
 
   if (status == MQ_STORE_OK)
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -248,7 +248,7 @@
     {
       mq_error_set (&error, MQ_ERR_NOT_FOUND, id,
                     "an id or a program of the lines on standard input");
-      code = mq_ctl_fail (run, &error);
+      code = mq_ctl_report_error (run, &error);
     }
   for (size_t i = 0; i < story.count; i++)
     json_decref (story.lines[i]);
--- a/src/ctl/ctl_fleet.c
+++ b/src/ctl/ctl_fleet.c
@@ -41,8 +41,8 @@
 }
 
 struct mq_ctl_fleet *
-mq_ctl_fleet_ask (struct mq_ctl *ctl, TALLOC_CTX *ctx,
-                  struct mq_host_list *list, const char *path)
+mq_ctl_fleet_query (struct mq_ctl *ctl, TALLOC_CTX *ctx,
+                    struct mq_host_list *list, const char *path)
 {
   struct mq_ctl_fleet *fleet = talloc_zero (ctx, struct mq_ctl_fleet);
   struct mq_ctl_fetch *fetches
@@ -73,7 +73,7 @@
 
   if (list == NULL)
     return NULL;
-  return mq_ctl_fleet_ask (ctl, ctx, list, MQ_ADMIN_STATUS_PATH);
+  return mq_ctl_fleet_query (ctl, ctx, list, MQ_ADMIN_STATUS_PATH);
 }
 
 uint64_t
@@ -133,12 +133,12 @@
 }
 
 static void
-add_missing (struct mq_ctl_spread *spread, const struct mq_ctl_host *host)
+add_missing (struct mq_ctl_rollout *spread, const struct mq_ctl_host *host)
 {
-  struct mq_ctl_missing *missing;
+  struct mq_ctl_outdated_host *missing;
 
   spread->missing
-      = talloc_realloc (spread, spread->missing, struct mq_ctl_missing,
+      = talloc_realloc (spread, spread->missing, struct mq_ctl_outdated_host,
                         spread->missing_count + 1);
   missing = &spread->missing[spread->missing_count++];
   missing->host = talloc_strdup (spread, host->host->name);
@@ -148,13 +148,13 @@
   spread->complete = spread->complete && missing->leaving;
 }
 
-static struct mq_ctl_spread *
+static struct mq_ctl_rollout *
 ask_open_hosts (struct spread_work *work, TALLOC_CTX *ctx)
 {
-  struct mq_ctl_spread *spread = talloc_zero (ctx, struct mq_ctl_spread);
+  struct mq_ctl_rollout *spread = talloc_zero (ctx, struct mq_ctl_rollout);
   struct mq_host_list *open = open_hosts (work, spread);
   struct mq_ctl_fleet *fleet
-      = mq_ctl_fleet_ask (work->ctl, spread, open, MQ_ADMIN_STATUS_PATH);
+      = mq_ctl_fleet_query (work->ctl, spread, open, MQ_ADMIN_STATUS_PATH);
 
   spread->hosts = work->list->count;
   spread->holders = work->list->count - fleet->count;
@@ -190,14 +190,14 @@
   return true;
 }
 
-struct mq_ctl_spread *
+struct mq_ctl_rollout *
 mq_ctl_fleet_wait (struct mq_ctl *ctl, TALLOC_CTX *ctx, uint64_t version,
                    uint32_t wait_ms, mq_ctl_progress *progress, void *user,
                    struct mq_error *error)
 {
   struct spread_work work = { .ctl = ctl, .version = version };
   uint64_t deadline = mq_clock_ms () + wait_ms;
-  struct mq_ctl_spread *spread = NULL;
+  struct mq_ctl_rollout *spread = NULL;
   size_t holders = SIZE_MAX;
 
   while (refresh_list (&work, ctx, error))
--- a/src/ctl/ctl_fleet.h
+++ b/src/ctl/ctl_fleet.h
@@ -32,13 +32,13 @@
 };
 
 /**
- * struct mq_ctl_missing - a host that is not known to hold a version
+ * struct mq_ctl_outdated_host - a host that is not known to hold a version
  * @host: its name
  * @error: why nothing is known, NONE: it answered
  * @version: what it holds, 0 when not known
  * @leaving: the list has it as leaving
  */
-struct mq_ctl_missing
+struct mq_ctl_outdated_host
 {
   const char *host;
   enum mq_error_type error;
@@ -47,7 +47,7 @@
 };
 
 /**
- * struct mq_ctl_spread - how far a version has come
+ * struct mq_ctl_rollout - how far a version has come
  * @hosts: in the list
  * @holders: of these, hold the version or a higher one
  * @missing: the others
@@ -55,11 +55,11 @@
  *                 in @complete
  * @complete: every host that stays holds it
  */
-struct mq_ctl_spread
+struct mq_ctl_rollout
 {
   size_t hosts;
   size_t holders;
-  struct mq_ctl_missing *missing;
+  struct mq_ctl_outdated_host *missing;
   size_t missing_count;
   bool complete;
 };
@@ -70,13 +70,13 @@
                                         struct mq_error *error);
 /* Asks every host of LIST for PATH; answers that are no JSON are BAD_ANSWER.
    The result owns LIST.  */
-struct mq_ctl_fleet *mq_ctl_fleet_ask (struct mq_ctl *ctl, TALLOC_CTX *ctx,
-                                       struct mq_host_list *list,
-                                       const char *path);
+struct mq_ctl_fleet *mq_ctl_fleet_query (struct mq_ctl *ctl, TALLOC_CTX *ctx,
+                                         struct mq_host_list *list,
+                                         const char *path);
 /* "config_version" of a host, 0 when not known.  */
 uint64_t mq_ctl_host_version (const struct mq_ctl_host *host);
 
-typedef void mq_ctl_progress (const struct mq_ctl_spread *spread, void *user);
+typedef void mq_ctl_progress (const struct mq_ctl_rollout *spread, void *user);
 
 /**
  * mq_ctl_fleet_wait - waits until every host holds a version
@@ -90,9 +90,9 @@
  *
  * Return: the last state; NULL with @error.
  */
-struct mq_ctl_spread *mq_ctl_fleet_wait (struct mq_ctl *ctl, TALLOC_CTX *ctx,
-                                         uint64_t version, uint32_t wait_ms,
-                                         mq_ctl_progress *progress, void *user,
-                                         struct mq_error *error);
+struct mq_ctl_rollout *mq_ctl_fleet_wait (struct mq_ctl *ctl, TALLOC_CTX *ctx,
+                                          uint64_t version, uint32_t wait_ms,
+                                          mq_ctl_progress *progress,
+                                          void *user, struct mq_error *error);
 
 #endif
--- a/src/ctl/ctl_local.c
+++ b/src/ctl/ctl_local.c
@@ -17,7 +17,8 @@
 /* What all commands share.  */
 
 enum mq_ctl_exit
-mq_ctl_fail (const struct mq_ctl_run *run, const struct mq_error *error)
+mq_ctl_report_error (const struct mq_ctl_run *run,
+                     const struct mq_error *error)
 {
   char *line = mq_ctl_error_line (run->ctx, NULL, error);
 
@@ -25,7 +26,7 @@
   talloc_free (line);
   if (run->json)
     {
-      char *text = mq_ctl_dump (
+      char *text = mq_ctl_json_line (
           run->ctx, json_pack ("{so}", "error", mq_ctl_error_json (error)));
 
       fputs (text, run->out);
@@ -40,9 +41,9 @@
 print_errors (const struct mq_ctl_run *run, const char *file,
               const struct mq_text_errors *errors)
 {
-  char *text = run->json
-                   ? mq_ctl_dump (run->ctx, mq_ctl_errors_json (file, errors))
-                   : mq_ctl_errors_text (run->ctx, file, errors);
+  char *text = run->json ? mq_ctl_json_line (run->ctx,
+                                             mq_ctl_errors_json (file, errors))
+                         : mq_ctl_errors_text (run->ctx, file, errors);
 
   fputs (text, run->out);
   talloc_free (text);
@@ -60,7 +61,7 @@
   *source = mq_settings_file_text (run->ctx, file, len, &error);
   if (*source == NULL)
     {
-      mq_ctl_fail (run, &error);
+      mq_ctl_report_error (run, &error);
       *code = MQ_CTL_BAD_INPUT;
       return NULL;
     }
@@ -112,7 +113,7 @@
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, run->operator_key_file,
                     "a file with one line, the operators' key");
     }
-  mq_ctl_fail (run, &error);
+  mq_ctl_report_error (run, &error);
   return false;
 }
 
@@ -129,7 +130,7 @@
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, "--platform is not given",
                     "--platform http://IP:PORT");
-      *code = mq_ctl_fail (run, &error);
+      *code = mq_ctl_report_error (run, &error);
       return NULL;
     }
   *code = MQ_CTL_BAD_INPUT;
@@ -137,7 +138,7 @@
     return NULL;
   ctl = mq_ctl_create (run->ctx, &options, &error);
   if (ctl == NULL)
-    *code = mq_ctl_fail (run, &error);
+    *code = mq_ctl_report_error (run, &error);
   return ctl;
 }
 
@@ -190,7 +191,7 @@
       json_array_extend (items, router);
       json_decref (settings);
       json_decref (router);
-      fputs (mq_ctl_dump (run->ctx, items), run->out);
+      fputs (mq_ctl_json_line (run->ctx, items), run->out);
       return MQ_CTL_OK;
     }
   fprintf (run->out, "The operators' text\n\n%s\n",
@@ -219,7 +220,7 @@
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, "the key on standard input",
                     "one line of printable characters without blanks");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   gnutls_hash_fast (GNUTLS_DIG_SHA256, key, strlen (key), hash);
   gnutls_memset (key, 0, sizeof key);
--- a/src/ctl/ctl_print.c
+++ b/src/ctl/ctl_print.c
@@ -152,7 +152,7 @@
 /* Spread.  */
 
 static char *
-missing_reason (TALLOC_CTX *ctx, const struct mq_ctl_missing *missing)
+missing_reason (TALLOC_CTX *ctx, const struct mq_ctl_outdated_host *missing)
 {
   const char *leaving = missing->leaving ? ", leaving" : "";
 
@@ -164,8 +164,8 @@
 }
 
 char *
-mq_ctl_spread_text (TALLOC_CTX *ctx, const struct mq_ctl_spread *spread,
-                    uint64_t version)
+mq_ctl_rollout_text (TALLOC_CTX *ctx, const struct mq_ctl_rollout *spread,
+                     uint64_t version)
 {
   char *text = talloc_asprintf (ctx, "%zu of %zu hosts hold version %llu\n",
                                 spread->holders, spread->hosts,
@@ -183,13 +183,13 @@
 }
 
 json_t *
-mq_ctl_spread_json (const struct mq_ctl_spread *spread)
+mq_ctl_rollout_json (const struct mq_ctl_rollout *spread)
 {
   json_t *items = json_array ();
 
   for (size_t i = 0; i < spread->missing_count; i++)
     {
-      const struct mq_ctl_missing *missing = &spread->missing[i];
+      const struct mq_ctl_outdated_host *missing = &spread->missing[i];
 
       json_array_append_new (
           items, json_pack ("{ss ss sI sb}", "host", missing->host, "error",
@@ -203,7 +203,7 @@
 }
 
 char *
-mq_ctl_dump (TALLOC_CTX *ctx, json_t *value)
+mq_ctl_json_line (TALLOC_CTX *ctx, json_t *value)
 {
   char *dump = json_dumps (value, JSON_COMPACT);
   char *text = talloc_asprintf (ctx, "%s\n", dump == NULL ? "null" : dump);
--- a/src/ctl/ctl_print.h
+++ b/src/ctl/ctl_print.h
@@ -26,11 +26,12 @@
 json_t *mq_ctl_keys_json (const char *file, const struct mq_key_table *table);
 
 /* How many hosts hold a version and who is missing.  */
-char *mq_ctl_spread_text (TALLOC_CTX *ctx, const struct mq_ctl_spread *spread,
-                          uint64_t version);
-json_t *mq_ctl_spread_json (const struct mq_ctl_spread *spread);
+char *mq_ctl_rollout_text (TALLOC_CTX *ctx,
+                           const struct mq_ctl_rollout *spread,
+                           uint64_t version);
+json_t *mq_ctl_rollout_json (const struct mq_ctl_rollout *spread);
 
 /* JSON on one line with a newline, below CTX; releases VALUE.  */
-char *mq_ctl_dump (TALLOC_CTX *ctx, json_t *value);
+char *mq_ctl_json_line (TALLOC_CTX *ctx, json_t *value);
 
 #endif
--- a/src/ctl/ctl_routers.c
+++ b/src/ctl/ctl_routers.c
@@ -174,7 +174,7 @@
 #undef NUMBER
       json_array_append_new (list, object);
     }
-  text = mq_ctl_dump (run->ctx, list);
+  text = mq_ctl_json_line (run->ctx, list);
   fputs (text, run->out);
   talloc_free (text);
 }
@@ -194,11 +194,11 @@
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, addresses,
                     "IP:PORT,IP:PORT,…: ready addresses of 1 to 2048 routers");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   ctl = mq_ctl_create (run->ctx, &options, &error);
   if (ctl == NULL)
-    return mq_ctl_fail (run, &error);
+    return mq_ctl_report_error (run, &error);
   mq_ctl_fetch (ctl, run->ctx, fetches, 2 * count);
   if (run->json)
     print_json (run, fetches, count);
--- a/src/ctl/ctl_run.h
+++ b/src/ctl/ctl_run.h
@@ -52,8 +52,8 @@
 };
 
 /* Prints ERROR and gives the exit code for it.  */
-enum mq_ctl_exit mq_ctl_fail (const struct mq_ctl_run *run,
-                              const struct mq_error *error);
+enum mq_ctl_exit mq_ctl_report_error (const struct mq_ctl_run *run,
+                                      const struct mq_error *error);
 /* Checked text of FILE with its source; NULL after its errors were printed,
    with the exit code in CODE.  */
 struct mq_text *mq_ctl_read_text (const struct mq_ctl_run *run,
--- a/src/ctl/ctl_trace.c
+++ b/src/ctl/ctl_trace.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLS_AHEAD 64U /* calls sought beyond the last with a span */
+#define CALL_SEARCH_MARGIN 64U /* calls sought beyond the last with a span */
 #define BAR_WIDTH 30
 #define INDENT 2
 #define LABEL_WIDTH 46
@@ -154,7 +154,7 @@
 static void
 adopt (struct trace *trace, size_t parent, size_t child)
 {
-  uint32_t last = trace->programs[parent].last_call + CALLS_AHEAD;
+  uint32_t last = trace->programs[parent].last_call + CALL_SEARCH_MARGIN;
 
   for (uint32_t call = 1; call <= last; call++)
     if (mq_id_equal (mq_id_child (trace->programs[parent].id, call),
--- a/src/ctl/ctl_watch.c
+++ b/src/ctl/ctl_watch.c
@@ -42,7 +42,7 @@
 
   if (config == NULL)
     {
-      mq_ctl_fail (run, &error);
+      mq_ctl_report_error (run, &error);
       return;
     }
   site->version = config->version;
@@ -74,7 +74,7 @@
   fleet = mq_ctl_fleet_read (ctl, run->ctx, &error);
   if (fleet == NULL)
     {
-      code = mq_ctl_fail (run, &error);
+      code = mq_ctl_report_error (run, &error);
       mq_ctl_destroy (ctl);
       return code;
     }
@@ -121,7 +121,7 @@
       = json_array_size (spans) == 0 ? MQ_CTL_FAILED : MQ_CTL_OK;
 
   if (run->json)
-    fputs (mq_ctl_dump (run->ctx, json_incref (spans)), run->out);
+    fputs (mq_ctl_json_line (run->ctx, json_incref (spans)), run->out);
   else
     fputs (mq_ctl_trace_text (run->ctx, spans, program), run->out);
   return code;
@@ -140,10 +140,10 @@
   char *path;
 
   if (list == NULL)
-    return mq_ctl_fail (run, &error);
+    return mq_ctl_report_error (run, &error);
   mq_id_format (program, id);
   path = talloc_asprintf (run->ctx, SPANS_PATH "%s", id);
-  fleet = mq_ctl_fleet_ask (ctl, run->ctx, list, path);
+  fleet = mq_ctl_fleet_query (ctl, run->ctx, list, path);
   spans = gather_spans (run, fleet);
   code = print_trace (run, spans, program);
   json_decref (spans);
@@ -163,7 +163,7 @@
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, program,
                     "a program's id: 32 lower-case hexadecimal digits");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   ctl = mq_ctl_connect (run, &code);
   if (ctl == NULL)
@@ -219,18 +219,18 @@
   enum mq_error_type type;
 
   if (host == NULL)
-    return mq_ctl_fail (run, &error);
+    return mq_ctl_report_error (run, &error);
   fetch.address = host->http;
   mq_ctl_fetch (ctl, run->ctx, &fetch, 1);
   type = drain_answer (&fetch);
   if (type != MQ_ERR_NONE)
     {
       mq_error_set (&error, type, name, "");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   if (run->json)
-    fputs (mq_ctl_dump (run->ctx, json_pack ("{ss ss}", "host", name, "result",
-                                             "leaving")),
+    fputs (mq_ctl_json_line (run->ctx, json_pack ("{ss ss}", "host", name,
+                                                  "result", "leaving")),
            run->out);
   else
     fprintf (run->out,
