--- a/src/ctl/ctl.c
+++ b/src/ctl/ctl.c
@@ -8,8 +8,7 @@
 #include <string.h>
 #include <time.h>
 
-/* Hosts asked at a time: enough to hide those that don't answer, few enough
-   for the open files of a shell.  */
+/* Stays below the usual limit of 1024 open files.  */
 #define FETCHES_CONCURRENT_MAX 128
 #define HOSTS_POLL_MS 1000U
 #define MS_PER_S 1000U
@@ -21,45 +20,45 @@
   struct tevent_context *ev;
   struct mq_http_client *client;
   struct mq_platform *platform;
-  const char *authorization; /* header line, NULL: none */
+  const char *authorization; /* header line; NULL for none */
   uint32_t host_timeout_ms;
   bool watches_hosts;
-  struct mq_store_result *stored; /* of the store request under way */
+  struct mq_store_result *stored; /* NULL until the request completes */
   TALLOC_CTX *stored_ctx;
-  struct mq_host_list *hosts; /* list read last, NULL: none since asked */
+  struct mq_host_list *hosts; /* NULL until a list arrives */
 };
 
-/* Waiting.  */
+/* Timers.  */
 
 static void
 on_timer (struct tevent_context *ev, struct tevent_timer *timer,
           struct timeval now, void *data)
 {
-  bool *over = data;
+  bool *expired = data;
 
   (void)ev;
   (void)timer;
   (void)now;
-  *over = true;
+  *expired = true;
 }
 
 static struct tevent_timer *
-start_timer (struct mq_ctl *ctl, uint32_t ms, bool *over)
+start_timer (struct mq_ctl *ctl, uint32_t ms, bool *expired)
 {
   struct timeval due
       = tevent_timeval_current_ofs (ms / MS_PER_S, ms % MS_PER_S * US_PER_MS);
 
-  *over = false;
-  return tevent_add_timer (ctl->ev, ctl, due, on_timer, over);
+  *expired = false;
+  return tevent_add_timer (ctl->ev, ctl, due, on_timer, expired);
 }
 
 void
 mq_ctl_sleep (struct mq_ctl *ctl, uint32_t ms)
 {
-  bool over;
-  struct tevent_timer *timer = start_timer (ctl, ms, &over);
+  bool expired;
+  struct tevent_timer *timer = start_timer (ctl, ms, &expired);
 
-  while (timer != NULL && !over)
+  while (timer != NULL && !expired)
     tevent_loop_once (ctl->ev);
 }
 
@@ -119,7 +118,7 @@
 }
 
 static void
-on_listed (const struct mq_host_list *hosts, void *user)
+on_host_list (const struct mq_host_list *hosts, void *user)
 {
   struct mq_ctl *ctl = user;
   struct mq_host_list *list;
@@ -137,17 +136,17 @@
 mq_ctl_hosts (struct mq_ctl *ctl, TALLOC_CTX *ctx, struct mq_error *error)
 {
   struct mq_host_list *list;
-  bool over;
+  bool expired;
   struct tevent_timer *timer
-      = start_timer (ctl, MQ_STORE_TIMEOUT_MS + HOSTS_POLL_MS, &over);
+      = start_timer (ctl, MQ_STORE_TIMEOUT_MS + HOSTS_POLL_MS, &expired);
 
   TALLOC_FREE (ctl->hosts);
   if (!ctl->watches_hosts)
-    mq_platform_watch_hosts (ctl->platform, HOSTS_POLL_MS, on_listed, ctl);
+    mq_platform_watch_hosts (ctl->platform, HOSTS_POLL_MS, on_host_list, ctl);
   ctl->watches_hosts = true;
-  while (ctl->hosts == NULL && !over)
+  while (ctl->hosts == NULL && !expired)
     tevent_loop_once (ctl->ev);
-  if (!over)
+  if (!expired)
     talloc_free (timer);
   if (ctl->hosts == NULL)
     mq_error_set (error, MQ_ERR_STORE_DOWN, "the platform's list of hosts",
@@ -159,8 +158,8 @@
 
 /* Hosts.  */
 
-/* Requests that are under way side by side.  */
-struct fetch_round
+/* A set of concurrent requests.  */
+struct fetch_batch
 {
   struct mq_ctl *ctl;
   TALLOC_CTX *ctx;
@@ -169,12 +168,12 @@
 
 struct fetch_slot
 {
-  struct fetch_round *round;
+  struct fetch_batch *batch;
   struct mq_ctl_fetch *fetch;
 };
 
 static void
-on_fetched (const struct mq_http_result *result, void *user)
+on_response (const struct mq_http_result *result, void *user)
 {
   struct fetch_slot *slot = user;
   struct mq_ctl_fetch *fetch = slot->fetch;
@@ -182,32 +181,32 @@
   fetch->error = result->error;
   fetch->status = result->status;
   if (result->error == MQ_ERR_NONE)
-    fetch->body = talloc_strndup (slot->round->ctx, result->body, result->len);
-  slot->round->pending--;
+    fetch->body = talloc_strndup (slot->batch->ctx, result->body, result->len);
+  slot->batch->pending--;
   talloc_free (slot);
 }
 
 static void
-start_fetch (struct fetch_round *round, struct mq_ctl_fetch *fetch)
+start_fetch (struct fetch_batch *batch, struct mq_ctl_fetch *fetch)
 {
-  struct mq_ctl *ctl = round->ctl;
+  struct mq_ctl *ctl = batch->ctl;
   const char *headers[] = { ctl->authorization, NULL };
   struct fetch_slot *slot = talloc_zero (ctl, struct fetch_slot);
   struct mq_http_send send = { .method = fetch->method,
                                .headers = headers,
                                .timeout_ms = ctl->host_timeout_ms,
-                               .done = on_fetched,
+                               .done = on_response,
                                .user = slot };
 
-  slot->round = round;
+  slot->batch = batch;
   slot->fetch = fetch;
   send.url
       = talloc_asprintf (slot, "http://%s%s", fetch->address, fetch->path);
-  round->pending++;
+  batch->pending++;
   if (mq_http_client_send (ctl->client, &send) != NULL)
     return;
   fetch->error = MQ_ERR_NO_MEMORY;
-  round->pending--;
+  batch->pending--;
   talloc_free (slot);
 }
 
@@ -215,19 +214,19 @@
 mq_ctl_fetch (struct mq_ctl *ctl, TALLOC_CTX *ctx,
               struct mq_ctl_fetch *fetches, size_t count)
 {
-  struct fetch_round round = { ctl, ctx, 0 };
+  struct fetch_batch batch = { ctl, ctx, 0 };
   size_t next = 0;
 
-  while (next < count || round.pending > 0)
+  while (next < count || batch.pending > 0)
     {
-      while (next < count && round.pending < FETCHES_CONCURRENT_MAX)
-        start_fetch (&round, &fetches[next++]);
-      if (round.pending > 0)
+      while (next < count && batch.pending < FETCHES_CONCURRENT_MAX)
+        start_fetch (&batch, &fetches[next++]);
+      if (batch.pending > 0)
         tevent_loop_once (ctl->ev);
     }
 }
 
-/* Life.  */
+/* Creation and destruction.  */
 
 struct mq_ctl *
 mq_ctl_create (TALLOC_CTX *ctx, const struct mq_ctl_options *options,
@@ -253,7 +252,7 @@
   return NULL;
 }
 
-/* The platform cancels its calls, so it goes before the client.  */
+/* The platform cancels its calls in the client, so it is destroyed first.  */
 void
 mq_ctl_destroy (struct mq_ctl *ctl)
 {
--- a/src/ctl/ctl_change.c
+++ b/src/ctl/ctl_change.c
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GIVE_UP_MS 10000U
+#define APPLY_RETRY_MS 10000U
 #define MS_PER_S 1000U
 
-/* The text in force and the one of a file.  */
+/* The configuration in force and the text of a file.  */
 struct change
 {
   const struct mq_ctl_run *run;
@@ -85,8 +85,8 @@
 
 /* diff  */
 
-/* Text of the row; NULL when there is none.  One that does not parse here
-   (a newer release wrote it) is said and then counts as none.  */
+/* Parses the text in force; NULL if there is none.  Warns and returns NULL if
+   it does not parse, as when a newer release wrote it.  */
 static struct mq_text *
 parse_now (const struct change *change)
 {
@@ -99,8 +99,8 @@
                         change->now->len, &errors);
   if (text == NULL)
     fprintf (change->run->err,
-             "mimosactl: the text in force has errors for this release; the "
-             "difference shows everything as added\n");
+             "mimosactl: this release cannot parse the text in force; the "
+             "difference shows every key as added\n");
   return text;
 }
 
@@ -161,7 +161,7 @@
 /* apply  */
 
 static enum mq_ctl_exit
-ask_for_base (const struct change *change)
+report_missing_base (const struct change *change)
 {
   unsigned long long version = change->now->version;
   char *subject = talloc_asprintf (
@@ -176,8 +176,8 @@
   return mq_ctl_report_error (change->run, &error);
 }
 
-/* Guards against a change of the number of partitions: programs would be
-   looked for in other partitions than those that hold them.  */
+/* Guards against a change of the number of partitions, after which programs
+   would be looked up in the wrong partition.  */
 static const struct mq_text_change *
 refused_change (const struct change *change)
 {
@@ -187,8 +187,8 @@
 }
 
 static enum mq_ctl_exit
-report_refused (const struct change *change,
-                const struct mq_text_change *refused)
+report_refused_change (const struct change *change,
+                       const struct mq_text_change *refused)
 {
   char *subject
       = talloc_asprintf (change->run->ctx, "%s: %s -> %s", refused->key,
@@ -226,10 +226,11 @@
 {
   struct mq_error error;
 
-  mq_error_set (&error, MQ_ERR_STORE_DOWN,
-                "the store's answer was lost: the text may have been, or may "
-                "yet be accepted",
-                "look at 'mimosactl show' before the next apply");
+  mq_error_set (
+      &error, MQ_ERR_STORE_DOWN,
+      "the table's response was lost: the text may have been, or may "
+      "yet be accepted",
+      "look at 'mimosactl show' before the next apply");
   return mq_ctl_report_error (change->run, &error);
 }
 
@@ -244,17 +245,17 @@
 }
 
 static void
-show_progress (const struct mq_ctl_rollout *spread, void *user)
+show_progress (const struct mq_ctl_rollout *rollout, void *user)
 {
   const struct mq_ctl_run *run = user;
 
-  fprintf (run->err, "%zu of %zu hosts hold it\n", spread->holders,
-           spread->hosts);
+  fprintf (run->err, "%zu of %zu hosts hold it\n", rollout->holders,
+           rollout->hosts);
 }
 
 static void
 print_accepted (const struct change *change,
-                const struct mq_ctl_rollout *spread)
+                const struct mq_ctl_rollout *rollout)
 {
   const struct mq_ctl_run *run = change->run;
   uint64_t version = change->now->version;
@@ -262,19 +263,20 @@
 
   if (run->json)
     print_json (
-        run, json_pack ("{ss sI ss so*}", "result", "accepted", "version",
-                        (json_int_t)version, "apply_id", id, "spread",
-                        spread == NULL ? NULL : mq_ctl_rollout_json (spread)));
-  else if (spread != NULL)
-    fputs (mq_ctl_rollout_text (run->ctx, spread, version), run->out);
+        run,
+        json_pack ("{ss sI ss so*}", "result", "accepted", "version",
+                   (json_int_t)version, "apply_id", id, "spread",
+                   rollout == NULL ? NULL : mq_ctl_rollout_json (rollout)));
+  else if (rollout != NULL)
+    fputs (mq_ctl_rollout_text (run->ctx, rollout, version), run->out);
 }
 
-/* Accepted is not yet in force: that is said only of hosts that say so.  */
+/* An accepted version is in force at a host only when the host reports it.  */
 static enum mq_ctl_exit
 wait_for_hosts (const struct change *change, const char *how)
 {
   const struct mq_ctl_run *run = change->run;
-  struct mq_ctl_rollout *spread = NULL;
+  struct mq_ctl_rollout *rollout = NULL;
   struct mq_error error = { 0 };
 
   if (!run->json)
@@ -285,23 +287,23 @@
       fflush (run->out);
     }
   if (run->wait_seconds > 0)
-    spread = mq_ctl_fleet_wait (change->ctl, run->ctx, change->now->version,
-                                run->wait_seconds * MS_PER_S, show_progress,
-                                (void *)run, &error);
-  print_accepted (change, spread);
+    rollout = mq_ctl_fleet_wait (change->ctl, run->ctx, change->now->version,
+                                 run->wait_seconds * MS_PER_S, show_progress,
+                                 (void *)run, &error);
+  print_accepted (change, rollout);
   if (run->wait_seconds == 0)
     return MQ_CTL_OK;
-  if (spread == NULL)
+  if (rollout == NULL)
     {
       char *line = mq_ctl_error_line (run->ctx, NULL, &error);
 
       fprintf (run->err,
-               "mimosactl: accepted, but who holds it is not known: "
+               "mimosactl: accepted, but the hosts' versions are unknown: "
                "%s\n",
                line);
       return MQ_CTL_FAILED;
     }
-  return spread->complete ? MQ_CTL_OK : MQ_CTL_FAILED;
+  return rollout->complete ? MQ_CTL_OK : MQ_CTL_FAILED;
 }
 
 static bool
@@ -319,12 +321,12 @@
   struct mq_apply apply = { .base = change->run->base,
                             .source = change->source,
                             .len = change->len,
-                            .give_up_ms = GIVE_UP_MS };
+                            .give_up_ms = APPLY_RETRY_MS };
   struct mq_ctl_config *now = NULL;
   enum mq_apply_result result;
 
   if (refused != NULL)
-    return report_refused (change, refused);
+    return report_refused_change (change, refused);
   if (is_in_force (change))
     return wait_for_hosts (change, "already accepted");
   result = mq_ctl_config_apply (change->ctl, change->run->ctx, &apply, &now);
@@ -351,7 +353,7 @@
   enum mq_ctl_exit code = open_change (&change);
 
   if (code == MQ_CTL_OK)
-    code = run->base == MQ_CTL_NO_BASE ? ask_for_base (&change)
+    code = run->base == MQ_CTL_NO_BASE ? report_missing_base (&change)
                                        : apply_change (&change);
   mq_ctl_destroy (change.ctl);
   return code;
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -1,4 +1,5 @@
-/* ctl_config.c - the accepted configuration in the platform's table.
+/* ctl_config.c - reads and replaces the accepted configuration in the
+   platform's table.
 
    Needs: ctl_config.h, gnutls (random apply ids).  */
 
@@ -48,7 +49,7 @@
   return config->source != NULL;
 }
 
-/* Other rows may begin with the same letters; the shortest comes first.  */
+/* A scan matches by prefix; the row with the exact key sorts first.  */
 static const struct mq_row *
 find_row (const struct mq_store_result *result)
 {
@@ -86,10 +87,10 @@
 /* Apply.  */
 
 /**
- * struct apply_work - an apply under way
+ * struct apply_work - an apply in progress
  * @row: the new row: version, apply id, text
- * @maybe: an attempt was made whose answer was lost
- * @now: the row as read last
+ * @outcome_unknown: the response to a write was lost
+ * @now: the row as last read
  */
 struct apply_work
 {
@@ -97,15 +98,15 @@
   TALLOC_CTX *ctx;
   const struct mq_apply *apply;
   struct mq_bytes row;
-  bool maybe;
+  bool outcome_unknown;
   struct mq_ctl_config *now;
   struct mq_error error;
 };
 
 enum apply_step
 {
-  STEP_ATTEMPT, /* the base is in force: write */
-  STEP_AGAIN,   /* nothing could be learnt: later again */
+  STEP_ATTEMPT, /* the base version is in force: write */
+  STEP_RETRY,   /* the row could not be read */
   STEP_ACCEPTED,
   STEP_CONFLICT,
   STEP_UNKNOWN
@@ -129,14 +130,15 @@
   return true;
 }
 
-/* What the row says.  Guards against a lost answer: the write may have
-   taken effect, or may yet, while the operator would be told that it failed.
-   The row shows it: our id is in it, or the base still is (then the same
-   write under the same condition is harmless, as only one of the two can
-   meet it), or another text has base + 1, which ours can then never have.
-   Only a row beyond that hides whether ours was there for a while.  */
+/* Derives the next step from the row.  Guards against reporting failure when
+   the response to a successful write was lost.
+   - The row has the apply id: the write succeeded.
+   - The row has the base version: the write can be repeated, since the
+     condition on the row version lets only one of the two succeed.
+   - Another text has version base + 1: the write can never succeed.
+   - The row has a later version: a lost write may have been replaced.  */
 static enum apply_step
-settle (const struct apply_work *work)
+classify_row (const struct apply_work *work)
 {
   const struct mq_ctl_config *now = work->now;
   uint64_t base = work->apply->base;
@@ -148,26 +150,26 @@
     return STEP_ACCEPTED;
   if (now->version == base)
     return STEP_ATTEMPT;
-  if (now->version > base + 1 && work->maybe)
+  if (now->version > base + 1 && work->outcome_unknown)
     return STEP_UNKNOWN;
   return STEP_CONFLICT;
 }
 
 static enum apply_step
-read_and_settle (struct apply_work *work)
+read_and_classify (struct apply_work *work)
 {
   struct mq_ctl_config *now
       = mq_ctl_config_read (work->ctl, work->ctx, &work->error);
 
   if (now == NULL)
-    return STEP_AGAIN;
+    return STEP_RETRY;
   talloc_free (work->now);
   work->now = now;
-  return settle (work);
+  return classify_row (work);
 }
 
 static void
-take_row (struct apply_work *work, uint64_t row_version)
+record_written_row (struct apply_work *work, uint64_t row_version)
 {
   struct mq_row row = { (char *)MQ_CONFIG_KEY, row_version, work->row };
 
@@ -175,9 +177,9 @@
   unpack_row (work->now, &row);
 }
 
-/* True when the answer says that the row was written.  */
+/* Returns true if the table confirmed the write.  */
 static bool
-attempt (struct apply_work *work)
+write_row (struct apply_work *work)
 {
   struct mq_store_op op = { .key = (char *)MQ_CONFIG_KEY,
                             .if_version = work->now->row_version,
@@ -189,14 +191,15 @@
   enum mq_store_status status = result->status;
 
   if (status == MQ_STORE_OK)
-    take_row (work, result->row_count > 0 ? result->rows[0].version : 0);
+    record_written_row (work,
+                        result->row_count > 0 ? result->rows[0].version : 0);
   talloc_free (result);
   switch (status)
     {
     case MQ_STORE_OK:
       return true;
     case MQ_STORE_LOST:
-      work->maybe = true;
+      work->outcome_unknown = true;
       break;
     case MQ_STORE_CONFLICT:
     case MQ_STORE_MISSING:
@@ -207,9 +210,9 @@
 }
 
 static enum mq_apply_result
-give_up (const struct apply_work *work)
+failure_result (const struct apply_work *work)
 {
-  return work->maybe ? MQ_APPLY_UNKNOWN : MQ_APPLY_FAILED;
+  return work->outcome_unknown ? MQ_APPLY_UNKNOWN : MQ_APPLY_FAILED;
 }
 
 enum mq_apply_result
@@ -219,14 +222,14 @@
   struct apply_work work = { .ctl = ctl, .ctx = ctx, .apply = apply };
   uint64_t deadline = mq_clock_ms () + apply->give_up_ms;
   enum mq_apply_result result = MQ_APPLY_FAILED;
-  bool over = !make_row (&work);
+  bool finished = !make_row (&work);
 
-  while (!over)
+  while (!finished)
     {
-      enum apply_step step = read_and_settle (&work);
+      enum apply_step step = read_and_classify (&work);
 
-      over = true;
-      if (step == STEP_ATTEMPT && attempt (&work))
+      finished = true;
+      if (step == STEP_ATTEMPT && write_row (&work))
         result = MQ_APPLY_ACCEPTED;
       else if (step == STEP_ACCEPTED)
         result = MQ_APPLY_ACCEPTED;
@@ -235,10 +238,10 @@
       else if (step == STEP_UNKNOWN)
         result = MQ_APPLY_UNKNOWN;
       else if (mq_clock_ms () >= deadline)
-        result = give_up (&work);
+        result = failure_result (&work);
       else
         {
-          over = false;
+          finished = false;
           mq_ctl_sleep (ctl, RETRY_MS);
         }
     }
--- a/src/ctl/ctl_config.h
+++ b/src/ctl/ctl_config.h
@@ -1,5 +1,5 @@
-/* ctl_config.h - the accepted configuration in the platform's table, as a
-   command line tool reads and changes it.
+/* ctl_config.h - reads and replaces the accepted configuration in the
+   platform's table.
 
    Needs: ctl.h, spread.h (the row).  */
 
@@ -12,12 +12,12 @@
 #define MQ_APPLY_ID_BYTES 16
 
 /**
- * struct mq_ctl_config - the row
- * @row_version: version of the row in the table, MQ_VERSION_ABSENT: none
- * @version: version of the configuration, 0: none yet
- * @apply_id: of the apply that wrote it
- * @source: its text, zero-terminated
- * @len: its length
+ * struct mq_ctl_config - the configuration row
+ * @row_version: version of the row in the table; MQ_VERSION_ABSENT if missing
+ * @version: version of the configuration; 0 if there is none yet
+ * @apply_id: id of the apply that wrote the row
+ * @source: configuration text, zero-terminated
+ * @len: length of @source in bytes
  */
 struct mq_ctl_config
 {
@@ -31,17 +31,17 @@
 enum mq_apply_result
 {
   MQ_APPLY_ACCEPTED,
-  MQ_APPLY_CONFLICT, /* certainly not accepted: another version is in force */
-  MQ_APPLY_FAILED,   /* certainly not accepted: the store can't be reached */
-  MQ_APPLY_UNKNOWN   /* it may have been, or may yet be accepted */
+  MQ_APPLY_CONFLICT, /* not accepted: another version is in force */
+  MQ_APPLY_FAILED,   /* not accepted: the table is unavailable */
+  MQ_APPLY_UNKNOWN   /* may have been accepted, or may still be */
 };
 
 /**
- * struct mq_apply - one attempt to put a text in force
- * @base: version that the operator looked at
+ * struct mq_apply - one attempt to replace the configuration
+ * @base: version that @source replaces
  * @source: the new text
- * @len: its length
- * @give_up_ms: an unreachable store is tried again for this long
+ * @len: length of @source in bytes
+ * @give_up_ms: how long to retry while the table is unavailable
  */
 struct mq_apply
 {
@@ -51,19 +51,17 @@
   uint32_t give_up_ms;
 };
 
-/* The row, below CTX; a zeroed one when there is none.  NULL with STORE_DOWN
-   or BAD_ANSWER in ERROR.  */
+/* Returns the row as a child of CTX, zeroed if the table has none.  Returns
+   NULL with MQ_ERR_STORE_DOWN or MQ_ERR_BAD_ANSWER in ERROR.  */
 struct mq_ctl_config *mq_ctl_config_read (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                           struct mq_error *error);
 /**
  * mq_ctl_config_apply - compare-and-swap of the row
- * @ctl: the tool
- * @ctx: owner of @now
- * @apply: what is to be put in force
- * @now: out: the row as read last; after ACCEPTED the one that was written.
- *       NULL when it could never be read
+ * @ctx: talloc parent of @now
+ * @now: out: the row as last read, or as written if it was accepted; NULL if
+ *       it could not be read
  *
- * Return: what became of it.
+ * Return: whether the new text was accepted.
  */
 enum mq_apply_result mq_ctl_config_apply (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                           const struct mq_apply *apply,
--- a/src/ctl/ctl_explain.c
+++ b/src/ctl/ctl_explain.c
@@ -1,9 +1,9 @@
-/* ctl_explain.c - the story of one request or program from the routers' logs.
+/* ctl_explain.c - timeline of one request or program from the routers' logs.
 
-   Reads lines of any number of hosts on standard input, in any order; picks
-   those of one request, or of all requests of one program, and beside them
-   what befell the hosts meanwhile; prints them in order of time, the same
-   of one host once with a count.
+   Reads log lines of any number of hosts from standard input, in any order.
+   Prints in time order the events of the request, or of all requests of the
+   program, and the warnings and errors of hosts in the same period.
+   Consecutive repeats of a host event are printed once with a count.
    Needs: ctl_run.h, jansson.  */
 
 #include "ctl_run.h"
@@ -13,18 +13,16 @@
 #include <string.h>
 
 #define LINE_BYTES 4096
-/* What befell the hosts so long before the first line belongs to the story: a
-   table that is away shows within a few seconds.  */
-#define BEFORE_MS 5000
+/* Host events this long before the first event of the request are included. */
+#define LEAD_TIME_MS 5000
 
 /**
- * struct story - the lines that were read
- * @lines: objects, all of them until the story is picked
- * @count: how many
- * @from_ms: first time of the request or program
- * @to_ms: last time
+ * struct timeline - the log lines read
+ * @lines: JSON objects, of unrelated requests too
+ * @from_ms: start of the request or program
+ * @to_ms: its last event
  */
-struct story
+struct timeline
 {
   TALLOC_CTX *ctx;
   json_t **lines;
@@ -34,7 +32,7 @@
 };
 
 static json_int_t
-time_of (const json_t *line)
+line_time_ms (const json_t *line)
 {
   return json_integer_value (json_object_get (line, "t"));
 }
@@ -47,7 +45,7 @@
   return text != NULL && strcmp (text, value) == 0;
 }
 
-/* A simulated or collected log may have words before the object.  */
+/* A simulator or log collector may put text before the JSON object.  */
 static json_t *
 read_line (const char *text)
 {
@@ -57,19 +55,19 @@
 }
 
 static void
-add_line (struct story *story, json_t *line)
+add_line (struct timeline *timeline, json_t *line)
 {
-  json_t **grown
-      = talloc_realloc (story->ctx, story->lines, json_t *, story->count + 1);
+  json_t **grown = talloc_realloc (timeline->ctx, timeline->lines, json_t *,
+                                   timeline->count + 1);
 
   if (grown == NULL)
     abort ();
-  grown[story->count++] = line;
-  story->lines = grown;
+  grown[timeline->count++] = line;
+  timeline->lines = grown;
 }
 
 static void
-read_lines (struct story *story)
+read_lines (struct timeline *timeline)
 {
   char text[LINE_BYTES];
 
@@ -78,7 +76,7 @@
       json_t *line = read_line (text);
 
       if (json_is_object (line) && json_object_get (line, "event") != NULL)
-        add_line (story, line);
+        add_line (timeline, line);
       else
         json_decref (line);
     }
@@ -90,20 +88,20 @@
   return has_text (line, "id", id) || has_text (line, "run", id);
 }
 
-/* What befalls a host or all of them.  */
+/* Returns true for warnings and errors that concern no single request.  */
 static bool
-is_setting (const json_t *line)
+is_host_event (const json_t *line)
 {
   return json_object_get (line, "id") == NULL
          && json_object_get (line, "run") == NULL
          && !has_text (line, "level", "info");
 }
 
-/* The same befalls the same host again, as when it lists its workers.  */
+/* Returns true if LINE repeats the event and host of BEFORE.  */
 static bool
 is_repeat (const json_t *line, const json_t *before)
 {
-  return before != NULL && is_setting (line) && is_setting (before)
+  return before != NULL && is_host_event (line) && is_host_event (before)
          && json_equal (json_object_get (line, "host"),
                         json_object_get (before, "host"))
          && json_equal (json_object_get (line, "event"),
@@ -111,22 +109,22 @@
 }
 
 static bool
-find_times (struct story *story, const char *id)
+find_times (struct timeline *timeline, const char *id)
 {
   bool found = false;
 
-  for (size_t i = 0; i < story->count; i++)
+  for (size_t i = 0; i < timeline->count; i++)
     {
-      json_int_t at = time_of (story->lines[i]);
-      json_int_t after
-          = json_integer_value (json_object_get (story->lines[i], "after_ms"));
+      json_int_t at = line_time_ms (timeline->lines[i]);
+      json_int_t after = json_integer_value (
+          json_object_get (timeline->lines[i], "after_ms"));
 
-      if (!is_about (story->lines[i], id))
+      if (!is_about (timeline->lines[i], id))
         continue;
-      if (!found || at - after < story->from_ms)
-        story->from_ms = at - after;
-      if (!found || at > story->to_ms)
-        story->to_ms = at;
+      if (!found || at - after < timeline->from_ms)
+        timeline->from_ms = at - after;
+      if (!found || at > timeline->to_ms)
+        timeline->to_ms = at;
       found = true;
     }
   return found;
@@ -137,7 +135,7 @@
 {
   const json_t *const *left = a;
   const json_t *const *right = b;
-  json_int_t difference = time_of (*left) - time_of (*right);
+  json_int_t difference = line_time_ms (*left) - line_time_ms (*right);
 
   if (difference != 0)
     return difference < 0 ? -1 : 1;
@@ -145,14 +143,15 @@
 }
 
 static bool
-belongs (const struct story *story, const json_t *line, const char *id)
+is_in_timeline (const struct timeline *timeline, const json_t *line,
+                const char *id)
 {
-  json_int_t at = time_of (line);
+  json_int_t at = line_time_ms (line);
 
   if (is_about (line, id))
     return true;
-  return is_setting (line) && at >= story->from_ms - BEFORE_MS
-         && at <= story->to_ms;
+  return is_host_event (line) && at >= timeline->from_ms - LEAD_TIME_MS
+         && at <= timeline->to_ms;
 }
 
 static void
@@ -166,10 +165,9 @@
              json_integer_value (value));
 }
 
-/* Keys that every line has; those that tell something stand before the
-   others.  */
+/* Returns true for the keys that every line has.  */
 static bool
-is_head (const char *key)
+is_common_key (const char *key)
 {
   static const char *const keys[]
       = { "t", "host", "event", "program", "level" };
@@ -181,7 +179,7 @@
 }
 
 static void
-print_line (const struct mq_ctl_run *run, const struct story *story,
+print_line (const struct mq_ctl_run *run, const struct timeline *timeline,
             json_t *line, const char *id)
 {
   const char *host = json_string_value (json_object_get (line, "host"));
@@ -190,11 +188,11 @@
   json_t *value;
 
   fprintf (run->out, "%8" JSON_INTEGER_FORMAT " ms  %s%-16s %s",
-           time_of (line) - story->from_ms, is_about (line, id) ? "" : "  ",
-           host == NULL ? "-" : host, event);
+           line_time_ms (line) - timeline->from_ms,
+           is_about (line, id) ? "" : "  ", host == NULL ? "-" : host, event);
   json_object_foreach (line, key, value)
   {
-    if (!is_head (key))
+    if (!is_common_key (key))
       print_value (run, key, value);
   }
   fputc ('\n', run->out);
@@ -208,25 +206,25 @@
 }
 
 static void
-print_story (const struct mq_ctl_run *run, const struct story *story,
-             const char *id)
+print_timeline (const struct mq_ctl_run *run, const struct timeline *timeline,
+                const char *id)
 {
   const json_t *before = NULL;
   size_t repeats = 0;
 
-  for (size_t i = 0; i < story->count; i++)
+  for (size_t i = 0; i < timeline->count; i++)
     {
-      if (!belongs (story, story->lines[i], id))
+      if (!is_in_timeline (timeline, timeline->lines[i], id))
         continue;
-      if (is_repeat (story->lines[i], before))
+      if (is_repeat (timeline->lines[i], before))
         {
           repeats++;
           continue;
         }
       print_repeats (run, repeats);
       repeats = 0;
-      print_line (run, story, story->lines[i], id);
-      before = story->lines[i];
+      print_line (run, timeline, timeline->lines[i], id);
+      before = timeline->lines[i];
     }
   print_repeats (run, repeats);
 }
@@ -234,15 +232,15 @@
 enum mq_ctl_exit
 mq_ctl_explain (const struct mq_ctl_run *run, const char *id)
 {
-  struct story story = { .ctx = run->ctx };
+  struct timeline timeline = { .ctx = run->ctx };
   struct mq_error error = { 0 };
   enum mq_ctl_exit code = MQ_CTL_OK;
 
-  read_lines (&story);
-  if (find_times (&story, id))
+  read_lines (&timeline);
+  if (find_times (&timeline, id))
     {
-      qsort (story.lines, story.count, sizeof (json_t *), compare_lines);
-      print_story (run, &story, id);
+      qsort (timeline.lines, timeline.count, sizeof (json_t *), compare_lines);
+      print_timeline (run, &timeline, id);
     }
   else
     {
@@ -250,7 +248,7 @@
                     "an id or a program of the lines on standard input");
       code = mq_ctl_report_error (run, &error);
     }
-  for (size_t i = 0; i < story.count; i++)
-    json_decref (story.lines[i]);
+  for (size_t i = 0; i < timeline.count; i++)
+    json_decref (timeline.lines[i]);
   return code;
 }
--- a/src/ctl/ctl_fleet.c
+++ b/src/ctl/ctl_fleet.c
@@ -1,4 +1,4 @@
-/* ctl_fleet.c - what each host of the platform's list says of itself.
+/* ctl_fleet.c - queries the status of each host in the platform's list.
 
    Needs: ctl_fleet.h.  */
 
@@ -10,9 +10,9 @@
 #define STATUS_OK 200
 #define STATUS_UNAUTHORISED 401
 #define STATUS_FORBIDDEN 403
-#define ROUND_PAUSE_MS 250U
+#define POLL_INTERVAL_MS 250U
 
-/* Asking.  */
+/* Queries.  */
 
 static int
 free_fleet (struct mq_ctl_fleet *fleet)
@@ -23,7 +23,7 @@
 }
 
 static void
-read_answer (struct mq_ctl_host *host, const struct mq_ctl_fetch *fetch)
+parse_response (struct mq_ctl_host *host, const struct mq_ctl_fetch *fetch)
 {
   host->error = fetch->error;
   if (fetch->error != MQ_ERR_NONE)
@@ -60,7 +60,7 @@
   for (size_t i = 0; i < list->count; i++)
     {
       fleet->items[i].host = &list->items[i];
-      read_answer (&fleet->items[i], &fetches[i]);
+      parse_response (&fleet->items[i], &fetches[i]);
     }
   talloc_free (fetches);
   return fleet;
@@ -88,93 +88,93 @@
 /* Waiting for a version.  */
 
 /**
- * struct spread_work - a wait under way
- * @list: the list read last
- * @held: names of hosts that hold the version; versions only rise, so that
- *        they need not be asked again
+ * struct rollout_wait - a wait in progress
+ * @list: the host list as last read
+ * @updated: names of hosts that reported the version; they are not queried
+ *           again, since a host's version never decreases
  */
-struct spread_work
+struct rollout_wait
 {
   struct mq_ctl *ctl;
   uint64_t version;
   struct mq_host_list *list;
-  const char **held;
-  size_t held_count;
+  const char **updated;
+  size_t updated_count;
 };
 
 static bool
-is_held (const struct spread_work *work, const char *name)
+is_updated (const struct rollout_wait *work, const char *name)
 {
-  for (size_t i = 0; i < work->held_count; i++)
-    if (strcmp (work->held[i], name) == 0)
+  for (size_t i = 0; i < work->updated_count; i++)
+    if (strcmp (work->updated[i], name) == 0)
       return true;
   return false;
 }
 
 static void
-add_held (struct spread_work *work, const char *name)
+add_updated (struct rollout_wait *work, const char *name)
 {
-  work->held = talloc_realloc (work->list, work->held, const char *,
-                               work->held_count + 1);
-  work->held[work->held_count++] = talloc_strdup (work->held, name);
+  work->updated = talloc_realloc (work->list, work->updated, const char *,
+                                  work->updated_count + 1);
+  work->updated[work->updated_count++] = talloc_strdup (work->updated, name);
 }
 
-/* The hosts of the list that are still to be asked.  */
+/* Returns the listed hosts that have not reported the version.  */
 static struct mq_host_list *
-open_hosts (const struct spread_work *work, TALLOC_CTX *ctx)
+pending_hosts (const struct rollout_wait *work, TALLOC_CTX *ctx)
 {
-  struct mq_host_list *open = talloc_zero (ctx, struct mq_host_list);
+  struct mq_host_list *pending = talloc_zero (ctx, struct mq_host_list);
 
-  open->items = talloc_array (open, struct mq_host, work->list->count);
+  pending->items = talloc_array (pending, struct mq_host, work->list->count);
   for (size_t i = 0; i < work->list->count; i++)
-    if (!is_held (work, work->list->items[i].name))
-      open->items[open->count++] = work->list->items[i];
-  return open;
+    if (!is_updated (work, work->list->items[i].name))
+      pending->items[pending->count++] = work->list->items[i];
+  return pending;
 }
 
 static void
-add_missing (struct mq_ctl_rollout *spread, const struct mq_ctl_host *host)
+add_missing (struct mq_ctl_rollout *rollout, const struct mq_ctl_host *host)
 {
   struct mq_ctl_outdated_host *missing;
 
-  spread->missing
-      = talloc_realloc (spread, spread->missing, struct mq_ctl_outdated_host,
-                        spread->missing_count + 1);
-  missing = &spread->missing[spread->missing_count++];
-  missing->host = talloc_strdup (spread, host->host->name);
+  rollout->missing
+      = talloc_realloc (rollout, rollout->missing, struct mq_ctl_outdated_host,
+                        rollout->missing_count + 1);
+  missing = &rollout->missing[rollout->missing_count++];
+  missing->host = talloc_strdup (rollout, host->host->name);
   missing->error = host->error;
   missing->version = mq_ctl_host_version (host);
   missing->leaving = host->host->leaving;
-  spread->complete = spread->complete && missing->leaving;
+  rollout->complete = rollout->complete && missing->leaving;
 }
 
 static struct mq_ctl_rollout *
-ask_open_hosts (struct spread_work *work, TALLOC_CTX *ctx)
+query_pending_hosts (struct rollout_wait *work, TALLOC_CTX *ctx)
 {
-  struct mq_ctl_rollout *spread = talloc_zero (ctx, struct mq_ctl_rollout);
-  struct mq_host_list *open = open_hosts (work, spread);
+  struct mq_ctl_rollout *rollout = talloc_zero (ctx, struct mq_ctl_rollout);
+  struct mq_host_list *pending = pending_hosts (work, rollout);
   struct mq_ctl_fleet *fleet
-      = mq_ctl_fleet_query (work->ctl, spread, open, MQ_ADMIN_STATUS_PATH);
+      = mq_ctl_fleet_query (work->ctl, rollout, pending, MQ_ADMIN_STATUS_PATH);
 
-  spread->hosts = work->list->count;
-  spread->holders = work->list->count - fleet->count;
-  spread->complete = true;
+  rollout->hosts = work->list->count;
+  rollout->holders = work->list->count - fleet->count;
+  rollout->complete = true;
   for (size_t i = 0; i < fleet->count; i++)
     if (mq_ctl_host_version (&fleet->items[i]) >= work->version)
       {
-        add_held (work, fleet->items[i].host->name);
-        spread->holders++;
+        add_updated (work, fleet->items[i].host->name);
+        rollout->holders++;
       }
     else
-      add_missing (spread, &fleet->items[i]);
+      add_missing (rollout, &fleet->items[i]);
   talloc_free (fleet);
-  return spread;
+  return rollout;
 }
 
-/* Hosts come and go while we wait; without an answer the last list serves.
-   False when there never was one.  */
+/* Hosts join and leave during the wait.  If the platform is unavailable, the
+   previous list is used; returns false if there is none.  */
 static bool
-refresh_list (struct spread_work *work, TALLOC_CTX *ctx,
+refresh_list (struct rollout_wait *work, TALLOC_CTX *ctx,
               struct mq_error *error)
 {
   struct mq_host_list *list = mq_ctl_hosts (work->ctl, ctx, error);
@@ -183,7 +183,7 @@
     return work->list != NULL;
   if (work->list != NULL)
     {
-      work->held = talloc_steal (list, work->held);
+      work->updated = talloc_steal (list, work->updated);
       talloc_free (work->list);
     }
   work->list = list;
@@ -195,22 +195,22 @@
                    uint32_t wait_ms, mq_ctl_progress *progress, void *user,
                    struct mq_error *error)
 {
-  struct spread_work work = { .ctl = ctl, .version = version };
+  struct rollout_wait work = { .ctl = ctl, .version = version };
   uint64_t deadline = mq_clock_ms () + wait_ms;
-  struct mq_ctl_rollout *spread = NULL;
+  struct mq_ctl_rollout *rollout = NULL;
   size_t holders = SIZE_MAX;
 
   while (refresh_list (&work, ctx, error))
     {
-      talloc_free (spread);
-      spread = ask_open_hosts (&work, ctx);
-      if (spread->holders != holders)
-        progress (spread, user);
-      holders = spread->holders;
-      if (spread->complete || mq_clock_ms () >= deadline)
+      talloc_free (rollout);
+      rollout = query_pending_hosts (&work, ctx);
+      if (rollout->holders != holders)
+        progress (rollout, user);
+      holders = rollout->holders;
+      if (rollout->complete || mq_clock_ms () >= deadline)
         break;
-      mq_ctl_sleep (ctl, ROUND_PAUSE_MS);
+      mq_ctl_sleep (ctl, POLL_INTERVAL_MS);
     }
   talloc_free (work.list);
-  return spread;
+  return rollout;
 }
--- a/src/ctl/ctl_fleet.h
+++ b/src/ctl/ctl_fleet.h
@@ -1,4 +1,4 @@
-/* ctl_fleet.h - what each host of the platform's list says of itself.
+/* ctl_fleet.h - queries the status of each host in the platform's list.
 
    Needs: ctl.h, jansson.  */
 
@@ -11,11 +11,12 @@
 #define MQ_ADMIN_STATUS_PATH "/v1/admin/status"
 
 /**
- * struct mq_ctl_host - one host and its answer
- * @host: its entry in the list
- * @error: NONE when it answered as it should; UNAUTHORISED when it refused
- *         the operators' key; BAD_ANSWER; else why it can't be reached
- * @status: its answer, NULL when there is none
+ * struct mq_ctl_host - one host and its response
+ * @host: entry in the host list
+ * @error: MQ_ERR_NONE; MQ_ERR_UNAUTHORISED if the host rejected the
+ *         operators' key; MQ_ERR_BAD_ANSWER if the response is invalid;
+ *         otherwise why the host is unreachable
+ * @status: response; NULL if there is none
  */
 struct mq_ctl_host
 {
@@ -32,11 +33,11 @@
 };
 
 /**
- * struct mq_ctl_outdated_host - a host that is not known to hold a version
- * @host: its name
- * @error: why nothing is known, NONE: it answered
- * @version: what it holds, 0 when not known
- * @leaving: the list has it as leaving
+ * struct mq_ctl_outdated_host - a host that did not report the version
+ * @host: host name
+ * @error: why its version is unknown; MQ_ERR_NONE if it responded
+ * @version: version that it reported; 0 if unknown
+ * @leaving: listed as leaving
  */
 struct mq_ctl_outdated_host
 {
@@ -47,13 +48,11 @@
 };
 
 /**
- * struct mq_ctl_rollout - how far a version has come
- * @hosts: in the list
- * @holders: of these, hold the version or a higher one
- * @missing: the others
- * @missing_count: how many; leaving hosts among them don't count as missing
- *                 in @complete
- * @complete: every host that stays holds it
+ * struct mq_ctl_rollout - progress of a configuration version
+ * @hosts: number of listed hosts
+ * @holders: number of hosts that reported the version or a later one
+ * @missing: the remaining hosts, leaving ones included
+ * @complete: every host that is not leaving reported the version
  */
 struct mq_ctl_rollout
 {
@@ -64,31 +63,30 @@
   bool complete;
 };
 
-/* Reads the list and asks every host for its status.  NULL with STORE_DOWN
-   in ERROR when there is no list.  */
+/* Reads the host list and queries the status of every host.  Returns NULL
+   with MQ_ERR_STORE_DOWN in ERROR if the list is unavailable.  */
 struct mq_ctl_fleet *mq_ctl_fleet_read (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                         struct mq_error *error);
-/* Asks every host of LIST for PATH; answers that are no JSON are BAD_ANSWER.
-   The result owns LIST.  */
+/* Requests PATH from every host of LIST; a response that is not JSON gives
+   MQ_ERR_BAD_ANSWER.  The result owns LIST.  */
 struct mq_ctl_fleet *mq_ctl_fleet_query (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                          struct mq_host_list *list,
                                          const char *path);
-/* "config_version" of a host, 0 when not known.  */
+/* Returns "config_version" of the host's status, 0 if unknown.  */
 uint64_t mq_ctl_host_version (const struct mq_ctl_host *host);
 
-typedef void mq_ctl_progress (const struct mq_ctl_rollout *spread, void *user);
+typedef void mq_ctl_progress (const struct mq_ctl_rollout *rollout,
+                              void *user);
 
 /**
- * mq_ctl_fleet_wait - waits until every host holds a version
- * @ctl: the tool
- * @ctx: owner of the result
- * @version: which
- * @wait_ms: for how long at most
- * @progress: called after each round that brought something new
- * @user: given to @progress
- * @error: STORE_DOWN when the list could never be read
+ * mq_ctl_fleet_wait - waits until every host has a configuration version
+ * @ctx: talloc parent of the result
+ * @wait_ms: maximum wait
+ * @progress: called when the number of hosts with the version changes
+ * @user: passed to @progress
+ * @error: MQ_ERR_STORE_DOWN if the host list could not be read
  *
- * Return: the last state; NULL with @error.
+ * Return: the last observed state; NULL with @error.
  */
 struct mq_ctl_rollout *mq_ctl_fleet_wait (struct mq_ctl *ctl, TALLOC_CTX *ctx,
                                           uint64_t version, uint32_t wait_ms,
--- a/src/ctl/ctl_local.c
+++ b/src/ctl/ctl_local.c
@@ -1,5 +1,5 @@
-/* ctl_local.c - commands of mimosactl that need no site: check, keys,
-   hash-key, and what all commands share.
+/* ctl_local.c - commands of mimosactl that need no site: check, keys and
+   hash-key; helpers shared by all commands.
 
    Needs: ctl_run.h, settings.h, gnutls (SHA-256).  */
 
@@ -14,7 +14,7 @@
 
 #define KEY_MAX_BYTES 4096
 
-/* What all commands share.  */
+/* Shared helpers.  */
 
 enum mq_ctl_exit
 mq_ctl_report_error (const struct mq_ctl_run *run,
@@ -71,7 +71,7 @@
   return text;
 }
 
-/* One token: it goes into a header line.  */
+/* Guards against header injection: the key is sent in a header line.  */
 static bool
 key_is_token (const char *key)
 {
@@ -84,14 +84,14 @@
 }
 
 static void
-cut_end_of_line (char *text, size_t len)
+trim_newline (char *text, size_t len)
 {
   while (len > 0 && (text[len - 1] == '\n' || text[len - 1] == '\r'))
     text[--len] = '\0';
 }
 
-/* False, with the error printed, when a key file is given but not usable.
-   The key itself is never printed.  */
+/* Prints the error and returns false if the key file is not usable.  The key
+   itself is never printed.  */
 static bool
 read_operator_key (const struct mq_ctl_run *run, const char **key)
 {
@@ -106,7 +106,7 @@
       = mq_settings_file_text (run->ctx, run->operator_key_file, &len, &error);
   if (text != NULL)
     {
-      cut_end_of_line (text, len);
+      trim_newline (text, len);
       *key = text;
       if (key_is_token (text))
         return true;
@@ -215,7 +215,7 @@
 
   (void)none;
   key[len] = '\0';
-  cut_end_of_line (key, len);
+  trim_newline (key, len);
   if (!key_is_token (key) || strlen (key) == KEY_MAX_BYTES)
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, "the key on standard input",
--- a/src/ctl/ctl_print.c
+++ b/src/ctl/ctl_print.c
@@ -1,4 +1,4 @@
-/* ctl_print.c - errors, keys and spread as lines for people and as JSON.
+/* ctl_print.c - formats errors, keys and rollouts as text and as JSON.
 
    Needs: ctl_print.h.  */
 
@@ -62,7 +62,7 @@
 
 /* Keys.  */
 
-/* Names of the kinds that have the key, "" when all have it.  */
+/* Lists the kinds of section that have the key; "" if all have it.  */
 static char *
 kinds_text (TALLOC_CTX *ctx, const struct mq_key_section *section,
             const struct mq_key *key)
@@ -149,7 +149,7 @@
   return items;
 }
 
-/* Spread.  */
+/* Rollouts.  */
 
 static char *
 missing_reason (TALLOC_CTX *ctx, const struct mq_ctl_outdated_host *missing)
@@ -164,32 +164,32 @@
 }
 
 char *
-mq_ctl_rollout_text (TALLOC_CTX *ctx, const struct mq_ctl_rollout *spread,
+mq_ctl_rollout_text (TALLOC_CTX *ctx, const struct mq_ctl_rollout *rollout,
                      uint64_t version)
 {
   char *text = talloc_asprintf (ctx, "%zu of %zu hosts hold version %llu\n",
-                                spread->holders, spread->hosts,
+                                rollout->holders, rollout->hosts,
                                 (unsigned long long)version);
 
-  for (size_t i = 0; i < spread->missing_count; i++)
+  for (size_t i = 0; i < rollout->missing_count; i++)
     {
-      char *reason = missing_reason (text, &spread->missing[i]);
+      char *reason = missing_reason (text, &rollout->missing[i]);
 
       text = talloc_asprintf_append_buffer (text, "  missing: %s (%s)\n",
-                                            spread->missing[i].host, reason);
+                                            rollout->missing[i].host, reason);
       talloc_free (reason);
     }
   return text;
 }
 
 json_t *
-mq_ctl_rollout_json (const struct mq_ctl_rollout *spread)
+mq_ctl_rollout_json (const struct mq_ctl_rollout *rollout)
 {
   json_t *items = json_array ();
 
-  for (size_t i = 0; i < spread->missing_count; i++)
+  for (size_t i = 0; i < rollout->missing_count; i++)
     {
-      const struct mq_ctl_outdated_host *missing = &spread->missing[i];
+      const struct mq_ctl_outdated_host *missing = &rollout->missing[i];
 
       json_array_append_new (
           items, json_pack ("{ss ss sI sb}", "host", missing->host, "error",
@@ -197,9 +197,9 @@
                             (json_int_t)missing->version, "leaving",
                             (int)missing->leaving));
     }
-  return json_pack ("{sI sI sb so}", "hosts", (json_int_t)spread->hosts,
-                    "holders", (json_int_t)spread->holders, "complete",
-                    (int)spread->complete, "missing", items);
+  return json_pack ("{sI sI sb so}", "hosts", (json_int_t)rollout->hosts,
+                    "holders", (json_int_t)rollout->holders, "complete",
+                    (int)rollout->complete, "missing", items);
 }
 
 char *
--- a/src/ctl/ctl_routers.c
+++ b/src/ctl/ctl_routers.c
@@ -1,6 +1,7 @@
 /* ctl_routers.c - command of mimosactl for routing hosts: routers.
 
-   Asks the ready address of each, which needs no platform and no key.
+   Queries the readiness endpoint of each router, which needs neither platform
+   nor key.
    Needs: ctl_run.h, jansson.  */
 
 #include "ctl_run.h"
@@ -8,9 +9,9 @@
 #include <string.h>
 
 #define ROUTERS_MAX 2048U
-#define PREFIX "mimosa_router_"
+#define METRIC_PREFIX "mimosa_router_"
 
-/* What is shown of each, in this order: counter, head of its column.  */
+/* Columns of the table: counter, heading.  */
 #define COLUMNS(X)                                                            \
   X (requests_under_way, "UNDER WAY")                                         \
   X (served, "SERVED")                                                        \
@@ -24,40 +25,40 @@
   X (hosts, "HOSTS")
 
 /**
- * struct router_answer - what one routing host told
- * @ready: answer to the balancer's question
- * @metrics: its numbers
+ * struct router_response - responses of one router
+ * @ready: response to the load balancer's health check
+ * @metrics: counters in Prometheus text format
  */
-struct router_answer
+struct router_response
 {
   struct mq_ctl_fetch *ready;
   struct mq_ctl_fetch *metrics;
 };
 
 static const char *
-state_of (const struct router_answer *answer)
+router_state (const struct router_response *response)
 {
-  if (answer->ready->error != MQ_ERR_NONE
-      || answer->metrics->error != MQ_ERR_NONE
-      || answer->metrics->body == NULL)
+  if (response->ready->error != MQ_ERR_NONE
+      || response->metrics->error != MQ_ERR_NONE
+      || response->metrics->body == NULL)
     return "unreachable";
-  return answer->ready->status == 200 ? "ready" : "not ready";
+  return response->ready->status == 200 ? "ready" : "not ready";
 }
 
 static bool
-is_reached (const struct router_answer *answer)
+is_reached (const struct router_response *response)
 {
-  return strcmp (state_of (answer), "unreachable") != 0;
+  return strcmp (router_state (response), "unreachable") != 0;
 }
 
-/* Number behind "\nNAME " in the text; false when it is not there.  */
+/* Reads the value of the metric NAME; returns false if TEXT lacks it.  */
 static bool
 find_number (const char *text, const char *name, uint64_t *number)
 {
   char line[128];
   const char *at;
 
-  snprintf (line, sizeof line, "\n%s%s ", PREFIX, name);
+  snprintf (line, sizeof line, "\n%s%s ", METRIC_PREFIX, name);
   at = strstr (text, line);
   if (at == NULL)
     return false;
@@ -66,40 +67,40 @@
 }
 
 static struct mq_ctl_fetch
-fetch_of (const char *address, const char *path)
+make_fetch (const char *address, const char *path)
 {
   return (struct mq_ctl_fetch){ .method = "GET",
                                 .address = address,
                                 .path = path };
 }
 
-/* Two requests for each address of LIST, "IP:PORT,…"; NULL when there are too
-   many or none.  */
+/* Creates two requests for each address of LIST, "IP:PORT,…".  Returns NULL if
+   LIST is empty, invalid or too long.  */
 static struct mq_ctl_fetch *
 make_fetches (TALLOC_CTX *ctx, const char *list, size_t *count)
 {
   struct mq_ctl_fetch *fetches
       = talloc_zero_array (ctx, struct mq_ctl_fetch, 2 * ROUTERS_MAX);
   char *rest = talloc_strdup (ctx, list);
-  char *place = NULL;
+  char *position = NULL;
 
   *count = 0;
-  for (char *address = strtok_r (rest, ",", &place); address != NULL;
-       address = strtok_r (NULL, ",", &place))
+  for (char *address = strtok_r (rest, ",", &position); address != NULL;
+       address = strtok_r (NULL, ",", &position))
     {
       if (*count == ROUTERS_MAX || strchr (address, ':') == NULL)
         return NULL;
-      fetches[2 * *count] = fetch_of (address, "/ready");
-      fetches[2 * *count + 1] = fetch_of (address, "/metrics");
+      fetches[2 * *count] = make_fetch (address, "/ready");
+      fetches[2 * *count + 1] = make_fetch (address, "/metrics");
       ++*count;
     }
   return *count == 0 ? NULL : fetches;
 }
 
-static struct router_answer
-answer_at (struct mq_ctl_fetch *fetches, size_t i)
+static struct router_response
+response_at (struct mq_ctl_fetch *fetches, size_t i)
 {
-  return (struct router_answer){ &fetches[2 * i], &fetches[2 * i + 1] };
+  return (struct router_response){ &fetches[2 * i], &fetches[2 * i + 1] };
 }
 
 static size_t
@@ -109,14 +110,15 @@
 }
 
 static void
-print_number (const struct mq_ctl_run *run, const struct router_answer *answer,
-              const char *name, const char *head)
+print_number (const struct mq_ctl_run *run,
+              const struct router_response *response, const char *name,
+              const char *head)
 {
   int width = (int)column_width (head);
   uint64_t number;
 
-  if (is_reached (answer)
-      && find_number (answer->metrics->body, name, &number))
+  if (is_reached (response)
+      && find_number (response->metrics->body, name, &number))
     fprintf (run->out, " %*llu", width, (unsigned long long)number);
   else
     fprintf (run->out, " %*s", width, "-");
@@ -134,11 +136,11 @@
   fputs ("\n", run->out);
   for (size_t i = 0; i < count; i++)
     {
-      struct router_answer answer = answer_at (fetches, i);
+      struct router_response response = response_at (fetches, i);
 
-      fprintf (run->out, "%-21s %-11s", answer.ready->address,
-               state_of (&answer));
-#define NUMBER(name, head) print_number (run, &answer, #name, head);
+      fprintf (run->out, "%-21s %-11s", response.ready->address,
+               router_state (&response));
+#define NUMBER(name, head) print_number (run, &response, #name, head);
       COLUMNS (NUMBER)
 #undef NUMBER
       fputs ("\n", run->out);
@@ -146,13 +148,13 @@
 }
 
 static void
-add_number (json_t *object, const struct router_answer *answer,
+add_number (json_t *object, const struct router_response *response,
             const char *name)
 {
   uint64_t number;
 
-  if (is_reached (answer)
-      && find_number (answer->metrics->body, name, &number))
+  if (is_reached (response)
+      && find_number (response->metrics->body, name, &number))
     json_object_set_new (object, name, json_integer ((json_int_t)number));
 }
 
@@ -165,11 +167,12 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      struct router_answer answer = answer_at (fetches, i);
-      json_t *object = json_pack ("{ss ss}", "address", answer.ready->address,
-                                  "state", state_of (&answer));
+      struct router_response response = response_at (fetches, i);
+      json_t *object
+          = json_pack ("{ss ss}", "address", response.ready->address, "state",
+                       router_state (&response));
 
-#define NUMBER(name, head) add_number (object, &answer, #name);
+#define NUMBER(name, head) add_number (object, &response, #name);
       COLUMNS (NUMBER)
 #undef NUMBER
       json_array_append_new (list, object);
@@ -188,7 +191,7 @@
   size_t count;
   struct mq_ctl_fetch *fetches = make_fetches (run->ctx, addresses, &count);
   struct mq_ctl *ctl;
-  bool reached = true;
+  bool all_reached = true;
 
   if (fetches == NULL)
     {
@@ -206,10 +209,10 @@
     print_text (run, fetches, count);
   for (size_t i = 0; i < count; i++)
     {
-      struct router_answer answer = answer_at (fetches, i);
+      struct router_response response = response_at (fetches, i);
 
-      reached = reached && is_reached (&answer);
+      all_reached = all_reached && is_reached (&response);
     }
   mq_ctl_destroy (ctl);
-  return reached ? MQ_CTL_OK : MQ_CTL_FAILED;
+  return all_reached ? MQ_CTL_OK : MQ_CTL_FAILED;
 }
--- a/src/ctl/ctl_status.c
+++ b/src/ctl/ctl_status.c
@@ -1,4 +1,4 @@
-/* ctl_status.c - the state of a site, put together from its hosts' answers.
+/* ctl_status.c - formats the state of a site from its hosts' responses.
 
    Needs: ctl_status.h.  */
 
@@ -13,12 +13,13 @@
 #define STATE_CLAIMING "claiming"
 
 /**
- * struct claim - who says that it owns a partition
- * @host: index in the fleet of the host with the strongest claim, -1: none
- * @fence: its fence
- * @programs: programs in it
- * @state: as that host calls it
- * @rival: index of another host that holds itself for the owner, -1: none
+ * struct claim - reported ownership of a partition
+ * @host: index in the fleet of the owner, which has the highest fence; -1 if
+ *        no host reports the partition
+ * @fence: fence of the owner
+ * @programs: number of programs in the partition
+ * @state: state that the owner reports
+ * @rival: index of another host that reports ownership; -1 if none
  */
 struct claim
 {
@@ -30,17 +31,15 @@
 };
 
 /**
- * struct summary - what the answers give together
+ * struct summary - totals over all hosts
  * @claims: one for each partition
- * @claim_count: how many
- * @active: partitions whose owner is at work
- * @unknown_calls: borrowed items of the hosts' lists
- * @cache_ended_tokens: engine cache held for programs that have ended
- * @reached: hosts that answered
- * @cache_token_ms: cache held
- * @cache_wasted_token_ms: of it, wasted
- * @prompt_tokens: prompt tokens
- * @recomputed_tokens: of them, computed again
+ * @active: number of partitions with an active owner
+ * @unknown_calls: calls whose effect is unknown, from all hosts
+ * @cache_ended_tokens: tokens cached in engines for programs that have ended
+ * @reached: number of hosts that responded
+ * @cache_token_ms: token-time cached
+ * @cache_wasted_token_ms: part of @cache_token_ms that was never reused
+ * @recomputed_tokens: part of @prompt_tokens that was computed again
  */
 struct summary
 {
@@ -56,7 +55,7 @@
   uint64_t recomputed_tokens;
 };
 
-/* Gathering.  */
+/* Aggregation.  */
 
 static uint64_t
 get_number (json_t *object, const char *name)
@@ -74,8 +73,8 @@
   return text == NULL ? "" : text;
 }
 
-/* Sum of a counter wherever it stands below VALUE: the daemons may put the
-   counters of their parts into objects of their own.  */
+/* Sums the counter NAME in VALUE and all nested objects, since daemons group
+   counters by component.  */
 static uint64_t
 sum_counter (json_t *value, const char *name)
 {
@@ -93,9 +92,9 @@
   return sum;
 }
 
-/* The higher fence decides; a host that is still claiming has none yet.  */
+/* The highest fence wins; a host in state "claiming" has none yet.  */
 static uint64_t
-claim_strength (uint64_t fence, const char *state)
+claim_rank (uint64_t fence, const char *state)
 {
   if (strcmp (state, STATE_CLAIMING) == 0)
     return 0;
@@ -112,20 +111,20 @@
                        .fence = get_number (item, "fence"),
                        .programs = get_number (item, "programs"),
                        .state = get_text (item, "state") };
-  uint64_t strength = claim_strength (new.fence, new.state);
+  uint64_t rank = claim_rank (new.fence, new.state);
   struct claim *claim;
   uint64_t other;
 
   if (partition < 0 || partition >= (json_int_t)summary->claim_count)
     return;
   claim = &summary->claims[partition];
-  other = claim->host < 0 ? 0 : claim_strength (claim->fence, claim->state);
-  if (claim->host < 0 || strength > other)
+  other = claim->host < 0 ? 0 : claim_rank (claim->fence, claim->state);
+  if (claim->host < 0 || rank > other)
     {
       new.rival = other > 0 ? claim->host : -1;
       *claim = new;
     }
-  else if (strength > 0)
+  else if (rank > 0)
     claim->rival = host;
 }
 
@@ -157,9 +156,10 @@
   summary->recomputed_tokens += get_number (owner, "recomputed_tokens");
 }
 
-/* Partitions that the hosts name, when the text in force can't be read.  */
+/* Number of partitions that the hosts report, for when the configuration is
+   unavailable.  */
 static uint32_t
-count_named (const struct mq_ctl_fleet *fleet)
+count_reported_partitions (const struct mq_ctl_fleet *fleet)
 {
   uint32_t count = 0;
 
@@ -200,8 +200,9 @@
   struct summary *summary = talloc_zero (ctx, struct summary);
 
   talloc_set_destructor (summary, free_summary);
-  summary->claim_count
-      = site->partitions > 0 ? site->partitions : count_named (fleet);
+  summary->claim_count = site->partitions > 0
+                             ? site->partitions
+                             : count_reported_partitions (fleet);
   summary->claims
       = talloc_zero_array (summary, struct claim, summary->claim_count);
   summary->unknown_calls = json_array ();
@@ -221,7 +222,7 @@
   return role == MQ_HOST_ENTRY ? "entry" : "target";
 }
 
-/* What the list and the host say together.  */
+/* Combines the state in the host list with the reported state.  */
 static const char *
 host_state (const struct mq_ctl_host *host)
 {
@@ -262,8 +263,8 @@
   return text;
 }
 
-/* Appends the ranges of partitions that HOST owns, those without a host for
-   -1: "0-3,7".  */
+/* Appends the partitions that HOST owns as ranges, such as "0-3,7"; HOST is -1
+   for partitions without an owner.  */
 static char *
 append_ranges (char *text, const struct summary *summary, int32_t host)
 {
@@ -310,8 +311,8 @@
   return talloc_strdup_append_buffer (text, "\n");
 }
 
-/* What is not as it should be: no owner, one that is not at work yet or any
-   more, or two.  */
+/* Appends a line if the owner is not active, or if a second host reports
+   ownership.  */
 static char *
 append_claim (char *text, const struct mq_ctl_fleet *fleet, uint32_t partition,
               const struct claim *claim)
--- a/src/ctl/ctl_status.h
+++ b/src/ctl/ctl_status.h
@@ -1,6 +1,6 @@
-/* ctl_status.h - the state of a site, put together from its hosts' answers.
+/* ctl_status.h - formats the state of a site from its hosts' responses.
 
-   Takes only what is there: fields that a host leaves out are not shown.
+   Fields that a host does not report are not shown.
    Needs: ctl_fleet.h, jansson.  */
 
 #ifndef MQ_CTL_STATUS_H
@@ -9,10 +9,10 @@
 #include "ctl_fleet.h"
 
 /**
- * struct mq_ctl_site - what is to be shown
- * @fleet: the hosts and their answers
- * @version: version in force in the table, 0 when not known
- * @partitions: number of partitions of the text in force, 0 when not known
+ * struct mq_ctl_site - state of a site
+ * @fleet: hosts and their responses
+ * @version: configuration version in force; 0 if unknown
+ * @partitions: number of partitions in that configuration; 0 if unknown
  */
 struct mq_ctl_site
 {
@@ -21,9 +21,9 @@
   uint32_t partitions;
 };
 
-/* Tables for people.  */
+/* Returns tables as text.  */
 char *mq_ctl_status_text (TALLOC_CTX *ctx, const struct mq_ctl_site *site);
-/* The same as one JSON object.  */
+/* Returns one JSON object.  */
 char *mq_ctl_status_json (TALLOC_CTX *ctx, const struct mq_ctl_site *site);
 
 #endif
--- a/src/ctl/ctl_trace.c
+++ b/src/ctl/ctl_trace.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_SEARCH_MARGIN 64U /* calls sought beyond the last with a span */
+#define CALL_SEARCH_MARGIN 64U /* ids tried beyond the last call */
 #define BAR_WIDTH 30
 #define INDENT 2
 #define LABEL_WIDTH 46
@@ -26,10 +26,9 @@
 
 /**
  * struct program - a program of the trace
- * @id: its id
- * @parent: index of the program that started it, -1: none in the trace
- * @call: call of @parent that started it
- * @last_call: highest call of its own that has a span
+ * @last_call: number of its last call that has a span
+ * @parent: index of the program that started it; -1 if not in the trace
+ * @call: number of the call of @parent that started it
  */
 struct program
 {
@@ -41,7 +40,7 @@
 
 struct trace
 {
-  struct span *spans; /* by program, call, start */
+  struct span *spans; /* ordered by program, call, start */
   size_t span_count;
   struct program *programs;
   size_t program_count;
@@ -149,10 +148,10 @@
     }
 }
 
-/* A sub-program's id is derived from its parent's and the call, so that the
-   link needs no span of its own, which may have been lost with its host.  */
+/* Sets PARENT as the parent of CHILD if the id of CHILD derives from one of
+   PARENT's calls.  Needs no span of the call, which may be lost.  */
 static void
-adopt (struct trace *trace, size_t parent, size_t child)
+link_if_child (struct trace *trace, size_t parent, size_t child)
 {
   uint32_t last = trace->programs[parent].last_call + CALL_SEARCH_MARGIN;
 
@@ -172,12 +171,12 @@
   for (size_t parent = 0; parent < trace->program_count; parent++)
     for (size_t child = 0; child < trace->program_count; child++)
       if (child != parent && trace->programs[child].parent < 0)
-        adopt (trace, parent, child);
+        link_if_child (trace, parent, child);
 }
 
 /* Drawing.  */
 
-/* Where a span lies in the whole trace.  */
+/* Draws the position of SPAN within the trace.  */
 static void
 draw_bar (const struct trace *trace, const struct span *span,
           char bar[BAR_WIDTH + 1])
@@ -239,18 +238,18 @@
 }
 
 static bool
-span_is_of (const struct trace *trace, size_t i, size_t program)
+is_span_of_program (const struct trace *trace, size_t i, size_t program)
 {
   return mq_id_equal (trace->spans[i].program, trace->programs[program].id);
 }
 
-/* Spans are in the order of program and call, so that one walk meets each
-   call once; sub-programs of calls without a span come in between.  */
+/* Spans are ordered by program and call, so one pass visits each call once.
+   Sub-programs of calls without spans are drawn between them.  */
 static void
 draw_program (struct trace *trace, size_t index, int depth)
 {
   char id[MQ_ID_TEXT];
-  uint32_t drawn = 0; /* calls up to this one are drawn */
+  uint32_t drawn = 0; /* last call drawn */
 
   mq_id_format (trace->programs[index].id, id);
   trace->text = talloc_asprintf_append_buffer (trace->text, "%*sprogram %s",
@@ -263,7 +262,7 @@
     {
       const struct span *span = &trace->spans[i];
 
-      if (!span_is_of (trace, i, index))
+      if (!is_span_of_program (trace, i, index))
         continue;
       if (span->call > drawn)
         {
@@ -272,7 +271,8 @@
           drawn = span->call;
         }
       draw_span (trace, span, depth + (span->call > 0 ? 2 : 1));
-      if (i + 1 == trace->span_count || !span_is_of (trace, i + 1, index)
+      if (i + 1 == trace->span_count
+          || !is_span_of_program (trace, i + 1, index)
           || trace->spans[i + 1].call != span->call)
         draw_children (trace, index, span->call, span->call, depth + 2);
     }
--- a/src/ctl/ctl_trace.h
+++ b/src/ctl/ctl_trace.h
@@ -10,13 +10,13 @@
 
 /**
  * mq_ctl_trace_text - draws a trace
- * @ctx: owner of the result
- * @spans: array of the spans of all hosts, as src/log/spans.h writes them
- * @program: the program asked for
+ * @ctx: talloc parent of the result
+ * @spans: array of the spans of all hosts, in the format of src/log/spans.h
+ * @program: id of the program
  *
- * Programs, then their calls, then the hops of a call by their beginning; a
- * sub-program stands below the call that started it.  Times are from the
- * beginning of the first span; clocks of hosts may differ a little.
+ * Shows programs, their calls, and the hops of each call by start time.  A
+ * sub-program is shown below the call that started it.  Times are relative to
+ * the start of the first span, uncorrected for clock skew between hosts.
  *
  * Return: lines of text.
  */
--- a/src/ctl/ctl_watch.c
+++ b/src/ctl/ctl_watch.c
@@ -31,11 +31,11 @@
   return text == NULL ? 0 : text->partitions;
 }
 
-/* Hosts are shown also when the table is down: that is when an operator
-   looks.  */
+/* If the table is unavailable, prints the error and leaves SITE unchanged, so
+   that the hosts are still shown.  */
 static void
-read_config (const struct mq_ctl_run *run, struct mq_ctl *ctl,
-             struct mq_ctl_site *site)
+add_config (const struct mq_ctl_run *run, struct mq_ctl *ctl,
+            struct mq_ctl_site *site)
 {
   struct mq_error error = { 0 };
   struct mq_ctl_config *config = mq_ctl_config_read (ctl, run->ctx, &error);
@@ -78,7 +78,7 @@
       mq_ctl_destroy (ctl);
       return code;
     }
-  read_config (run, ctl, &site);
+  add_config (run, ctl, &site);
   site.fleet = fleet;
   if (run->json)
     fprintf (run->out, "%s\n", mq_ctl_status_json (run->ctx, &site));
@@ -93,9 +93,9 @@
 
 /* trace  */
 
-/* Spans of all hosts; the hosts that gave none are named.  */
+/* Collects the spans of all hosts and prints the hosts that sent none.  */
 static json_t *
-gather_spans (const struct mq_ctl_run *run, const struct mq_ctl_fleet *fleet)
+collect_spans (const struct mq_ctl_run *run, const struct mq_ctl_fleet *fleet)
 {
   json_t *spans = json_array ();
 
@@ -144,7 +144,7 @@
   mq_id_format (program, id);
   path = talloc_asprintf (run->ctx, SPANS_PATH "%s", id);
   fleet = mq_ctl_fleet_query (ctl, run->ctx, list, path);
-  spans = gather_spans (run, fleet);
+  spans = collect_spans (run, fleet);
   code = print_trace (run, spans, program);
   json_decref (spans);
   talloc_free (fleet);
@@ -194,9 +194,9 @@
   return NULL;
 }
 
-/* NONE when the host took the order.  */
+/* Returns MQ_ERR_NONE if the host accepted the request to drain.  */
 static enum mq_error_type
-drain_answer (const struct mq_ctl_fetch *fetch)
+drain_result (const struct mq_ctl_fetch *fetch)
 {
   if (fetch->error != MQ_ERR_NONE)
     return fetch->error;
@@ -222,7 +222,7 @@
     return mq_ctl_report_error (run, &error);
   fetch.address = host->http;
   mq_ctl_fetch (ctl, run->ctx, &fetch, 1);
-  type = drain_answer (&fetch);
+  type = drain_result (&fetch);
   if (type != MQ_ERR_NONE)
     {
       mq_error_set (&error, type, name, "");
