--- a/src/load.c
+++ b/src/load.c
@@ -53,7 +53,7 @@
   KEY_WORKERS,
   KEY_SLOTS,
   KEY_BATCH_SHARE,
-  KEY_AT_A_TIME,
+  KEY_LETTERS_CONCURRENT,
   KEY_DRAIN,
   KEY_SEED,
   KEY_TIME_SCALE,
@@ -104,7 +104,7 @@
   { "slots", KEY_SLOTS, "N", 0, "Calls side by side in each (default 8)", 2 },
   { "batch-share", KEY_BATCH_SHARE, "SHARE", 0,
     "Of the load, zarqa's nightly batch (default 0.4)", 2 },
-  { "at-a-time", KEY_AT_A_TIME, "N", 0,
+  { "at-a-time", KEY_LETTERS_CONCURRENT, "N", 0,
     "Letters of the batch under way (default workers x slots)", 2 },
   { "seconds", KEY_SECONDS, "S", 0,
     "Wall time in which sessions are opened (default 20)", 2 },
@@ -215,8 +215,8 @@
     case KEY_BATCH_SHARE:
       line->batch_share = parse_real (state, "--batch-share", text, 1);
       return true;
-    case KEY_AT_A_TIME:
-      line->run.letters_at_a_time
+    case KEY_LETTERS_CONCURRENT:
+      line->run.letters_concurrent
           = (uint32_t)parse_count (state, "--at-a-time", text, 1);
       return true;
     default:
@@ -376,8 +376,8 @@
 
   if (line->workers == 0)
     line->workers = diagne ? DIAGNE_WORKERS : ZARQA_WORKERS;
-  if (run->letters_at_a_time == 0)
-    run->letters_at_a_time = line->workers * run->plan.slots;
+  if (run->letters_concurrent == 0)
+    run->letters_concurrent = line->workers * run->plan.slots;
   capacity = line->workers * US_PER_SECOND;
   work = mq_load_plan_mean_work (&run->plan, false);
   if (line->rate > 0)
@@ -435,7 +435,7 @@
   ctl = mq_ctl_create (ctx, &ctl_options, &error);
   if (result == NULL || ctl == NULL
       || (line->platform != NULL
-          && !mq_load_site_find (ctl, line->site, &error)))
+          && !mq_load_site_discover (ctl, line->site, &error)))
     {
       fail ("site", &error);
       return EXIT_FAILURE;
@@ -453,8 +453,9 @@
   mq_ctl_sleep (ctl, SETTLE_MS);
   mq_load_probe (ctl, line->site, line->run.plan.workload, &result->measures,
                  &unreached);
-  mq_load_measures_since (&result->measures, &before);
-  result->violations[MQ_LOAD_DONE_TWICE] += result->measures.repeated_effects;
+  mq_load_measures_subtract (&result->measures, &before);
+  result->violations[MQ_LOAD_CALL_REPEATED]
+      += result->measures.repeated_effects;
   print_result (ctx, line->format, result);
   if (unreached > 0)
     fprintf (stderr, "mimosa-load: %zu counters could not be read\n",
--- a/src/load/load_check.c
+++ b/src/load/load_check.c
@@ -59,8 +59,8 @@
   uint64_t digest;
 
   if (!read_mark (text, &seen, &digest))
-    return MQ_LOAD_UNMARKED;
-  return seen == messages ? MQ_LOAD_RIGHT : MQ_LOAD_WRONG_MESSAGES;
+    return MQ_LOAD_NO_DIGEST;
+  return seen == messages ? MQ_LOAD_CORRECT : MQ_LOAD_WRONG_MESSAGES;
 }
 
 /* The prompt's text.  */
@@ -151,5 +151,5 @@
   }
   right = right && strcmp (last, answer) == 0;
   talloc_free (prompt.text);
-  return right ? MQ_LOAD_RIGHT : MQ_LOAD_WRONG_HISTORY;
+  return right ? MQ_LOAD_CORRECT : MQ_LOAD_WRONG_HISTORY;
 }
--- a/src/load/load_check.h
+++ b/src/load/load_check.h
@@ -13,14 +13,14 @@
 
 enum mq_load_violation
 {
-  MQ_LOAD_RIGHT,
+  MQ_LOAD_CORRECT,
   MQ_LOAD_MALFORMED,      /* not the JSON of an answer */
-  MQ_LOAD_OTHER_PROGRAM,  /* names another program than the one asked */
-  MQ_LOAD_UNMARKED,       /* does not end in what the model saw */
+  MQ_LOAD_WRONG_PROGRAM,  /* names another program than the one asked */
+  MQ_LOAD_NO_DIGEST,      /* does not end in what the model saw */
   MQ_LOAD_WRONG_MESSAGES, /* the model saw more or fewer messages */
   MQ_LOAD_STREAM_DIFFERS, /* the streamed text is not the answer */
   MQ_LOAD_WRONG_HISTORY,  /* the history is not what the model saw */
-  MQ_LOAD_DONE_TWICE,     /* a call that may not be repeated was repeated */
+  MQ_LOAD_CALL_REPEATED,  /* a call that may not be repeated was repeated */
   MQ_LOAD_VIOLATIONS
 };
 
--- a/src/load/load_plan.c
+++ b/src/load/load_plan.c
@@ -12,9 +12,9 @@
 enum
 {
   BYTES_PER_TOKEN = 4,
-  CALLS_MAX = 12,       /* calls of one turn */
-  ECHO_OVERHEAD = 24,   /* tokens of a call and its answer besides arguments */
-  SAMPLE_SESSIONS = 600 /* for the mean work */
+  CALLS_MAX = 12,     /* calls of one turn */
+  ECHO_OVERHEAD = 24, /* tokens of a call and its answer besides arguments */
+  WORK_SAMPLE_SESSIONS = 600 /* for the mean work */
 };
 
 /* The stand-in engine's defaults, docs/ENGINE_MODEL.md.  */
@@ -74,7 +74,7 @@
 }
 
 const char *const *
-mq_load_once_paths (enum mq_load_workload workload)
+mq_load_non_idempotent_paths (enum mq_load_workload workload)
 {
   static const char *const diagne[]
       = { "/v1/badges/order", "/v1/payroll/bank-details", "/v1/briefings/book",
@@ -499,7 +499,7 @@
 }
 
 struct mq_load_session *
-mq_load_plan_letter (struct mq_load_plan *plan, TALLOC_CTX *ctx)
+mq_load_plan_next_letter (struct mq_load_plan *plan, TALLOC_CTX *ctx)
 {
   uint64_t *random = &plan->batch_random;
   struct mq_load_session *session = begin_session (
@@ -526,15 +526,16 @@
   sample.seed = 1;
   sample.per_second = 1;
   plan = mq_load_plan_create (ctx, &sample);
-  for (int i = 0; i < SAMPLE_SESSIONS; i++)
+  for (int i = 0; i < WORK_SAMPLE_SESSIONS; i++)
     {
-      struct mq_load_session *session = batch ? mq_load_plan_letter (plan, ctx)
-                                              : mq_load_plan_next (plan, ctx);
+      struct mq_load_session *session
+          = batch ? mq_load_plan_next_letter (plan, ctx)
+                  : mq_load_plan_next (plan, ctx);
 
       for (uint32_t t = 0; t < session->turn_count; t++)
         sum += session->turns[t].work_us;
       talloc_free (session);
     }
   talloc_free (ctx);
-  return sum / SAMPLE_SESSIONS;
+  return sum / WORK_SAMPLE_SESSIONS;
 }
--- a/src/load/load_plan.h
+++ b/src/load/load_plan.h
@@ -99,14 +99,15 @@
 struct mq_load_session *mq_load_plan_next (struct mq_load_plan *plan,
                                            TALLOC_CTX *ctx);
 /* The next letter of the nightly batch, below CTX.  */
-struct mq_load_session *mq_load_plan_letter (struct mq_load_plan *plan,
-                                             TALLOC_CTX *ctx);
+struct mq_load_session *mq_load_plan_next_letter (struct mq_load_plan *plan,
+                                                  TALLOC_CTX *ctx);
 /* Engine time in microseconds of a mean session, or letter of the batch:
    every token of its prompts computed once, every answer generated in an
    engine whose slots are all in use.  */
 double mq_load_plan_mean_work (const struct mq_load_options *options,
                                bool batch);
 /* Paths of services and tools whose calls may not be repeated; NULL ends.  */
-const char *const *mq_load_once_paths (enum mq_load_workload workload);
+const char *const *
+mq_load_non_idempotent_paths (enum mq_load_workload workload);
 
 #endif
--- a/src/load/load_probe.c
+++ b/src/load/load_probe.c
@@ -17,8 +17,8 @@
 }
 
 bool
-mq_load_site_find (struct mq_ctl *ctl, struct mq_load_site *site,
-                   struct mq_error *error)
+mq_load_site_discover (struct mq_ctl *ctl, struct mq_load_site *site,
+                       struct mq_error *error)
 {
   struct mq_host_list *hosts = mq_ctl_hosts (ctl, site, error);
 
@@ -144,7 +144,7 @@
              measures, unreached);
   probe_all (ctl, site->engines, site->engine_count, "/standin/stats",
              add_engine, measures, unreached);
-  for (path = mq_load_once_paths (workload); *path != NULL; path++)
+  for (path = mq_load_non_idempotent_paths (workload); *path != NULL; path++)
     {
       char *query = talloc_asprintf (
           NULL, "/standin/effects?summary=1&path=%s", *path);
@@ -156,8 +156,8 @@
 }
 
 void
-mq_load_measures_since (struct mq_load_measures *after,
-                        const struct mq_load_measures *before)
+mq_load_measures_subtract (struct mq_load_measures *after,
+                           const struct mq_load_measures *before)
 {
 #define SUBTRACT(name) after->name -= before->name;
   MQ_LOAD_MEASURE_LIST (SUBTRACT)
--- a/src/load/load_probe.h
+++ b/src/load/load_probe.h
@@ -35,15 +35,15 @@
 void mq_load_site_add (struct mq_load_site *site, const char ***list,
                        size_t *count, const char *address);
 /* Adds the hosts of the platform's list; false with an error.  */
-bool mq_load_site_find (struct mq_ctl *ctl, struct mq_load_site *site,
-                        struct mq_error *error);
+bool mq_load_site_discover (struct mq_ctl *ctl, struct mq_load_site *site,
+                            struct mq_error *error);
 /* Sums the counters of all processes.  A process that does not answer is
    left out and counted in UNREACHED.  */
 void mq_load_probe (struct mq_ctl *ctl, const struct mq_load_site *site,
                     enum mq_load_workload workload,
                     struct mq_load_measures *measures, size_t *unreached);
 /* What AFTER has more than BEFORE.  */
-void mq_load_measures_since (struct mq_load_measures *after,
-                             const struct mq_load_measures *before);
+void mq_load_measures_subtract (struct mq_load_measures *after,
+                                const struct mq_load_measures *before);
 
 #endif
--- a/src/load/load_answer.c
+++ b/src/load/load_response.c
@@ -2,7 +2,7 @@
 
    Needs: load_answer.h.  */
 
-#include "load_answer.h"
+#include "load_response.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -56,7 +56,7 @@
 }
 
 static void
-read_final (struct mq_load_answer *answer, const json_t *json)
+read_final (struct mq_load_response *answer, const json_t *json)
 {
   if (!json_is_string (json_object_get (json, "answer")))
     {
@@ -77,7 +77,7 @@
 
 /* A refusal without a known type can't be acted on by any caller.  */
 static void
-read_refusal (struct mq_load_answer *answer, const json_t *json)
+read_refusal (struct mq_load_response *answer, const json_t *json)
 {
   char *name = copy_member (answer, json, "error");
 
@@ -171,18 +171,18 @@
    beginning, or have been declared void.  After a change of owners it may be
    less than the whole (front.h): such a stream is counted as cut.  */
 static enum mq_load_violation
-compare_stream (struct mq_load_answer *answer, const struct stream *stream)
+compare_stream (struct mq_load_response *answer, const struct stream *stream)
 {
   size_t shown = stream->call == stream->last_call ? strlen (stream->text) : 0;
 
   if (strncmp (stream->text, answer->text, shown) != 0)
     return MQ_LOAD_STREAM_DIFFERS;
   answer->cut = strlen (answer->text) > shown;
-  return MQ_LOAD_RIGHT;
+  return MQ_LOAD_CORRECT;
 }
 
 static void
-read_stream (struct mq_load_answer *answer, const char *body)
+read_stream (struct mq_load_response *answer, const char *body)
 {
   struct stream stream = { .text = copy_text (answer, "") };
   char *copy = copy_text (answer, body);
@@ -196,13 +196,13 @@
     read_refusal (answer, stream.last);
   else
     read_final (answer, stream.last);
-  if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_RIGHT)
+  if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_CORRECT)
     answer->violation = compare_stream (answer, &stream);
   json_decref (stream.last);
 }
 
 static void
-read_json (struct mq_load_answer *answer, int status, const char *body)
+read_json (struct mq_load_response *answer, int status, const char *body)
 {
   json_t *json = json_loads (body, 0, NULL);
 
@@ -213,11 +213,11 @@
   json_decref (json);
 }
 
-struct mq_load_answer *
-mq_load_answer_read (TALLOC_CTX *ctx, int status, const char *body,
-                     bool stream, uint32_t messages)
+struct mq_load_response *
+mq_load_response_parse (TALLOC_CTX *ctx, int status, const char *body,
+                        bool stream, uint32_t messages)
 {
-  struct mq_load_answer *answer = talloc_zero (ctx, struct mq_load_answer);
+  struct mq_load_response *answer = talloc_zero (ctx, struct mq_load_response);
 
   if (answer == NULL)
     abort ();
@@ -228,7 +228,7 @@
     read_stream (answer, body);
   else
     read_json (answer, status, body);
-  if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_RIGHT)
+  if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_CORRECT)
     answer->violation = mq_load_check_answer (answer->text, messages);
   return answer;
 }
--- a/src/load/load_result.c
+++ b/src/load/load_result.c
@@ -15,7 +15,7 @@
 {
   uint64_t sum = 0;
 
-  for (int i = MQ_LOAD_RIGHT + 1; i < MQ_LOAD_VIOLATIONS; i++)
+  for (int i = MQ_LOAD_CORRECT + 1; i < MQ_LOAD_VIOLATIONS; i++)
     sum += result->violations[i];
   return sum;
 }
@@ -114,7 +114,7 @@
   text = talloc_asprintf_append_buffer (
       text, "violations: %llu\n",
       (unsigned long long)mq_load_sum_violations (result));
-  for (int i = MQ_LOAD_RIGHT + 1; i < MQ_LOAD_VIOLATIONS; i++)
+  for (int i = MQ_LOAD_CORRECT + 1; i < MQ_LOAD_VIOLATIONS; i++)
     if (result->violations[i] > 0)
       text = talloc_asprintf_append_buffer (
           text, "  %-20s %7llu\n",
@@ -229,7 +229,7 @@
 {
   json_t *json = json_object ();
 
-  for (int i = MQ_LOAD_RIGHT + 1; i < MQ_LOAD_VIOLATIONS; i++)
+  for (int i = MQ_LOAD_CORRECT + 1; i < MQ_LOAD_VIOLATIONS; i++)
     json_object_set_new (json,
                          mq_load_violation_name ((enum mq_load_violation)i),
                          integer (result->violations[i]));
@@ -382,7 +382,7 @@
   read_histogram (json_object_get (classes, "all"), &result->all);
   read_errors (json_object_get (json, "refused"), result->refused);
   read_errors (json_object_get (json, "failed"), result->failed);
-  for (int i = MQ_LOAD_RIGHT + 1; i < MQ_LOAD_VIOLATIONS; i++)
+  for (int i = MQ_LOAD_CORRECT + 1; i < MQ_LOAD_VIOLATIONS; i++)
     result->violations[i] = read_integer (
         violations, mq_load_violation_name ((enum mq_load_violation)i));
 #define READ(name) result->measures.name = read_integer (measures, #name);
--- a/src/load/load_run.c
+++ b/src/load/load_run.c
@@ -5,7 +5,7 @@
 #include "load_run.h"
 #include "core/id.h"
 #include "net/http_client.h"
-#include "load_answer.h"
+#include "load_response.h"
 #include "net/clock.h"
 #include <stdlib.h>
 #include <string.h>
@@ -225,7 +225,7 @@
 }
 
 static void
-count_refusal (struct run *run, const struct mq_load_answer *answer)
+count_refusal (struct run *run, const struct mq_load_response *answer)
 {
   if (answer->ran == MQ_RAN_NOT_RUN)
     run->result->refused[answer->error]++;
@@ -235,7 +235,7 @@
 
 /* The program that a caller asked is the one that answers, for good.  */
 static void
-check_program (struct caller *caller, struct mq_load_answer *answer)
+check_program (struct caller *caller, struct mq_load_response *answer)
 {
   if (caller->program[0] == '\0')
     {
@@ -243,12 +243,12 @@
 
       if (mq_id_parse (answer->program, &id))
         mq_id_format (id, caller->program);
-      else if (answer->violation == MQ_LOAD_RIGHT)
+      else if (answer->violation == MQ_LOAD_CORRECT)
         answer->violation = MQ_LOAD_MALFORMED;
     }
-  else if (answer->violation == MQ_LOAD_RIGHT
+  else if (answer->violation == MQ_LOAD_CORRECT
            && strcmp (caller->program, answer->program) != 0)
-    answer->violation = MQ_LOAD_OTHER_PROGRAM;
+    answer->violation = MQ_LOAD_WRONG_PROGRAM;
 }
 
 static void
@@ -293,7 +293,7 @@
   struct caller *caller = user;
   struct run *run = caller->run;
   const struct mq_load_turn *turn = &caller->session->turns[caller->turn];
-  struct mq_load_answer *answer;
+  struct mq_load_response *answer;
 
   if (http->error != MQ_ERR_NONE)
     {
@@ -301,8 +301,8 @@
       finish (caller);
       return;
     }
-  answer = mq_load_answer_read (caller, http->status, http->body, turn->stream,
-                                turn->messages);
+  answer = mq_load_response_parse (caller, http->status, http->body,
+                                   turn->stream, turn->messages);
   run->result->resets += answer->resets;
   run->result->cut += answer->cut;
   if (answer->error != MQ_ERR_NONE)
@@ -389,7 +389,7 @@
   run->letters_opened++;
   {
     struct caller *caller = open_session (
-        run, mq_load_plan_letter (run->plan, run), mq_clock_us ());
+        run, mq_load_plan_next_letter (run->plan, run), mq_clock_us ());
 
     caller->batch = true;
     ask (caller);
@@ -533,7 +533,7 @@
            cut_off, run);
   if (options->site->engine_count > 0)
     call_at (run, run, run->origin_us, take_sample, run);
-  for (uint32_t i = 0; i < options->letters_at_a_time; i++)
+  for (uint32_t i = 0; i < options->letters_concurrent; i++)
     open_letters (run);
 }
 
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -21,7 +21,7 @@
  * @drain_seconds: wall time after which what is under way is given up
  * @time_scale: wall time for a unit of model time
  * @letters: of the batch
- * @letters_at_a_time: of these
+ * @letters_concurrent: of these
  * @check_every: each so many programs' history is read and checked, 0: none
  * @tag: part of idempotency keys, so that runs do not share programs
  */
@@ -33,7 +33,7 @@
   double drain_seconds;
   double time_scale;
   uint64_t letters;
-  uint32_t letters_at_a_time;
+  uint32_t letters_concurrent;
   uint32_t check_every;
   const char *tag;
 };
