--- a/src/load.c
+++ b/src/load.c
@@ -1,8 +1,7 @@
-/* load.c - load and experiments against a running site: mimosa-load.
+/* load.c - load generator for a running site: mimosa-load.
 
-   Runs a workload (io/load_run.c), or compares and plots the results of
-   earlier runs.  Starts, stops and breaks no process: whoever started the
-   site does that.
+   Runs a workload (load/load_run.c), or compares and plots the results of
+   earlier runs.  Does not start or stop processes of the site.
    Needs: argp, load_run.h, load_compare.h, load_probe.h.  */
 
 #include "ctl/ctl_run.h"
@@ -21,7 +20,7 @@
 enum
 {
   HOST_TIMEOUT_MS = 10000,
-  SETTLE_MS = 1500, /* evictions of the last programs are confirmed */
+  SETTLE_MS = 1500, /* time for the last evictions to be confirmed */
   FILES_MAX = 4096,
   DIAGNE_WORKERS = 12,
   ZARQA_WORKERS = 20,
@@ -285,7 +284,7 @@
 }
 
 static void
-check_line (const struct command_line *line, struct argp_state *state)
+check_options (const struct command_line *line, struct argp_state *state)
 {
   bool files = line->compare != NULL || line->plot;
 
@@ -302,7 +301,7 @@
 
   if (key == ARGP_KEY_END)
     {
-      check_line (line, state);
+      check_options (line, state);
       return 0;
     }
   if (parse_site (line, key, text) || parse_load (line, state, key, text)
@@ -313,7 +312,7 @@
 }
 
 static void
-fail (const char *what, const struct mq_error *error)
+print_error (const char *what, const struct mq_error *error)
 {
   fprintf (stderr, "mimosa-load: %s: %s %s; %s %s\n", what,
            mq_error_cause (error->type), error->subject,
@@ -339,7 +338,7 @@
       talloc_free (text);
       if (results[i] == NULL)
         {
-          fail (line->files[i], &error);
+          print_error (line->files[i], &error);
           return NULL;
         }
     }
@@ -363,9 +362,10 @@
 
 /* A run.  */
 
-/* Sessions and letters that together are the load asked for.  */
+/* Computes the session rate and the number of letters for the requested
+   load.  */
 static void
-size_load (struct command_line *line)
+compute_rates (struct command_line *line)
 {
   struct mq_load_run_options *run = &line->run;
   bool diagne = run->plan.workload == MQ_LOAD_DIAGNE;
@@ -437,17 +437,17 @@
       || (line->platform != NULL
           && !mq_load_site_discover (ctl, line->site, &error)))
     {
-      fail ("site", &error);
+      print_error ("site", &error);
       return EXIT_FAILURE;
     }
   line->run.site = line->site;
-  size_load (line);
+  compute_rates (line);
   begin_result (line, result);
   mq_load_probe (ctl, line->site, line->run.plan.workload, &before,
                  &unreached);
   if (!mq_load_run (ctx, &line->run, result, &error))
     {
-      fail ("run", &error);
+      print_error ("run", &error);
       return EXIT_FAILURE;
     }
   mq_ctl_sleep (ctl, SETTLE_MS);
@@ -464,7 +464,7 @@
 }
 
 static char *
-clock_tag (TALLOC_CTX *ctx)
+create_tag (TALLOC_CTX *ctx)
 {
   struct timespec now;
 
@@ -500,7 +500,7 @@
   line.run.drain_seconds = 60;
   line.run.time_scale = 1;
   line.run.check_every = 10;
-  line.run.tag = clock_tag (ctx);
+  line.run.tag = create_tag (ctx);
   argp_parse (&argp, argc, argv, 0, NULL, &line);
   if (line.compare != NULL || line.plot)
     status = show_files (ctx, &line);
--- a/src/load/load_check.c
+++ b/src/load/load_check.c
@@ -1,7 +1,6 @@
-/* load_check.c - does an answer belong to its request, and is it whole?
+/* load_check.c - checks that an answer is complete and belongs to its request.
 
-   The text that is hashed is that of the stand-in model: docs/CONTRACTS.md
-   has its form.
+   Hashes the prompt in the stand-in model's format, see docs/CONTRACTS.md.
    Needs: load_check.h.  */
 
 #include "load_check.h"
@@ -11,8 +10,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define CALL_MARK "\x1d"
-#define FIELD_MARK "\x1f"
+#define CALL_SEPARATOR "\x1d"
+#define FIELD_SEPARATOR "\x1f"
 #define MESSAGE_END "\x1e"
 
 enum
@@ -36,19 +35,18 @@
   return names[violation];
 }
 
-/* What stands at the end of TEXT; false when nothing does.  */
+/* Parses "[seen M DIGEST]" at the end of TEXT; returns false if missing.  */
 static bool
-read_mark (const char *text, uint32_t *messages, uint64_t *digest)
+parse_digest (const char *text, uint32_t *messages, uint64_t *digest)
 {
-  const char *mark = NULL;
+  const char *found = NULL;
 
   for (const char *at = strstr (text, "[seen "); at != NULL;
        at = strstr (at + 1, "[seen "))
-    mark = at;
-  /* A mark that was found is not the end of an empty text.  */
-  if (mark == NULL || mark[strlen (mark) - 1] != ']')
+    found = at;
+  if (found == NULL || found[strlen (found) - 1] != ']')
     return false;
-  return sscanf (mark, "[seen %" SCNu32 " %" SCNx64 "]", messages, digest)
+  return sscanf (found, "[seen %" SCNu32 " %" SCNx64 "]", messages, digest)
          == 2;
 }
 
@@ -58,15 +56,15 @@
   uint32_t seen;
   uint64_t digest;
 
-  if (!read_mark (text, &seen, &digest))
+  if (!parse_digest (text, &seen, &digest))
     return MQ_LOAD_NO_DIGEST;
   return seen == messages ? MQ_LOAD_CORRECT : MQ_LOAD_WRONG_MESSAGES;
 }
 
-/* The prompt's text.  */
+/* Prompt text.  */
 
 static void
-put (struct prompt *prompt, const char *text)
+append_text (struct prompt *prompt, const char *text)
 {
   prompt->text = talloc_strdup_append_buffer (prompt->text, text);
   if (prompt->text == NULL)
@@ -75,10 +73,10 @@
 }
 
 static void
-pad (struct prompt *prompt)
+append_padding (struct prompt *prompt)
 {
   while (prompt->len % TOKEN_BYTES != 0)
-    put (prompt, "\n");
+    append_text (prompt, "\n");
 }
 
 static const char *
@@ -90,42 +88,42 @@
 }
 
 static void
-put_message (struct prompt *prompt, json_t *message)
+append_message (struct prompt *prompt, json_t *message)
 {
   json_t *calls = json_object_get (message, "tool_calls");
   json_t *call;
   size_t i;
 
-  put (prompt, member (message, "role"));
-  put (prompt, "\n");
+  append_text (prompt, member (message, "role"));
+  append_text (prompt, "\n");
   if (strcmp (member (message, "role"), "tool") == 0)
     {
-      put (prompt, member (message, "name"));
-      put (prompt, FIELD_MARK);
-      put (prompt, member (message, "tool_call_id"));
+      append_text (prompt, member (message, "name"));
+      append_text (prompt, FIELD_SEPARATOR);
+      append_text (prompt, member (message, "tool_call_id"));
     }
-  pad (prompt);
-  put (prompt, member (message, "content"));
+  append_padding (prompt);
+  append_text (prompt, member (message, "content"));
   json_array_foreach (calls, i, call)
   {
-    put (prompt, CALL_MARK);
-    put (prompt, member (call, "id"));
-    put (prompt, FIELD_MARK);
-    put (prompt, member (call, "name"));
-    put (prompt, FIELD_MARK);
-    put (prompt, member (call, "arguments"));
+    append_text (prompt, CALL_SEPARATOR);
+    append_text (prompt, member (call, "id"));
+    append_text (prompt, FIELD_SEPARATOR);
+    append_text (prompt, member (call, "name"));
+    append_text (prompt, FIELD_SEPARATOR);
+    append_text (prompt, member (call, "arguments"));
   }
-  put (prompt, MESSAGE_END);
-  pad (prompt);
+  append_text (prompt, MESSAGE_END);
+  append_padding (prompt);
 }
 
 static bool
-saw (const struct prompt *prompt, uint32_t before, json_t *message)
+digest_matches (const struct prompt *prompt, uint32_t before, json_t *message)
 {
   uint32_t messages;
   uint64_t digest;
 
-  return read_mark (member (message, "content"), &messages, &digest)
+  return parse_digest (member (message, "content"), &messages, &digest)
          && messages == before
          && digest == XXH64 (prompt->text, prompt->len, 0);
 }
@@ -136,7 +134,7 @@
   struct prompt prompt = { .text = talloc_strdup (NULL, "") };
   json_t *messages = json_object_get (history, "messages");
   const char *last = "";
-  bool right = json_array_size (messages) > 0;
+  bool correct = json_array_size (messages) > 0;
   json_t *message;
   size_t i;
 
@@ -144,12 +142,12 @@
   {
     if (strcmp (member (message, "role"), "assistant") == 0)
       {
-        right = right && saw (&prompt, (uint32_t)i, message);
+        correct = correct && digest_matches (&prompt, (uint32_t)i, message);
         last = member (message, "content");
       }
-    put_message (&prompt, message);
+    append_message (&prompt, message);
   }
-  right = right && strcmp (last, answer) == 0;
+  correct = correct && strcmp (last, answer) == 0;
   talloc_free (prompt.text);
-  return right ? MQ_LOAD_CORRECT : MQ_LOAD_WRONG_HISTORY;
+  return correct ? MQ_LOAD_CORRECT : MQ_LOAD_WRONG_HISTORY;
 }
--- a/src/load/load_compare.c
+++ b/src/load/load_compare.c
@@ -1,7 +1,7 @@
-/* load_compare.c - results of several runs side by side.
+/* load_compare.c - compares the results of several runs.
 
-   Quantiles of a label are those of all its runs' answers together; the
-   spread is that of the runs taken one by one.
+   Quantiles of a label are computed over the answers of all its runs; the
+   range is over the values of the single runs.
    Needs: load_compare.h.  */
 
 #include "load_compare.h"
@@ -21,7 +21,7 @@
   const char *label;
   struct mq_load_result *sum;
   const struct mq_load_result *const *runs;
-  size_t run_count; /* of all labels */
+  size_t run_count; /* including runs of other labels */
 };
 
 struct measure
@@ -98,20 +98,21 @@
 make_groups (TALLOC_CTX *ctx, struct group groups[LABELS_MAX],
              const struct mq_load_result *const *results, size_t count)
 {
-  size_t made = 0;
+  size_t group_count = 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      struct group *group = find_group (groups, made, results[i]->label);
+      struct group *group
+          = find_group (groups, group_count, results[i]->label);
 
       if (group != NULL)
         {
           mq_load_result_add (group->sum, results[i]);
           continue;
         }
-      if (made == LABELS_MAX)
+      if (group_count == LABELS_MAX)
         break;
-      group = &groups[made++];
+      group = &groups[group_count++];
       group->label = results[i]->label;
       group->runs = results;
       group->run_count = count;
@@ -119,15 +120,15 @@
       if (group->sum == NULL)
         abort ();
     }
-  return made;
+  return group_count;
 }
 
 static char *
-append_spread (char *text, const struct group *group,
-               const struct measure *measure)
+append_range (char *text, const struct group *group,
+              const struct measure *measure)
 {
-  double least = INFINITY;
-  double most = -INFINITY;
+  double lowest = INFINITY;
+  double highest = -INFINITY;
 
   for (size_t i = 0; i < group->run_count; i++)
     {
@@ -136,16 +137,16 @@
       if (strcmp (group->runs[i]->label, group->label) != 0)
         continue;
       value = measure->read (group->runs[i]);
-      least = value < least ? value : least;
-      most = value > most ? value : most;
+      lowest = value < lowest ? value : lowest;
+      highest = value > highest ? value : highest;
     }
   return talloc_asprintf_append_buffer (
       text, "  %-17s %-22s %10.4g   runs %.4g to %.4g\n", measure->name,
-      group->label, measure->read (group->sum), least, most);
+      group->label, measure->read (group->sum), lowest, highest);
 }
 
 static char *
-append_lines (char *text, const struct group *ours, const struct group *other)
+append_ratios (char *text, const struct group *ours, const struct group *other)
 {
   for (size_t i = 0; i < MEASURES; i++)
     {
@@ -168,23 +169,23 @@
 {
   TALLOC_CTX *memory = talloc_new (ctx);
   struct group groups[LABELS_MAX];
-  size_t made = make_groups (memory, groups, results, count);
-  const struct group *own = find_group (groups, made, ours);
+  size_t group_count = make_groups (memory, groups, results, count);
+  const struct group *own = find_group (groups, group_count, ours);
   char *text = talloc_strdup (ctx, "");
 
-  for (size_t i = 0; i < made; i++)
+  for (size_t i = 0; i < group_count; i++)
     {
       char *part = mq_load_result_text (memory, groups[i].sum);
 
       text = talloc_strdup_append_buffer (text, part);
     }
   for (size_t m = 0; m < MEASURES; m++)
-    for (size_t i = 0; i < made; i++)
+    for (size_t i = 0; i < group_count; i++)
       if (measures[m].read (groups[i].sum) > 0)
-        text = append_spread (text, &groups[i], &measures[m]);
-  for (size_t i = 0; i < made && own != NULL; i++)
+        text = append_range (text, &groups[i], &measures[m]);
+  for (size_t i = 0; i < group_count && own != NULL; i++)
     if (&groups[i] != own)
-      text = append_lines (text, own, &groups[i]);
+      text = append_ratios (text, own, &groups[i]);
   talloc_free (memory);
   return text;
 }
--- a/src/load/load_compare.h
+++ b/src/load/load_compare.h
@@ -1,4 +1,4 @@
-/* load_compare.h - results of several runs side by side.
+/* load_compare.h - compares and plots the results of several runs.
 
    Needs: load_result.h.  */
 
@@ -7,15 +7,16 @@
 
 #include "load_result.h"
 
-/* Table of all labels with the spread over their runs, then one line
+/* Returns a table of all labels with the range over their runs, then one line
 
      bench: PROFILE MEASURE ours=V baseline=NAME:V ratio=R
 
-   for each measure and each label but OURS; lower is better.  Below CTX.  */
+   for each measure and each label except OURS; lower is better.  The result is
+   a child of CTX.  */
 char *mq_load_compare (TALLOC_CTX *ctx, const char *ours,
                        const struct mq_load_result *const *results,
                        size_t count);
-/* Latency against load and cache in use over time as an SVG text.  */
+/* Returns an SVG document: latency against load, and cache use over time.  */
 char *mq_load_plot (TALLOC_CTX *ctx,
                     const struct mq_load_result *const *results, size_t count);
 
--- a/src/load/load_plan.c
+++ b/src/load/load_plan.c
@@ -1,4 +1,4 @@
-/* load_plan.c - the seeded workloads of mimosa-load.
+/* load_plan.c - seeded workload generator of mimosa-load.
 
    Needs: load_plan.h.  */
 
@@ -12,12 +12,12 @@
 enum
 {
   BYTES_PER_TOKEN = 4,
-  CALLS_MAX = 12,     /* calls of one turn */
-  ECHO_OVERHEAD = 24, /* tokens of a call and its answer besides arguments */
-  WORK_SAMPLE_SESSIONS = 600 /* for the mean work */
+  CALLS_MAX = 12,     /* maximum calls of one turn */
+  ECHO_OVERHEAD = 24, /* tokens of a call and its result, arguments excluded */
+  WORK_SAMPLE_SESSIONS = 600 /* sample size of the mean engine time */
 };
 
-/* The stand-in engine's defaults, docs/ENGINE_MODEL.md.  */
+/* Defaults of the stand-in engine, see docs/ENGINE_MODEL.md.  */
 #define STEP_US 8000.0
 #define SEQUENCE_US 150.0
 #define PREFILL_US 125.0
@@ -31,20 +31,20 @@
 struct mq_load_plan
 {
   struct mq_load_options options;
-  uint64_t random; /* of the sessions */
+  uint64_t random; /* random state of the sessions */
   uint64_t batch_random;
   double at_us;
   uint64_t next_number;
   uint64_t next_letter;
 };
 
-/* One turn that is being drawn.  */
+/* One turn under construction.  */
 struct draft
 {
   struct mq_load_plan *plan;
   uint64_t *random;
   json_t *steps;
-  double new_tokens; /* computed for the first time */
+  double new_tokens; /* tokens not computed before */
   double out_tokens;
   uint32_t calls;
 };
@@ -86,9 +86,9 @@
   return workload == MQ_LOAD_DIAGNE ? diagne : zarqa;
 }
 
-/* Draws.  */
+/* Random values.  */
 
-/* In (0, 1).  */
+/* Uniform in (0, 1).  */
 static double
 draw_unit (uint64_t *random)
 {
@@ -107,7 +107,7 @@
   return -mean * log (draw_unit (random));
 }
 
-/* Pareto: LEAST at least, cut at MOST.  */
+/* Pareto distribution with minimum LEAST, limited to MOST.  */
 static double
 draw_pareto (uint64_t *random, double least, double shape, double most)
 {
@@ -116,7 +116,7 @@
   return value < most ? value : most;
 }
 
-/* TOKENS of words that no other text has.  */
+/* Returns TOKENS tokens of random words, unlikely to occur in another text. */
 static char *
 draw_words (TALLOC_CTX *ctx, uint64_t *random, uint32_t tokens)
 {
@@ -135,7 +135,7 @@
   return text;
 }
 
-/* Steps of the stand-in model's plan.  */
+/* Steps of the plan for the stand-in model.  */
 
 static void
 begin_draft (struct draft *draft, struct mq_load_plan *plan, uint64_t *random)
@@ -152,8 +152,8 @@
   return (uint32_t)draw_pareto (random, 24, 1.5, 240);
 }
 
-/* The model calls NAME after a short text; ARGUMENTS is taken over.  The
-   target's answer repeats the arguments, so they count twice.  */
+/* Adds a call of NAME after a short text; takes ownership of ARGUMENTS.  The
+   target's result repeats the arguments, so their tokens count twice.  */
 static void
 add_call_with (struct draft *draft, const char *name, json_t *arguments)
 {
@@ -193,7 +193,7 @@
   draft->new_tokens += tokens;
 }
 
-/* TOKENS of text, then the plan.  */
+/* Returns TOKENS tokens of text, followed by the plan.  */
 static char *
 write_input (TALLOC_CTX *ctx, struct draft *draft, uint32_t tokens)
 {
@@ -210,7 +210,7 @@
   return input;
 }
 
-/* A sub-agent with a chain of its own.  */
+/* Adds a call of a sub-agent with its own chain.  */
 static void
 add_agent (struct draft *draft, const char *name, const char *tool,
            const char *second)
@@ -253,15 +253,15 @@
   return session;
 }
 
-/* Ends the turn: the history grows by the person's text, by a call and its
-   answer for each step, and by the model's last answer.  */
+/* Completes the turn.  The history grows by the user's text, a call and its
+   result for each step, and the model's last answer.  */
 static struct mq_load_turn *
 end_turn (struct mq_load_session *session, struct draft *draft,
           enum mq_load_class kind, uint32_t input_tokens)
 {
   const struct mq_load_options *options = &draft->plan->options;
   struct mq_load_turn *turn = &session->turns[session->turn_count];
-  uint32_t before = 1; /* the service's prompt */
+  uint32_t before = 1; /* the service's system prompt */
 
   if (session->turn_count > 0)
     before = session->turns[session->turn_count - 1].messages + 1;
@@ -301,8 +301,8 @@
   session->keep_open = session->turn_count > 1;
 }
 
-/* A program that asks for the same call for ever; its budget lets it make
-   some 2 * MODEL_CALLS calls.  */
+/* A program that repeats the same call until its budget, about 2 * MODEL_CALLS
+   calls, is exhausted.  */
 static struct mq_load_session *
 make_endless (struct mq_load_plan *plan, TALLOC_CTX *ctx, const char *service,
               const char *key, const char *tool, uint32_t model_calls)
@@ -320,7 +320,7 @@
   return session;
 }
 
-/* Zarqa: someone stands at the window.  */
+/* Zarqa: a customer at the counter or on the phone.  */
 static struct mq_load_session *
 make_counter (struct mq_load_plan *plan, TALLOC_CTX *ctx)
 {
@@ -350,7 +350,7 @@
   return session;
 }
 
-/* Zarqa: an overdue notice, or the answer to a dispute, which has a legal
+/* Zarqa: an overdue notice, or the answer to a dispute, which has a
    deadline.  */
 static struct mq_load_session *
 make_letter (struct mq_load_plan *plan, TALLOC_CTX *ctx)
@@ -392,11 +392,11 @@
   return pick < 0.6 ? make_counter (plan, ctx) : make_letter (plan, ctx);
 }
 
-/* Diagne: one sitting of an onboarding after another.  */
+/* Diagne: an onboarding over several turns.  */
 static struct mq_load_session *
 make_onboarding (struct mq_load_plan *plan, TALLOC_CTX *ctx)
 {
-  static const char *const once[]
+  static const char *const non_idempotent[]
       = { "accueil-app.order-badge", "accueil-app.submit-bank-details",
           "accueil-app.book-safety-briefing" };
   static const char *const tools[]
@@ -413,7 +413,7 @@
     add_call (&draft, tools[mq_random_below (random, 4)]);
   for (uint32_t i = 0; i < 3; i++)
     if (draw_chance (random, 0.4))
-      add_call (&draft, once[i]);
+      add_call (&draft, non_idempotent[i]);
   if (draw_chance (random, 0.25))
     add_agent (&draft, "mentor-intro", "mentor-calendar", "send-invitation");
   add_answer (&draft);
@@ -427,7 +427,7 @@
   return session;
 }
 
-/* Diagne: where does a recruit stand?  */
+/* Diagne: a query for the status of a new employee.  */
 static struct mq_load_session *
 make_status (struct mq_load_plan *plan, TALLOC_CTX *ctx)
 {
--- a/src/load/load_plan.h
+++ b/src/load/load_plan.h
@@ -1,9 +1,9 @@
-/* load_plan.h - the seeded workloads of mimosa-load.
+/* load_plan.h - seeded workload generator of mimosa-load.
 
-   What callers of each deployment do, as sessions: a program, what it is
-   asked, how many calls its chain makes, and the further turns.  The same
-   seed gives the same sessions, whatever the system under test does.  No
-   input or output.  docs/BENCHMARKS.md describes the mixes.
+   A workload is a sequence of sessions.  A session is one program: its input,
+   the calls of its chain and its further turns.  Sessions depend on the seed
+   only, not on the system under test.  The generator does no input or output.
+   docs/BENCHMARKS.md describes the workloads.
    Needs: id.h, jansson.  */
 
 #ifndef MQ_LOAD_PLAN_H
@@ -20,14 +20,14 @@
   MQ_LOAD_WORKLOADS
 };
 
-/* Classes of requests; each has a histogram of its own.  */
+/* Request classes; each has its own latency histogram.  */
 enum mq_load_class
 {
-  MQ_LOAD_URGENT,      /* someone waits at the window or the desk */
-  MQ_LOAD_INTERACTIVE, /* letters and first turns of onboardings */
-  MQ_LOAD_FOLLOW_UP,   /* further turns of either */
-  MQ_LOAD_BATCH,       /* the nightly letters */
-  MQ_LOAD_ENDLESS,     /* programs that only a budget ends */
+  MQ_LOAD_URGENT,      /* a person waits for the answer */
+  MQ_LOAD_INTERACTIVE, /* letters; first turns of onboardings */
+  MQ_LOAD_FOLLOW_UP,   /* further turns of urgent and interactive */
+  MQ_LOAD_BATCH,       /* nightly letters */
+  MQ_LOAD_ENDLESS,     /* programs that loop until their budget ends */
   MQ_LOAD_CLASSES
 };
 
@@ -36,14 +36,14 @@
 bool mq_load_workload_find (const char *name, enum mq_load_workload *workload);
 
 /**
- * struct mq_load_turn - one request of a session and what it must give
- * @kind: class that it counts in
- * @pause_us: model time between the answer before it and this request
- * @due_us: model time after which the answer is late, 0: none
- * @stream: asked for as server-sent events
- * @input: the person's text, with the stand-in model's plan
- * @messages: messages that the model sees before its last answer
- * @work_us: engine time that it needs, see mq_load_plan_mean_work
+ * struct mq_load_turn - one request of a session
+ * @kind: request class
+ * @pause_us: model time between the previous answer and this request
+ * @due_us: deadline after the request, model time; 0 for none
+ * @stream: request server-sent events
+ * @input: the user's text, followed by the stand-in model's plan
+ * @messages: number of messages in the prompt of the last answer
+ * @work_us: engine time required, see mq_load_plan_mean_work
  */
 struct mq_load_turn
 {
@@ -57,12 +57,12 @@
 };
 
 /**
- * struct mq_load_session - one program from its opening to its end
- * @number: of the session in its plan, from 0; letters have their own
- * @start_us: model time at which it is opened; batch: 0
+ * struct mq_load_session - one program and its turns
+ * @number: sequence number from 0; batch letters are numbered separately
+ * @start_us: opening time, model time; 0 for batch letters
  * @service: agent service
- * @key: key of the organisation that opens it
- * @keep_open: it waits for further turns
+ * @key: API key of the organisation
+ * @keep_open: the program stays open for further turns
  * @turns: the opening request, then further turns
  */
 struct mq_load_session
@@ -77,11 +77,9 @@
 };
 
 /**
- * struct mq_load_options - what is asked of a plan
- * @workload: whose callers
- * @seed: of everything that is drawn
- * @slots: calls that an engine runs side by side
- * @per_second: sessions opened in a second of model time
+ * struct mq_load_options - parameters of a plan
+ * @slots: concurrent calls of one engine
+ * @per_second: sessions opened per second of model time
  */
 struct mq_load_options
 {
@@ -95,18 +93,18 @@
 
 struct mq_load_plan *mq_load_plan_create (TALLOC_CTX *ctx,
                                           const struct mq_load_options *plan);
-/* The next session by time of opening, below CTX.  */
+/* Returns the next session by opening time, a child of CTX.  */
 struct mq_load_session *mq_load_plan_next (struct mq_load_plan *plan,
                                            TALLOC_CTX *ctx);
-/* The next letter of the nightly batch, below CTX.  */
+/* Returns the next letter of the nightly batch, a child of CTX.  */
 struct mq_load_session *mq_load_plan_next_letter (struct mq_load_plan *plan,
                                                   TALLOC_CTX *ctx);
-/* Engine time in microseconds of a mean session, or letter of the batch:
-   every token of its prompts computed once, every answer generated in an
-   engine whose slots are all in use.  */
+/* Mean engine time of a session, or of a batch letter, in microseconds.
+   Assumes that each prompt token is computed once and that all slots are busy.
+ */
 double mq_load_plan_mean_work (const struct mq_load_options *options,
                                bool batch);
-/* Paths of services and tools whose calls may not be repeated; NULL ends.  */
+/* NULL-terminated paths of services and tools with non-idempotent calls.  */
 const char *const *
 mq_load_non_idempotent_paths (enum mq_load_workload workload);
 
--- a/src/load/load_plot.c
+++ b/src/load/load_plot.c
@@ -1,8 +1,8 @@
-/* load_plot.c - results as an SVG text.
+/* load_plot.c - plots results as an SVG document.
 
-   Two panels: 95th percentile of program latency against load, a line for
-   each label; and the engines' cache in use over model time, a line for the
-   first run of each label at the highest load.
+   The first panel shows the 95th percentile of program latency against load,
+   one line for each label.  The second shows the engines' cache use over model
+   time, one line for the first run of each label at its highest load.
    Needs: load_compare.h.  */
 
 #include "load_compare.h"
@@ -85,7 +85,7 @@
 
 static void
 add_frame (char **svg, const struct panel *panel, const char *title,
-           const char *below)
+           const char *x_title)
 {
   append (svg, talloc_asprintf_append_buffer (
                    *svg,
@@ -93,7 +93,7 @@
                    "<text x=\"%d\" y=\"%.0f\" text-anchor=\"middle\">%s"
                    "</text>\n",
                    LEFT, panel->top - 12, title, LEFT + PANEL_WIDTH / 2,
-                   panel->top + PANEL_HEIGHT + 38, below));
+                   panel->top + PANEL_HEIGHT + 38, x_title));
   for (int tick = 0; tick <= TICKS; tick++)
     add_tick (svg, panel, tick);
 }
@@ -174,12 +174,12 @@
   return a->load < b->load ? -1 : a->load > b->load;
 }
 
-/* Runs of LABEL added up by load, in order of load.  */
+/* Merges the runs of LABEL with equal load; orders the points by load.  */
 static size_t
 collect_points (struct point *points, const char *label,
                 const struct mq_load_result *const *results, size_t count)
 {
-  size_t made = 0;
+  size_t point_count = 0;
 
   for (size_t i = 0; i < count; i++)
     {
@@ -187,19 +187,19 @@
 
       if (strcmp (results[i]->label, label) != 0)
         continue;
-      while (at < made && points[at].load != results[i]->load)
+      while (at < point_count && points[at].load != results[i]->load)
         at++;
       if (at == POINTS_MAX)
         continue;
-      if (at == made)
+      if (at == point_count)
         {
-          memset (&points[made], 0, sizeof points[made]);
-          points[made++].load = results[i]->load;
+          memset (&points[point_count], 0, sizeof points[point_count]);
+          points[point_count++].load = results[i]->load;
         }
       mq_histogram_merge (&points[at].sum, &results[i]->all);
     }
-  qsort (points, made, sizeof *points, compare_points);
-  return made;
+  qsort (points, point_count, sizeof *points, compare_points);
+  return point_count;
 }
 
 static double
@@ -218,9 +218,10 @@
     abort ();
   for (size_t l = 0; l < labels->count; l++)
     {
-      size_t made = collect_points (points, labels->names[l], results, count);
+      size_t point_count
+          = collect_points (points, labels->names[l], results, count);
 
-      for (size_t i = 0; i < made; i++)
+      for (size_t i = 0; i < point_count; i++)
         {
           double p95 = read_p95_s (&points[i].sum);
 
@@ -233,10 +234,11 @@
              "load, share of the computed capacity");
   for (size_t l = 0; l < labels->count; l++)
     {
-      size_t made = collect_points (points, labels->names[l], results, count);
+      size_t point_count
+          = collect_points (points, labels->names[l], results, count);
 
       begin_line (svg, l);
-      for (size_t i = 0; i < made; i++)
+      for (size_t i = 0; i < point_count; i++)
         add_point (svg, panel, points[i].load, read_p95_s (&points[i].sum));
       end_line (svg);
     }
--- a/src/load/load_probe.c
+++ b/src/load/load_probe.c
@@ -1,4 +1,4 @@
-/* load_probe.c - the counters of a site, read from its processes.
+/* load_probe.c - reads the counters of a site's processes.
 
    Needs: load_probe.h.  */
 
@@ -39,7 +39,7 @@
   return true;
 }
 
-/* Value of NAME in a Prometheus text, 0 when it is not there.  */
+/* Returns the value of NAME in Prometheus text format, 0 if missing.  */
 static uint64_t
 read_metric (const char *text, const char *name)
 {
@@ -103,11 +103,11 @@
   json_decref (json);
 }
 
-typedef void add_answer (struct mq_load_measures *sum, const char *text);
+typedef void add_counters (struct mq_load_measures *sum, const char *text);
 
 static void
 probe_all (struct mq_ctl *ctl, const char *const *addresses, size_t count,
-           const char *path, add_answer *add, struct mq_load_measures *sum,
+           const char *path, add_counters *add, struct mq_load_measures *sum,
            size_t *unreached)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
--- a/src/load/load_probe.h
+++ b/src/load/load_probe.h
@@ -1,4 +1,4 @@
-/* load_probe.h - the counters of a site, read from its processes.
+/* load_probe.h - reads the counters of a site's processes.
 
    Needs: ctl.h, load_result.h.  */
 
@@ -10,14 +10,10 @@
 
 /**
  * struct mq_load_site - the processes of a site
- * @entries: "IP:PORT" of callers' HTTP of each entry host
- * @entry_count: how many
- * @targets: "IP:PORT" of operators' HTTP beside each target
- * @target_count: how many
+ * @entries: "IP:PORT" of the callers' HTTP of each entry host
+ * @targets: "IP:PORT" of the operators' HTTP of each target host
  * @engines: "IP:PORT" of each stand-in engine
- * @engine_count: how many
  * @services: "IP:PORT" of one worker of each stand-in service
- * @service_count: how many
  */
 struct mq_load_site
 {
@@ -31,18 +27,18 @@
   size_t service_count;
 };
 
-/* Appends ADDRESS, which is borrowed, to a list of SITE, a talloc object. */
+/* Appends ADDRESS to LIST, a list of SITE.  ADDRESS is not copied.  */
 void mq_load_site_add (struct mq_load_site *site, const char ***list,
                        size_t *count, const char *address);
-/* Adds the hosts of the platform's list; false with an error.  */
+/* Adds the hosts in the platform's list.  Returns false with MQ_ERR_STORE_DOWN
+   in ERROR if it is unavailable.  */
 bool mq_load_site_discover (struct mq_ctl *ctl, struct mq_load_site *site,
                             struct mq_error *error);
-/* Sums the counters of all processes.  A process that does not answer is
-   left out and counted in UNREACHED.  */
+/* Sums the counters of all processes; UNREACHED counts failed requests.  */
 void mq_load_probe (struct mq_ctl *ctl, const struct mq_load_site *site,
                     enum mq_load_workload workload,
                     struct mq_load_measures *measures, size_t *unreached);
-/* What AFTER has more than BEFORE.  */
+/* Subtracts BEFORE from AFTER.  */
 void mq_load_measures_subtract (struct mq_load_measures *after,
                                 const struct mq_load_measures *before);
 
--- a/src/load/load_response.c
+++ b/src/load/load_response.c
@@ -1,6 +1,6 @@
-/* load_answer.c - an entry host's answer to a request of mimosa-load.
+/* load_response.c - parses and checks an entry host's response.
 
-   Needs: load_answer.h.  */
+   Needs: load_response.h.  */
 
 #include "load_response.h"
 #include <stdlib.h>
@@ -13,13 +13,13 @@
 };
 
 /**
- * struct stream - server-sent events as they are read
- * @call: call that @text is of
- * @text: its provisional text
- * @last: data of the final or refused event, NULL before
- * @last_call: call that gave the final answer
- * @refused: it was refused
- * @resets: times that text was declared void
+ * struct stream - state of a stream of server-sent events
+ * @call: number of the call that @text belongs to
+ * @text: provisional text of @call
+ * @last: data of the final or refused event; NULL before it arrives
+ * @last_call: number of the call with the final answer
+ * @refused: @last is a refusal
+ * @resets: number of events that discarded the provisional text
  */
 struct stream
 {
@@ -31,7 +31,7 @@
   uint32_t resets;
 };
 
-/* One event as it stands between two empty lines.  */
+/* One event.  */
 struct event
 {
   const char *name;
@@ -56,7 +56,7 @@
 }
 
 static void
-read_final (struct mq_load_response *answer, const json_t *json)
+parse_final (struct mq_load_response *answer, const json_t *json)
 {
   if (!json_is_string (json_object_get (json, "answer")))
     {
@@ -68,16 +68,16 @@
 }
 
 static enum mq_ran
-read_ran (const char *name)
+parse_ran (const char *name)
 {
   if (strcmp (name, "not_run") == 0)
     return MQ_RAN_NOT_RUN;
   return strcmp (name, "ran") == 0 ? MQ_RAN_RAN : MQ_RAN_UNKNOWN;
 }
 
-/* A refusal without a known type can't be acted on by any caller.  */
+/* A refusal of unknown type is malformed, since no caller can handle it.  */
 static void
-read_refusal (struct mq_load_response *answer, const json_t *json)
+parse_refusal (struct mq_load_response *answer, const json_t *json)
 {
   char *name = copy_member (answer, json, "error");
 
@@ -87,14 +87,14 @@
       answer->error = MQ_ERR_BAD_ANSWER;
       answer->violation = MQ_LOAD_MALFORMED;
     }
-  answer->ran = read_ran (copy_member (answer, json, "ran"));
+  answer->ran = parse_ran (copy_member (answer, json, "ran"));
   answer->program = copy_member (answer, json, "program");
 }
 
 /* Server-sent events.  */
 
 static void
-take_token (struct stream *stream, const json_t *data)
+on_token (struct stream *stream, const json_t *data)
 {
   json_int_t call = json_integer_value (json_object_get (data, "call"));
   char *text = copy_member (stream->text, data, "text");
@@ -107,10 +107,9 @@
     abort ();
 }
 
-/* The number of the final event has the call after the last one in its upper
-   bits.  */
+/* The upper bits of the final event's id contain the last call plus one.  */
 static void
-take_end (struct stream *stream, const struct event *event)
+on_end (struct stream *stream, const struct event *event)
 {
   json_decref (stream->last);
   stream->last = json_incref (event->data);
@@ -119,10 +118,10 @@
 }
 
 static void
-take_event (struct stream *stream, const struct event *event)
+dispatch_event (struct stream *stream, const struct event *event)
 {
   if (strcmp (event->name, "token") == 0)
-    take_token (stream, event->data);
+    on_token (stream, event->data);
   else if (strcmp (event->name, "reset") == 0)
     {
       stream->text[0] = '\0';
@@ -130,11 +129,11 @@
     }
   else if (strcmp (event->name, "final") == 0
            || strcmp (event->name, "refused") == 0)
-    take_end (stream, event);
+    on_end (stream, event);
 }
 
 static void
-read_event (struct stream *stream, char *block)
+parse_event (struct stream *stream, char *block)
 {
   struct event event = { .name = "" };
   char *line;
@@ -147,12 +146,12 @@
     else if (strncmp (line, "data: ", 6) == 0)
       event.data = json_loads (line + 6, 0, NULL);
   if (event.data != NULL)
-    take_event (stream, &event);
+    dispatch_event (stream, &event);
   json_decref (event.data);
 }
 
 static void
-read_events (struct stream *stream, char *body)
+parse_events (struct stream *stream, char *body)
 {
   while (body != NULL)
     {
@@ -163,53 +162,54 @@
         return;
       *end = '\0';
       body = end + 2;
-      read_event (stream, block);
+      parse_event (stream, block);
     }
 }
 
-/* What a caller showed of the last call as it came must be the answer's
-   beginning, or have been declared void.  After a change of owners it may be
-   less than the whole (front.h): such a stream is counted as cut.  */
+/* The streamed text of the last call must be a prefix of the answer.  It may
+   be incomplete after a change of owners (front.h); the stream then counts as
+   cut.  */
 static enum mq_load_violation
-compare_stream (struct mq_load_response *answer, const struct stream *stream)
+check_stream (struct mq_load_response *answer, const struct stream *stream)
 {
-  size_t shown = stream->call == stream->last_call ? strlen (stream->text) : 0;
+  size_t streamed_len
+      = stream->call == stream->last_call ? strlen (stream->text) : 0;
 
-  if (strncmp (stream->text, answer->text, shown) != 0)
+  if (strncmp (stream->text, answer->text, streamed_len) != 0)
     return MQ_LOAD_STREAM_DIFFERS;
-  answer->cut = strlen (answer->text) > shown;
+  answer->cut = strlen (answer->text) > streamed_len;
   return MQ_LOAD_CORRECT;
 }
 
 static void
-read_stream (struct mq_load_response *answer, const char *body)
+parse_stream (struct mq_load_response *answer, const char *body)
 {
   struct stream stream = { .text = copy_text (answer, "") };
   char *copy = copy_text (answer, body);
 
-  read_events (&stream, copy);
+  parse_events (&stream, copy);
   talloc_free (copy);
   answer->resets = stream.resets;
   if (stream.last == NULL)
     answer->error = MQ_ERR_PEER_LOST;
   else if (stream.refused)
-    read_refusal (answer, stream.last);
+    parse_refusal (answer, stream.last);
   else
-    read_final (answer, stream.last);
+    parse_final (answer, stream.last);
   if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_CORRECT)
-    answer->violation = compare_stream (answer, &stream);
+    answer->violation = check_stream (answer, &stream);
   json_decref (stream.last);
 }
 
 static void
-read_json (struct mq_load_response *answer, int status, const char *body)
+parse_json (struct mq_load_response *answer, int status, const char *body)
 {
   json_t *json = json_loads (body, 0, NULL);
 
   if (status == STATUS_OK)
-    read_final (answer, json);
+    parse_final (answer, json);
   else
-    read_refusal (answer, json);
+    parse_refusal (answer, json);
   json_decref (json);
 }
 
@@ -225,9 +225,9 @@
   answer->program = copy_text (answer, "");
   answer->text = copy_text (answer, "");
   if (stream && status == STATUS_OK)
-    read_stream (answer, body);
+    parse_stream (answer, body);
   else
-    read_json (answer, status, body);
+    parse_json (answer, status, body);
   if (answer->error == MQ_ERR_NONE && answer->violation == MQ_LOAD_CORRECT)
     answer->violation = mq_load_check_answer (answer->text, messages);
   return answer;
--- a/src/load/load_response.h
+++ b/src/load/load_response.h
@@ -1,4 +1,4 @@
-/* load_answer.h - an entry host's answer to a request of mimosa-load.
+/* load_response.h - parses and checks an entry host's response.
 
    Needs: load_check.h, error.h, jansson.  */
 
@@ -9,14 +9,14 @@
 #include "load_check.h"
 
 /**
- * struct mq_load_response - what came, read and checked
- * @error: NONE for a final answer
- * @ran: of a refusal
- * @violation: what is wrong with it
- * @program: as named in it, empty when it is not
- * @text: the answer, empty with an error
- * @resets: of the stream
- * @cut: the stream gave less than the whole answer before the final event
+ * struct mq_load_response - a parsed response
+ * @error: MQ_ERR_NONE for a final answer
+ * @ran: whether a refused request ran
+ * @violation: first check that failed
+ * @program: program id in the response; empty if missing
+ * @text: the answer; empty with an error
+ * @resets: number of resets in the stream
+ * @cut: the stream did not carry the complete answer before its final event
  */
 struct mq_load_response
 {
@@ -29,9 +29,9 @@
   bool cut;
 };
 
-/* Reads BODY, which came with STATUS; STREAM: it is server-sent events if
-   STATUS is 200.  MESSAGES: what the model must have seen.  Result below
-   CTX.  */
+/* Parses BODY, which arrived with HTTP status STATUS.  With STREAM and status
+   200 it contains server-sent events.  MESSAGES is the number of messages that
+   the model must have received.  The result is a child of CTX.  */
 struct mq_load_response *mq_load_response_parse (TALLOC_CTX *ctx, int status,
                                                  const char *body, bool stream,
                                                  uint32_t messages);
--- a/src/load/load_result.c
+++ b/src/load/load_result.c
@@ -1,4 +1,4 @@
-/* load_result.c - what a run of mimosa-load measured, and its forms.
+/* load_result.c - results of a run of mimosa-load and their formats.
 
    Needs: load_result.h.  */
 
--- a/src/load/load_result.h
+++ b/src/load/load_result.h
@@ -1,4 +1,4 @@
-/* load_result.h - what a run of mimosa-load measured, and its forms.
+/* load_result.h - results of a run of mimosa-load and their formats.
 
    Needs: histogram.h, load_plan.h, load_check.h, jansson.  */
 
@@ -15,18 +15,18 @@
 
 /**
  * struct mq_load_measures - counters of a site, summed over its processes
- * @held_token_us: engines: token-time of cache held
- * @wasted_token_us: engines: of it, idle time that ended without reuse
+ * @held_token_us: engines: token-time cached
+ * @wasted_token_us: engines: part of @held_token_us that was never reused
  * @prefill_tokens: engines: prompt tokens computed
- * @engine_prompt_tokens: engines: prompt tokens of what they ran
- * @gate_held_token_ms: the gates' own figure of what engines held
- * @gate_wasted_token_ms: the gates' own figure of what was wasted
+ * @engine_prompt_tokens: engines: prompt tokens of all requests
+ * @gate_held_token_ms: gates: token-time cached in engines
+ * @gate_wasted_token_ms: gates: part of @gate_held_token_ms never reused
  * @prompt_tokens: owners: prompt tokens of accepted answers
- * @recomputed_tokens: owners: of them, computed again
+ * @recomputed_tokens: owners: part of @prompt_tokens computed again
  * @generated_tokens: gates: tokens generated
  * @commits: owners: transactions
- * @preempted: engines: sequences that lost their memory
- * @repeated_effects: calls that may not be repeated, with a repeated key
+ * @preempted: engines: preempted sequences
+ * @repeated_effects: services: non-idempotent calls with a repeated key
  */
 #define MQ_LOAD_MEASURE_LIST(X)                                               \
   X (held_token_us)                                                           \
@@ -49,7 +49,7 @@
 #undef MQ_LOAD_FIELD
 };
 
-/* Engines' cache in use at a moment of the run.  */
+/* Cache use of all engines at one time.  */
 struct mq_load_sample
 {
   double at_s; /* model time */
@@ -58,25 +58,23 @@
 };
 
 /**
- * struct mq_load_result - one run, or several runs added up
- * @label: what was measured, as given with --label
- * @workload: name of the workload
- * @load: share of the computed capacity that was offered
- * @per_second: sessions opened in a second of model time
- * @time_scale: wall time for a unit of model time
- * @seconds: model time in which sessions were opened
- * @runs: runs added up
- * @latency: of answered requests by class, in microseconds of model time
- * @all: of all classes but batch and endless
- * @refused: by type, certainly not run
- * @failed: by type, all others
- * @late: answers that came after their deadline
- * @violations: by type
- * @resets: streams whose text was declared void
- * @cut: streams that gave less than the answer before the final event
- * @batch_letters: letters of the batch that were answered
+ * struct mq_load_result - one run, or the sum of several runs
+ * @label: argument of --label
+ * @load: offered load as a share of the computed capacity
+ * @per_second: sessions opened per second of model time
+ * @time_scale: wall time per unit of model time
+ * @seconds: model time during which sessions were opened
+ * @runs: number of runs
+ * @latency: latency of answered requests by class, microseconds of model time
+ * @all: latency of all classes except batch and endless
+ * @refused: refused requests that did not run, by error type
+ * @failed: all other failed requests, by error type
+ * @late: answers after their deadline
+ * @resets: stream resets, each of which discards provisional text
+ * @cut: streams without the complete answer before the final event
+ * @batch_letters: answered letters of the batch
  * @batch_s: model time from the first letter's request to the last answer
- * @measures: what the run added to the site's counters
+ * @measures: increase of the site's counters during the run
  */
 struct mq_load_result
 {
@@ -103,10 +101,11 @@
 };
 
 uint64_t mq_load_sum_violations (const struct mq_load_result *result);
-/* Wasted cache as a share of what was held; recomputed share of prompts.  */
+/* Share of the cached token-time that was never reused, and share of the
+   prompt tokens that were computed again.  */
 double mq_load_wasted_share (const struct mq_load_result *result);
 double mq_load_recomputed_share (const struct mq_load_result *result);
-/* Adds FROM to TO, but for the samples, which stay those of the first.  */
+/* Adds FROM to TO.  The samples of TO stay unchanged.  */
 void mq_load_result_add (struct mq_load_result *to,
                          const struct mq_load_result *from);
 
@@ -114,10 +113,11 @@
                            const struct mq_load_result *result);
 char *mq_load_result_csv (TALLOC_CTX *ctx,
                           const struct mq_load_result *result);
-/* Whole, histograms included, so that mq_load_result_read gives it back.  */
+/* Contains all fields, for mq_load_result_read.  */
 char *mq_load_result_json (TALLOC_CTX *ctx,
                            const struct mq_load_result *result);
-/* NULL with BAD_JSON when TEXT is not of this form.  */
+/* Parses the JSON of mq_load_result_json.  Returns NULL with MQ_ERR_BAD_JSON
+   in ERROR if TEXT is invalid.  */
 struct mq_load_result *mq_load_result_read (TALLOC_CTX *ctx, const char *text,
                                             struct mq_error *error);
 
--- a/src/load/load_run.c
+++ b/src/load/load_run.c
@@ -1,6 +1,6 @@
-/* load_run.c - callers of a workload against a running site.
+/* load_run.c - runs a workload against a site.
 
-   Needs: load_run.h, load_answer.h, http_client.h.  */
+   Needs: load_run.h, load_response.h, http_client.h.  */
 
 #include "load_run.h"
 #include "core/id.h"
@@ -13,7 +13,7 @@
 
 enum
 {
-  SAMPLE_MS = 250, /* between two looks at the engines' cache */
+  SAMPLE_MS = 250, /* interval between samples of the engines' cache */
   STATUS_OK = 200
 };
 
@@ -32,17 +32,17 @@
   uint64_t origin_us;
   uint64_t letters_opened;
   uint64_t batch_end_us;
-  size_t live;
-  bool cut;
+  size_t active_callers;
+  bool timed_out;
 };
 
 /**
- * struct caller - one session under way
- * @turn: turn that is asked or awaited
- * @due_us: wall time at which the request was due
- * @program: id of its program, empty before the first answer
+ * struct caller - an active session
+ * @turn: index of the current turn
+ * @due_us: planned time of the request, wall time
+ * @program: program id; empty before the first answer
  * @answer: text of the last answer
- * @batch: a letter of the batch
+ * @batch: the session is a batch letter
  */
 struct caller
 {
@@ -55,18 +55,18 @@
   bool batch;
 };
 
-/* Engines' answers to one look at their cache.  */
-struct look
+/* One sample of the engines' cache.  */
+struct cache_sample
 {
   struct run *run;
   double at_s;
   uint64_t used;
   uint64_t total;
-  size_t awaited;
+  size_t outstanding;
 };
 
 static void *
-must (void *memory)
+check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -92,7 +92,7 @@
   uint64_t now = mq_clock_us ();
   uint64_t wait = at_us > now ? at_us - now : 0;
 
-  must (tevent_add_timer (
+  check_alloc (tevent_add_timer (
       run->ev, ctx,
       tevent_timeval_current_ofs ((uint32_t)(wait / 1000000),
                                   (uint32_t)(wait % 1000000)),
@@ -108,34 +108,35 @@
   struct run *run = caller->run;
   const struct mq_load_site *site = run->options->site;
   uint32_t entry = mq_random_below (&run->random, (uint32_t)site->entry_count);
-  TALLOC_CTX *ctx = must (talloc_new (NULL));
+  TALLOC_CTX *ctx = check_alloc (talloc_new (NULL));
   const char *headers[3] = { NULL };
   struct mq_http_send send = { .method = method, .headers = headers };
 
-  headers[0] = must (
+  headers[0] = check_alloc (
       talloc_asprintf (ctx, "Authorization: Bearer %s", caller->session->key));
   if (key != NULL)
-    headers[1] = must (talloc_asprintf (ctx, "Idempotency-Key: %s", key));
-  send.url = must (
+    headers[1]
+        = check_alloc (talloc_asprintf (ctx, "Idempotency-Key: %s", key));
+  send.url = check_alloc (
       talloc_asprintf (ctx, "http://%s%s", site->entries[entry], path));
   send.body = body;
   send.len = body == NULL ? 0 : strlen (body);
   send.done = done;
   send.user = caller;
-  must (mq_http_client_send (run->client, &send));
+  check_alloc (mq_http_client_send (run->client, &send));
   talloc_free (ctx);
 }
 
-static void ask (struct caller *caller);
+static void send_turn (struct caller *caller);
 static void open_letters (struct run *run);
 
 static void
-leave (struct caller *caller)
+end_caller (struct caller *caller)
 {
   struct run *run = caller->run;
   bool batch = caller->batch;
 
-  run->live--;
+  run->active_callers--;
   talloc_free (caller);
   if (batch)
     {
@@ -145,13 +146,13 @@
 }
 
 static void
-program_closed (const struct mq_http_result *http, void *user)
+on_program_closed (const struct mq_http_result *http, void *user)
 {
   (void)http;
-  leave (user);
+  end_caller (user);
 }
 
-/* A program that waits for further turns is ended by its caller.  */
+/* Closes a program that is kept open for further turns.  */
 static void
 close_program (struct caller *caller)
 {
@@ -159,15 +160,16 @@
 
   if (!caller->session->keep_open || caller->program[0] == '\0')
     {
-      leave (caller);
+      end_caller (caller);
       return;
     }
-  path = must (talloc_asprintf (caller, "/v1/programs/%s", caller->program));
-  send_request (caller, "DELETE", path, NULL, NULL, program_closed);
+  path = check_alloc (
+      talloc_asprintf (caller, "/v1/programs/%s", caller->program));
+  send_request (caller, "DELETE", path, NULL, NULL, on_program_closed);
 }
 
 static void
-history_read (const struct mq_http_result *http, void *user)
+on_history (const struct mq_http_result *http, void *user)
 {
   struct caller *caller = user;
   struct mq_load_result *result = caller->run->result;
@@ -201,24 +203,24 @@
       close_program (caller);
       return;
     }
-  path = must (
+  path = check_alloc (
       talloc_asprintf (caller, "/v1/programs/%s/history", caller->program));
-  send_request (caller, "GET", path, NULL, NULL, history_read);
+  send_request (caller, "GET", path, NULL, NULL, on_history);
 }
 
-/* Answers.  */
+/* Responses.  */
 
 static void
 count_answer (struct caller *caller)
 {
   struct run *run = caller->run;
   const struct mq_load_turn *turn = &caller->session->turns[caller->turn];
-  uint64_t took = model_us (run, mq_clock_us () - caller->due_us);
+  uint64_t latency_us = model_us (run, mq_clock_us () - caller->due_us);
 
-  mq_histogram_add (&run->result->latency[turn->kind], took);
+  mq_histogram_add (&run->result->latency[turn->kind], latency_us);
   if (turn->kind != MQ_LOAD_BATCH && turn->kind != MQ_LOAD_ENDLESS)
-    mq_histogram_add (&run->result->all, took);
-  if (turn->due_us > 0 && took > turn->due_us)
+    mq_histogram_add (&run->result->all, latency_us);
+  if (turn->due_us > 0 && latency_us > turn->due_us)
     run->result->late++;
   if (caller->batch)
     run->result->batch_letters++;
@@ -233,7 +235,7 @@
     run->result->failed[answer->error]++;
 }
 
-/* The program that a caller asked is the one that answers, for good.  */
+/* All responses to a caller must come from the same program.  */
 static void
 check_program (struct caller *caller, struct mq_load_response *answer)
 {
@@ -252,13 +254,13 @@
 }
 
 static void
-ask_now (struct tevent_context *ev, struct tevent_timer *timer,
-         struct timeval now, void *data)
+on_turn_due (struct tevent_context *ev, struct tevent_timer *timer,
+             struct timeval now, void *data)
 {
   (void)ev;
   (void)timer;
   (void)now;
-  ask (data);
+  send_turn (data);
 }
 
 static uint64_t
@@ -267,8 +269,7 @@
   return run->origin_us + (uint64_t)(run->options->seconds * US_PER_SECOND);
 }
 
-/* Turns that would come after the window are left out: the load is no longer
-   the one that is measured.  */
+/* Skips turns due after the measurement window, when the load declines.  */
 static void
 next_turn (struct caller *caller)
 {
@@ -284,11 +285,11 @@
       || caller->due_us >= window_end_us (run))
     finish (caller);
   else
-    call_at (run, caller, caller->due_us, ask_now, caller);
+    call_at (run, caller, caller->due_us, on_turn_due, caller);
 }
 
 static void
-answered (const struct mq_http_result *http, void *user)
+on_response (const struct mq_http_result *http, void *user)
 {
   struct caller *caller = user;
   struct run *run = caller->run;
@@ -321,13 +322,13 @@
   next_turn (caller);
 }
 
-/* Asking.  */
+/* Turns.  */
 
 static char *
 dump (TALLOC_CTX *ctx, json_t *json)
 {
-  char *text = must (json_dumps (json, JSON_COMPACT));
-  char *copy = must (talloc_strdup (ctx, text));
+  char *text = check_alloc (json_dumps (json, JSON_COMPACT));
+  char *copy = check_alloc (talloc_strdup (ctx, text));
 
   free (text);
   json_decref (json);
@@ -349,20 +350,20 @@
 }
 
 static void
-ask (struct caller *caller)
+send_turn (struct caller *caller)
 {
-  TALLOC_CTX *ctx = must (talloc_new (NULL));
-  char *path = must (talloc_strdup (ctx, "/v1/programs"));
+  TALLOC_CTX *ctx = check_alloc (talloc_new (NULL));
+  char *path = check_alloc (talloc_strdup (ctx, "/v1/programs"));
   char *body = dump (ctx, write_body (caller));
-  char *key = must (talloc_asprintf (
+  char *key = check_alloc (talloc_asprintf (
       ctx, "%s-%s%llu-%u", caller->run->options->tag,
       caller->batch ? "letter" : "",
       (unsigned long long)caller->session->number, caller->turn));
 
   if (caller->turn > 0)
-    path = must (
+    path = check_alloc (
         talloc_asprintf (ctx, "/v1/programs/%s/turns", caller->program));
-  send_request (caller, "POST", path, body, key, answered);
+  send_request (caller, "POST", path, body, key, on_response);
   talloc_free (ctx);
 }
 
@@ -370,12 +371,12 @@
 open_session (struct run *run, struct mq_load_session *session,
               uint64_t due_us)
 {
-  struct caller *caller = must (talloc_zero (run, struct caller));
+  struct caller *caller = check_alloc (talloc_zero (run, struct caller));
 
   caller->run = run;
   caller->session = talloc_steal (caller, session);
   caller->due_us = due_us;
-  run->live++;
+  run->active_callers++;
   return caller;
 }
 
@@ -384,7 +385,7 @@
 {
   const struct mq_load_run_options *options = run->options;
 
-  if (run->cut || run->letters_opened == options->letters)
+  if (run->timed_out || run->letters_opened == options->letters)
     return;
   run->letters_opened++;
   {
@@ -392,7 +393,7 @@
         run, mq_load_plan_next_letter (run->plan, run), mq_clock_us ());
 
     caller->batch = true;
-    ask (caller);
+    send_turn (caller);
   }
 }
 
@@ -410,8 +411,8 @@
 }
 
 static void
-arrive (struct tevent_context *ev, struct tevent_timer *timer,
-        struct timeval now, void *data)
+on_arrival (struct tevent_context *ev, struct tevent_timer *timer,
+            struct timeval now, void *data)
 {
   struct run *run = data;
 
@@ -424,44 +425,44 @@
       struct mq_load_session *session = run->next;
 
       run->next = mq_load_plan_next (run->plan, run);
-      ask (open_session (run, session, due_us));
+      send_turn (open_session (run, session, due_us));
     }
   if (!arrivals_ended (run))
-    call_at (run, run, arrival_us (run), arrive, run);
+    call_at (run, run, arrival_us (run), on_arrival, run);
 }
 
 /* Samples of the engines' cache.  */
 
 static void
-add_sample (const struct look *look)
+add_sample (const struct cache_sample *cache_sample)
 {
-  struct mq_load_result *result = look->run->result;
+  struct mq_load_result *result = cache_sample->run->result;
   struct mq_load_sample *sample;
 
   if (result->sample_count == MQ_LOAD_SAMPLES_MAX)
     return;
   sample = &result->samples[result->sample_count++];
-  sample->at_s = look->at_s;
-  sample->used_tokens = look->used;
-  sample->total_tokens = look->total;
+  sample->at_s = cache_sample->at_s;
+  sample->used_tokens = cache_sample->used;
+  sample->total_tokens = cache_sample->total;
 }
 
 static void
-load_read (const struct mq_http_result *http, void *user)
+on_engine_load (const struct mq_http_result *http, void *user)
 {
-  struct look *look = user;
+  struct cache_sample *cache_sample = user;
   json_t *json
       = http->error == MQ_ERR_NONE ? json_loads (http->body, 0, NULL) : NULL;
 
-  look->used
+  cache_sample->used
       += (uint64_t)json_integer_value (json_object_get (json, "cache_used"));
-  look->total
+  cache_sample->total
       += (uint64_t)json_integer_value (json_object_get (json, "cache_total"));
   json_decref (json);
-  if (--look->awaited > 0)
+  if (--cache_sample->outstanding > 0)
     return;
-  add_sample (look);
-  talloc_free (look);
+  add_sample (cache_sample);
+  talloc_free (cache_sample);
 }
 
 static void
@@ -470,26 +471,27 @@
 {
   struct run *run = data;
   const struct mq_load_site *site = run->options->site;
-  struct look *look = must (talloc_zero (run, struct look));
+  struct cache_sample *cache_sample
+      = check_alloc (talloc_zero (run, struct cache_sample));
 
   (void)ev;
   (void)timer;
   (void)now;
-  look->run = run;
-  look->awaited = site->engine_count;
-  look->at_s = (double)model_us (run, mq_clock_us () - run->origin_us)
-               / US_PER_SECOND;
+  cache_sample->run = run;
+  cache_sample->outstanding = site->engine_count;
+  cache_sample->at_s = (double)model_us (run, mq_clock_us () - run->origin_us)
+                       / US_PER_SECOND;
   for (size_t i = 0; i < site->engine_count; i++)
     {
-      char *url = must (
-          talloc_asprintf (look, "http://%s/v1/load", site->engines[i]));
+      char *url = check_alloc (talloc_asprintf (
+          cache_sample, "http://%s/v1/load", site->engines[i]));
       struct mq_http_send send = { .method = "GET",
                                    .url = url,
                                    .timeout_ms = SAMPLE_MS * 4,
-                                   .done = load_read,
-                                   .user = look };
+                                   .done = on_engine_load,
+                                   .user = cache_sample };
 
-      must (mq_http_client_send (run->client, &send));
+      check_alloc (mq_http_client_send (run->client, &send));
     }
   call_at (run, run, mq_clock_us () + (uint64_t)SAMPLE_MS * US_PER_MS,
            take_sample, run);
@@ -498,39 +500,39 @@
 /* Runs.  */
 
 static bool
-is_over (const struct run *run)
+is_complete (const struct run *run)
 {
-  return run->live == 0 && arrivals_ended (run)
+  return run->active_callers == 0 && arrivals_ended (run)
          && run->letters_opened == run->options->letters;
 }
 
-/* What has no answer by now is counted as timed out.  */
+/* Counts outstanding requests as timed out.  */
 static void
-cut_off (struct tevent_context *ev, struct tevent_timer *timer,
-         struct timeval now, void *data)
+on_drain_timeout (struct tevent_context *ev, struct tevent_timer *timer,
+                  struct timeval now, void *data)
 {
   struct run *run = data;
 
   (void)ev;
   (void)timer;
   (void)now;
-  run->cut = true;
+  run->timed_out = true;
   run->result->failed[MQ_ERR_TIMEOUT]
-      += run->live + (run->options->letters - run->letters_opened);
+      += run->active_callers + (run->options->letters - run->letters_opened);
 }
 
 static void
 start (struct run *run)
 {
   const struct mq_load_run_options *options = run->options;
-  double most_s = options->seconds + options->drain_seconds;
+  double total_s = options->seconds + options->drain_seconds;
 
   run->origin_us = mq_clock_us ();
   run->batch_end_us = run->origin_us;
   run->next = mq_load_plan_next (run->plan, run);
-  call_at (run, run, arrival_us (run), arrive, run);
-  call_at (run, run, run->origin_us + (uint64_t)(most_s * US_PER_SECOND),
-           cut_off, run);
+  call_at (run, run, arrival_us (run), on_arrival, run);
+  call_at (run, run, run->origin_us + (uint64_t)(total_s * US_PER_SECOND),
+           on_drain_timeout, run);
   if (options->site->engine_count > 0)
     call_at (run, run, run->origin_us, take_sample, run);
   for (uint32_t i = 0; i < options->letters_concurrent; i++)
@@ -541,12 +543,12 @@
 mq_load_run (TALLOC_CTX *ctx, const struct mq_load_run_options *options,
              struct mq_load_result *result, struct mq_error *error)
 {
-  struct run *run = must (talloc_zero (ctx, struct run));
+  struct run *run = check_alloc (talloc_zero (ctx, struct run));
 
   run->options = options;
   run->result = result;
   run->random = options->plan.seed ^ 0x5eedULL;
-  run->ev = must (tevent_context_init (run));
+  run->ev = check_alloc (tevent_context_init (run));
   run->plan = mq_load_plan_create (run, &options->plan);
   run->client = mq_http_client_create (run, run->ev, error);
   if (run->client == NULL || options->site->entry_count == 0)
@@ -557,7 +559,7 @@
       return false;
     }
   start (run);
-  while (!run->cut && !is_over (run))
+  while (!run->timed_out && !is_complete (run))
     if (tevent_loop_once (run->ev) != 0)
       break;
   if (result->batch_letters > 0)
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -1,8 +1,8 @@
-/* load_run.h - callers of a workload against a running site.
+/* load_run.h - runs a workload against a site.
 
-   Open loop: sessions are opened when their time comes, however late the
-   answers to the earlier ones are, and latency counts from that time.  The
-   letters of the batch are a closed loop: so many at a time.
+   Sessions form an open loop: each is opened at its planned time, whether or
+   not earlier ones have been answered, and latency counts from that time.  The
+   batch letters form a closed loop with a fixed concurrency.
    Needs: load_plan.h, load_result.h, load_probe.h, tevent.  */
 
 #ifndef MQ_LOAD_RUN_H
@@ -14,16 +14,15 @@
 #include <tevent.h>
 
 /**
- * struct mq_load_run_options - one run
+ * struct mq_load_run_options - parameters of a run
  * @site: processes under test
- * @plan: what callers do
- * @seconds: wall time in which sessions are opened
- * @drain_seconds: wall time after which what is under way is given up
- * @time_scale: wall time for a unit of model time
- * @letters: of the batch
- * @letters_concurrent: of these
- * @check_every: each so many programs' history is read and checked, 0: none
- * @tag: part of idempotency keys, so that runs do not share programs
+ * @seconds: wall time during which sessions are opened
+ * @drain_seconds: wall time to wait for outstanding requests afterwards
+ * @time_scale: wall time per unit of model time
+ * @letters: number of batch letters
+ * @letters_concurrent: batch letters in flight at a time
+ * @check_every: check the history of one in so many programs; 0 for none
+ * @tag: prefix of idempotency keys, unique to the run
  */
 struct mq_load_run_options
 {
@@ -38,8 +37,8 @@
   const char *tag;
 };
 
-/* Runs to the end and fills the latencies, refusals, violations and samples
-   of RESULT.  False when nothing could be started, with the error.  */
+/* Runs to completion and fills the latencies, errors, violations and samples
+   of RESULT.  Returns false with ERROR if the run could not start.  */
 bool mq_load_run (TALLOC_CTX *ctx, const struct mq_load_run_options *options,
                   struct mq_load_result *result, struct mq_error *error);
 
--- a/src/mimosactl.c
+++ b/src/mimosactl.c
@@ -1,6 +1,6 @@
-/* mimosactl.c - the operators' command line.
+/* mimosactl.c - the operators' command line tool.
 
-   Options and the table of commands; the commands are in src/ctl/ctl_*.c.
+   Parses the options; the commands are in src/ctl/ctl_*.c.
    Needs: ctl_run.h, argp.  */
 
 #include "ctl/ctl_run.h"
@@ -97,14 +97,14 @@
 
 static unsigned long long
 parse_number (struct argp_state *state, const char *name, const char *text,
-              unsigned long long most)
+              unsigned long long max)
 {
   char *end;
   unsigned long long number = strtoull (text, &end, 10);
 
   if (text[strspn (text, "0123456789")] != '\0' || *text == '\0'
-      || number > most)
-    argp_error (state, "%s: %s is not a number up to %llu", name, text, most);
+      || number > max)
+    argp_error (state, "%s: %s is not a number up to %llu", name, text, max);
   return number;
 }
 
