--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -84,8 +84,8 @@
 {
   enum proxy_mode mode = way->pair->proxy->mode;
 
-  return way->pair->stale || mode == PROXY_SILENT
-         || (mode == PROXY_ONE_WAY && way->answers);
+  return way->pair->stale || mode == PROXY_BLACKHOLE
+         || (mode == PROXY_DROP_RESPONSES && way->answers);
 }
 
 static void
@@ -181,7 +181,7 @@
 proxy_set (struct proxy *proxy, enum proxy_mode mode)
 {
   proxy->mode = mode;
-  if (mode == PROXY_STALE)
+  if (mode == PROXY_BLACKHOLE_OPEN)
     {
       for (struct pair *pair = proxy->pairs; pair != NULL; pair = pair->next)
         pair->stale = true;
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -12,11 +12,13 @@
 enum proxy_mode
 {
   PROXY_PASS,
-  PROXY_DELAY,  /* bytes come 50 ms later */
-  PROXY_SILENT, /* open connections carry nothing any more, new ones neither */
-  PROXY_STALE,  /* open connections carry nothing any more, new ones do */
-  PROXY_ONE_WAY, /* answers are held back */
-  PROXY_RESET    /* open connections are reset, new ones too */
+  PROXY_DELAY,     /* bytes come 50 ms later */
+  PROXY_BLACKHOLE, /* open connections carry nothing any more, new ones neither
+                    */
+  PROXY_BLACKHOLE_OPEN, /* open connections carry nothing any more, new ones do
+                         */
+  PROXY_DROP_RESPONSES, /* answers are held back */
+  PROXY_RESET           /* open connections are reset, new ones too */
 };
 
 /* Listens at a free port and forwards to PORT.  */
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -30,7 +30,7 @@
 }
 
 uint32_t
-soak_below (struct soak *soak, uint32_t bound)
+soak_random_below (struct soak *soak, uint32_t bound)
 {
   return mq_random_below (&soak->random, bound);
 }
@@ -52,8 +52,8 @@
   if (!soak->faults)
     return;
   soak_inject (soak);
-  mq_timer_add (soak->ev, soak->ev, 50 + soak_below (soak, FAULT_MS), on_fault,
-                soak);
+  mq_timer_add (soak->ev, soak->ev, 50 + soak_random_below (soak, FAULT_MS),
+                on_fault, soak);
 }
 
 static void
@@ -82,10 +82,10 @@
   uint32_t before;
 
   soak->faults = false;
-  soak_heal (soak);
+  soak_end_faults (soak);
   /* Faults that end by themselves do so within this.  */
   run_for (soak, 3500);
-  soak_heal (soak);
+  soak_end_faults (soak);
   before = soak->finished;
   while (soak->finished - before < RECOVER_PROGRAMS
          && mq_clock_ms () - begin < RECOVER_MS)
@@ -159,7 +159,7 @@
   snprintf (soak->directory, sizeof soak->directory, "/tmp/soak-XXXXXX");
   if (mkdtemp (soak->directory) == NULL)
     return 2;
-  soak_make_world (soak);
+  soak_create_site (soak);
   run_for (soak, 500);
   soak->program_count = PROGRAMS_MAX;
   for (int i = 0; i < soak->program_count; i++)
@@ -171,7 +171,7 @@
     on_plant (soak);
   run_for (soak, (uint64_t)seconds * 1000);
   check_recovery (soak);
-  soak_end_hosts (soak);
+  soak_kill_hosts (soak);
   printf ("soak: seed %lu: %u faults, %u answers, %u refusals, %u broken, "
           "%u programs finished, %u spent, %u failed: %s\n",
           (unsigned long)soak->seed, soak->injected, soak->answers,
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -24,7 +24,7 @@
 
 /* A process that has just been started has not yet said what it does with
    signals: until then the system ends it, whatever the program is.  */
-#define SIGNALS_AFTER_MS 300U
+#define SIGNAL_GRACE_MS 300U
 
 /* A router's process.  */
 struct host
@@ -44,9 +44,9 @@
 enum kind
 {
   KIND_CALL, /* may be repeated */
-  KIND_ONCE,
-  KIND_TURN, /* a stream that may be resumed */
-  KIND_KEPT  /* a stream that may run once and is retained */
+  KIND_NON_IDEMPOTENT,
+  KIND_TURN,    /* a stream that may be resumed */
+  KIND_RETAINED /* a stream that may run once and is retained */
 };
 
 /* What is known of one attempt of a caller.  */
@@ -130,26 +130,26 @@
 
 /* Something that must not happen has been seen.  */
 void soak_fail (struct soak *soak, const char *what, const char *subject);
-uint32_t soak_below (struct soak *soak, uint32_t bound);
+uint32_t soak_random_below (struct soak *soak, uint32_t bound);
 
 /* soak_world.c */
-void soak_make_world (struct soak *soak);
+void soak_create_site (struct soak *soak);
 void soak_start_host (struct soak *soak, int index);
 /* Notices hosts that have ended and starts them again.  */
 void soak_watch_hosts (struct soak *soak);
-void soak_end_hosts (struct soak *soak);
-void soak_configure (struct soak *soak);
-void soak_list_worker (struct soak *soak, bool llm, int index,
-                       const char *state);
+void soak_kill_hosts (struct soak *soak);
+void soak_write_config (struct soak *soak);
+void soak_register_worker (struct soak *soak, bool llm, int index,
+                           const char *state);
 /* One fault, drawn by the seed; most of them end by themselves.  */
 void soak_inject (struct soak *soak);
 /* Ends all faults and starts all hosts.  */
-void soak_heal (struct soak *soak);
+void soak_end_faults (struct soak *soak);
 
 /* soak_caller.c */
 void soak_start_program (struct soak *soak, int index);
 /* A worker runs a request.  */
-void soak_on_run (const char *id, const char *target, const char *body,
-                  void *user);
+void soak_on_worker_request (const char *id, const char *target,
+                             const char *body, void *user);
 
 #endif
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -39,7 +39,7 @@
   struct program *program = &soak->programs[record->program];
   size_t len = program->history.len;
 
-  if (record->kind != KIND_KEPT || !program->active
+  if (record->kind != KIND_RETAINED || !program->active
       || strtoul (id + 1, NULL, 10) != program->attempt)
     return;
   if (strlen (body) != len + strlen (program->input)
@@ -49,7 +49,8 @@
 }
 
 void
-soak_on_run (const char *id, const char *target, const char *body, void *user)
+soak_on_worker_request (const char *id, const char *target, const char *body,
+                        void *user)
 {
   struct soak *soak = user;
   struct record *record = record_of (soak, id);
@@ -62,7 +63,7 @@
     }
   record->runs++;
   if (soak->plant != NULL && strcmp (soak->plant, "twice") == 0
-      && soak_below (soak, 50) == 0)
+      && soak_random_below (soak, 50) == 0)
     record->runs++;
   if (record->runs > 1 && !may_repeat (record->kind))
     soak_fail (soak, "a request that may run once ran twice", id);
@@ -119,7 +120,7 @@
   struct soak *soak = program->soak;
 
   mq_buffer_clear (&program->body);
-  program->host = (int)soak_below (soak, (uint32_t)soak->host_count);
+  program->host = (int)soak_random_below (soak, (uint32_t)soak->host_count);
   if (++program->tries >= TRIES_MAX)
     {
       soak->failed++;
@@ -148,7 +149,7 @@
 static bool
 is_turn (const struct program *program)
 {
-  return program->kind == KIND_TURN || program->kind == KIND_KEPT;
+  return program->kind == KIND_TURN || program->kind == KIND_RETAINED;
 }
 
 static void
@@ -170,7 +171,7 @@
 {
   static const char said[] = "e1\ne2\ne3\ne4\n";
 
-  if (program->kind != KIND_KEPT)
+  if (program->kind != KIND_RETAINED)
     return;
   mq_buffer_append (program->soak->ev, &program->history, program->input,
                     strlen (program->input), SIZE_MAX);
@@ -195,11 +196,12 @@
       end_program (program);
       return;
     }
-  if (turn && soak_below (soak, 2) == 0)
-    program->kind = soak_below (soak, 2) == 0 ? KIND_CALL : KIND_ONCE;
+  if (turn && soak_random_below (soak, 2) == 0)
+    program->kind
+        = soak_random_below (soak, 2) == 0 ? KIND_CALL : KIND_NON_IDEMPOTENT;
   else
-    program->kind = program->kept ? KIND_KEPT : KIND_TURN;
-  next_in (program, 1 + soak_below (soak, 30));
+    program->kind = program->kept ? KIND_RETAINED : KIND_TURN;
+  next_in (program, 1 + soak_random_below (soak, 30));
 }
 
 static void
@@ -233,7 +235,7 @@
   soak->refusals++;
   record->refused = true;
   if (soak->plant != NULL && strcmp (soak->plant, "refused") == 0
-      && soak_below (soak, 5) == 0)
+      && soak_random_below (soak, 5) == 0)
     record->runs++;
   if (record->runs > 0 && !may_repeat (record->kind))
     soak_fail (soak, "refused as not run, and it has run", id);
@@ -317,7 +319,7 @@
   program->soak->broken++;
   if (is_turn (program) && program->status == 200)
     note_events (program, false);
-  try_again (program, 100 + soak_below (program->soak, 300));
+  try_again (program, 100 + soak_random_below (program->soak, 300));
 }
 
 static void
@@ -356,7 +358,7 @@
     more = talloc_asprintf_append (
         more, "X-Token-Budget: %lu\r\nX-Token-Count: 10,%u\r\n",
         (unsigned long)program->limit, MOST);
-  if (program->kind == KIND_KEPT && program->previous[0] != '\0')
+  if (program->kind == KIND_RETAINED && program->previous[0] != '\0')
     more = talloc_asprintf_append (more, "X-Previous-Turn: %s\r\n",
                                    program->previous);
   head = talloc_asprintf (
@@ -419,11 +421,12 @@
   *program = (struct program){ .soak = soak, .index = (uint32_t)index };
   snprintf (program->id, sizeof program->id, "p%u", soak->program_ids++);
   program->active = true;
-  program->kept = soak_below (soak, 2) == 0;
-  program->loops = soak_below (soak, 8) == 0;
-  program->limit = 48 + soak_below (soak, 4) * MOST;
-  program->turns = program->loops ? 1000 : 1 + (int)soak_below (soak, 4);
-  program->kind = program->kept ? KIND_KEPT : KIND_TURN;
-  program->host = (int)soak_below (soak, (uint32_t)soak->host_count);
-  next_in (program, soak_below (soak, 100));
+  program->kept = soak_random_below (soak, 2) == 0;
+  program->loops = soak_random_below (soak, 8) == 0;
+  program->limit = 48 + soak_random_below (soak, 4) * MOST;
+  program->turns
+      = program->loops ? 1000 : 1 + (int)soak_random_below (soak, 4);
+  program->kind = program->kept ? KIND_RETAINED : KIND_TURN;
+  program->host = (int)soak_random_below (soak, (uint32_t)soak->host_count);
+  next_in (program, soak_random_below (soak, 100));
 }
--- a/tests/soak/soak_world.c
+++ b/tests/soak/soak_site.c
@@ -102,8 +102,8 @@
 schedule_restart (struct soak *soak)
 {
   mq_timer_add (soak->ev, soak->ev,
-                RESTART_MS + soak_below (soak, 4 * RESTART_MS), on_restart,
-                soak);
+                RESTART_MS + soak_random_below (soak, 4 * RESTART_MS),
+                on_restart, soak);
 }
 
 void
@@ -127,7 +127,7 @@
 }
 
 void
-soak_end_hosts (struct soak *soak)
+soak_kill_hosts (struct soak *soak)
 {
   for (int i = 0; i < soak->host_count; i++)
     {
@@ -141,14 +141,14 @@
 }
 
 void
-soak_configure (struct soak *soak)
+soak_write_config (struct soak *soak)
 {
   static const char route[]
       = "{\"name\":\"%s\",\"host\":\"h\",\"prefix\":\"/%s/\",\"kind\":\"%s\","
         "\"timeoutMs\":%u,\"sloMs\":50,\"priority\":1,\"service\":\"%s\","
         "\"attempts\":2,\"retain\":%s,\"retainS\":60,\"resumable\":%s,"
         "\"gapAimMs\":50,\"sticky\":true}";
-  uint32_t timeout = 2000 + soak_below (soak, 1500);
+  uint32_t timeout = 2000 + soak_random_below (soak, 1500);
   char *routes[4];
   char *text;
 
@@ -175,7 +175,8 @@
 }
 
 void
-soak_list_worker (struct soak *soak, bool llm, int index, const char *state)
+soak_register_worker (struct soak *soak, bool llm, int index,
+                      const char *state)
 {
   struct worker_server *worker = llm ? soak->llm[index] : soak->app[index];
   struct proxy *proxy = llm ? soak->llm_proxy[index] : soak->app_proxy[index];
@@ -200,16 +201,16 @@
   snprintf (id, sizeof id, "%s-%d", llm ? "llm" : "app", index);
   *worker = worker_server_create (soak->ev, soak->ev, id,
                                   llm ? &soak->llm_plan : &soak->app_plan);
-  worker_server_watch (*worker, soak_on_run, soak);
+  worker_server_watch (*worker, soak_on_worker_request, soak);
   *proxy = proxy_create (soak->ev, soak->ev, worker_server_port (*worker));
-  soak_list_worker (soak, llm, index, "ready");
+  soak_register_worker (soak, llm, index, "ready");
 }
 
 void
-soak_make_world (struct soak *soak)
+soak_create_site (struct soak *soak)
 {
   soak->rows = rows_server_create (soak->ev, soak->ev);
-  soak_configure (soak);
+  soak_write_config (soak);
   for (int i = 0; i < WORKERS; i++)
     {
       make_worker (soak, true, i);
@@ -263,7 +264,7 @@
         }
     }
   else if (restore->worker >= 0)
-    soak_list_worker (soak, restore->llm, restore->worker, "ready");
+    soak_register_worker (soak, restore->llm, restore->worker, "ready");
   else
     {
       rows_server_do_late (soak->rows);
@@ -279,7 +280,7 @@
 
   restore->soak = soak;
   restore->worker = -1;
-  mq_timer_add (soak->ev, soak->ev, 200 + soak_below (soak, most_ms),
+  mq_timer_add (soak->ev, soak->ev, 200 + soak_random_below (soak, most_ms),
                 on_restore, restore);
   return restore;
 }
@@ -287,7 +288,7 @@
 static void
 harm_proxy (struct soak *soak, struct proxy *proxy, uint32_t most_ms)
 {
-  proxy_set (proxy, (enum proxy_mode) (1 + soak_below (soak, 5)));
+  proxy_set (proxy, (enum proxy_mode) (1 + soak_random_below (soak, 5)));
   restore_in (soak, most_ms)->proxy = proxy;
 }
 
@@ -299,7 +300,7 @@
 
   if (host->pid == 0)
     return;
-  if (mq_clock_ms () - host->started_ms < SIGNALS_AFTER_MS)
+  if (mq_clock_ms () - host->started_ms < SIGNAL_GRACE_MS)
     how = 0;
   if (how < 3)
     {
@@ -316,45 +317,47 @@
 static void
 harm_table (struct soak *soak)
 {
-  rows_server_fault (soak->rows, (enum rows_fault) (1 + soak_below (soak, 7)));
+  rows_server_fault (soak->rows,
+                     (enum rows_fault) (1 + soak_random_below (soak, 7)));
   restore_in (soak, 2500);
 }
 
 static void
 harm_workers (struct soak *soak)
 {
-  bool llm = soak_below (soak, 2) == 0;
+  bool llm = soak_random_below (soak, 2) == 0;
   struct worker_plan *plan = llm ? &soak->llm_plan : &soak->app_plan;
   struct restore *restore;
 
-  plan->step = (enum worker_step)soak_below (soak, WORKER_HALF + 1);
-  plan->count = 1 + (int)soak_below (soak, 4);
-  if (soak_below (soak, 3) != 0)
+  plan->step = (enum worker_step)soak_random_below (soak, WORKER_HALF + 1);
+  plan->count = 1 + (int)soak_random_below (soak, 4);
+  if (soak_random_below (soak, 3) != 0)
     return;
   restore = restore_in (soak, 2000);
   restore->llm = llm;
-  restore->worker = (int)soak_below (soak, WORKERS);
-  soak_list_worker (soak, llm, restore->worker,
-                    soak_below (soak, 2) == 0 ? "draining" : "gone");
+  restore->worker = (int)soak_random_below (soak, WORKERS);
+  soak_register_worker (soak, llm, restore->worker,
+                        soak_random_below (soak, 2) == 0 ? "draining"
+                                                         : "gone");
 }
 
 void
 soak_inject (struct soak *soak)
 {
   struct host *host
-      = &soak->hosts[soak_below (soak, (uint32_t)soak->host_count)];
+      = &soak->hosts[soak_random_below (soak, (uint32_t)soak->host_count)];
 
   soak->injected++;
-  switch (soak_below (soak, 12))
+  switch (soak_random_below (soak, 12))
     {
     case 0:
     case 1:
     case 2:
-      harm_host (soak, host, soak_below (soak, 5));
+      harm_host (soak, host, soak_random_below (soak, 5));
       break;
     case 3:
       for (int i = 0; i < soak->host_count; i++)
-        if (soak_below (soak, 4) != 0)
+        if (soak_random_below (soak, 4) != 0)
           harm_host (soak, &soak->hosts[i], 0);
       break;
     case 4:
@@ -365,13 +368,15 @@
       harm_table (soak);
       break;
     case 7:
-      harm_proxy (soak, soak->llm_proxy[soak_below (soak, WORKERS)], 1500);
+      harm_proxy (soak, soak->llm_proxy[soak_random_below (soak, WORKERS)],
+                  1500);
       break;
     case 8:
-      harm_proxy (soak, soak->app_proxy[soak_below (soak, WORKERS)], 1500);
+      harm_proxy (soak, soak->app_proxy[soak_random_below (soak, WORKERS)],
+                  1500);
       break;
     case 9:
-      soak_configure (soak);
+      soak_write_config (soak);
       break;
     case 10:
       rows_server_compact (soak->rows);
@@ -383,7 +388,7 @@
 }
 
 void
-soak_heal (struct soak *soak)
+soak_end_faults (struct soak *soak)
 {
   rows_server_do_late (soak->rows);
   rows_server_fault (soak->rows, ROWS_WELL);
@@ -393,8 +398,8 @@
     {
       proxy_set (soak->llm_proxy[i], PROXY_PASS);
       proxy_set (soak->app_proxy[i], PROXY_PASS);
-      soak_list_worker (soak, true, i, "ready");
-      soak_list_worker (soak, false, i, "ready");
+      soak_register_worker (soak, true, i, "ready");
+      soak_register_worker (soak, false, i, "ready");
     }
   for (int i = 0; i < soak->host_count; i++)
     {
