--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -1,4 +1,4 @@
-/* proxy.c - a TCP proxy on the loopback address that harms what goes through.
+/* proxy.c - a TCP proxy on the loopback address that injects faults.
 
    Needs: proxy.h, timer.h, buffer.h.  */
 
@@ -11,33 +11,33 @@
 
 #define DELAY_MS 50U
 
-struct pair;
+struct connection;
 
-/* One direction of a connection: bytes that wait for their time.  */
-struct way
+/* One direction of a connection, with its delayed data.  */
+struct direction
 {
-  struct pair *pair;
+  struct connection *connection;
   struct mq_tcp *from;
   struct mq_tcp *to;
-  struct mq_buffer held;
+  struct mq_buffer buffered;
   struct mq_timer *timer;
-  bool answers;
+  bool from_server;
 };
 
-struct pair
+struct connection
 {
   struct proxy *proxy;
-  struct pair *next;
-  struct way ways[2];
-  bool stale;
-  bool dead;
+  struct connection *next;
+  struct direction directions[2];
+  bool blackholed;
+  bool closed;
 };
 
 struct proxy
 {
   struct tevent_context *ev;
   struct tevent_fd *event;
-  struct pair *pairs;
+  struct connection *connections;
   enum proxy_mode mode;
   uint16_t port;
   uint16_t target;
@@ -45,78 +45,84 @@
 };
 
 static void
-end_pair (struct pair *pair, bool reset)
+close_connection (struct connection *connection, bool reset)
 {
-  if (pair->dead)
+  if (connection->closed)
     return;
-  pair->dead = true;
-  for (struct pair **at = &pair->proxy->pairs; *at != NULL; at = &(*at)->next)
-    if (*at == pair)
+  connection->closed = true;
+  for (struct connection **at = &connection->proxy->connections; *at != NULL;
+       at = &(*at)->next)
+    if (*at == connection)
       {
-        *at = pair->next;
+        *at = connection->next;
         break;
       }
   for (int i = 0; i < 2; i++)
     {
-      talloc_steal (pair->proxy, pair->ways[i].from);
+      talloc_steal (connection->proxy, connection->directions[i].from);
       if (reset)
-        mq_tcp_abort (pair->ways[i].from);
+        mq_tcp_abort (connection->directions[i].from);
       else
-        mq_tcp_finish (pair->ways[i].from);
+        mq_tcp_finish (connection->directions[i].from);
     }
-  talloc_free (pair);
+  talloc_free (connection);
 }
 
 static void
-pass_held (void *data)
+flush_buffered (void *data)
 {
-  struct way *way = data;
+  struct direction *direction = data;
 
-  way->timer = NULL;
-  if (way->pair->stale)
+  direction->timer = NULL;
+  if (direction->connection->blackholed)
     return;
-  mq_tcp_write (way->to, way->held.data + way->held.at, way->held.len);
-  mq_buffer_clear (&way->held);
+  mq_tcp_write (direction->to,
+                direction->buffered.data + direction->buffered.at,
+                direction->buffered.len);
+  mq_buffer_clear (&direction->buffered);
 }
 
 static bool
-is_held (const struct way *way)
+is_discarding (const struct direction *direction)
 {
-  enum proxy_mode mode = way->pair->proxy->mode;
+  enum proxy_mode mode = direction->connection->proxy->mode;
 
-  return way->pair->stale || mode == PROXY_BLACKHOLE
-         || (mode == PROXY_DROP_RESPONSES && way->answers);
+  return direction->connection->blackholed || mode == PROXY_BLACKHOLE
+         || (mode == PROXY_DROP_RESPONSES && direction->from_server);
 }
 
 static void
 on_data (struct mq_tcp *tcp, const char *data, size_t len, void *user)
 {
-  struct way *way = user;
+  struct direction *direction = user;
 
   (void)tcp;
-  if (is_held (way))
+  if (is_discarding (direction))
     {
-      /* What was once held back never comes: it is lost on the way.  */
-      way->pair->stale = true;
+      /* Discarded data cannot be restored, so the connection stays silent.  */
+      direction->connection->blackholed = true;
       return;
     }
-  mq_buffer_append (way->pair, &way->held, data, len, SIZE_MAX);
-  if (way->pair->proxy->mode != PROXY_DELAY && way->timer == NULL)
-    pass_held (way);
-  else if (way->timer == NULL)
-    way->timer = mq_timer_add (way->pair, way->pair->proxy->ev, DELAY_MS,
-                               pass_held, way);
+  mq_buffer_append (direction->connection, &direction->buffered, data, len,
+                    SIZE_MAX);
+  if (direction->connection->proxy->mode != PROXY_DELAY
+      && direction->timer == NULL)
+    flush_buffered (direction);
+  else if (direction->timer == NULL)
+    direction->timer = mq_timer_add (direction->connection,
+                                     direction->connection->proxy->ev,
+                                     DELAY_MS, flush_buffered, direction);
 }
 
 static void
 on_ended (struct mq_tcp *tcp, enum mq_tcp_end end, void *user)
 {
-  struct way *way = user;
+  struct direction *direction = user;
 
   (void)tcp;
-  if (way->timer != NULL)
-    pass_held (way);
-  end_pair (way->pair, end != MQ_TCP_EOF);
+  if (direction->timer != NULL)
+    flush_buffered (direction);
+  close_connection (direction->connection, end != MQ_TCP_EOF);
 }
 
 static void
@@ -127,34 +133,36 @@
   int fd = accept4 (proxy->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   struct mq_tcp_owner owner = { .data = on_data, .ended = on_ended };
   struct mq_error error = { .type = MQ_ERR_NONE };
-  struct pair *pair;
+  struct connection *connection;
   char address[32];
 
   (void)event;
   (void)flags;
   if (fd < 0)
     return;
-  pair = talloc_zero (proxy, struct pair);
-  pair->proxy = proxy;
-  pair->ways[0].pair = pair;
-  pair->ways[1].pair = pair;
-  pair->ways[1].answers = true;
-  owner.user = &pair->ways[0];
-  pair->ways[0].from = mq_tcp_accept (pair, ev, fd, &owner);
+  connection = talloc_zero (proxy, struct connection);
+  connection->proxy = proxy;
+  connection->directions[0].connection = connection;
+  connection->directions[1].connection = connection;
+  connection->directions[1].from_server = true;
+  owner.user = &connection->directions[0];
+  connection->directions[0].from = mq_tcp_accept (connection, ev, fd, &owner);
   snprintf (address, sizeof address, "127.0.0.1:%u", proxy->target);
-  owner.user = &pair->ways[1];
-  pair->ways[1].from = mq_tcp_open (pair, ev, address, 0, &owner, &error);
-  if (pair->ways[0].from == NULL || pair->ways[1].from == NULL)
+  owner.user = &connection->directions[1];
+  connection->directions[1].from
+      = mq_tcp_open (connection, ev, address, 0, &owner, &error);
+  if (connection->directions[0].from == NULL
+      || connection->directions[1].from == NULL)
     {
-      mq_tcp_abort (pair->ways[0].from);
+      mq_tcp_abort (connection->directions[0].from);
       return;
     }
-  pair->ways[0].to = pair->ways[1].from;
-  pair->ways[1].to = pair->ways[0].from;
-  pair->next = proxy->pairs;
-  proxy->pairs = pair;
+  connection->directions[0].to = connection->directions[1].from;
+  connection->directions[1].to = connection->directions[0].from;
+  connection->next = proxy->connections;
+  proxy->connections = connection;
   if (proxy->mode == PROXY_RESET)
-    end_pair (pair, true);
+    close_connection (connection, true);
 }
 
 struct proxy *
@@ -183,10 +191,11 @@
   proxy->mode = mode;
   if (mode == PROXY_BLACKHOLE_OPEN)
     {
-      for (struct pair *pair = proxy->pairs; pair != NULL; pair = pair->next)
-        pair->stale = true;
+      for (struct connection *connection = proxy->connections;
+           connection != NULL; connection = connection->next)
+        connection->blackholed = true;
       proxy->mode = PROXY_PASS;
     }
-  while (mode == PROXY_RESET && proxy->pairs != NULL)
-    end_pair (proxy->pairs, true);
+  while (mode == PROXY_RESET && proxy->connections != NULL)
+    close_connection (proxy->connections, true);
 }
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -1,4 +1,4 @@
-/* proxy.h - a TCP proxy on the loopback address that harms what goes through.
+/* proxy.h - a TCP proxy on the loopback address that injects faults.
 
    Needs: tcp.h.  */
 
@@ -12,16 +12,14 @@
 enum proxy_mode
 {
   PROXY_PASS,
-  PROXY_DELAY,     /* bytes come 50 ms later */
-  PROXY_BLACKHOLE, /* open connections carry nothing any more, new ones neither
-                    */
-  PROXY_BLACKHOLE_OPEN, /* open connections carry nothing any more, new ones do
-                         */
-  PROXY_DROP_RESPONSES, /* answers are held back */
-  PROXY_RESET           /* open connections are reset, new ones too */
+  PROXY_DELAY,          /* delays data by 50 ms */
+  PROXY_BLACKHOLE,      /* discards data of open and new connections */
+  PROXY_BLACKHOLE_OPEN, /* discards data of open connections only */
+  PROXY_DROP_RESPONSES, /* discards data from the server */
+  PROXY_RESET           /* resets open and new connections */
 };
 
-/* Listens at a free port and forwards to PORT.  */
+/* Listens on a free port and forwards connections to PORT.  */
 struct proxy *proxy_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                             uint16_t port);
 uint16_t proxy_port (const struct proxy *proxy);
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,9 +1,9 @@
-/* soak.c - a seeded soak of real routers: faults come in series and overlap,
-   and the promises are checked from what callers and workers see.
+/* soak.c - seeded fault soak of router processes.  Injects overlapping faults
+   and checks the routers' guarantees from what callers and workers observe.
 
    usage: soak ROUTERD SEED [SECONDS [HOSTS]]
-   SOAK_PLANT names a bug of the world that must be noticed: twice, refused,
-   history, lost, overspend.
+   SOAK_PLANT injects a bug that the soak must detect: twice, refused, history,
+   lost or overspend.
    Needs: soak.h.  */
 
 #include "soak.h"
@@ -15,10 +15,10 @@
 #include <unistd.h>
 
 #define TICK_MS 20U
-#define FAULT_MS 500U
-/* After all faults have ended programs must finish again within this.  */
-#define RECOVER_MS 30000U
-#define RECOVER_PROGRAMS 40U
+#define FAULT_INTERVAL_MAX_MS 500U
+/* Programs must finish again within this time after the faults end.  */
+#define RECOVERY_TIMEOUT_MS 30000U
+#define RECOVERY_PROGRAMS 40U
 #define FAILURES_SHOWN 5
 
 void
@@ -52,29 +52,30 @@
   if (!soak->faults)
     return;
   soak_inject (soak);
-  mq_timer_add (soak->ev, soak->ev, 50 + soak_random_below (soak, FAULT_MS),
-                on_fault, soak);
+  mq_timer_add (soak->ev, soak->ev,
+                50 + soak_random_below (soak, FAULT_INTERVAL_MAX_MS), on_fault,
+                soak);
 }
 
 static void
-on_time (void *data)
+on_timer (void *data)
 {
-  bool *over = data;
+  bool *expired = data;
 
-  *over = true;
+  *expired = true;
 }
 
 static void
 run_for (struct soak *soak, uint64_t ms)
 {
-  bool over = false;
+  bool expired = false;
 
-  mq_timer_add (soak->ev, soak->ev, ms, on_time, &over);
-  while (!over)
+  mq_timer_add (soak->ev, soak->ev, ms, on_timer, &expired);
+  while (!expired)
     tevent_loop_once (soak->ev);
 }
 
-/* All faults have ended: hosts come back and programs finish.  */
+/* Checks that programs finish after all faults have ended.  */
 static void
 check_recovery (struct soak *soak)
 {
@@ -83,20 +84,20 @@
 
   soak->faults = false;
   soak_end_faults (soak);
-  /* Faults that end by themselves do so within this.  */
+  /* Faults that end by themselves end within this time.  */
   run_for (soak, 3500);
   soak_end_faults (soak);
   before = soak->finished;
-  while (soak->finished - before < RECOVER_PROGRAMS
-         && mq_clock_ms () - begin < RECOVER_MS)
+  while (soak->finished - before < RECOVERY_PROGRAMS
+         && mq_clock_ms () - begin < RECOVERY_TIMEOUT_MS)
     run_for (soak, 50);
-  if (soak->finished - before < RECOVER_PROGRAMS)
+  if (soak->finished - before < RECOVERY_PROGRAMS)
     soak_fail (soak, "programs don't finish after all faults have ended", "");
 }
 
-/* Bugs of the world for which a promise must be found broken.  */
+/* Injects the bug that SOAK_PLANT names.  */
 static void
-on_plant (void *data)
+inject_bug (void *data)
 {
   struct soak *soak = data;
 
@@ -111,7 +112,7 @@
     for (int i = 0; i < soak->host_count; i++)
       if (soak->hosts[i].pid != 0)
         kill (soak->hosts[i].pid, SIGKILL);
-  mq_timer_add (soak->ev, soak->ev, 300, on_plant, soak);
+  mq_timer_add (soak->ev, soak->ev, 300, inject_bug, soak);
 }
 
 static void
@@ -168,15 +169,16 @@
   soak->faults = true;
   on_fault (soak);
   if (soak->plant != NULL)
-    on_plant (soak);
+    inject_bug (soak);
   run_for (soak, (uint64_t)seconds * 1000);
   check_recovery (soak);
   soak_kill_hosts (soak);
   printf ("soak: seed %lu: %u faults, %u answers, %u refusals, %u broken, "
           "%u programs finished, %u spent, %u failed: %s\n",
           (unsigned long)soak->seed, soak->injected, soak->answers,
-          soak->refusals, soak->broken, soak->finished, soak->spent,
-          soak->failed, soak->failures == 0 ? "ok" : "FAILED");
+          soak->refusals, soak->aborted, soak->finished,
+          soak->budget_exhausted, soak->failed,
+          soak->failures == 0 ? "ok" : "FAILED");
   remove_files (soak);
   return soak->failures == 0 ? 0 : 1;
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,5 +1,5 @@
-/* soak.h - the world of the soak: hosts as processes, stand-ins, what callers
-   and workers saw.
+/* soak.h - state of the fault soak: router processes, stand-ins, and what
+   callers and workers observed.
 
    Needs: proxy.h, rows_server.h, worker_server.h, http_lane.h.  */
 
@@ -19,14 +19,14 @@
 #define WORKERS 4
 #define RECORDS_MAX 200000
 #define PROGRAMS_MAX 32
-/* Tokens of a turn at its most: four events of two tokens.  */
-#define MOST 8U
+/* Tokens of a turn: four events of two tokens.  */
+#define TURN_TOKENS_MAX 8U
 
-/* A process that has just been started has not yet said what it does with
-   signals: until then the system ends it, whatever the program is.  */
+/* Time for a new process to install its signal handlers; until then any signal
+   terminates it.  */
 #define SIGNAL_GRACE_MS 300U
 
-/* A router's process.  */
+/* A router process.  */
 struct host
 {
   pid_t pid; /* 0: not running */
@@ -43,13 +43,13 @@
 
 enum kind
 {
-  KIND_CALL, /* may be repeated */
+  KIND_CALL, /* may be retried */
   KIND_NON_IDEMPOTENT,
-  KIND_TURN,    /* a stream that may be resumed */
-  KIND_RETAINED /* a stream that may run once and is retained */
+  KIND_TURN,    /* a resumable stream */
+  KIND_RETAINED /* a retained stream that may not be retried */
 };
 
-/* What is known of one attempt of a caller.  */
+/* One attempt of a caller: how often it ran, and whether it was refused.  */
 struct record
 {
   uint32_t program;
@@ -59,13 +59,15 @@
 };
 
 /**
- * struct program - one agent program as its caller drives it
- * @history: what was said so far, for a retained one
- * @input: of the turn under way
- * @previous: id of the last turn that was answered whole
- * @handed: tokens that the caller got
- * @turns: turns that are left
- * @tries: of the step under way
+ * struct program - one agent program and its caller
+ * @limit: token budget
+ * @tokens_received: tokens received by the caller
+ * @turns: remaining turns
+ * @attempts: attempts of the current step
+ * @attempt: request id of the current attempt
+ * @input: input of the current turn
+ * @previous: id of the last completed turn
+ * @history: inputs and answers so far, for a retained program
  */
 struct program
 {
@@ -73,12 +75,12 @@
   uint32_t index;
   char id[32];
   bool active;
-  bool kept;
+  bool retained;
   bool loops;
   uint64_t limit;
-  uint64_t handed;
+  uint64_t tokens_received;
   int turns;
-  int tries;
+  int attempts;
   uint32_t attempt;
   enum kind kind;
   char input[32];
@@ -86,7 +88,7 @@
   struct mq_buffer history;
   struct mq_http_lane *lane;
   struct mq_timer *timer;
-  struct mq_timer *patience;
+  struct mq_timer *response_timer;
   int host;
   int status;
   uint32_t retry_ms;
@@ -121,34 +123,34 @@
   int failures;
   uint32_t finished;
   uint32_t failed;
-  uint32_t spent;
+  uint32_t budget_exhausted;
   uint32_t answers;
   uint32_t refusals;
-  uint32_t broken;
+  uint32_t aborted;
   uint32_t injected;
 };
 
-/* Something that must not happen has been seen.  */
+/* Reports a violation.  */
 void soak_fail (struct soak *soak, const char *what, const char *subject);
 uint32_t soak_random_below (struct soak *soak, uint32_t bound);
 
-/* soak_world.c */
+/* soak_site.c */
 void soak_create_site (struct soak *soak);
 void soak_start_host (struct soak *soak, int index);
-/* Notices hosts that have ended and starts them again.  */
+/* Restarts hosts that have exited; reports a crash as a violation.  */
 void soak_watch_hosts (struct soak *soak);
 void soak_kill_hosts (struct soak *soak);
 void soak_write_config (struct soak *soak);
 void soak_register_worker (struct soak *soak, bool llm, int index,
                            const char *state);
-/* One fault, drawn by the seed; most of them end by themselves.  */
+/* Injects a random fault; most faults end by themselves.  */
 void soak_inject (struct soak *soak);
-/* Ends all faults and starts all hosts.  */
+/* Ends all faults.  */
 void soak_end_faults (struct soak *soak);
 
 /* soak_caller.c */
 void soak_start_program (struct soak *soak, int index);
-/* A worker runs a request.  */
+/* Called when a worker runs a request.  */
 void soak_on_worker_request (const char *id, const char *target,
                              const char *body, void *user);
 
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -1,5 +1,4 @@
-/* soak_caller.c - programs as their callers drive them, and what they must
-   see.
+/* soak_caller.c - callers that run programs and check the responses.
 
    Needs: soak.h.  */
 
@@ -8,15 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A caller leaves when nothing has come for so long.  */
-#define PATIENCE_MS 6000U
-#define TRIES_MAX 40
+#define RESPONSE_TIMEOUT_MS 6000U
+#define ATTEMPTS_MAX 40
 #define EVENTS 4
 
 static void send_step (struct program *program);
 
 static struct record *
-record_of (struct soak *soak, const char *id)
+find_record (struct soak *soak, const char *id)
 {
   uint32_t number
       = id[0] == 'q' ? (uint32_t)strtoul (id + 1, NULL, 10) : UINT32_MAX;
@@ -30,8 +28,7 @@
   return kind == KIND_CALL || kind == KIND_TURN;
 }
 
-/* What a worker gets of a retained turn is all that was said before and the
-   new input, and nothing else.  */
+/* The body of a retained turn must be the history followed by the input.  */
 static void
 check_body (struct soak *soak, const struct record *record, const char *id,
             const char *body)
@@ -53,7 +50,7 @@
                         void *user)
 {
   struct soak *soak = user;
-  struct record *record = record_of (soak, id);
+  struct record *record = find_record (soak, id);
 
   (void)target;
   if (record == NULL)
@@ -73,7 +70,7 @@
 }
 
 static void
-drop_lane (struct program *program)
+close_connection (struct program *program)
 {
   mq_http_lane_destroy (program->lane);
   program->lane = NULL;
@@ -86,11 +83,11 @@
 
   program->active = false;
   TALLOC_FREE (program->timer);
-  TALLOC_FREE (program->patience);
-  drop_lane (program);
+  TALLOC_FREE (program->response_timer);
+  close_connection (program);
   mq_buffer_clear (&program->history);
   mq_buffer_clear (&program->body);
-  if (program->handed > program->limit + MOST)
+  if (program->tokens_received > program->limit + TURN_TOKENS_MAX)
     soak_fail (soak, "a program handed out more than its budget and a turn",
                program->id);
   soak_start_program (soak, (int)program->index);
@@ -106,32 +103,32 @@
 }
 
 static void
-next_in (struct program *program, uint32_t ms)
+schedule_step (struct program *program, uint32_t ms)
 {
   TALLOC_FREE (program->timer);
   program->timer = mq_timer_add (program->soak->ev, program->soak->ev, ms,
                                  on_next, program);
 }
 
-/* The step is tried again as a new attempt, at another host.  */
+/* Retries the step as a new attempt at a random host.  */
 static void
-try_again (struct program *program, uint32_t ms)
+retry_step (struct program *program, uint32_t ms)
 {
   struct soak *soak = program->soak;
 
   mq_buffer_clear (&program->body);
   program->host = (int)soak_random_below (soak, (uint32_t)soak->host_count);
-  if (++program->tries >= TRIES_MAX)
+  if (++program->attempts >= ATTEMPTS_MAX)
     {
       soak->failed++;
       end_program (program);
       return;
     }
-  next_in (program, ms);
+  schedule_step (program, ms);
 }
 
 static int
-events_in (struct program *program, bool *ordered)
+count_events (struct program *program, bool *ordered)
 {
   const char *at = mq_buffer_text (&program->body);
   int count = 0;
@@ -153,12 +150,12 @@
 }
 
 static void
-note_events (struct program *program, bool whole)
+check_events (struct program *program, bool whole)
 {
   bool ordered;
-  int count = events_in (program, &ordered);
+  int count = count_events (program, &ordered);
 
-  program->handed += (uint64_t)count * 2;
+  program->tokens_received += (uint64_t)count * 2;
   if (!ordered)
     soak_fail (program->soak, "events are missing or come twice", program->id);
   if (whole && count != EVENTS)
@@ -169,26 +166,26 @@
 static void
 finish_turn (struct program *program)
 {
-  static const char said[] = "e1\ne2\ne3\ne4\n";
+  static const char answer[] = "e1\ne2\ne3\ne4\n";
 
   if (program->kind != KIND_RETAINED)
     return;
   mq_buffer_append (program->soak->ev, &program->history, program->input,
                     strlen (program->input), SIZE_MAX);
-  mq_buffer_append (program->soak->ev, &program->history, said, strlen (said),
-                    SIZE_MAX);
+  mq_buffer_append (program->soak->ev, &program->history, answer,
+                    strlen (answer), SIZE_MAX);
   snprintf (program->previous, sizeof program->previous, "q%u",
             program->attempt);
 }
 
-/* After a turn a call of a tool, maybe; then the next turn.  */
+/* Schedules the next turn, or a tool call before it.  */
 static void
 next_step (struct program *program)
 {
   struct soak *soak = program->soak;
   bool turn = is_turn (program);
 
-  program->tries = 0;
+  program->attempts = 0;
   mq_buffer_clear (&program->body);
   if (turn && --program->turns <= 0)
     {
@@ -200,32 +197,32 @@
     program->kind
         = soak_random_below (soak, 2) == 0 ? KIND_CALL : KIND_NON_IDEMPOTENT;
   else
-    program->kind = program->kept ? KIND_RETAINED : KIND_TURN;
-  next_in (program, 1 + soak_random_below (soak, 30));
+    program->kind = program->retained ? KIND_RETAINED : KIND_TURN;
+  schedule_step (program, 1 + soak_random_below (soak, 30));
 }
 
 static void
-take_success (struct program *program)
+on_success (struct program *program)
 {
-  char want[32];
+  char expected[32];
 
   program->soak->answers++;
   if (is_turn (program))
     {
-      note_events (program, true);
+      check_events (program, true);
       finish_turn (program);
     }
   else
     {
-      snprintf (want, sizeof want, "done q%u", program->attempt);
-      if (strcmp (mq_buffer_text (&program->body), want) != 0)
-        soak_fail (program->soak, "an answer of another request", want);
+      snprintf (expected, sizeof expected, "done q%u", program->attempt);
+      if (strcmp (mq_buffer_text (&program->body), expected) != 0)
+        soak_fail (program->soak, "an answer of another request", expected);
     }
   next_step (program);
 }
 
 static void
-take_refusal (struct program *program)
+on_refusal (struct program *program)
 {
   struct soak *soak = program->soak;
   struct record *record = &soak->records[program->attempt];
@@ -241,27 +238,27 @@
     soak_fail (soak, "refused as not run, and it has run", id);
   if (program->status == 402)
     {
-      soak->spent++;
+      soak->budget_exhausted++;
       end_program (program);
     }
   else
-    try_again (program, program->retry_ms < 50 ? 50 : program->retry_ms);
+    retry_step (program, program->retry_ms < 50 ? 50 : program->retry_ms);
 }
 
 static void
-take_answer (struct program *program)
+on_response (struct program *program)
 {
   switch (program->status)
     {
     case 200:
-      take_success (program);
+      on_success (program);
       return;
     case 402:
     case 408:
     case 421:
     case 429:
     case 503:
-      take_refusal (program);
+      on_refusal (program);
       return;
     case 404:
       soak_fail (program->soak, "a turn that was answered whole is lost",
@@ -271,8 +268,8 @@
     case 500:
     case 502:
     case 504:
-      program->soak->broken++;
-      try_again (program, 50);
+      program->soak->aborted++;
+      retry_step (program, 50);
       return;
     default:
       soak_fail (program->soak, "an answer that nobody gives", program->id);
@@ -305,37 +302,37 @@
 {
   struct program *program = user;
 
-  TALLOC_FREE (program->patience);
+  TALLOC_FREE (program->response_timer);
   if (!mq_http_lane_reusable (program->lane))
-    drop_lane (program);
-  take_answer (program);
+    close_connection (program);
+  on_response (program);
 }
 
 static void
-end_broken (struct program *program)
+on_abort (struct program *program)
 {
-  TALLOC_FREE (program->patience);
-  drop_lane (program);
-  program->soak->broken++;
+  TALLOC_FREE (program->response_timer);
+  close_connection (program);
+  program->soak->aborted++;
   if (is_turn (program) && program->status == 200)
-    note_events (program, false);
-  try_again (program, 100 + soak_random_below (program->soak, 300));
+    check_events (program, false);
+  retry_step (program, 100 + soak_random_below (program->soak, 300));
 }
 
 static void
 on_failed (enum mq_lane_failure failure, void *user)
 {
   (void)failure;
-  end_broken (user);
+  on_abort (user);
 }
 
 static void
-on_patience (void *data)
+on_response_timeout (void *data)
 {
   struct program *program = data;
 
-  program->patience = NULL;
-  end_broken (program);
+  program->response_timer = NULL;
+  on_abort (program);
 }
 
 static void
@@ -344,31 +341,31 @@
   struct program *program = user;
 
   (void)lane;
-  drop_lane (program);
+  close_connection (program);
 }
 
 static char *
 make_head (struct program *program)
 {
   static const char *const paths[] = { "call", "once", "turn", "kept" };
-  char *more = talloc_strdup (program->soak->ev, "");
+  char *extra = talloc_strdup (program->soak->ev, "");
   char *head;
 
   if (is_turn (program))
-    more = talloc_asprintf_append (
-        more, "X-Token-Budget: %lu\r\nX-Token-Count: 10,%u\r\n",
-        (unsigned long)program->limit, MOST);
+    extra = talloc_asprintf_append (
+        extra, "X-Token-Budget: %lu\r\nX-Token-Count: 10,%u\r\n",
+        (unsigned long)program->limit, TURN_TOKENS_MAX);
   if (program->kind == KIND_RETAINED && program->previous[0] != '\0')
-    more = talloc_asprintf_append (more, "X-Previous-Turn: %s\r\n",
-                                   program->previous);
+    extra = talloc_asprintf_append (extra, "X-Previous-Turn: %s\r\n",
+                                    program->previous);
   head = talloc_asprintf (
       program->soak->ev,
       "POST /%s/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: q%u\r\n"
       "X-Program-Id: %s\r\nX-Deadline-Ms: 5000\r\n%s"
       "Content-Length: %zu\r\n\r\n",
-      paths[program->kind], program->attempt, program->id, more,
+      paths[program->kind], program->attempt, program->id, extra,
       strlen (program->input));
-  talloc_free (more);
+  talloc_free (extra);
   return head;
 }
 
@@ -402,12 +399,12 @@
     }
   if (program->lane == NULL)
     {
-      try_again (program, 100);
+      retry_step (program, 100);
       return;
     }
   head = make_head (program);
-  program->patience
-      = mq_timer_add (soak->ev, soak->ev, PATIENCE_MS, on_patience, program);
+  program->response_timer = mq_timer_add (
+      soak->ev, soak->ev, RESPONSE_TIMEOUT_MS, on_response_timeout, program);
   mq_http_lane_send (program->lane, &events, head, strlen (head),
                      program->input, strlen (program->input), false);
   talloc_free (head);
@@ -421,12 +418,12 @@
   *program = (struct program){ .soak = soak, .index = (uint32_t)index };
   snprintf (program->id, sizeof program->id, "p%u", soak->program_ids++);
   program->active = true;
-  program->kept = soak_random_below (soak, 2) == 0;
+  program->retained = soak_random_below (soak, 2) == 0;
   program->loops = soak_random_below (soak, 8) == 0;
-  program->limit = 48 + soak_random_below (soak, 4) * MOST;
+  program->limit = 48 + soak_random_below (soak, 4) * TURN_TOKENS_MAX;
   program->turns
       = program->loops ? 1000 : 1 + (int)soak_random_below (soak, 4);
-  program->kind = program->kept ? KIND_RETAINED : KIND_TURN;
+  program->kind = program->retained ? KIND_RETAINED : KIND_TURN;
   program->host = (int)soak_random_below (soak, (uint32_t)soak->host_count);
-  next_in (program, soak_random_below (soak, 100));
+  schedule_step (program, soak_random_below (soak, 100));
 }
--- a/tests/soak/soak_site.c
+++ b/tests/soak/soak_site.c
@@ -1,4 +1,4 @@
-/* soak_world.c - hosts, stand-ins and the faults that befall them.
+/* soak_site.c - hosts, stand-ins and fault injection.
 
    Needs: soak.h.  */
 
@@ -18,8 +18,8 @@
 #define PORT_FIRST 12000U
 #define PORT_COUNT 19000U
 
-/* A free port below the range that outgoing connections take theirs from: a
-   host that is started again must find its port as it left it.  */
+/* Returns a free port below the range of ephemeral ports, so that no outgoing
+   connection takes it while its host restarts.  */
 static uint16_t
 free_port (void)
 {
@@ -61,7 +61,7 @@
   fclose (file);
 }
 
-/* The child ends with its parent, whatever ends that.  */
+/* The kernel kills the host when the soak exits.  */
 void
 soak_start_host (struct soak *soak, int index)
 {
@@ -235,7 +235,7 @@
     }
 }
 
-/* Faults */
+/* Faults.  */
 
 struct restore
 {
@@ -274,26 +274,26 @@
 }
 
 static struct restore *
-restore_in (struct soak *soak, uint32_t most_ms)
+schedule_restore (struct soak *soak, uint32_t max_ms)
 {
   struct restore *restore = talloc_zero (soak->ev, struct restore);
 
   restore->soak = soak;
   restore->worker = -1;
-  mq_timer_add (soak->ev, soak->ev, 200 + soak_random_below (soak, most_ms),
+  mq_timer_add (soak->ev, soak->ev, 200 + soak_random_below (soak, max_ms),
                 on_restore, restore);
   return restore;
 }
 
 static void
-harm_proxy (struct soak *soak, struct proxy *proxy, uint32_t most_ms)
+inject_proxy_fault (struct soak *soak, struct proxy *proxy, uint32_t max_ms)
 {
   proxy_set (proxy, (enum proxy_mode) (1 + soak_random_below (soak, 5)));
-  restore_in (soak, most_ms)->proxy = proxy;
+  schedule_restore (soak, max_ms)->proxy = proxy;
 }
 
 static void
-harm_host (struct soak *soak, struct host *host, uint32_t how)
+inject_host_fault (struct soak *soak, struct host *host, uint32_t fault)
 {
   static const int signals[] = { SIGKILL, SIGTERM, SIGHUP };
   struct restore *restore;
@@ -301,29 +301,29 @@
   if (host->pid == 0)
     return;
   if (mq_clock_ms () - host->started_ms < SIGNAL_GRACE_MS)
-    how = 0;
-  if (how < 3)
+    fault = 0;
+  if (fault < 3)
     {
-      kill (host->pid, signals[how]);
+      kill (host->pid, signals[fault]);
       return;
     }
   kill (host->pid, SIGSTOP);
   host->paused = true;
-  restore = restore_in (soak, 2500);
+  restore = schedule_restore (soak, 2500);
   restore->host = host;
   restore->pid = host->pid;
 }
 
 static void
-harm_table (struct soak *soak)
+inject_table_fault (struct soak *soak)
 {
   rows_server_fault (soak->rows,
                      (enum rows_fault) (1 + soak_random_below (soak, 7)));
-  restore_in (soak, 2500);
+  schedule_restore (soak, 2500);
 }
 
 static void
-harm_workers (struct soak *soak)
+inject_worker_fault (struct soak *soak)
 {
   bool llm = soak_random_below (soak, 2) == 0;
   struct worker_plan *plan = llm ? &soak->llm_plan : &soak->app_plan;
@@ -333,7 +333,7 @@
   plan->count = 1 + (int)soak_random_below (soak, 4);
   if (soak_random_below (soak, 3) != 0)
     return;
-  restore = restore_in (soak, 2000);
+  restore = schedule_restore (soak, 2000);
   restore->llm = llm;
   restore->worker = (int)soak_random_below (soak, WORKERS);
   soak_register_worker (soak, llm, restore->worker,
@@ -353,27 +353,27 @@
     case 0:
     case 1:
     case 2:
-      harm_host (soak, host, soak_random_below (soak, 5));
+      inject_host_fault (soak, host, soak_random_below (soak, 5));
       break;
     case 3:
       for (int i = 0; i < soak->host_count; i++)
         if (soak_random_below (soak, 4) != 0)
-          harm_host (soak, &soak->hosts[i], 0);
+          inject_host_fault (soak, &soak->hosts[i], 0);
       break;
     case 4:
     case 5:
-      harm_proxy (soak, host->table, 2500);
+      inject_proxy_fault (soak, host->table, 2500);
       break;
     case 6:
-      harm_table (soak);
+      inject_table_fault (soak);
       break;
     case 7:
-      harm_proxy (soak, soak->llm_proxy[soak_random_below (soak, WORKERS)],
-                  1500);
+      inject_proxy_fault (
+          soak, soak->llm_proxy[soak_random_below (soak, WORKERS)], 1500);
       break;
     case 8:
-      harm_proxy (soak, soak->app_proxy[soak_random_below (soak, WORKERS)],
-                  1500);
+      inject_proxy_fault (
+          soak, soak->app_proxy[soak_random_below (soak, WORKERS)], 1500);
       break;
     case 9:
       soak_write_config (soak);
@@ -382,7 +382,7 @@
       rows_server_compact (soak->rows);
       break;
     default:
-      harm_workers (soak);
+      inject_worker_fault (soak);
       break;
     }
 }
