--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,8 +1,8 @@
-/* bench_capacity.c - slopes of the core's machines, for docs/CAPACITY.md.
+/* bench_capacity.c - cost of the core's state machines, for docs/CAPACITY.md.
 
-   "bench_capacity" runs every experiment, "bench_capacity NAME…" those
-   that are named.  Time is processor time of the one thread; the machines
-   run in virtual time, on the stand-in's table.
+   "bench_capacity" runs every experiment, "bench_capacity NAME…" the named
+   ones.  Reports CPU time of the single thread; the state machines run in
+   virtual time with the stand-in for the platform's table.
    Needs: capacity.h.  */
 
 #include "capacity.h"
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #ifndef __SANITIZE_ADDRESS__
-/* glibc's own names of what the functions below stand before.  */
+/* glibc's allocator, called by the counting wrappers below.  */
 void *__libc_malloc (size_t size);
 void *__libc_calloc (size_t count, size_t size);
 void *__libc_realloc (void *old, size_t size);
@@ -54,7 +54,7 @@
 };
 
 static bool
-is_wanted (int argc, char **argv, const char *name)
+is_selected (int argc, char **argv, const char *name)
 {
   for (int i = 1; i < argc; i++)
     if (strcmp (argv[i], name) == 0)
@@ -75,7 +75,7 @@
 
   argp_parse (&argp, argc, argv, ARGP_NO_ARGS, &index, NULL);
   for (size_t i = 0; i < sizeof experiments / sizeof experiments[0]; i++)
-    if (is_wanted (argc, argv, experiments[i].name))
+    if (is_selected (argc, argv, experiments[i].name))
       {
         printf ("== %s\n", experiments[i].name);
         experiments[i].run ();
--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -1,9 +1,9 @@
-/* bench_peer.c - what the link between two processes costs.
+/* bench_peer.c - cost of the connection between two processes.
 
-   A sender and a receiver on loopback, each a process with its own loop.
-   "stream": as many frames as the window lets through; "ping": one frame at
-   a time, each answered, so nothing is gathered; "idle": beats only; "hub":
-   beats with many peers, for the cost of one more connection.
+   A sender and a receiver on loopback, each a process with its own event loop.
+   "stream": as many frames as the window allows; "ping": one frame at a time,
+   each acknowledged, without batching; "idle": heartbeats only; "hub":
+   heartbeats with many peers, for the cost of one connection.
    Needs: peer.h, id.h.  */
 
 #include "core/id.h"
@@ -18,14 +18,14 @@
 
 enum
 {
-  WINDOW = 4096, /* frames under way */
+  WINDOW = 4096, /* unacknowledged frames */
   ACK_EVERY = 256,
   STREAM_FRAMES = 1600 * ACK_EVERY,
   PING_FRAMES = 20000,
   BODY_BYTES = 2048,
   LOAD_WORKERS = 4,
   IDLE_SECONDS = 20,
-  SPOKES = 200,
+  HUB_CLIENTS = 200,
   TALLOC_HEADER_BYTES = 96,
   US_PER_S = 1000000
 };
@@ -62,7 +62,7 @@
   bool lost;
   uint64_t received;
   uint64_t acked;
-  uint64_t ack_every; /* 0: the sender, which answers nothing */
+  uint64_t ack_every; /* 0 for the sender, which sends none */
 };
 
 static void
@@ -146,15 +146,15 @@
   return read_clock (CLOCK_MONOTONIC);
 }
 
-/* Serves until the sender goes; tells its processor time since the first
-   frame through the pipe.  */
+/* Serves until the sender disconnects, then writes the CPU time since the
+   connection to the pipe, in microseconds.  */
 static void
 run_receiver (int to_parent, uint64_t ack_every)
 {
   struct side side = { .ack_every = ack_every };
   uint16_t port;
   double start;
-  double spent;
+  double used_us;
 
   open_side (&side, "receiver", 2);
   port = mq_peer_net_port (side.net);
@@ -165,8 +165,8 @@
   start = cpu_us ();
   while (!side.lost)
     tevent_loop_once (side.ev);
-  spent = cpu_us () - start;
-  if (write (to_parent, &spent, sizeof spent) != (ssize_t)sizeof spent)
+  used_us = cpu_us () - start;
+  if (write (to_parent, &used_us, sizeof used_us) != (ssize_t)sizeof used_us)
     exit (1);
   exit (0);
 }
@@ -323,7 +323,7 @@
 }
 
 static void
-run_spokes (uint16_t port)
+run_clients (uint16_t port)
 {
   struct tevent_context *ev = tevent_context_init (NULL);
   struct mq_peer_callbacks callbacks = { 0 };
@@ -331,7 +331,7 @@
   char host[32];
 
   snprintf (address, sizeof address, "127.0.0.1:%u", port);
-  for (uint64_t i = 0; i < SPOKES; i++)
+  for (uint64_t i = 0; i < HUB_CLIENTS; i++)
     {
       struct mq_peer_options options = { .listen = "127.0.0.1:0" };
       struct mq_peer_net *net;
@@ -348,7 +348,7 @@
     tevent_loop_once (ev);
 }
 
-/* With what talloc adds to each allocation.  */
+/* Counts bytes allocated below CTX, talloc's headers included.  */
 static size_t
 count_memory (const void *ctx)
 {
@@ -363,7 +363,7 @@
   struct mq_peer_counters before;
   const struct mq_peer_counters *after;
   size_t empty;
-  double spent;
+  double used_us;
   pid_t child;
 
   open_side (&side, "hub", 1);
@@ -372,22 +372,22 @@
   if (child < 0)
     exit (1);
   if (child == 0)
-    run_spokes (mq_peer_net_port (side.net));
-  while (side.up < SPOKES)
+    run_clients (mq_peer_net_port (side.net));
+  while (side.up < HUB_CLIENTS)
     tevent_loop_once (side.ev);
   after = mq_peer_net_counters (side.net);
   before = *after;
-  spent = cpu_us ();
+  used_us = cpu_us ();
   run_idle (&side);
-  spent = cpu_us () - spent;
+  used_us = cpu_us () - used_us;
   printf ("%-12s %d connections, each %zu bytes of memory, out %.1f bytes/s "
           "in %.1f bytes/s cpu %.1f us/s\n",
-          "hub", SPOKES, (count_memory (side.net) - empty) / SPOKES,
+          "hub", HUB_CLIENTS, (count_memory (side.net) - empty) / HUB_CLIENTS,
           (double)(after->control_bytes_out - before.control_bytes_out)
-              / IDLE_SECONDS / SPOKES,
+              / IDLE_SECONDS / HUB_CLIENTS,
           (double)(after->control_bytes_in - before.control_bytes_in)
-              / IDLE_SECONDS / SPOKES,
-          spent / IDLE_SECONDS / SPOKES);
+              / IDLE_SECONDS / HUB_CLIENTS,
+          used_us / IDLE_SECONDS / HUB_CLIENTS);
   kill (child, SIGKILL);
   waitpid (child, NULL, 0);
   talloc_free (side.ev);
--- a/bench/bench_replay.c
+++ b/bench/bench_replay.c
@@ -1,8 +1,8 @@
-/* bench_replay.c - the decisions of the router under the worst load.
+/* bench_replay.c - simulates the router's decisions under overload.
 
-   Prints what became of programs at several times the usual load, for each way
-   of deciding, and draws programs in aim over time.  Virtual time; the same
-   seed gives the same figures.
+   Prints the outcomes of programs at several multiples of the base load for
+   each policy, and plots programs that met their deadline over time.  Runs in
+   virtual time; the same seed gives the same results.
    Needs: replay.h, argp.  */
 
 #include "../tests/replay.h"
@@ -66,7 +66,7 @@
     }
 }
 
-/* ---- Drawing ---- */
+/* Plot.  */
 
 enum
 {
@@ -121,7 +121,7 @@
   fclose (file);
 }
 
-/* ---- Table ---- */
+/* Table.  */
 
 static void
 print_row (const struct replay_options *load,
--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -1,4 +1,4 @@
-/* capacity.c - series of measures and the line through them.
+/* capacity.c - series of measurements and their linear fit.
 
    Needs: capacity.h.  */
 
@@ -13,7 +13,7 @@
   SIZES_MAX = 12,
   VALUES_MAX = 9,
   NS_PER_S = 1000000000,
-  BLOCK_OVERHEAD = 112 /* talloc's header and malloc's */
+  BLOCK_OVERHEAD = 112 /* headers of talloc and malloc, bytes */
 };
 
 struct capacity_heap capacity_heap;
@@ -38,7 +38,7 @@
 {
   double base;
   double slope;
-  double residual; /* largest distance of a median, of the median */
+  double residual; /* largest relative error of a median */
 };
 
 struct capacity_series *
@@ -86,7 +86,7 @@
   return (left > right) - (left < right);
 }
 
-/* Sorted copy of the values of POINT; returns their median.  */
+/* Copies the values of POINT in order to SORTED; returns their median.  */
 static double
 sort_values (const struct point *point, double sorted[VALUES_MAX])
 {
@@ -96,8 +96,8 @@
   return sorted[point->count / 2];
 }
 
-/* Least squares through the medians, each weighed by one over its square,
-   so that small sizes count as much as large ones.  */
+/* Least-squares fit of the medians, weighted by the inverse square of the
+   median, which minimises the relative error.  */
 static struct line
 fit (const struct capacity_series *series)
 {
@@ -125,10 +125,11 @@
   for (int i = 0; i < series->count; i++)
     {
       double y = sort_values (&series->points[i], sorted);
-      double off = fabs (line.base + line.slope * series->points[i].size - y);
+      double error
+          = fabs (line.base + line.slope * series->points[i].size - y);
 
-      if (y != 0 && off / y > line.residual)
-        line.residual = off / y;
+      if (y != 0 && error / y > line.residual)
+        line.residual = error / y;
     }
   return line;
 }
--- a/bench/capacity.h
+++ b/bench/capacity.h
@@ -1,9 +1,8 @@
-/* capacity.h - measured slopes: what a thing costs as a number grows.
+/* capacity.h - measures how a cost grows with a size.
 
-   A series holds repeated measures at several sizes.  It prints the median
-   and range at each size and a straight line through the medians with its
-   largest residual, so that a page can say slope times number and how far
-   to trust it.
+   A series contains repeated measurements at several sizes.  It prints the
+   median and range at each size, and a linear fit of the medians with its
+   largest relative residual.
    Needs: types.h of the core (talloc).  */
 
 #ifndef CAPACITY_H
@@ -18,20 +17,20 @@
 
 struct capacity_series;
 
-/* NAME of the slope, unit of the size, unit of what is measured.  */
+/* Creates a series; UNIT is the unit of the measured values.  */
 struct capacity_series *capacity_series_create (TALLOC_CTX *ctx,
                                                 const char *name,
                                                 const char *size_unit,
                                                 const char *unit);
 void capacity_series_add (struct capacity_series *series, double size,
                           double value);
-/* Prints a line for each size, and one for the fit.  */
+/* Prints one line for each size and one for the fit.  */
 void capacity_series_print (const struct capacity_series *series);
 
-/* Processor time of this thread in nanoseconds.  */
+/* CPU time of this thread in nanoseconds.  */
 uint64_t capacity_cpu_ns (void);
 
-/* Calls of malloc and its kin, and bytes asked for, since the start.  */
+/* Calls of malloc, calloc and realloc, and bytes requested.  */
 struct capacity_heap
 {
   uint64_t calls;
@@ -39,13 +38,13 @@
 };
 extern struct capacity_heap capacity_heap;
 
-/* The same calls as a counter.  */
+/* Returns capacity_heap.calls.  */
 uint64_t capacity_allocations (void);
 
-/* Bytes that hang below CTX, talloc's and malloc's headers included.  */
+/* Bytes allocated in the hierarchy of CTX, allocator headers included.  */
 uint64_t capacity_memory (TALLOC_CTX *ctx);
 
-/* The experiments, each in a file of its own.  */
+/* Experiments, in capacity_*.c.  */
 void capacity_run_place (void);
 void capacity_run_fleet (void);
 void capacity_run_text (void);
--- a/bench/capacity_config.c
+++ b/bench/capacity_config.c
@@ -1,5 +1,5 @@
-/* capacity_config.c - cost of taking a configuration from the feed's answer
-   to the table in force, as its routes grow.
+/* capacity_config.c - cost of loading a configuration from the feed's response
+   into the route table, by number of routes.
 
    Needs: capacity.h, rows_state.h, router_wire.h, base64.h.  */
 
@@ -14,14 +14,14 @@
 enum
 {
   NS_PER_US = 1000,
-  PART_BYTES = 16384, /* that the table's answer arrives in */
-  TURN_BYTES = 16384, /* that are read in a turn of the event loop */
+  CHUNK_BYTES = 16384, /* received at a time */
+  STEP_BYTES = 16384,  /* parsed in one event loop iteration */
   ROUTES_OF_HOST = 25,
   REPEATS = 7
 };
 
 static char *
-write_config (TALLOC_CTX *ctx, uint32_t routes)
+create_config (TALLOC_CTX *ctx, uint32_t routes)
 {
   char *text = talloc_strdup (ctx, "{\"version\":7,\"routes\":[");
 
@@ -38,11 +38,11 @@
             "\"limits\":{\"idleTimeoutMs\":15000}}");
 }
 
-/* The answer of the feed that tells it.  */
+/* The feed's response with the configuration row.  */
 static char *
-write_answer (TALLOC_CTX *ctx, uint32_t routes)
+create_response (TALLOC_CTX *ctx, uint32_t routes)
 {
-  char *text = write_config (ctx, routes);
+  char *text = create_config (ctx, routes);
   struct mq_bytes value = { (uint8_t *)text, strlen (text) };
 
   return talloc_asprintf (
@@ -52,9 +52,7 @@
       mq_base64_encode (ctx, value));
 }
 
-/**
- * struct series - processor time of each stage, microseconds
- */
+/* CPU time of each stage in microseconds.  */
 struct series
 {
   struct capacity_series *size, *body, *answer, *decode, *turn, *sort, *memory,
@@ -71,24 +69,25 @@
 }
 
 static void
-take_body (TALLOC_CTX *ctx, struct mq_buffer *body, struct rows_text *walk,
-           const char *text)
+receive_body (TALLOC_CTX *ctx, struct mq_buffer *body, struct rows_text *walk,
+              const char *text)
 {
   size_t len = strlen (text);
 
-  for (size_t at = 0; at < len; at += PART_BYTES)
+  for (size_t at = 0; at < len; at += CHUNK_BYTES)
     {
       if (!mq_buffer_append (ctx, body, text + at,
-                             len - at < PART_BYTES ? len - at : PART_BYTES,
+                             len - at < CHUNK_BYTES ? len - at : CHUNK_BYTES,
                              SIZE_MAX))
         abort ();
       rows_text_walk (ctx, walk, body);
     }
 }
 
-/* Turns of the event loop until VALUE is a table; *LONGEST: one of them.  */
+/* Parses VALUE over several event loop iterations; sets LONGEST to the longest
+   in nanoseconds.  */
 static struct mq_route_table *
-read_in_turns (TALLOC_CTX *ctx, struct mq_bytes value, uint64_t *longest)
+parse_in_steps (TALLOC_CTX *ctx, struct mq_bytes value, uint64_t *longest)
 {
   struct mq_error error = { .type = MQ_ERR_NONE };
   struct mq_config_reader *reader = mq_wire_config_begin (ctx, value);
@@ -98,7 +97,7 @@
     {
       uint64_t since = capacity_cpu_ns ();
 
-      progress = mq_wire_config_read_on (reader, TURN_BYTES, &error);
+      progress = mq_wire_config_read_on (reader, STEP_BYTES, &error);
       since = capacity_cpu_ns () - since;
       *longest = since > *longest ? since : *longest;
     }
@@ -111,7 +110,7 @@
 measure (const struct series *series, uint32_t routes)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  char *text = write_answer (ctx, routes);
+  char *text = create_response (ctx, routes);
   struct mq_buffer body = { 0 };
   struct rows_text walk = { 0 };
   struct rows_answer answer;
@@ -120,12 +119,12 @@
   uint64_t since = capacity_cpu_ns ();
 
   capacity_series_add (series->size, routes, (double)strlen (text));
-  take_body (ctx, &body, &walk, text);
+  receive_body (ctx, &body, &walk, text);
   add_time (series->body, routes, &since);
   if (!rows_read_answer (ctx, &body, &walk, &answer))
     abort ();
   add_time (series->answer, routes, &since);
-  table = read_in_turns (ctx, answer.rows[0].value, &longest);
+  table = parse_in_steps (ctx, answer.rows[0].value, &longest);
   add_time (series->decode, routes, &since);
   capacity_series_add (series->turn, routes, (double)longest / NS_PER_US);
   since = capacity_cpu_ns ();
--- a/bench/capacity_fleet.c
+++ b/bench/capacity_fleet.c
@@ -1,4 +1,5 @@
-/* capacity_fleet.c - cost of the router's choices by number of workers.
+/* capacity_fleet.c - cost of the router's worker selection by number of
+   workers.
 
    Needs: capacity.h, fleet.h, id.h.  */
 
@@ -11,7 +12,7 @@
 {
   NOW_MS = 1000000,
   DECISIONS = 2000,
-  ANSWERS = 64,
+  LOAD_REPORTS = 64,
   NS_PER_US = 1000
 };
 
@@ -34,7 +35,7 @@
       snprintf (id, sizeof id, "i-%08zx", i);
       mq_fleet_put (fleet, &member, NULL);
     }
-  for (int i = 0; i < ANSWERS; i++)
+  for (int i = 0; i < LOAD_REPORTS; i++)
     mq_fleet_told (fleet, mq_random_below (&random, (uint32_t)count),
                    mq_random_below (&random, 8), 0, NOW_MS);
   return fleet;
@@ -42,12 +43,12 @@
 
 enum choice
 {
-  CHOICE_HOME_KNOWN, /* a turn whose program's record names its worker */
-  CHOICE_BY_KEY,     /* one whose record names none */
-  CHOICE_HOME        /* a program that begins */
+  CHOICE_HOME_KNOWN, /* a turn whose record has a home worker */
+  CHOICE_BY_KEY,     /* a turn whose record has none */
+  CHOICE_HOME        /* a new program */
 };
 
-/* Microseconds for each.  */
+/* Returns microseconds per choice.  */
 static double
 measure (struct mq_fleet *fleet, enum choice choice)
 {
--- a/bench/capacity_gate.c
+++ b/bench/capacity_gate.c
@@ -1,4 +1,4 @@
-/* capacity_gate.c - cost of a call and a lease renewal beside a target.
+/* capacity_gate.c - cost of a call and of a lease renewal at a target's gate.
 
    Needs: capacity.h, gate.h, codec.h.  */
 
@@ -24,14 +24,14 @@
 {
   struct mq_gate *gate;
   uint64_t now_us;
-  uint32_t starts[65536]; /* slots that run, in order */
+  uint32_t starts[65536]; /* ring of started slots, in order */
   size_t first;
   size_t last;
   char *body;
 };
 
 static void
-take_starts (struct bench *bench, const struct mq_actions *actions)
+record_starts (struct bench *bench, const struct mq_actions *actions)
 {
   for (size_t i = 0; i < actions->count; i++)
     if (actions->items[i].type == MQ_ACT_START)
@@ -45,7 +45,7 @@
 
   input->now_us = bench->now_us++;
   mq_gate_handle (bench->gate, input, actions);
-  take_starts (bench, actions);
+  record_starts (bench, actions);
   talloc_free (actions);
 }
 
@@ -143,7 +143,7 @@
   double allocations;
 };
 
-/* CALL in, START, DONE and FORGET with WAITING calls in the queue.  */
+/* Measures CALL, START, DONE and FORGET with WAITING calls in the queue.  */
 static struct call_cost
 measure_calls (uint64_t waiting)
 {
@@ -228,7 +228,7 @@
   double bytes;
 };
 
-/* Programs that had a call here and hold a lease.  */
+/* Measures lease renewal and memory with PROGRAMS leases.  */
 static struct record_cost
 measure_records (uint64_t programs)
 {
@@ -276,7 +276,7 @@
   capacity_series_print (bytes);
 }
 
-/* Frames of control as the codec packs them, with 4 bytes of length.  */
+/* Prints the size of an encoded frame, including its 4-byte length.  */
 static void
 print_frame (const char *name, const struct mq_message *message)
 {
--- a/bench/capacity_owner.c
+++ b/bench/capacity_owner.c
@@ -10,36 +10,35 @@
 enum
 {
   TOKENS_OF_AN_ANSWER = 24,
-  OPENS_A_MS = 10, /* while programs are opened */
-  TURNS = 500,     /* measured, one each two milliseconds */
+  OPENS_PER_MS = 10,
+  TURNS = 500,
   TURN_US = 2000,
-  OWN_US = 60000000, /* until it owns every partition */
+  OWN_US = 60000000, /* time to take over all partitions */
   SETTLE_US = 3000000,
   MS = 1000,
-  GONE = 20
+  DISCONNECTS = 20
 };
 
-/* One owner with programs that wait for a turn.  */
+/* One owner with open programs that wait for a turn.  */
 struct shape
 {
   uint32_t programs;
   uint32_t history; /* tokens */
   uint32_t targets;
   uint32_t partitions;
-  uint32_t store_ms; /* 0: 2 */
+  uint32_t store_ms; /* table latency; 0 for the default of 2 */
 };
 
 /**
- * struct result - measured over TURNS turns
- * @open_us: an open, up to its sealing into a commit
- * @turn_us: all inputs that a turn brings, renewals and ticks left out
- * @token_us: an input with a piece of text
- * @outcome_us: an outcome
- * @store_us: a result of the store
- * @tick_us: a tick
- * @list_us: a list of hosts
- * @load_us: a target's load
- * @gone_us: a caller that goes away
+ * struct result - mean CPU time and memory over TURNS turns
+ * @open_us: opening a program, until it is part of a commit
+ * @turn_us: all inputs of a turn, lease renewals and ticks excluded
+ * @token_us: input with a token
+ * @outcome_us: input with the outcome of a call
+ * @store_us: result of the table
+ * @list_us: host list
+ * @load_us: load report of a target
+ * @gone_us: disconnect of a caller
  */
 struct result
 {
@@ -72,14 +71,14 @@
   for (uint32_t i = 1; i <= shape->programs; i++)
     {
       fleet_open (fleet, 0, i, shape->history, false);
-      if (i % OPENS_A_MS == 0)
+      if (i % OPENS_PER_MS == 0)
         fleet_run (fleet, MS);
     }
   fleet_run (fleet, SETTLE_US);
 }
 
 static void
-take_turns (struct fleet *fleet, const struct shape *shape)
+run_turns (struct fleet *fleet, const struct shape *shape)
 {
   for (uint32_t i = 0; i < TURNS; i++)
     {
@@ -90,9 +89,9 @@
 }
 
 static void
-take_others (struct fleet *fleet, const struct shape *shape)
+run_other_inputs (struct fleet *fleet, const struct shape *shape)
 {
-  for (uint32_t i = 0; i < GONE; i++)
+  for (uint32_t i = 0; i < DISCONNECTS; i++)
     {
       fleet_list (fleet, 0);
       fleet_load (fleet, 0, i % shape->targets);
@@ -101,7 +100,7 @@
 }
 
 static void
-read_costs (const struct fleet_use *use, struct result *result)
+read_turn_costs (const struct fleet_use *use, struct result *result)
 {
   const struct fleet_cost *cost = use->cost;
   uint64_t ns = cost[FLEET_REQUEST].ns + cost[FLEET_TOKEN].ns
@@ -160,12 +159,12 @@
   commits = counters->commits;
   done = counters->calls_done;
   fleet_reset (fleet);
-  take_turns (fleet, shape);
+  run_turns (fleet, shape);
   check_turns (counters->calls_done - done);
   result.turns_a_commit = TURNS / (double)(counters->commits - commits);
-  read_costs (fleet_read (fleet), &result);
+  read_turn_costs (fleet_read (fleet), &result);
   fleet_reset (fleet);
-  take_others (fleet, shape);
+  run_other_inputs (fleet, shape);
   result.list_us = mean_us (&fleet_read (fleet)->cost[FLEET_HOSTS]);
   result.load_us = mean_us (&fleet_read (fleet)->cost[FLEET_LOAD]);
   result.gone_us = mean_us (&fleet_read (fleet)->cost[FLEET_GONE]);
@@ -190,10 +189,10 @@
   X (turns_a_commit, "turns a commit")                                        \
   X (written_a_turn, "bytes written a turn")
 
-/* Grows one number of a shape and prints a series for each column.  */
+/* Varies GROWN, a field of SHAPE, and prints a series for each column.  */
 static void
 run_series (const char *name, const char *size_unit, struct shape *shape,
-            uint32_t *grown, const uint32_t *sizes, size_t count)
+            uint32_t *varied, const uint32_t *sizes, size_t count)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
 #define CREATE(column, unit)                                                  \
@@ -208,7 +207,7 @@
       {
         struct result result;
 
-        *grown = sizes[i];
+        *varied = sizes[i];
         result = measure (shape);
 #define ADD(column, unit)                                                     \
   capacity_series_add (column, sizes[i], result.column);
@@ -221,7 +220,7 @@
   talloc_free (ctx);
 }
 
-static const struct shape usual
+static const struct shape base_shape
     = { .programs = 500, .history = 1000, .targets = 12, .partitions = 24 };
 
 void
@@ -232,19 +231,19 @@
   static const uint32_t targets[] = { 12, 120, 500, 6000 };
   static const uint32_t store_ms[] = { 2, 20, 130 };
   static const uint32_t partitions[] = { 16, 100, 1000 };
-  struct shape shape = usual;
+  struct shape shape = base_shape;
 
   run_series ("programs", "programs", &shape, &shape.programs, programs, 3);
-  shape = usual;
+  shape = base_shape;
   shape.programs = 100;
   run_series ("history", "tokens", &shape, &shape.history, histories, 4);
-  shape = usual;
+  shape = base_shape;
   run_series ("targets", "targets", &shape, &shape.targets, targets, 4);
-  shape = usual;
-  shape = usual;
+  shape = base_shape;
+  shape = base_shape;
   run_series ("store", "ms of the table", &shape, &shape.store_ms, store_ms,
               3);
-  shape = usual;
+  shape = base_shape;
   run_series ("partitions", "partitions", &shape, &shape.partitions,
               partitions, 3);
 }
--- a/bench/capacity_place.c
+++ b/bench/capacity_place.c
@@ -11,7 +11,7 @@
 {
   NOW_US = 1000000000,
   DECISIONS = 20000,
-  US_PER_NS = 1000
+  NS_PER_US = 1000
 };
 
 static const size_t sizes[] = { 12, 120, 500, 6000 };
@@ -63,7 +63,7 @@
   if (capacity_heap.calls != heap)
     printf ("place %s: allocates\n", mq_policy_name (policy));
   mq_place_destroy (state);
-  return (double)took / DECISIONS / US_PER_NS;
+  return (double)took / DECISIONS / NS_PER_US;
 }
 
 void
--- a/bench/capacity_spread.c
+++ b/bench/capacity_spread.c
@@ -1,7 +1,6 @@
 /* capacity_spread.c - messages and bytes of one configuration change.
 
-   Hosts hear from peers over a full mesh, or over the part of it that a
-   process near owners keeps; a few of each data centre read the row.
+   Hosts are connected in a full mesh; a few of each data centre poll the row.
    Needs: capacity.h, spread.h, codec.h.  */
 
 #include "capacity.h"
@@ -24,9 +23,9 @@
   VERSION_BYTES = 8
 };
 
-struct letter
+struct packet
 {
-  struct letter *next;
+  struct packet *next;
   uint32_t from;
   uint32_t to;
   struct mq_message *message;
@@ -41,13 +40,13 @@
   uint64_t sent[HOSTS_MAX];
   uint64_t bytes[HOSTS_MAX];
   uint64_t polls;
-  struct letter *wire[DELAY_MS + 1];
+  struct packet *in_flight[DELAY_MS + 1];
   uint64_t version;
   struct mq_row row;
 };
 
-static void carry (struct site *site, uint32_t from,
-                   const struct mq_actions *actions);
+static void run_actions (struct site *site, uint32_t from,
+                         const struct mq_actions *actions);
 
 static void
 feed (struct site *site, uint32_t host, struct mq_spread_input *input)
@@ -59,12 +58,12 @@
   if (site->raised_ms[host] == 0
       && mq_spread_version (site->spreads[host]) == site->version)
     site->raised_ms[host] = site->now_ms;
-  carry (site, host, actions);
+  run_actions (site, host, actions);
   talloc_free (actions);
 }
 
 static void
-give_row (struct site *site, uint32_t host, uint64_t id)
+answer_poll (struct site *site, uint32_t host, uint64_t id)
 {
   struct mq_store_result result = { .id = id, .status = MQ_STORE_OK };
   struct mq_spread_input input = { .type = MQ_SPREAD_STORE };
@@ -77,36 +76,37 @@
 }
 
 static void
-post (struct site *site, uint32_t from, uint32_t to,
-      const struct mq_message *message)
+send_packet (struct site *site, uint32_t from, uint32_t to,
+             const struct mq_message *message)
 {
-  struct letter *letter = talloc_zero (NULL, struct letter);
+  struct packet *packet = talloc_zero (NULL, struct packet);
   uint64_t at = (site->now_ms + DELAY_MS) % (DELAY_MS + 1);
   size_t len = 0;
-  uint8_t *data = mq_codec_pack (letter, message, &len);
+  uint8_t *data = mq_codec_pack (packet, message, &len);
 
   talloc_free (data);
   site->sent[from]++;
   site->bytes[from] += len + FRAME_HEADER;
-  letter->from = from;
-  letter->to = to;
-  letter->message = talloc_zero (letter, struct mq_message);
-  mq_message_copy (letter, letter->message, message);
-  letter->next = site->wire[at];
-  site->wire[at] = letter;
+  packet->from = from;
+  packet->to = to;
+  packet->message = talloc_zero (packet, struct mq_message);
+  mq_message_copy (packet, packet->message, message);
+  packet->next = site->in_flight[at];
+  site->in_flight[at] = packet;
 }
 
 static void
-carry (struct site *site, uint32_t from, const struct mq_actions *actions)
+run_actions (struct site *site, uint32_t from,
+             const struct mq_actions *actions)
 {
   for (size_t i = 0; i < actions->count; i++)
     {
       const struct mq_action *action = &actions->items[i];
 
       if (action->type == MQ_ACT_STORE)
-        give_row (site, from, action->u.store.id);
+        answer_poll (site, from, action->u.store.id);
       else if (action->type == MQ_ACT_SEND)
-        post (site, from, action->peer - 1, &action->u.message);
+        send_packet (site, from, action->peer - 1, &action->u.message);
     }
 }
 
@@ -114,19 +114,19 @@
 deliver (struct site *site)
 {
   uint64_t at = site->now_ms % (DELAY_MS + 1);
-  struct letter *letter = site->wire[at];
+  struct packet *packet = site->in_flight[at];
 
-  site->wire[at] = NULL;
-  while (letter != NULL)
+  site->in_flight[at] = NULL;
+  while (packet != NULL)
     {
-      struct letter *next = letter->next;
+      struct packet *next = packet->next;
       struct mq_spread_input input = { .type = MQ_SPREAD_MESSAGE };
 
-      input.peer = letter->from + 1;
-      input.u.message = letter->message;
-      feed (site, letter->to, &input);
-      talloc_free (letter);
-      letter = next;
+      input.peer = packet->from + 1;
+      input.u.message = packet->message;
+      feed (site, packet->to, &input);
+      talloc_free (packet);
+      packet = next;
     }
 }
 
@@ -204,7 +204,7 @@
 {
   double first_ms;
   double last_ms;
-  double messages; /* of a host, mean */
+  double messages; /* per host, mean */
   double most_bytes;
   double bytes;
   double polls;
--- a/bench/capacity_takeover.c
+++ b/bench/capacity_takeover.c
@@ -1,5 +1,5 @@
-/* capacity_takeover.c - what an owner's end costs its successors and the
-   store; what owners cost the store at rest.
+/* capacity_takeover.c - cost of a takeover for the successors and the table,
+   and load of idle owners on the table.
 
    Needs: capacity.h, tests/fleet.h.  */
 
@@ -12,11 +12,11 @@
   MS = 1000,
   SECOND_US = 1000000,
   SETTLE_US = 30 * SECOND_US,
-  REST_US = 3 * SECOND_US, /* calls end in it */
+  CALLS_END_US = 3 * SECOND_US, /* time for calls to end */
   WINDOW_S = 60,
-  LOOK_US = 50 * MS,
-  LOOKS_MAX = 20 * 600,
-  OPENS_A_MS = 10,
+  POLL_US = 50 * MS,
+  POLLS_MAX = 20 * 600,
+  OPENS_PER_MS = 10,
   CUT_HOSTS = 40,
   CUT_PARTITIONS = 1000,
   CUT_PROGRAMS = 4000
@@ -32,22 +32,22 @@
   return ns;
 }
 
-/* Seconds until every partition is owned; -1 when that never happens.  */
+/* Returns seconds until every partition is owned; -1 on timeout.  */
 static double
 wait_owned (struct fleet *fleet, uint32_t partitions)
 {
   uint64_t start_us = fleet_now (fleet);
 
-  for (int i = 0; i < LOOKS_MAX; i++)
+  for (int i = 0; i < POLLS_MAX; i++)
     {
       if (fleet_owned (fleet) == partitions)
         return (double)(fleet_now (fleet) - start_us) / SECOND_US;
-      fleet_run (fleet, LOOK_US);
+      fleet_run (fleet, POLL_US);
     }
   return -1;
 }
 
-/* ---- One owner ends, a new host takes all ---- */
+/* One owner crashes, and a new host takes over all partitions.  */
 
 struct takeover_shape
 {
@@ -80,10 +80,10 @@
   for (uint32_t i = 1; i <= shape->programs; i++)
     {
       fleet_open (fleet, 0, i, shape->history, false);
-      if (i % OPENS_A_MS == 0)
+      if (i % OPENS_PER_MS == 0)
         fleet_run (fleet, MS);
     }
-  fleet_run (fleet, REST_US);
+  fleet_run (fleet, CALLS_END_US);
   fleet_kill (fleet, 0);
   fleet_reset (fleet);
   fleet_start (fleet, 1);
@@ -146,9 +146,9 @@
   run_takeover ("history", "tokens", &shape, &shape.history, histories, 4);
 }
 
-/* ---- Entry hosts at rest ---- */
+/* Idle entry hosts.  */
 
-struct rest
+struct idle_load
 {
   double reads;
   double writes;
@@ -158,8 +158,8 @@
   double unowned;
 };
 
-static struct rest
-measure_rest (uint32_t hosts)
+static struct idle_load
+measure_idle_load (uint32_t hosts)
 {
   struct fleet_options options = { .clock_ns = capacity_cpu_ns,
                                    .hosts = hosts,
@@ -168,24 +168,24 @@
                                    .connected = true };
   struct fleet *fleet = fleet_create (NULL, &options);
   const struct fleet_use *use = fleet_read (fleet);
-  struct rest rest;
+  struct idle_load idle_load;
   uint64_t lost;
 
   fleet_run (fleet, SETTLE_US);
   lost = fleet_lost (fleet);
   fleet_reset (fleet);
   fleet_run (fleet, WINDOW_S * (uint64_t)SECOND_US);
-  rest.reads = (double)use->reads / WINDOW_S;
-  rest.writes = (double)use->writes / WINDOW_S;
-  rest.read_bytes = (double)use->bytes_read / WINDOW_S / hosts;
-  rest.cpu_percent = (double)cpu_ns (use) / 1e9 / WINDOW_S / hosts * 100;
-  rest.lost = (double)(fleet_lost (fleet) - lost);
-  rest.unowned = options.partitions - fleet_owned (fleet);
+  idle_load.reads = (double)use->reads / WINDOW_S;
+  idle_load.writes = (double)use->writes / WINDOW_S;
+  idle_load.read_bytes = (double)use->bytes_read / WINDOW_S / hosts;
+  idle_load.cpu_percent = (double)cpu_ns (use) / 1e9 / WINDOW_S / hosts * 100;
+  idle_load.lost = (double)(fleet_lost (fleet) - lost);
+  idle_load.unowned = options.partitions - fleet_owned (fleet);
   talloc_free (fleet);
-  return rest;
+  return idle_load;
 }
 
-#define REST_COLUMNS(X)                                                       \
+#define IDLE_COLUMNS(X)                                                       \
   X (reads, "reads a second, all")                                            \
   X (writes, "writes a second, all")                                          \
   X (read_bytes, "bytes/s read by a host")                                    \
@@ -201,27 +201,28 @@
 #define CREATE(column, unit)                                                  \
   struct capacity_series *column                                              \
       = capacity_series_create (ctx, "hosts." #column, "entry hosts", unit);
-  REST_COLUMNS (CREATE)
+  IDLE_COLUMNS (CREATE)
 #undef CREATE
 
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     {
-      struct rest rest = measure_rest (sizes[i]);
+      struct idle_load idle_load = measure_idle_load (sizes[i]);
 
-#define ADD(column, unit) capacity_series_add (column, sizes[i], rest.column);
-      REST_COLUMNS (ADD)
+#define ADD(column, unit)                                                     \
+  capacity_series_add (column, sizes[i], idle_load.column);
+      IDLE_COLUMNS (ADD)
 #undef ADD
     }
 #define PRINT(column, unit) capacity_series_print (column);
-  REST_COLUMNS (PRINT)
+  IDLE_COLUMNS (PRINT)
 #undef PRINT
   talloc_free (ctx);
 }
 
-/* ---- Several owners end at once ---- */
+/* Several owners crash at once.  */
 
 static void
-open_everywhere (struct fleet *fleet)
+open_at_all_hosts (struct fleet *fleet)
 {
   for (uint32_t i = 1; i <= CUT_PROGRAMS; i++)
     {
@@ -229,14 +230,14 @@
 
       if (home != UINT32_MAX)
         fleet_open (fleet, home, i, 1000, false);
-      if (i % OPENS_A_MS == 0)
+      if (i % OPENS_PER_MS == 0)
         fleet_run (fleet, MS);
     }
-  fleet_run (fleet, REST_US);
+  fleet_run (fleet, CALLS_END_US);
 }
 
 static void
-measure_cut (const char *name, uint32_t ended)
+measure_crash (const char *name, uint32_t crashed)
 {
   struct fleet_options options = { .clock_ns = capacity_cpu_ns,
                                    .hosts = CUT_HOSTS,
@@ -252,10 +253,10 @@
   double seconds;
 
   fleet_run (fleet, SETTLE_US);
-  open_everywhere (fleet);
+  open_at_all_hosts (fleet);
   lost = fleet_lost (fleet);
-  for (uint32_t i = 0; i < ended; i++)
-    fleet_kill (fleet, i * (CUT_HOSTS / ended));
+  for (uint32_t i = 0; i < crashed; i++)
+    fleet_kill (fleet, i * (CUT_HOSTS / crashed));
   moved = CUT_PARTITIONS - fleet_owned (fleet);
   fleet_reset (fleet);
   seconds = wait_owned (fleet, options.partitions);
@@ -263,7 +264,7 @@
           "%.0f reads/s, %.0f writes/s, peak %llu/s, %.3g bytes read, "
           "%.1f ms of processor a host and second, %llu lost by living "
           "hosts; start took %.1f s\n",
-          name, ended, CUT_HOSTS, moved, CUT_PARTITIONS, seconds,
+          name, crashed, CUT_HOSTS, moved, CUT_PARTITIONS, seconds,
           (double)use->reads / seconds, (double)use->writes / seconds,
           (unsigned long long)use->peak, (double)use->bytes_read,
           (double)cpu_ns (use) / SECOND_US / seconds / CUT_HOSTS,
@@ -275,7 +276,7 @@
 void
 capacity_run_cuts (void)
 {
-  measure_cut ("host", 1);
-  measure_cut ("data centre", 4);
-  measure_cut ("region", 13);
+  measure_crash ("host", 1);
+  measure_crash ("data centre", 4);
+  measure_crash ("region", 13);
 }
--- a/bench/capacity_text.c
+++ b/bench/capacity_text.c
@@ -1,5 +1,5 @@
-/* capacity_text.c - cost of reading the operators' text and the list of
-   hosts as they grow.
+/* capacity_text.c - cost of parsing the operators' text and the host list by
+   size.
 
    Needs: capacity.h, text.h, jansson.  */
 
@@ -16,7 +16,7 @@
 };
 
 static char *
-write_text (TALLOC_CTX *ctx, uint32_t organisations)
+create_text (TALLOC_CTX *ctx, uint32_t organisations)
 {
   char *text = talloc_strdup (ctx, "[site]\nname = capacity\n");
 
@@ -44,7 +44,7 @@
     for (int repeat = 0; repeat < CAPACITY_REPEATS; repeat++)
       {
         TALLOC_CTX *scratch = talloc_new (NULL);
-        char *text = write_text (scratch, sizes[i]);
+        char *text = create_text (scratch, sizes[i]);
         struct mq_text_errors errors = { 0 };
         uint64_t start = capacity_cpu_ns ();
         struct mq_text *parsed
@@ -66,7 +66,7 @@
 }
 
 static char *
-write_list (TALLOC_CTX *ctx, uint32_t hosts)
+create_list (TALLOC_CTX *ctx, uint32_t hosts)
 {
   char *text = talloc_strdup (ctx, "{\"hosts\":[");
 
@@ -82,7 +82,7 @@
   return talloc_asprintf_append_buffer (text, "]}");
 }
 
-/* The JSON alone: what the owner makes of it is owner.targets.list_us.  */
+/* JSON parsing only; owner.targets.list_us includes the owner's processing. */
 static void
 run_list (TALLOC_CTX *ctx)
 {
@@ -95,7 +95,7 @@
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     for (int repeat = 0; repeat < CAPACITY_REPEATS; repeat++)
       {
-        char *text = write_list (ctx, sizes[i]);
+        char *text = create_list (ctx, sizes[i]);
         uint64_t start = capacity_cpu_ns ();
 
         json_decref (json_loads (text, 0, NULL));
