--- a/tests/ctl_kit.c
+++ b/tests/ctl_kit.c
@@ -1,4 +1,4 @@
-/* ctl_kit.c - a site for mimosactl.
+/* ctl_kit.c - a site for tests of mimosactl.
 
    Needs: ctl_kit.h, spread.h (the row), POSIX processes.  */
 
@@ -31,18 +31,18 @@
 static void
 answer_status (struct ctl_kit_host *host, struct mq_http_request *request)
 {
-  const char *mark = strstr (host->status, "%llu");
+  const char *placeholder = strstr (host->status, "%llu");
   char *body;
 
   host->asked++;
   if (host->learns != 0 && host->asked >= host->learns)
     host->version = host->learns_version;
-  if (mark == NULL)
+  if (placeholder == NULL)
     body = talloc_strdup (NULL, host->status);
   else
-    body = talloc_asprintf (NULL, "%.*s%llu%s", (int)(mark - host->status),
-                            host->status, (unsigned long long)host->version,
-                            mark + strlen ("%llu"));
+    body = talloc_asprintf (
+        NULL, "%.*s%llu%s", (int)(placeholder - host->status), host->status,
+        (unsigned long long)host->version, placeholder + strlen ("%llu"));
   respond (request, STATUS_OK, body);
   talloc_free (body);
 }
@@ -158,7 +158,7 @@
   return name;
 }
 
-/* A file without a name that holds TEXT, read from its beginning.  */
+/* Creates a temporary file with TEXT, positioned at its start.  */
 static FILE *
 make_stream (const char *text)
 {
@@ -214,7 +214,7 @@
                     data);
 }
 
-/* The loop serves the site until the process has ended.  */
+/* Runs the event loop until the process exits; returns its exit status.  */
 static int
 serve_until_end (struct ctl_kit *kit, pid_t pid)
 {
@@ -297,7 +297,7 @@
 
   for (int i = 0; i < 8; i++)
     data[i] = (uint8_t)(version >> (56 - 8 * i));
-  data[8] = (uint8_t)version; /* its apply id, another one each time */
+  data[8] = (uint8_t)version; /* apply id, unique to the version */
   memcpy (data + MQ_CONFIG_HEADER, text, text_len + 1);
   cr_assert_eq (mq_table_transact (mq_platform_server_table (kit->platform),
                                    &op, 1, &row_version, NULL),
--- a/tests/ctl_kit.h
+++ b/tests/ctl_kit.h
@@ -1,6 +1,6 @@
-/* ctl_kit.h - a site for mimosactl: the platform's stand-in and hosts that
-   answer operators, all in the test's own event loop; mimosactl itself runs
-   as a process beside it.
+/* ctl_kit.h - a site for tests of mimosactl: a stand-in for the platform, and
+   hosts with operators' HTTP, in the test's event loop.  mimosactl runs as a
+   child process.
 
    Needs: platform_server.h, http_server.h, Criterion.  */
 
@@ -14,19 +14,20 @@
 #define CTL_KIT_OPERATOR_KEY "kit-operator-key"
 
 /**
- * struct ctl_kit_host - a host that answers operators
- * @name: its name in the list
+ * struct ctl_kit_host - a host with operators' HTTP
+ * @name: name in the host list
  * @role: "entry" or "target"
- * @status: JSON object; "%llu" in it is replaced by the version it holds
+ * @status: JSON object; "%llu" in it is replaced by @version
  * @spans: JSON array
- * @version: configuration that it holds
+ * @version: configuration version
  * @learns_version: see @learns
- * @server: kept by the kit
- * @learns: after this many status requests it holds @learns_version
- * @asked: status requests so far
- * @drained: drain orders so far
- * @leaving: as in the list
- * @gone: it is in the list, but nothing listens there
+ * @server: owned by the kit
+ * @learns: number of status requests after which @version becomes
+ *          @learns_version; 0 for never
+ * @asked: status requests received
+ * @drained: drain requests received
+ * @leaving: listed as leaving
+ * @gone: listed, but unreachable
  */
 struct ctl_kit_host
 {
@@ -46,12 +47,12 @@
 
 /**
  * struct ctl_kit - the site
- * @hosts: up to CTL_KIT_HOSTS_MAX, ended by one without a name
- * @step: called after each turn of the loop while mimosactl runs; may be
+ * @hosts: up to CTL_KIT_HOSTS_MAX, terminated by one without a name
+ * @step: called after each event loop iteration while mimosactl runs; may be
  *        NULL
- * @out: what mimosactl wrote to standard output
- * @err: what it wrote to standard error
- * @code: its exit status
+ * @out: standard output of mimosactl
+ * @err: standard error of mimosactl
+ * @code: exit status of mimosactl
  */
 struct ctl_kit
 {
@@ -68,15 +69,15 @@
 
 struct ctl_kit *ctl_kit_create (const struct ctl_kit_host *hosts);
 void ctl_kit_destroy (struct ctl_kit *kit);
-/* Runs mimosactl with ARGUMENTS (NULL at the end), INPUT on its standard
-   input (may be NULL), and the platform's address and the operators' key in
-   its environment.  KIT may be without hosts.  */
+/* Runs mimosactl with the NULL-terminated ARGUMENTS and INPUT on its standard
+   input; INPUT may be NULL.  The environment has the platform's address and
+   the operators' key file.  */
 void ctl_kit_run (struct ctl_kit *kit, const char *input,
                   const char *const *arguments);
-/* The row of the configuration: its version, 0 when there is none; the text
-   is copied to *TEXT when TEXT is not NULL.  */
+/* Returns the version in the configuration row, 0 if there is none; copies the
+   text to TEXT unless that is NULL.  */
 uint64_t ctl_kit_config (struct ctl_kit *kit, char **text);
-/* Writes the row as another operator would.  */
+/* Writes the configuration row, as another operator would.  */
 void ctl_kit_write_config (struct ctl_kit *kit, uint64_t version,
                            const char *text);
 
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -42,7 +42,7 @@
   if (strlen (body) != len + strlen (program->input)
       || strncmp (body, mq_buffer_text (&program->history), len) != 0
       || strcmp (body + len, program->input) != 0)
-    soak_fail (soak, "a worker got another history", id);
+    soak_fail (soak, "a worker received a wrong history", id);
 }
 
 void
@@ -55,7 +55,7 @@
   (void)target;
   if (record == NULL)
     {
-      soak_fail (soak, "a request was run that nobody sent", id);
+      soak_fail (soak, "a worker ran an unknown request", id);
       return;
     }
   record->runs++;
@@ -63,9 +63,9 @@
       && soak_random_below (soak, 50) == 0)
     record->runs++;
   if (record->runs > 1 && !may_repeat (record->kind))
-    soak_fail (soak, "a request that may run once ran twice", id);
+    soak_fail (soak, "a non-idempotent request ran twice", id);
   if (record->refused && !may_repeat (record->kind))
-    soak_fail (soak, "a request ran that was refused as not run", id);
+    soak_fail (soak, "a request ran after it was refused as not run", id);
   check_body (soak, record, id, body);
 }
 
@@ -88,7 +88,7 @@
   mq_buffer_clear (&program->history);
   mq_buffer_clear (&program->body);
   if (program->tokens_received > program->limit + TURN_TOKENS_MAX)
-    soak_fail (soak, "a program handed out more than its budget and a turn",
+    soak_fail (soak, "a program exceeded its budget by more than one turn",
                program->id);
   soak_start_program (soak, (int)program->index);
 }
@@ -157,9 +157,9 @@
 
   program->tokens_received += (uint64_t)count * 2;
   if (!ordered)
-    soak_fail (program->soak, "events are missing or come twice", program->id);
+    soak_fail (program->soak, "events are missing or repeated", program->id);
   if (whole && count != EVENTS)
-    soak_fail (program->soak, "a stream that is not whole ends as whole",
+    soak_fail (program->soak, "an incomplete stream ended as complete",
                program->id);
 }
 
@@ -216,7 +216,8 @@
     {
       snprintf (expected, sizeof expected, "done q%u", program->attempt);
       if (strcmp (mq_buffer_text (&program->body), expected) != 0)
-        soak_fail (program->soak, "an answer of another request", expected);
+        soak_fail (program->soak, "the answer belongs to another request",
+                   expected);
     }
   next_step (program);
 }
@@ -235,7 +236,7 @@
       && soak_random_below (soak, 5) == 0)
     record->runs++;
   if (record->runs > 0 && !may_repeat (record->kind))
-    soak_fail (soak, "refused as not run, and it has run", id);
+    soak_fail (soak, "a request was refused as not run after it ran", id);
   if (program->status == 402)
     {
       soak->budget_exhausted++;
@@ -261,7 +262,7 @@
       on_refusal (program);
       return;
     case 404:
-      soak_fail (program->soak, "a turn that was answered whole is lost",
+      soak_fail (program->soak, "a completed turn was lost",
                  program->previous);
       end_program (program);
       return;
@@ -272,7 +273,7 @@
       retry_step (program, 50);
       return;
     default:
-      soak_fail (program->soak, "an answer that nobody gives", program->id);
+      soak_fail (program->soak, "unexpected response status", program->id);
       end_program (program);
     }
 }
--- a/tests/soak/soak_site.c
+++ b/tests/soak/soak_site.c
@@ -117,10 +117,10 @@
       if (host->pid == 0 || waitpid (host->pid, &status, WNOHANG) != host->pid)
         continue;
       if (WIFSIGNALED (status) && WTERMSIG (status) != SIGKILL)
-        soak_fail (soak, "a host ended by a signal",
+        soak_fail (soak, "a host was terminated by a signal",
                    strsignal (WTERMSIG (status)));
       if (WIFEXITED (status) && WEXITSTATUS (status) != 0)
-        soak_fail (soak, "a host ended with a failure", host->name);
+        soak_fail (soak, "a host exited with a failure", host->name);
       host->pid = 0;
       schedule_restart (soak);
     }
--- a/tests/test_mimosactl.c
+++ b/tests/test_mimosactl.c
@@ -1,4 +1,5 @@
-/* test_mimosactl.c - the operators' command line against a small site.
+/* test_mimosactl.c - tests of the operators' command line tool on a small
+   site.
 
    Needs: ctl_kit.h, ctl_trace.h, text_fixture.h, jansson, Criterion.  */
 
@@ -27,7 +28,7 @@
                       part, text);
 }
 
-/* Commands that need no site.  */
+/* Commands that need no platform.  */
 
 struct local_case
 {
@@ -35,8 +36,8 @@
   const char *arguments[6];
   const char *input;
   int code;
-  const char *out; /* part of it */
-  const char *err; /* part of it */
+  const char *out; /* expected substring of the standard output */
+  const char *err; /* expected substring of the standard error */
 };
 
 static const struct local_case local_cases[] = {
@@ -159,7 +160,7 @@
   ctl_kit_destroy (kit);
 }
 
-/* The documented demo keys are those whose hashes the examples hold.  */
+/* The hashes in the examples must match the documented demo keys.  */
 Test (mimosactl, demo_keys_of_the_examples)
 {
   static const struct
@@ -197,7 +198,7 @@
   ctl_kit_destroy (kit);
 }
 
-/* Every key stands in the list, so a page made from it misses none.  */
+/* The list must contain every key.  */
 Test (mimosactl, keys_as_json)
 {
   struct ctl_kit *kit = ctl_kit_create (NULL);
@@ -226,8 +227,8 @@
   ctl_kit_destroy (kit);
 }
 
-/* The page of the keys is what "mimosactl keys" prints; after a change of a
-   table it is written anew:
+/* docs/KEYS.md must contain the output of "mimosactl keys".  To regenerate it
+   after a change of a key table:
    { sed -n '1,/^```/p' docs/KEYS.md; build/bin/mimosactl keys; echo '```'; }
  */
 Test (mimosactl, keys_page)
@@ -247,16 +248,17 @@
 
 /**
  * struct apply_case - one apply under a fault
- * @before: text in force as version 1, NULL: none
- * @base: given with --base
- * @fault: switched on at the platform after @reads reads, NULL: none
- * @rival: another operator's text, written after @rival_reads reads or, with
- *         @follows, right after our own, as the next version
- * @says: part of standard output or standard error
- * @version: version in force in the end
- * @writes: rows written in all
- * @code: exit status
- * @ours: it is our text that is in force
+ * @before: text in force as version 1; NULL for none
+ * @base: argument of --base
+ * @fault: injected at the platform after @reads reads; NULL for none
+ * @rival: text that another operator writes as the next version, after
+ *         @rival_reads reads or, with @follows, right after the apply under
+ *         test
+ * @says: expected substring of standard output or standard error
+ * @version: expected version in force at the end
+ * @writes: expected number of rows written
+ * @code: expected exit status
+ * @ours: whether the text of the apply under test is in force at the end
  */
 struct apply_case
 {
@@ -276,9 +278,9 @@
 };
 
 /* mimosactl reads the row once to check the change, then once before each
-   attempt: after two reads the attempt is the next to come.  */
+   write, so the first write follows the second read.  */
 static const struct apply_case apply_cases[] = {
-  /* An operator puts the first text, then a second one, in force.  */
+  /* Without conflicts or faults.  */
   { .name = "first text",
     .base = "0",
     .version = 1,
@@ -299,14 +301,14 @@
     .ours = true,
     .writes = 1,
     .says = "already accepted as version 1" },
-  /* The operator does not say which version was looked at.  */
+  /* --base is missing.  */
   { .name = "no base",
     .before = TEXT_A,
     .code = 2,
     .version = 1,
     .writes = 1,
     .says = "then: --base 1" },
-  /* Someone applied version 1 while this operator still looked at none.  */
+  /* Another operator applied a version after the base was read.  */
   { .name = "old base",
     .before = TEXT_A,
     .base = "0",
@@ -328,8 +330,7 @@
     .version = 1,
     .writes = 1,
     .says = "version 1 is in force, not 7" },
-  /* Two operators race: both read version 1, the other one writes first,
-     ours meets the condition no more and must not win.  */
+  /* Two operators race from version 1; the second write must fail.  */
   { .name = "rival writes first",
     .before = TEXT_A,
     .base = "1",
@@ -339,9 +340,8 @@
     .version = 2,
     .writes = 2,
     .says = "version 2 is in force, not 1" },
-  /* The write takes effect, its answer is lost.  Told that it failed, the
-     operator would apply again and think that someone else was faster.  The
-     row holds our apply id.  */
+  /* The response to a successful write is lost.  It must not be reported as
+     failed or as a conflict: the row has the apply id.  */
   { .name = "lost answer",
     .before = TEXT_A,
     .base = "1",
@@ -350,8 +350,8 @@
     .ours = true,
     .writes = 2,
     .says = "accepted as version 2" },
-  /* The write takes effect only after we read the old row and wrote again:
-     of the two, one meets the condition.  */
+  /* The first write takes effect after a second attempt has started; only one
+     of the two may succeed.  */
   { .name = "late effect",
     .before = TEXT_A,
     .base = "1",
@@ -360,8 +360,8 @@
     .ours = true,
     .writes = 2,
     .says = "accepted as version 2" },
-  /* As before, but another operator's text comes between; ours may never
-     take effect over it.  */
+  /* Another operator writes before the delayed write, which must not replace
+     the newer text.  */
   { .name = "late effect and a rival",
     .before = TEXT_A,
     .base = "1",
@@ -372,9 +372,8 @@
     .version = 2,
     .writes = 2,
     .says = "version 2 is in force, not 1" },
-  /* Our answer is lost and another operator applies on top of our text
-     before we read: whether ours was in force can't be seen any more, and
-     must not be claimed either way.  */
+  /* The response is lost, and another operator replaces the text before the
+     row is read again: the outcome must be reported as unknown.  */
   { .name = "lost answer and a successor",
     .before = TEXT_A,
     .base = "1",
@@ -385,7 +384,7 @@
     .version = 3,
     .writes = 3,
     .says = "may have been, or may yet be accepted" },
-  /* The table refuses for a moment: certainly not applied, tried again.  */
+  /* The table is unavailable for a short time: the apply retries.  */
   { .name = "store down for a moment",
     .before = TEXT_A,
     .base = "1",
@@ -403,8 +402,8 @@
     .version = 1,
     .writes = 1,
     .says = "store can't be reached" },
-  /* The table goes away between our reading and our write and stays away:
-     the operator must hear that nothing was applied.  */
+  /* The table becomes unavailable between read and write: the apply must be
+     reported as not applied.  */
   { .name = "store lost before the write",
     .before = TEXT_A,
     .base = "1",
@@ -425,7 +424,7 @@
 };
 
 static void
-switch_on (struct ctl_kit *kit, struct apply_run *run)
+inject_fault (struct ctl_kit *kit, struct apply_run *run)
 {
   run->fault_on = true;
   if (run->test->fault != NULL)
@@ -433,8 +432,8 @@
                "%s", run->test->fault);
 }
 
-/* Runs between two turns of the platform's loop, so before any request that
-   mimosactl sends in answer to what it has just read.  */
+/* Runs between iterations of the platform's event loop, before the next
+   request of mimosactl is handled.  */
 static void
 apply_step (struct ctl_kit *kit, void *user)
 {
@@ -446,7 +445,7 @@
   uint64_t version;
 
   if (!run->fault_on && reads >= test->reads)
-    switch_on (kit, run);
+    inject_fault (kit, run);
   if (test->rival == NULL || run->rival_done)
     return;
   version = ctl_kit_config (kit, NULL);
@@ -468,7 +467,7 @@
   run.reads_before
       = mq_table_counters (mq_platform_server_table (kit->platform)).reads;
   if (test->reads == 0)
-    switch_on (kit, &run);
+    inject_fault (kit, &run);
   kit->step = apply_step;
   kit->user = &run;
   if (test->base == NULL)
@@ -495,9 +494,9 @@
     run_apply (&apply_cases[i]);
 }
 
-/* An operator doubles the partitions of a site in use.  Programs would be
-   looked for in partitions other than those that hold them.  */
-Test (mimosactl, apply_refuses_other_partitions)
+/* Guards against a change of the number of partitions, after which programs
+   would be looked up in the wrong partition.  */
+Test (mimosactl, apply_rejects_a_change_of_partitions)
 {
   struct ctl_kit *kit = ctl_kit_create (NULL);
 
@@ -530,9 +529,9 @@
   ctl_kit_destroy (kit);
 }
 
-/* The spread of a version.  */
+/* Rollout of a version.  */
 
-struct spread_case
+struct rollout_case
 {
   const char *name;
   struct ctl_kit_host hosts[CTL_KIT_HOSTS_MAX + 1];
@@ -542,7 +541,7 @@
   const char *err;
 };
 
-static const struct spread_case spread_cases[] = {
+static const struct rollout_case rollout_cases[] = {
   { "all hold it at once",
     { { .name = "e1", .role = "entry", .version = 1 },
       { .name = "t1", .role = "target", .version = 1 } },
@@ -563,7 +562,7 @@
     0,
     "1 of 1",
     "1 of 1" },
-  /* A host never hears of the version: its name must come up.  */
+  /* A host that never receives the version must be named.  */
   { "one stays behind",
     { { .name = "e1", .role = "entry", .version = 1 },
       { .name = "t1", .role = "target" } },
@@ -571,7 +570,7 @@
     1,
     "1 of 2 hosts hold version 1\n  missing: t1 (holds version 0)\n",
     "1 of 2" },
-  /* A host of the list is dead.  Nobody can say what it holds.  */
+  /* The version of an unreachable host is unknown.  */
   { "one does not answer",
     { { .name = "e1", .role = "entry", .version = 1 },
       { .name = "t1", .role = "target", .gone = true } },
@@ -596,9 +595,9 @@
 
 Test (mimosactl, apply_waits_for_the_hosts)
 {
-  for (size_t i = 0; i < COUNT (spread_cases); i++)
+  for (size_t i = 0; i < COUNT (rollout_cases); i++)
     {
-      const struct spread_case *test = &spread_cases[i];
+      const struct rollout_case *test = &rollout_cases[i];
       struct ctl_kit *kit = ctl_kit_create (test->hosts);
 
       ctl_kit_run (
@@ -678,7 +677,7 @@
   cr_expect_eq (kit->code, 0);
   for (size_t i = 0; i < COUNT (lines); i++)
     expect_in (kit->out, lines[i], "status");
-  /* A host that only tries to take a partition over is no rival.  */
+  /* A host in state "claiming" must not be reported as a second owner.  */
   cr_expect_null (strstr (kit->out, "  0: "));
   ctl_kit_destroy (kit);
 }
@@ -707,8 +706,8 @@
   ctl_kit_destroy (kit);
 }
 
-/* The table is down, the hosts are not: an operator still sees the hosts.  */
-Test (mimosactl, status_without_the_table)
+/* The hosts must be shown while the table is unavailable.  */
+Test (mimosactl, status_when_the_table_is_unavailable)
 {
   struct ctl_kit *kit = ctl_kit_create (status_hosts);
 
@@ -723,8 +722,8 @@
   ctl_kit_destroy (kit);
 }
 
-/* An operator uses the key of another site.  */
-Test (mimosactl, hosts_refuse_another_key)
+/* Hosts must reject a wrong operators' key.  */
+Test (mimosactl, hosts_reject_a_wrong_key)
 {
   struct ctl_kit *kit = ctl_kit_create (status_hosts);
 
@@ -738,7 +737,7 @@
   cr_expect_eq (kit->code, 1);
   expect_in (kit->err, "e1", "drain");
   cr_expect_eq (kit->hosts[0].drained, 0);
-  /* A header line must not be made of a file that holds something else.  */
+  /* Guards against header injection from a file that is not a key.  */
   ctl_kit_run (kit, "two words\n",
                ARGUMENTS ("status", "--operator-key-file", "-"));
   cr_expect_eq (kit->code, 2);
@@ -772,7 +771,7 @@
   ",\"start_us\":" start ",\"end_us\":" end ",\"error\":\"" error "\"}"
 #define PROGRAM "000000000000000a000000000000000b"
 
-Test (mimosactl, trace_gathers_all_hosts)
+Test (mimosactl, trace_collects_spans_of_all_hosts)
 {
   static const struct ctl_kit_host hosts[]
       = { { .name = "e1",
@@ -830,8 +829,8 @@
   return list;
 }
 
-/* Sub-programs stand below the call that started them, whatever the order in
-   which the hosts answer; the link comes from the ids alone.  */
+/* Sub-programs must be shown below the call that started them, in whatever
+   order the spans arrive; the link is derived from the ids.  */
 Test (mimosactl, trace_tree)
 {
   static const char *const lines[] = {
@@ -873,7 +872,7 @@
   talloc_free (ctx);
 }
 
-Test (mimosactl, trace_of_nothing)
+Test (mimosactl, trace_without_spans)
 {
   struct ctl_kit *kit = ctl_kit_create (status_hosts);
 
@@ -885,29 +884,29 @@
 
 /* Routing hosts.  */
 
-/* A router's ready address: whether it is ready, and its numbers.  */
-struct ready_door
+/* Responses of a router's readiness endpoint.  */
+struct ready_endpoint
 {
   int status;
   const char *metrics;
 };
 
 static void
-on_ready_question (struct mq_http_request *request, void *data)
+on_ready_request (struct mq_http_request *request, void *data)
 {
-  const struct ready_door *door = data;
+  const struct ready_endpoint *endpoint = data;
   bool metrics = strcmp (mq_http_path (request), "/metrics") == 0;
-  const char *body = metrics ? door->metrics : "";
+  const char *body = metrics ? endpoint->metrics : "";
 
-  mq_http_respond (request, metrics ? 200 : door->status, "text/plain", body,
-                   strlen (body));
+  mq_http_respond (request, metrics ? 200 : endpoint->status, "text/plain",
+                   body, strlen (body));
 }
 
-/* One look shows which routers take callers and which can't be reached; a
-   number that one does not tell is no zero.  */
+/* The state of every router must be shown; a counter that a router does not
+   report must not be shown as zero.  */
 Test (mimosactl, routers)
 {
-  static struct ready_door doors[] = {
+  static struct ready_endpoint endpoints[] = {
     { 200, "# TYPE x\nmimosa_router_served 41\nmimosa_router_hosts 7\n" },
     { 503, "# TYPE x\nmimosa_router_served 0\n" },
   };
@@ -918,10 +917,11 @@
   char *ready = NULL;
   struct mq_error error;
 
-  for (size_t i = 0; i < COUNT (doors); i++)
+  for (size_t i = 0; i < COUNT (endpoints); i++)
     {
-      struct mq_http_server *server = mq_http_server_create (
-          kit->ctx, kit->ev, &options, on_ready_question, &doors[i], &error);
+      struct mq_http_server *server
+          = mq_http_server_create (kit->ctx, kit->ev, &options,
+                                   on_ready_request, &endpoints[i], &error);
 
       cr_assert_not_null (server);
       list = talloc_asprintf_append (list, "%s127.0.0.1:%u", i == 0 ? "" : ",",
