--- a/src/mimosactl.c
+++ b/src/mimosactl.c
@@ -48,7 +48,8 @@
           "File with the operators' key, for status, trace, drain and apply; "
           "default: $MIMOSA_OPERATOR_KEY_FILE",
           0 },
-        { "format", OPTION_FORMAT, "text|json", 0, "Form of the results", 0 },
+        { "format", OPTION_FORMAT, "text|json", 0, "Format of the results",
+          0 },
         { "base", OPTION_BASE, "VERSION", 0,
           "apply: the version that the new text is meant to replace", 0 },
         { "wait", OPTION_WAIT, "SECONDS", 0,
@@ -78,10 +79,10 @@
       "  trace     draw the spans of a program from every host\n"
       "  drain     tell a host to finish its work and leave\n"
       "  hash-key  read a key on standard input, print its SHA-256\n"
-      "  explain   read the routers' logs on standard input, print the story\n"
-      "            of the request or program ID\n"
-      "  routers   show what routers are at, asked at their ready addresses,\n"
-      "            IP:PORT,IP:PORT,…\n"
+      "  explain   read the routers' logs on standard input, print the\n"
+      "            timeline of the request or program ID\n"
+      "  routers   show the state of routers, queried at their readiness\n"
+      "            addresses, IP:PORT,IP:PORT,…\n"
       "\n"
       "FILE may be - for standard input.  Exit status: 0 done; 1 failed, or "
       "something can't be reached or does not yet hold the version; 2 an "
