--- a/src/ctl/ctl_watch.c
+++ b/src/ctl/ctl_watch.c
@@ -31,18 +31,18 @@
   return text == NULL ? 0 : text->partitions;
 }
 
-/* Hosts are shown also when the table is down: that is when an operator
-   looks.  */
+/* If the table is unavailable, prints the error and leaves SITE unchanged, so
+   that the hosts are still shown.  */
 static void
-read_config (const struct mq_ctl_run *run, struct mq_ctl *ctl,
-             struct mq_ctl_site *site)
+add_config (const struct mq_ctl_run *run, struct mq_ctl *ctl,
+            struct mq_ctl_site *site)
 {
   struct mq_error error = { 0 };
   struct mq_ctl_config *config = mq_ctl_config_read (ctl, run->ctx, &error);
 
   if (config == NULL)
     {
-      mq_ctl_fail (run, &error);
+      mq_ctl_report_error (run, &error);
       return;
     }
   site->version = config->version;
@@ -74,11 +74,11 @@
   fleet = mq_ctl_fleet_read (ctl, run->ctx, &error);
   if (fleet == NULL)
     {
-      code = mq_ctl_fail (run, &error);
+      code = mq_ctl_report_error (run, &error);
       mq_ctl_destroy (ctl);
       return code;
     }
-  read_config (run, ctl, &site);
+  add_config (run, ctl, &site);
   site.fleet = fleet;
   if (run->json)
     fprintf (run->out, "%s\n", mq_ctl_status_json (run->ctx, &site));
@@ -93,9 +93,9 @@
 
 /* trace  */
 
-/* Spans of all hosts; the hosts that gave none are named.  */
+/* Collects the spans of all hosts and prints the hosts that sent none.  */
 static json_t *
-gather_spans (const struct mq_ctl_run *run, const struct mq_ctl_fleet *fleet)
+collect_spans (const struct mq_ctl_run *run, const struct mq_ctl_fleet *fleet)
 {
   json_t *spans = json_array ();
 
@@ -121,7 +121,7 @@
       = json_array_size (spans) == 0 ? MQ_CTL_FAILED : MQ_CTL_OK;
 
   if (run->json)
-    fputs (mq_ctl_dump (run->ctx, json_incref (spans)), run->out);
+    fputs (mq_ctl_json_line (run->ctx, json_incref (spans)), run->out);
   else
     fputs (mq_ctl_trace_text (run->ctx, spans, program), run->out);
   return code;
@@ -140,11 +140,11 @@
   char *path;
 
   if (list == NULL)
-    return mq_ctl_fail (run, &error);
+    return mq_ctl_report_error (run, &error);
   mq_id_format (program, id);
   path = talloc_asprintf (run->ctx, SPANS_PATH "%s", id);
-  fleet = mq_ctl_fleet_ask (ctl, run->ctx, list, path);
-  spans = gather_spans (run, fleet);
+  fleet = mq_ctl_fleet_query (ctl, run->ctx, list, path);
+  spans = collect_spans (run, fleet);
   code = print_trace (run, spans, program);
   json_decref (spans);
   talloc_free (fleet);
@@ -163,7 +163,7 @@
     {
       mq_error_set (&error, MQ_ERR_BAD_REQUEST, program,
                     "a program's id: 32 lower-case hexadecimal digits");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   ctl = mq_ctl_connect (run, &code);
   if (ctl == NULL)
@@ -194,9 +194,9 @@
   return NULL;
 }
 
-/* NONE when the host took the order.  */
+/* Returns MQ_ERR_NONE if the host accepted the request to drain.  */
 static enum mq_error_type
-drain_answer (const struct mq_ctl_fetch *fetch)
+drain_result (const struct mq_ctl_fetch *fetch)
 {
   if (fetch->error != MQ_ERR_NONE)
     return fetch->error;
@@ -219,18 +219,18 @@
   enum mq_error_type type;
 
   if (host == NULL)
-    return mq_ctl_fail (run, &error);
+    return mq_ctl_report_error (run, &error);
   fetch.address = host->http;
   mq_ctl_fetch (ctl, run->ctx, &fetch, 1);
-  type = drain_answer (&fetch);
+  type = drain_result (&fetch);
   if (type != MQ_ERR_NONE)
     {
       mq_error_set (&error, type, name, "");
-      return mq_ctl_fail (run, &error);
+      return mq_ctl_report_error (run, &error);
     }
   if (run->json)
-    fputs (mq_ctl_dump (run->ctx, json_pack ("{ss ss}", "host", name, "result",
-                                             "leaving")),
+    fputs (mq_ctl_json_line (run->ctx, json_pack ("{ss ss}", "host", name,
+                                                  "result", "leaving")),
            run->out);
   else
     fprintf (run->out,
--- a/src/load.c
+++ b/src/load.c
@@ -1,8 +1,7 @@
-/* load.c - load and experiments against a running site: mimosa-load.
+/* load.c - load generator for a running site: mimosa-load.
 
-   Runs a workload (io/load_run.c), or compares and plots the results of
-   earlier runs.  Starts, stops and breaks no process: whoever started the
-   site does that.
+   Runs a workload (load/load_run.c), or compares and plots the results of
+   earlier runs.  Does not start or stop processes of the site.
    Needs: argp, load_run.h, load_compare.h, load_probe.h.  */
 
 #include "ctl/ctl_run.h"
@@ -21,7 +20,7 @@
 enum
 {
   HOST_TIMEOUT_MS = 10000,
-  SETTLE_MS = 1500, /* evictions of the last programs are confirmed */
+  SETTLE_MS = 1500, /* time for the last evictions to be confirmed */
   FILES_MAX = 4096,
   DIAGNE_WORKERS = 12,
   ZARQA_WORKERS = 20,
@@ -53,7 +52,7 @@
   KEY_WORKERS,
   KEY_SLOTS,
   KEY_BATCH_SHARE,
-  KEY_AT_A_TIME,
+  KEY_LETTERS_CONCURRENT,
   KEY_DRAIN,
   KEY_SEED,
   KEY_TIME_SCALE,
@@ -84,46 +83,48 @@
 static const struct argp_option options[] = {
   { NULL, 0, NULL, 0, "The site:", 1 },
   { "platform", KEY_PLATFORM, "URL", 0,
-    "The platform, http://IP:PORT: its list names entry hosts and targets",
+    "The platform, http://IP:PORT, which lists the entry and target hosts",
     1 },
-  { "entry", KEY_ENTRY, "IP:PORT", 0, "An entry host; may be given often", 1 },
+  { "entry", KEY_ENTRY, "IP:PORT", 0, "An entry host; may be repeated", 1 },
   { "target", KEY_TARGET, "IP:PORT", 0,
-    "HTTP of the process beside a target, for its counters", 1 },
+    "HTTP of a target host, for its counters", 1 },
   { "engine", KEY_ENGINE, "IP:PORT", 0,
     "A stand-in engine, for its counters and cache", 1 },
   { "service", KEY_SERVICE, "IP:PORT", 0,
-    "One worker of a stand-in service, for calls done twice", 1 },
+    "One worker of a stand-in service, for repeated calls", 1 },
   { NULL, 0, NULL, 0, "The load:", 2 },
-  { "workload", KEY_WORKLOAD, "diagne|zarqa", 0, "Whose callers", 2 },
+  { "workload", KEY_WORKLOAD, "diagne|zarqa", 0, "Workload (default zarqa)",
+    2 },
   { "load", KEY_LOAD, "SHARE", 0,
     "Share of the computed capacity (default 0.85)", 2 },
   { "rate", KEY_RATE, "PER_SECOND", 0,
-    "In place of --load: sessions opened in a second of model time", 2 },
+    "Instead of --load: sessions opened per second of model time", 2 },
   { "workers", KEY_WORKERS, "N", 0,
     "Model workers of the site (default 12 or 20)", 2 },
-  { "slots", KEY_SLOTS, "N", 0, "Calls side by side in each (default 8)", 2 },
+  { "slots", KEY_SLOTS, "N", 0, "Concurrent calls of each worker (default 8)",
+    2 },
   { "batch-share", KEY_BATCH_SHARE, "SHARE", 0,
-    "Of the load, zarqa's nightly batch (default 0.4)", 2 },
-  { "at-a-time", KEY_AT_A_TIME, "N", 0,
-    "Letters of the batch under way (default workers x slots)", 2 },
+    "Share of zarqa's nightly batch in the load (default 0.4)", 2 },
+  { "at-a-time", KEY_LETTERS_CONCURRENT, "N", 0,
+    "Concurrent letters of the batch (default workers x slots)", 2 },
   { "seconds", KEY_SECONDS, "S", 0,
-    "Wall time in which sessions are opened (default 20)", 2 },
+    "Wall time during which sessions are opened (default 20)", 2 },
   { "drain", KEY_DRAIN, "S", 0,
-    "Wall time after it until the rest is given up (default 60)", 2 },
-  { "seed", KEY_SEED, "N", 0, "Of all that is drawn (default 1)", 2 },
+    "Wall time to wait for outstanding requests (default 60)", 2 },
+  { "seed", KEY_SEED, "N", 0, "Seed of the random workload (default 1)", 2 },
   { "time-scale", KEY_TIME_SCALE, "X", 0,
-    "Wall time for a unit of model time, as the engines have it", 2 },
+    "Wall time per unit of model time, as set at the engines", 2 },
   { "tag", KEY_TAG, "TEXT", 0,
-    "Part of idempotency keys (default: from the clock)", 2 },
+    "Prefix of idempotency keys (default: from the clock)", 2 },
   { "check-every", KEY_CHECK_EVERY, "N", 0,
     "Read and check the history of one in N programs (default 10, 0: none)",
     2 },
   { NULL, 0, NULL, 0, "The results:", 3 },
-  { "label", KEY_LABEL, "TEXT", 0, "What is measured, for --compare", 3 },
-  { "format", KEY_FORMAT, "text|json|csv", 0, "Form of the result", 3 },
+  { "label", KEY_LABEL, "TEXT", 0, "Label of the run, for --compare", 3 },
+  { "format", KEY_FORMAT, "text|json|csv", 0, "Format of the result", 3 },
   { "compare", KEY_COMPARE, "LABEL", 0,
-    "Run nothing: compare LABEL with the others of FILES (JSON results)", 3 },
-  { "plot", KEY_PLOT, NULL, 0, "Run nothing: draw FILES as SVG", 3 },
+    "Compare LABEL with the other labels in FILES (JSON results)", 3 },
+  { "plot", KEY_PLOT, NULL, 0, "Plot FILES as SVG", 3 },
   { 0 }
 };
 
@@ -215,8 +216,8 @@
     case KEY_BATCH_SHARE:
       line->batch_share = parse_real (state, "--batch-share", text, 1);
       return true;
-    case KEY_AT_A_TIME:
-      line->run.letters_at_a_time
+    case KEY_LETTERS_CONCURRENT:
+      line->run.letters_concurrent
           = (uint32_t)parse_count (state, "--at-a-time", text, 1);
       return true;
     default:
@@ -285,7 +286,7 @@
 }
 
 static void
-check_line (const struct command_line *line, struct argp_state *state)
+check_options (const struct command_line *line, struct argp_state *state)
 {
   bool files = line->compare != NULL || line->plot;
 
@@ -302,7 +303,7 @@
 
   if (key == ARGP_KEY_END)
     {
-      check_line (line, state);
+      check_options (line, state);
       return 0;
     }
   if (parse_site (line, key, text) || parse_load (line, state, key, text)
@@ -313,7 +314,7 @@
 }
 
 static void
-fail (const char *what, const struct mq_error *error)
+print_error (const char *what, const struct mq_error *error)
 {
   fprintf (stderr, "mimosa-load: %s: %s %s; %s %s\n", what,
            mq_error_cause (error->type), error->subject,
@@ -339,7 +340,7 @@
       talloc_free (text);
       if (results[i] == NULL)
         {
-          fail (line->files[i], &error);
+          print_error (line->files[i], &error);
           return NULL;
         }
     }
@@ -363,9 +364,10 @@
 
 /* A run.  */
 
-/* Sessions and letters that together are the load asked for.  */
+/* Computes the session rate and the number of letters for the requested
+   load.  */
 static void
-size_load (struct command_line *line)
+compute_rates (struct command_line *line)
 {
   struct mq_load_run_options *run = &line->run;
   bool diagne = run->plan.workload == MQ_LOAD_DIAGNE;
@@ -376,8 +378,8 @@
 
   if (line->workers == 0)
     line->workers = diagne ? DIAGNE_WORKERS : ZARQA_WORKERS;
-  if (run->letters_at_a_time == 0)
-    run->letters_at_a_time = line->workers * run->plan.slots;
+  if (run->letters_concurrent == 0)
+    run->letters_concurrent = line->workers * run->plan.slots;
   capacity = line->workers * US_PER_SECOND;
   work = mq_load_plan_mean_work (&run->plan, false);
   if (line->rate > 0)
@@ -435,26 +437,27 @@
   ctl = mq_ctl_create (ctx, &ctl_options, &error);
   if (result == NULL || ctl == NULL
       || (line->platform != NULL
-          && !mq_load_site_find (ctl, line->site, &error)))
+          && !mq_load_site_discover (ctl, line->site, &error)))
     {
-      fail ("site", &error);
+      print_error ("site", &error);
       return EXIT_FAILURE;
     }
   line->run.site = line->site;
-  size_load (line);
+  compute_rates (line);
   begin_result (line, result);
   mq_load_probe (ctl, line->site, line->run.plan.workload, &before,
                  &unreached);
   if (!mq_load_run (ctx, &line->run, result, &error))
     {
-      fail ("run", &error);
+      print_error ("run", &error);
       return EXIT_FAILURE;
     }
   mq_ctl_sleep (ctl, SETTLE_MS);
   mq_load_probe (ctl, line->site, line->run.plan.workload, &result->measures,
                  &unreached);
-  mq_load_measures_since (&result->measures, &before);
-  result->violations[MQ_LOAD_DONE_TWICE] += result->measures.repeated_effects;
+  mq_load_measures_subtract (&result->measures, &before);
+  result->violations[MQ_LOAD_CALL_REPEATED]
+      += result->measures.repeated_effects;
   print_result (ctx, line->format, result);
   if (unreached > 0)
     fprintf (stderr, "mimosa-load: %zu counters could not be read\n",
@@ -463,7 +466,7 @@
 }
 
 static char *
-clock_tag (TALLOC_CTX *ctx)
+create_tag (TALLOC_CTX *ctx)
 {
   struct timespec now;
 
@@ -480,8 +483,8 @@
       = { options,
           parse_option,
           "[FILE…]",
-          "Runs the callers of a deployment against a site of mimosaquay and "
-          "shows the two measures; or compares and draws results.\v"
+          "Runs a workload against a site of mimosaquay and prints the "
+          "results, or compares and plots earlier results.\v"
           "Exit status: 0 done; 1 failed; 2 an answer was wrong.",
           NULL,
           NULL,
@@ -499,7 +502,7 @@
   line.run.drain_seconds = 60;
   line.run.time_scale = 1;
   line.run.check_every = 10;
-  line.run.tag = clock_tag (ctx);
+  line.run.tag = create_tag (ctx);
   argp_parse (&argp, argc, argv, 0, NULL, &line);
   if (line.compare != NULL || line.plot)
     status = show_files (ctx, &line);
--- a/tests/soak/soak_world.c
+++ b/tests/soak/soak_site.c
@@ -1,4 +1,4 @@
-/* soak_world.c - hosts, stand-ins and the faults that befall them.
+/* soak_site.c - hosts, stand-ins and fault injection.
 
    Needs: soak.h.  */
 
@@ -18,8 +18,8 @@
 #define PORT_FIRST 12000U
 #define PORT_COUNT 19000U
 
-/* A free port below the range that outgoing connections take theirs from: a
-   host that is started again must find its port as it left it.  */
+/* Returns a free port below the range of ephemeral ports, so that no outgoing
+   connection takes it while its host restarts.  */
 static uint16_t
 free_port (void)
 {
@@ -61,7 +61,7 @@
   fclose (file);
 }
 
-/* The child ends with its parent, whatever ends that.  */
+/* The kernel kills the host when the soak exits.  */
 void
 soak_start_host (struct soak *soak, int index)
 {
@@ -102,8 +102,8 @@
 schedule_restart (struct soak *soak)
 {
   mq_timer_add (soak->ev, soak->ev,
-                RESTART_MS + soak_below (soak, 4 * RESTART_MS), on_restart,
-                soak);
+                RESTART_MS + soak_random_below (soak, 4 * RESTART_MS),
+                on_restart, soak);
 }
 
 void
@@ -117,17 +117,17 @@
       if (host->pid == 0 || waitpid (host->pid, &status, WNOHANG) != host->pid)
         continue;
       if (WIFSIGNALED (status) && WTERMSIG (status) != SIGKILL)
-        soak_fail (soak, "a host ended by a signal",
+        soak_fail (soak, "a host was terminated by a signal",
                    strsignal (WTERMSIG (status)));
       if (WIFEXITED (status) && WEXITSTATUS (status) != 0)
-        soak_fail (soak, "a host ended with a failure", host->name);
+        soak_fail (soak, "a host exited with a failure", host->name);
       host->pid = 0;
       schedule_restart (soak);
     }
 }
 
 void
-soak_end_hosts (struct soak *soak)
+soak_kill_hosts (struct soak *soak)
 {
   for (int i = 0; i < soak->host_count; i++)
     {
@@ -141,14 +141,14 @@
 }
 
 void
-soak_configure (struct soak *soak)
+soak_write_config (struct soak *soak)
 {
   static const char route[]
       = "{\"name\":\"%s\",\"host\":\"h\",\"prefix\":\"/%s/\",\"kind\":\"%s\","
         "\"timeoutMs\":%u,\"sloMs\":50,\"priority\":1,\"service\":\"%s\","
         "\"attempts\":2,\"retain\":%s,\"retainS\":60,\"resumable\":%s,"
         "\"gapAimMs\":50,\"sticky\":true}";
-  uint32_t timeout = 2000 + soak_below (soak, 1500);
+  uint32_t timeout = 2000 + soak_random_below (soak, 1500);
   char *routes[4];
   char *text;
 
@@ -175,7 +175,8 @@
 }
 
 void
-soak_list_worker (struct soak *soak, bool llm, int index, const char *state)
+soak_register_worker (struct soak *soak, bool llm, int index,
+                      const char *state)
 {
   struct worker_server *worker = llm ? soak->llm[index] : soak->app[index];
   struct proxy *proxy = llm ? soak->llm_proxy[index] : soak->app_proxy[index];
@@ -200,16 +201,16 @@
   snprintf (id, sizeof id, "%s-%d", llm ? "llm" : "app", index);
   *worker = worker_server_create (soak->ev, soak->ev, id,
                                   llm ? &soak->llm_plan : &soak->app_plan);
-  worker_server_set_run_handler (*worker, soak_on_run, soak);
+  worker_server_set_run_handler (*worker, soak_on_worker_request, soak);
   *proxy = proxy_create (soak->ev, soak->ev, worker_server_port (*worker));
-  soak_list_worker (soak, llm, index, "ready");
+  soak_register_worker (soak, llm, index, "ready");
 }
 
 void
-soak_make_world (struct soak *soak)
+soak_create_site (struct soak *soak)
 {
   soak->rows = rows_server_create (soak->ev, soak->ev);
-  soak_configure (soak);
+  soak_write_config (soak);
   for (int i = 0; i < WORKERS; i++)
     {
       make_worker (soak, true, i);
@@ -234,7 +235,7 @@
     }
 }
 
-/* Faults */
+/* Faults.  */
 
 struct restore
 {
@@ -263,7 +264,7 @@
         }
     }
   else if (restore->worker >= 0)
-    soak_list_worker (soak, restore->llm, restore->worker, "ready");
+    soak_register_worker (soak, restore->llm, restore->worker, "ready");
   else
     {
       rows_server_apply_delayed (soak->rows);
@@ -273,118 +274,122 @@
 }
 
 static struct restore *
-restore_in (struct soak *soak, uint32_t most_ms)
+schedule_restore (struct soak *soak, uint32_t max_ms)
 {
   struct restore *restore = talloc_zero (soak->ev, struct restore);
 
   restore->soak = soak;
   restore->worker = -1;
-  mq_timer_add (soak->ev, soak->ev, 200 + soak_below (soak, most_ms),
+  mq_timer_add (soak->ev, soak->ev, 200 + soak_random_below (soak, max_ms),
                 on_restore, restore);
   return restore;
 }
 
 static void
-harm_proxy (struct soak *soak, struct proxy *proxy, uint32_t most_ms)
+inject_proxy_fault (struct soak *soak, struct proxy *proxy, uint32_t max_ms)
 {
-  proxy_set (proxy, (enum proxy_mode) (1 + soak_below (soak, 5)));
-  restore_in (soak, most_ms)->proxy = proxy;
+  proxy_set (proxy, (enum proxy_mode) (1 + soak_random_below (soak, 5)));
+  schedule_restore (soak, max_ms)->proxy = proxy;
 }
 
 static void
-harm_host (struct soak *soak, struct host *host, uint32_t how)
+inject_host_fault (struct soak *soak, struct host *host, uint32_t fault)
 {
   static const int signals[] = { SIGKILL, SIGTERM, SIGHUP };
   struct restore *restore;
 
   if (host->pid == 0)
     return;
-  if (mq_clock_ms () - host->started_ms < SIGNALS_AFTER_MS)
-    how = 0;
-  if (how < 3)
+  if (mq_clock_ms () - host->started_ms < SIGNAL_GRACE_MS)
+    fault = 0;
+  if (fault < 3)
     {
-      kill (host->pid, signals[how]);
+      kill (host->pid, signals[fault]);
       return;
     }
   kill (host->pid, SIGSTOP);
   host->paused = true;
-  restore = restore_in (soak, 2500);
+  restore = schedule_restore (soak, 2500);
   restore->host = host;
   restore->pid = host->pid;
 }
 
 static void
-harm_table (struct soak *soak)
+inject_table_fault (struct soak *soak)
 {
   rows_server_set_fault (soak->rows,
-                         (enum rows_fault) (1 + soak_below (soak, 7)));
-  restore_in (soak, 2500);
+                         (enum rows_fault) (1 + soak_random_below (soak, 7)));
+  schedule_restore (soak, 2500);
 }
 
 static void
-harm_workers (struct soak *soak)
+inject_worker_fault (struct soak *soak)
 {
-  bool llm = soak_below (soak, 2) == 0;
+  bool llm = soak_random_below (soak, 2) == 0;
   struct worker_plan *plan = llm ? &soak->llm_plan : &soak->app_plan;
   struct restore *restore;
 
-  plan->step = (enum worker_behaviour)soak_below (soak, WORKER_STALL + 1);
-  plan->count = 1 + (int)soak_below (soak, 4);
-  if (soak_below (soak, 3) != 0)
+  plan->step
+      = (enum worker_behaviour)soak_random_below (soak, WORKER_STALL + 1);
+  plan->count = 1 + (int)soak_random_below (soak, 4);
+  if (soak_random_below (soak, 3) != 0)
     return;
-  restore = restore_in (soak, 2000);
+  restore = schedule_restore (soak, 2000);
   restore->llm = llm;
-  restore->worker = (int)soak_below (soak, WORKERS);
-  soak_list_worker (soak, llm, restore->worker,
-                    soak_below (soak, 2) == 0 ? "draining" : "gone");
+  restore->worker = (int)soak_random_below (soak, WORKERS);
+  soak_register_worker (soak, llm, restore->worker,
+                        soak_random_below (soak, 2) == 0 ? "draining"
+                                                         : "gone");
 }
 
 void
 soak_inject (struct soak *soak)
 {
   struct host *host
-      = &soak->hosts[soak_below (soak, (uint32_t)soak->host_count)];
+      = &soak->hosts[soak_random_below (soak, (uint32_t)soak->host_count)];
 
   soak->injected++;
-  switch (soak_below (soak, 12))
+  switch (soak_random_below (soak, 12))
     {
     case 0:
     case 1:
     case 2:
-      harm_host (soak, host, soak_below (soak, 5));
+      inject_host_fault (soak, host, soak_random_below (soak, 5));
       break;
     case 3:
       for (int i = 0; i < soak->host_count; i++)
-        if (soak_below (soak, 4) != 0)
-          harm_host (soak, &soak->hosts[i], 0);
+        if (soak_random_below (soak, 4) != 0)
+          inject_host_fault (soak, &soak->hosts[i], 0);
       break;
     case 4:
     case 5:
-      harm_proxy (soak, host->table, 2500);
+      inject_proxy_fault (soak, host->table, 2500);
       break;
     case 6:
-      harm_table (soak);
+      inject_table_fault (soak);
       break;
     case 7:
-      harm_proxy (soak, soak->llm_proxy[soak_below (soak, WORKERS)], 1500);
+      inject_proxy_fault (
+          soak, soak->llm_proxy[soak_random_below (soak, WORKERS)], 1500);
       break;
     case 8:
-      harm_proxy (soak, soak->app_proxy[soak_below (soak, WORKERS)], 1500);
+      inject_proxy_fault (
+          soak, soak->app_proxy[soak_random_below (soak, WORKERS)], 1500);
       break;
     case 9:
-      soak_configure (soak);
+      soak_write_config (soak);
       break;
     case 10:
       rows_server_compact (soak->rows);
       break;
     default:
-      harm_workers (soak);
+      inject_worker_fault (soak);
       break;
     }
 }
 
 void
-soak_heal (struct soak *soak)
+soak_end_faults (struct soak *soak)
 {
   rows_server_apply_delayed (soak->rows);
   rows_server_set_fault (soak->rows, ROWS_NO_FAULT);
@@ -394,8 +399,8 @@
     {
       proxy_set (soak->llm_proxy[i], PROXY_PASS);
       proxy_set (soak->app_proxy[i], PROXY_PASS);
-      soak_list_worker (soak, true, i, "ready");
-      soak_list_worker (soak, false, i, "ready");
+      soak_register_worker (soak, true, i, "ready");
+      soak_register_worker (soak, false, i, "ready");
     }
   for (int i = 0; i < soak->host_count; i++)
     {
