--- a/examples/check_text.c
+++ b/examples/check_text.c
@@ -1,4 +1,4 @@
-/* check_text.c - check an operators' text and print every error in it.
+/* check_text.c - validate a configuration text and print its errors.
 
    Needs: mimosaquay.h.  */
 
--- a/examples/derive_id.c
+++ b/examples/derive_id.c
@@ -1,4 +1,4 @@
-/* derive_id.c - a request that is sent twice names the same program.
+/* derive_id.c - a retried request maps to the same program id.
 
    Needs: mimosaquay.h.  */
 
@@ -11,12 +11,12 @@
 };
 
 static void
-print_id (const char *what, struct mq_id id)
+print_id (const char *label, struct mq_id id)
 {
   char text[MQ_ID_TEXT];
 
   mq_id_format (id, text);
-  printf ("%-12s %s partition %u\n", what, text,
+  printf ("%-12s %s partition %u\n", label, text,
           mq_id_partition (id, PARTITIONS));
 }
 
--- a/examples/drive_gate.c
+++ b/examples/drive_gate.c
@@ -1,4 +1,4 @@
-/* drive_gate.c - a call that may not be repeated, sent twice to a gate.
+/* drive_gate.c - a gate executes a duplicate call at most once.
 
    Needs: mimosaquay.h.  */
 
@@ -6,12 +6,13 @@
 #include <stdio.h>
 
 static void
-tell (struct mq_gate *gate, const char *what, struct mq_gate_input *input)
+handle_input (struct mq_gate *gate, const char *label,
+              struct mq_gate_input *input)
 {
   struct mq_actions *actions = mq_actions_create (NULL);
 
   mq_gate_handle (gate, input, actions);
-  printf ("%s:", what);
+  printf ("%s:", label);
   for (size_t i = 0; i < actions->count; i++)
     if (actions->items[i].type == MQ_ACT_START)
       printf (" start at %s", actions->items[i].u.start.service);
@@ -44,15 +45,15 @@
                                       .traceparent = "",
                                       .body = "{}" };
   sent.u.message = &call;
-  tell (gate, "owner connected", &up);
-  tell (gate, "call", &sent);
-  tell (gate, "the same call", &sent);
+  handle_input (gate, "owner connected", &up);
+  handle_input (gate, "call", &sent);
+  handle_input (gate, "the same call", &sent);
   done.u.done
       = (struct mq_gate_done){ .slot = 1, .ran = MQ_RAN_RAN, .body = "{}" };
-  tell (gate, "target answered", &done);
-  tell (gate, "the same call", &sent);
+  handle_input (gate, "target answered", &done);
+  handle_input (gate, "the same call", &sent);
   call.u.call.fence = 4;
-  tell (gate, "call of an old owner", &sent);
+  handle_input (gate, "call of an old owner", &sent);
   mq_gate_destroy (gate);
   return 0;
 }
--- a/examples/place_call.c
+++ b/examples/place_call.c
@@ -1,4 +1,4 @@
-/* place_call.c - ask the placement policy where a model call should go.
+/* place_call.c - select a worker for a model call.
 
    Needs: mimosaquay.h.  */
 
--- a/examples/spread_text.c
+++ b/examples/spread_text.c
@@ -1,5 +1,5 @@
-/* spread_text.c - a configuration goes from the table to one host, and from
-   there to another that can't read the table.
+/* spread_text.c - one host receives a configuration from the store and
+   forwards it to a host that cannot reach the store.
 
    Needs: mimosaquay.h.  */
 
@@ -9,10 +9,10 @@
 
 enum
 {
-  PEER = 1 /* each one's handle of the other */
+  PEER = 1 /* both hosts use this handle for each other */
 };
 
-/* Carries messages to and fro until both are silent.  */
+/* Delivers messages in both directions until neither host sends more.  */
 static void
 exchange (struct mq_spread *from, struct mq_spread *to,
           struct mq_spread_input *input)
@@ -23,13 +23,13 @@
   for (size_t i = 0; i < actions->count; i++)
     if (actions->items[i].type == MQ_ACT_SEND)
       {
-        struct mq_spread_input heard
+        struct mq_spread_input received
             = { .type = MQ_SPREAD_MESSAGE, .peer = PEER };
 
-        heard.now_us = input->now_us + 1000;
-        heard.u.message = &actions->items[i].u.message;
-        printf ("  %s\n", mq_message_name (heard.u.message->type));
-        exchange (to, from, &heard);
+        received.now_us = input->now_us + 1000;
+        received.u.message = &actions->items[i].u.message;
+        printf ("  %s\n", mq_message_name (received.u.message->type));
+        exchange (to, from, &received);
       }
   talloc_free (actions);
 }
@@ -39,7 +39,7 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct mq_spread *reader = mq_spread_create (ctx, "a", "hann", 1);
-  struct mq_spread *hearer = mq_spread_create (ctx, "b", "hann", 2);
+  struct mq_spread *follower = mq_spread_create (ctx, "b", "hann", 2);
   struct mq_spread_input up = { .type = MQ_SPREAD_PEER_UP, .peer = PEER };
   struct mq_message text = { .type = MQ_MSG_CONFIG_TEXT, .config_version = 3 };
   struct mq_spread_input row = { .type = MQ_SPREAD_MESSAGE, .peer = 2 };
@@ -48,11 +48,11 @@
   text.u.config.text = "[site]\nname = demo\n";
   row.u.message = &text;
   puts ("version 3 comes to a:");
-  exchange (reader, hearer, &row);
+  exchange (reader, follower, &row);
   puts ("b connects to a:");
-  exchange (hearer, reader, &up);
+  exchange (follower, reader, &up);
   printf ("a holds %u, b holds %u\n", (unsigned)mq_spread_version (reader),
-          (unsigned)mq_spread_version (hearer));
+          (unsigned)mq_spread_version (follower));
   talloc_free (ctx);
   return 0;
 }
