--- a/standins/engine_batch.c
+++ b/standins/engine_batch.c
@@ -16,8 +16,9 @@
 {
   if (list->count == list->room)
     {
-      list->room = list->room == 0 ? MQ_ENGINE_FIRST_ROOM : 2 * list->room;
-      list->items = mq_engine_need (
+      list->room
+          = list->room == 0 ? MQ_ENGINE_INITIAL_CAPACITY : 2 * list->room;
+      list->items = mq_engine_check_alloc (
           talloc_realloc (engine, list->items, uint32_t, list->room));
     }
   memmove (list->items + at + 1, list->items + at,
@@ -230,8 +231,8 @@
     {
       uint32_t block = mq_kv_find (engine->kv, sequence->hashes[i]);
 
-      mq_kv_hold (engine->kv, block, sequence->request.program,
-                  engine->now_us);
+      mq_kv_reference (engine->kv, block, sequence->request.program,
+                       engine->now_us);
       sequence->blocks[i] = block;
     }
   sequence->block_count = hits;
@@ -247,8 +248,8 @@
 
   while (sequence->block_count < need)
     {
-      uint32_t block
-          = mq_kv_take (engine->kv, sequence->request.program, engine->now_us);
+      uint32_t block = mq_kv_allocate (engine->kv, sequence->request.program,
+                                       engine->now_us);
 
       if (block == MQ_KV_NO_BLOCK)
         return false;
--- a/standins/engine_jobs.c
+++ b/standins/engine_jobs.c
@@ -195,7 +195,7 @@
     }
   mq_engine_export (server->engine, mq_engine_server_now (server),
                     add_job (server, request)->tag, program);
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
 }
 
 void
@@ -221,7 +221,7 @@
   mq_engine_import (server->engine, mq_engine_server_now (server),
                     add_job (server, request)->tag, program, labels, count);
   talloc_free (labels);
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
 }
 
 static bool
@@ -263,7 +263,7 @@
     job->argument
         = talloc_strdup (job, mq_engine_member_text (body, "argument"));
   }
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
 }
 
 void
@@ -298,7 +298,7 @@
       struct mq_engine_job *job = server->jobs;
 
       if (job->request != NULL)
-        mq_engine_drop_request (job->request);
+        mq_engine_abort_request (job->request);
       talloc_free (job);
     }
 }
--- a/standins/engine_kv.c
+++ b/standins/engine_kv.c
@@ -204,8 +204,8 @@
 }
 
 void
-mq_kv_hold (struct mq_kv *kv, uint32_t block, struct mq_id program,
-            uint64_t now_us)
+mq_kv_reference (struct mq_kv *kv, uint32_t block, struct mq_id program,
+                 uint64_t now_us)
 {
   struct block *b = &kv->blocks[block];
 
@@ -219,7 +219,7 @@
 }
 
 uint32_t
-mq_kv_take (struct mq_kv *kv, struct mq_id program, uint64_t now_us)
+mq_kv_allocate (struct mq_kv *kv, struct mq_id program, uint64_t now_us)
 {
   uint32_t block;
 
@@ -261,7 +261,7 @@
       struct mq_id owner = b->owner;
 
       free_block (kv, block);
-      mq_kv_hold (kv, equal, owner, now_us);
+      mq_kv_reference (kv, equal, owner, now_us);
       kv->counters.hit_tokens -= MQ_KV_BLOCK_TOKENS;
       return equal;
     }
@@ -345,8 +345,8 @@
 }
 
 struct mq_kv_label *
-mq_kv_chain (TALLOC_CTX *ctx, const struct mq_kv *kv, struct mq_id program,
-             size_t *count)
+mq_kv_program_labels (TALLOC_CTX *ctx, const struct mq_kv *kv,
+                      struct mq_id program, size_t *count)
 {
   bool *marked = mq_must (talloc_zero_array (NULL, bool, kv->block_count + 1));
   struct mq_kv_label *labels = mq_must (
--- a/standins/engine_kv.h
+++ b/standins/engine_kv.h
@@ -65,11 +65,12 @@
 uint32_t mq_kv_find (const struct mq_kv *kv, uint64_t hash);
 /* Adds a reference for a sequence of PROGRAM, which becomes the owner of a
    block that is not the service's.  */
-void mq_kv_hold (struct mq_kv *kv, uint32_t block, struct mq_id program,
-                 uint64_t now_us);
+void mq_kv_reference (struct mq_kv *kv, uint32_t block, struct mq_id program,
+                      uint64_t now_us);
 /* A block with one reference and no label; evicts the least recently used
    block where none is free.  MQ_KV_NO_BLOCK when all are referenced.  */
-uint32_t mq_kv_take (struct mq_kv *kv, struct mq_id program, uint64_t now_us);
+uint32_t mq_kv_allocate (struct mq_kv *kv, struct mq_id program,
+                         uint64_t now_us);
 /* BLOCK is computed.  Returns the block to use in its place: another one
    where an equal block was computed meanwhile.  */
 uint32_t mq_kv_label (struct mq_kv *kv, uint32_t block,
@@ -83,11 +84,12 @@
                              uint64_t now_us);
 void mq_kv_drop_unreferenced (struct mq_kv *kv, uint64_t now_us);
 /* Labels, by rising depth, of PROGRAM's blocks and of all before them.  */
-struct mq_kv_label *mq_kv_chain (TALLOC_CTX *ctx, const struct mq_kv *kv,
-                                 struct mq_id program, size_t *count);
+struct mq_kv_label *mq_kv_program_labels (TALLOC_CTX *ctx,
+                                          const struct mq_kv *kv,
+                                          struct mq_id program, size_t *count);
 struct mq_id mq_kv_owner (const struct mq_kv *kv, uint32_t block);
 bool mq_kv_is_idle (const struct mq_kv *kv, uint32_t block);
-/* Blocks that mq_kv_take could give out.  */
+/* Blocks that mq_kv_allocate could give out.  */
 uint32_t mq_kv_available (const struct mq_kv *kv);
 uint32_t mq_kv_used_tokens (const struct mq_kv *kv);
 uint32_t mq_kv_total_tokens (const struct mq_kv *kv);
--- a/standins/engine_model.c
+++ b/standins/engine_model.c
@@ -51,13 +51,13 @@
 mq_engine_create (TALLOC_CTX *ctx, const struct mq_engine_params *params)
 {
   struct mq_engine *engine
-      = mq_engine_need (talloc_zero (ctx, struct mq_engine));
+      = mq_engine_check_alloc (talloc_zero (ctx, struct mq_engine));
 
   engine->params = *params;
   engine->random = params->seed;
   engine->kv = mq_kv_create (engine, params->cache_tokens / MQ_KV_BLOCK_TOKENS,
                              on_evicted, engine);
-  engine->cache_events = mq_engine_need (talloc_zero_array (
+  engine->cache_events = mq_engine_check_alloc (talloc_zero_array (
       engine, struct mq_engine_cache_event, MQ_ENGINE_CACHE_EVENTS_KEPT));
   engine->reported = mq_engine_load (engine);
   engine->sampled = engine->reported;
@@ -79,7 +79,7 @@
   uint64_t hash = 0;
 
   *count = len / block;
-  hashes = mq_engine_need (talloc_array (ctx, uint64_t, *count + 1));
+  hashes = mq_engine_check_alloc (talloc_array (ctx, uint64_t, *count + 1));
   for (size_t i = 0; i < *count; i++)
     {
       hash = XXH64 (text + i * block, block, hash);
@@ -163,17 +163,19 @@
 static uint32_t
 take_place (struct mq_engine *engine)
 {
-  size_t first = engine->sequence_room;
+  size_t first = engine->sequence_capacity;
 
   if (engine->unused.count == 0)
     {
-      engine->sequence_room = first == 0 ? MQ_ENGINE_FIRST_ROOM : 2 * first;
-      engine->sequences = mq_engine_need (
+      engine->sequence_capacity
+          = first == 0 ? MQ_ENGINE_INITIAL_CAPACITY : 2 * first;
+      engine->sequences = mq_engine_check_alloc (
           talloc_realloc (engine, engine->sequences, struct mq_engine_sequence,
-                          engine->sequence_room));
+                          engine->sequence_capacity));
       memset (engine->sequences + first, 0,
-              (engine->sequence_room - first) * sizeof engine->sequences[0]);
-      for (size_t i = engine->sequence_room; i > first; i--)
+              (engine->sequence_capacity - first)
+                  * sizeof engine->sequences[0]);
+      for (size_t i = engine->sequence_capacity; i > first; i--)
         mq_engine_list_insert (engine, &engine->unused, engine->unused.count,
                                (uint32_t)(i - 1));
     }
@@ -192,7 +194,7 @@
 {
   uint32_t place = (uint32_t)handle;
 
-  if (place == 0 || place > engine->sequence_room)
+  if (place == 0 || place > engine->sequence_capacity)
     return false;
   *index = place - 1;
   return engine->sequences[*index].state != MQ_ENGINE_SEQUENCE_FREE
@@ -237,13 +239,13 @@
   sequence->generation = generation;
   sequence->order = ++engine->arrivals;
   sequence->request = *request;
-  sequence->hashes = mq_engine_need (
+  sequence->hashes = mq_engine_check_alloc (
       talloc_array (engine, uint64_t, request->hash_count + 1));
   if (request->hash_count > 0)
     memcpy (sequence->hashes, request->hashes,
             request->hash_count * sizeof request->hashes[0]);
   sequence->request.hashes = sequence->hashes;
-  sequence->blocks = mq_engine_need (talloc_array (
+  sequence->blocks = mq_engine_check_alloc (talloc_array (
       engine, uint32_t,
       mq_engine_blocks (request->prompt_tokens + request->output_tokens)));
   mq_engine_set_state (engine, index, MQ_ENGINE_SEQUENCE_WAITING);
@@ -329,7 +331,7 @@
   size_t count;
 
   run_to (engine, now_us);
-  labels = mq_kv_chain (engine, engine->kv, program, &count);
+  labels = mq_kv_program_labels (engine, engine->kv, program, &count);
   job = mq_engine_add_work (engine, MQ_ENGINE_EXPORTED,
                             mq_engine_queue_transfer (engine, count), tag);
   job->program = program;
@@ -348,8 +350,8 @@
   job = mq_engine_add_work (engine, MQ_ENGINE_IMPORTED,
                             mq_engine_queue_transfer (engine, count), tag);
   job->program = program;
-  job->labels
-      = mq_engine_need (talloc_array (engine, struct mq_kv_label, count + 1));
+  job->labels = mq_engine_check_alloc (
+      talloc_array (engine, struct mq_kv_label, count + 1));
   if (count > 0)
     memcpy (job->labels, labels, count * sizeof labels[0]);
   job->label_count = count;
--- a/standins/engine_parts.h
+++ b/standins/engine_parts.h
@@ -43,7 +43,7 @@
 /* Virtual time: that of the monotonic clock since the start.  */
 uint64_t mq_engine_server_now (const struct mq_engine_server *server);
 /* Brings the model up to now and says what happened.  */
-void mq_engine_server_pump (struct mq_engine_server *server);
+void mq_engine_server_advance (struct mq_engine_server *server);
 
 /* Parts of requests and answers.  */
 
@@ -55,9 +55,10 @@
 /* Zero where JSON names no program; false where it names none rightly.  */
 bool mq_engine_read_program (const json_t *json, struct mq_id *program);
 /* 429 with Retry-After.  */
-void mq_engine_refuse (struct mq_http_request *request, uint32_t seconds);
+void mq_engine_reject_overloaded (struct mq_http_request *request,
+                                  uint32_t seconds);
 /* Closes the connection, of which nothing more is heard.  */
-void mq_engine_drop_request (struct mq_http_request *request);
+void mq_engine_abort_request (struct mq_http_request *request);
 
 /* Completions (engine_chat.c).  */
 
--- a/standins/engine_plan.c
+++ b/standins/engine_plan.c
@@ -227,7 +227,7 @@
 }
 
 char *
-mq_plan_seen (TALLOC_CTX *ctx, const struct mq_plan_prompt *prompt)
+mq_plan_digest_text (TALLOC_CTX *ctx, const struct mq_plan_prompt *prompt)
 {
   return talloc_asprintf (ctx, "[seen %" PRIu32 " %016" PRIx64 "]",
                           prompt->messages, prompt->digest);
@@ -254,7 +254,7 @@
             uint32_t tokens, uint32_t max_tokens,
             struct mq_plan_answer *answer)
 {
-  char *seen = mq_plan_seen (ctx, prompt);
+  char *seen = mq_plan_digest_text (ctx, prompt);
   size_t seen_len = strlen (seen);
   uint32_t least
       = (uint32_t)((seen_len + MQ_PLAN_TOKEN_BYTES - 1) / MQ_PLAN_TOKEN_BYTES);
--- a/standins/engine_plan.h
+++ b/standins/engine_plan.h
@@ -67,7 +67,8 @@
                      const struct mq_plan_prompt *prompt, uint32_t max_tokens,
                      struct mq_plan_answer *answer);
 /* The "[seen M DIGEST]" that ends the answer to PROMPT.  */
-char *mq_plan_seen (TALLOC_CTX *ctx, const struct mq_plan_prompt *prompt);
+char *mq_plan_digest_text (TALLOC_CTX *ctx,
+                           const struct mq_plan_prompt *prompt);
 const char *mq_plan_finish_name (enum mq_plan_finish finish);
 
 #endif
--- a/standins/engine_report.c
+++ b/standins/engine_report.c
@@ -15,9 +15,9 @@
 
   if (engine->event_count == engine->event_room)
     {
-      engine->event_room = engine->event_room == 0 ? MQ_ENGINE_FIRST_ROOM
+      engine->event_room = engine->event_room == 0 ? MQ_ENGINE_INITIAL_CAPACITY
                                                    : 2 * engine->event_room;
-      engine->events = mq_engine_need (talloc_realloc (
+      engine->events = mq_engine_check_alloc (talloc_realloc (
           engine, engine->events, struct mq_engine_event, engine->event_room));
     }
   event = &engine->events[engine->event_count++];
--- a/standins/engine_server.c
+++ b/standins/engine_server.c
@@ -43,7 +43,7 @@
 /* Parts of requests and answers.  */
 
 void
-mq_engine_refuse (struct mq_http_request *request, uint32_t seconds)
+mq_engine_reject_overloaded (struct mq_http_request *request, uint32_t seconds)
 {
   char text[16];
 
@@ -53,7 +53,7 @@
 }
 
 void
-mq_engine_drop_request (struct mq_http_request *request)
+mq_engine_abort_request (struct mq_http_request *request)
 {
   mq_http_on_closed (request, NULL, NULL);
   mq_http_abort (request);
@@ -134,7 +134,7 @@
   (void)timer;
   (void)now;
   server->timer = NULL;
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
 }
 
 static void
@@ -156,7 +156,7 @@
 
 /* The tokens of one instant go out as one group.  */
 void
-mq_engine_server_pump (struct mq_engine_server *server)
+mq_engine_server_advance (struct mq_engine_server *server)
 {
   struct mq_engine_event event;
 
@@ -238,7 +238,7 @@
   else if (!mq_faults_post (server->faults, order, strlen (order), &error))
     return false;
   apply_faults (server);
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
   return true;
 }
 
@@ -246,7 +246,7 @@
 post_fault (struct mq_engine_server *server, struct mq_http_request *request)
 {
   if (mq_engine_server_fault (server, mq_http_body (request, NULL)))
-    mq_answer_done (request);
+    mq_answer_empty (request);
   else
     mq_answer_failure (request, MQ_ERR_BAD_REQUEST);
 }
@@ -272,7 +272,7 @@
   else if (path_meets (server, request, MQ_FAULT_DOWN, NULL))
     mq_answer_failure (request, MQ_ERR_NOT_READY);
   else if (path_meets (server, request, MQ_FAULT_REFUSE, &fault))
-    mq_engine_refuse (request, fault.retry_after_s);
+    mq_engine_reject_overloaded (request, fault.retry_after_s);
   else if (path_meets (server, request, MQ_FAULT_STATUS, &fault))
     mq_answer_json (request, (int)fault.status, json_object ());
   else
@@ -293,7 +293,7 @@
     mq_http_abort (request);
   else
     mq_answer_json (request, 200, json_pack ("{s:i}", "tokens", (int)tokens));
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
 }
 
 static void
@@ -339,7 +339,7 @@
 {
   struct mq_engine_load load;
 
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
   load = mq_engine_load (server->engine);
   mq_answer_json (
       request, 200,
@@ -353,7 +353,7 @@
 {
   struct mq_engine_load load;
 
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
   load = mq_engine_reported_load (server->engine,
                                   mq_engine_server_now (server));
   mq_answer_json (request, 200,
@@ -385,7 +385,7 @@
   json_t *list = json_array ();
   size_t count;
 
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
   count
       = mq_engine_cache_events (server->engine, mq_engine_server_now (server),
                                 after, events, EVENTS_GIVEN_MAX);
@@ -434,7 +434,7 @@
   json_t *orders = json_object ();
   struct mq_engine_load load;
 
-  mq_engine_server_pump (server);
+  mq_engine_server_advance (server);
   load = mq_engine_load (server->engine);
   for (size_t i = 0; i <= MQ_ORDER_SET_ROLE; i++)
     json_object_set_new (orders, mq_engine_order_name ((enum mq_order_type)i),
@@ -481,7 +481,7 @@
 {
   struct mq_engine_server *server = data;
 
-  if (mq_is_below (request, mq_http_method (request), "/v1/")
+  if (mq_is_request_below (request, mq_http_method (request), "/v1/")
       && meets_fault (server, request))
     return;
   for (size_t i = 0; i < sizeof paths / sizeof paths[0]; i++)
--- a/standins/engine_state.h
+++ b/standins/engine_state.h
@@ -13,7 +13,7 @@
 
 enum
 {
-  MQ_ENGINE_FIRST_ROOM = 16,
+  MQ_ENGINE_INITIAL_CAPACITY = 16,
   MQ_ENGINE_CACHE_EVENTS_KEPT = 4096
 };
 
@@ -83,7 +83,7 @@
   struct mq_kv *kv;
   uint64_t now_us;
   struct mq_engine_sequence *sequences;
-  size_t sequence_room;
+  size_t sequence_capacity;
   struct mq_engine_list unused;
   struct mq_engine_list waiting;
   struct mq_engine_list running;
@@ -93,7 +93,7 @@
   uint64_t step_end_us;
   struct mq_engine_work *work; /* in order of due time */
   size_t work_count;
-  size_t work_room;
+  size_t work_capacity;
   uint64_t transfer_free_us;
   uint64_t order_free_us;
   uint64_t fence;
@@ -114,7 +114,7 @@
 };
 
 static inline void *
-mq_engine_need (void *memory)
+mq_engine_check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
--- a/standins/engine_work.c
+++ b/standins/engine_work.c
@@ -11,12 +11,13 @@
 {
   size_t at = engine->work_count;
 
-  if (engine->work_count == engine->work_room)
+  if (engine->work_count == engine->work_capacity)
     {
-      engine->work_room = engine->work_room == 0 ? MQ_ENGINE_FIRST_ROOM
-                                                 : 2 * engine->work_room;
-      engine->work = mq_engine_need (talloc_realloc (
-          engine, engine->work, struct mq_engine_work, engine->work_room));
+      engine->work_capacity = engine->work_capacity == 0
+                                  ? MQ_ENGINE_INITIAL_CAPACITY
+                                  : 2 * engine->work_capacity;
+      engine->work = mq_engine_check_alloc (talloc_realloc (
+          engine, engine->work, struct mq_engine_work, engine->work_capacity));
     }
   while (at > 0 && engine->work[at - 1].due_us > due_us)
     at--;
@@ -56,10 +57,10 @@
 
   if (block != MQ_KV_NO_BLOCK)
     {
-      mq_kv_hold (engine->kv, block, program, engine->now_us);
+      mq_kv_reference (engine->kv, block, program, engine->now_us);
       return block;
     }
-  block = mq_kv_take (engine->kv, program, engine->now_us);
+  block = mq_kv_allocate (engine->kv, program, engine->now_us);
   if (block == MQ_KV_NO_BLOCK)
     return block;
   *stored += MQ_KV_BLOCK_TOKENS;
@@ -71,8 +72,8 @@
 static uint32_t
 store_labels (struct mq_engine *engine, const struct mq_engine_work *job)
 {
-  uint32_t *blocks
-      = mq_engine_need (talloc_array (NULL, uint32_t, job->label_count + 1));
+  uint32_t *blocks = mq_engine_check_alloc (
+      talloc_array (NULL, uint32_t, job->label_count + 1));
   size_t count = 0;
   uint32_t stored = 0;
 
--- a/standins/host_registry.c
+++ b/standins/host_registry.c
@@ -95,8 +95,8 @@
 /* Changes of a lag let a newer state become visible first; the number keeps
    the older one from covering it when its turn comes.  */
 void
-mq_host_registry_show (struct mq_host_registry *registry, json_t *state,
-                       uint64_t number)
+mq_host_registry_publish (struct mq_host_registry *registry, json_t *state,
+                          uint64_t number)
 {
   if (number < registry->visible_number)
     {
--- a/standins/host_registry.h
+++ b/standins/host_registry.h
@@ -21,12 +21,12 @@
 /* False when there is no such host.  */
 bool mq_host_registry_remove (struct mq_host_registry *registry,
                               const char *name);
-/* Number of the last change; mq_host_registry_show makes the list as it was
+/* Number of the last change; mq_host_registry_publish makes the list as it was
    after a change visible.  An older one never covers a newer one.  */
 json_t *mq_host_registry_state (const struct mq_host_registry *registry,
                                 uint64_t *number);
-void mq_host_registry_show (struct mq_host_registry *registry, json_t *state,
-                            uint64_t number);
+void mq_host_registry_publish (struct mq_host_registry *registry,
+                               json_t *state, uint64_t number);
 /* The answer of GET /v1/hosts; the caller holds a reference.  */
 json_t *mq_host_registry_answer (const struct mq_host_registry *registry);
 
--- a/standins/http_answer.c
+++ b/standins/http_answer.c
@@ -23,8 +23,8 @@
 }
 
 bool
-mq_is_below (const struct mq_http_request *request, const char *method,
-             const char *path)
+mq_is_request_below (const struct mq_http_request *request, const char *method,
+                     const char *path)
 {
   return strcmp (mq_http_method (request), method) == 0
          && begins_with (mq_http_path (request), path)
@@ -48,7 +48,7 @@
 }
 
 void
-mq_answer_done (struct mq_http_request *request)
+mq_answer_empty (struct mq_http_request *request)
 {
   mq_answer_json (request, 200, json_object ());
 }
--- a/standins/platform_server.c
+++ b/standins/platform_server.c
@@ -145,15 +145,15 @@
     return parse_transaction (operation);
   if (mq_is_request (request, "GET", ROWS_PATH))
     return parse_scan (operation);
-  if (mq_is_below (request, "PUT", OBJECT_PATH))
+  if (mq_is_request_below (request, "PUT", OBJECT_PATH))
     return parse_object (operation, MQ_STORE_PUT);
-  if (mq_is_below (request, "GET", OBJECT_PATH))
+  if (mq_is_request_below (request, "GET", OBJECT_PATH))
     return parse_object (operation, MQ_STORE_GET);
-  if (mq_is_below (request, "DELETE", OBJECT_PATH))
+  if (mq_is_request_below (request, "DELETE", OBJECT_PATH))
     return parse_object (operation, MQ_STORE_DROP);
   if (mq_is_request (request, "GET", HOSTS_PATH))
     return parse_hosts (operation);
-  if (mq_is_below (request, "GET", WEIGHT_PATH))
+  if (mq_is_request_below (request, "GET", WEIGHT_PATH))
     return parse_weight (operation);
   return false;
 }
@@ -176,7 +176,7 @@
       mq_answer_json (request, 200, mq_wire_rows (result));
       return;
     case MQ_STORE_PUT:
-      mq_answer_done (request);
+      mq_answer_empty (request);
       return;
     case MQ_STORE_GET:
       if (result->status == MQ_STORE_MISSING)
@@ -187,7 +187,7 @@
       return;
     case MQ_STORE_DROP:
       if (dropped)
-        mq_answer_done (request);
+        mq_answer_empty (request);
       else
         mq_answer_failure (request, MQ_ERR_NOT_FOUND);
       return;
@@ -220,7 +220,7 @@
           request, 200,
           json_pack ("{s:s,s:I}", "name", name, "bytes", (json_int_t)bytes));
       return;
-    case MQ_WEIGHT_OVER_RATE:
+    case MQ_WEIGHT_RATE_LIMITED:
       refuse_weight (request, retry_after_s);
       return;
     case MQ_WEIGHT_UNKNOWN:
@@ -259,9 +259,9 @@
   bool dropped = false;
 
   if (operation->store.kind == MQ_STORE_DROP)
-    dropped = mq_table_drop (table, operation->store.key);
+    dropped = mq_table_delete_object (table, operation->store.key);
   else
-    mq_table_serve (table, operation, &operation->store, &result);
+    mq_table_execute (table, operation, &operation->store, &result);
   if (operation->closed || operation->end == END_SILENT)
     finish (operation);
   else if (operation->end == END_CLOSE)
@@ -328,7 +328,7 @@
 }
 
 static uint64_t
-pace (struct mq_pacer *pacer, uint32_t per_s)
+pace (struct mq_request_pacer *pacer, uint32_t per_s)
 {
   uint64_t now = mq_clock_us ();
   uint64_t start = pacer->next_us > now ? pacer->next_us : now;
@@ -419,7 +419,8 @@
     }
   operation->server->waiting++;
   if (tevent_add_timer (operation->server->ev, operation,
-                        mq_standin_after_us (wait_us), on_due, operation)
+                        mq_standin_timeval_after_us (wait_us), on_due,
+                        operation)
       == NULL)
     abort ();
 }
@@ -448,7 +449,7 @@
   struct mq_platform_server *server = data;
 
   if (strncmp (mq_http_path (request), SWITCH_PATH, strlen (SWITCH_PATH)) == 0)
-    mq_platform_switch (server, request);
+    mq_platform_handle_control (server, request);
   else
     handle_operation (server, request);
 }
@@ -537,6 +538,6 @@
     good = mq_host_registry_set (server->hosts, json_array_get (hosts, i));
   json_decref (json);
   state = mq_host_registry_state (server->hosts, &number);
-  mq_host_registry_show (server->hosts, state, number);
+  mq_host_registry_publish (server->hosts, state, number);
   return good;
 }
--- a/standins/platform_state.h
+++ b/standins/platform_state.h
@@ -14,7 +14,7 @@
 #include "weight_store.h"
 
 /* Lets N a second through, one after the other, and queues the rest.  */
-struct mq_pacer
+struct mq_request_pacer
 {
   uint64_t next_us;
 };
@@ -27,14 +27,14 @@
   struct mq_faults *faults;
   struct mq_host_registry *hosts;
   struct mq_weight_store *weights;
-  struct mq_pacer reads;
-  struct mq_pacer writes;
+  struct mq_request_pacer reads;
+  struct mq_request_pacer writes;
   uint64_t waiting;
 };
 
-struct timeval mq_standin_after_us (uint64_t us);
+struct timeval mq_standin_timeval_after_us (uint64_t us);
 /* Answers a request below /standin/.  */
-void mq_platform_switch (struct mq_platform_server *server,
-                         struct mq_http_request *request);
+void mq_platform_handle_control (struct mq_platform_server *server,
+                                 struct mq_http_request *request);
 
 #endif
--- a/standins/platform_switch.c
+++ b/standins/platform_switch.c
@@ -20,7 +20,7 @@
 };
 
 struct timeval
-mq_standin_after_us (uint64_t us)
+mq_standin_timeval_after_us (uint64_t us)
 {
   return tevent_timeval_current_ofs ((uint32_t)(us / US_PER_S),
                                      (uint32_t)(us % US_PER_S));
@@ -43,7 +43,7 @@
   const char *body = mq_http_body (request, &len);
 
   if (mq_faults_post (server->faults, body, len, &error))
-    mq_answer_done (request);
+    mq_answer_empty (request);
   else
     mq_answer_failure (request, error.type);
 }
@@ -73,8 +73,8 @@
   (void)ev;
   (void)timer;
   (void)now;
-  mq_host_registry_show (late->server->hosts, json_incref (late->state),
-                         late->number);
+  mq_host_registry_publish (late->server->hosts, json_incref (late->state),
+                            late->number);
   talloc_free (late);
 }
 
@@ -90,14 +90,15 @@
   talloc_set_destructor (late, free_late_hosts);
   if (!mq_faults_take (server->faults, MQ_FAULT_HOSTS_LAG, &subject, &lag))
     {
-      mq_host_registry_show (server->hosts, json_incref (late->state),
-                             late->number);
+      mq_host_registry_publish (server->hosts, json_incref (late->state),
+                                late->number);
       talloc_free (late);
       return;
     }
-  if (tevent_add_timer (server->ev, late,
-                        mq_standin_after_us ((uint64_t)lag.ms * US_PER_MS),
-                        on_hosts_due, late)
+  if (tevent_add_timer (
+          server->ev, late,
+          mq_standin_timeval_after_us ((uint64_t)lag.ms * US_PER_MS),
+          on_hosts_due, late)
       == NULL)
     abort ();
 }
@@ -118,7 +119,7 @@
       return;
     }
   show_hosts (server);
-  mq_answer_done (request);
+  mq_answer_empty (request);
 }
 
 static void
@@ -133,7 +134,7 @@
       return;
     }
   show_hosts (server);
-  mq_answer_done (request);
+  mq_answer_empty (request);
 }
 
 static bool
@@ -164,14 +165,14 @@
 
   json_decref (json);
   if (good)
-    mq_answer_done (request);
+    mq_answer_empty (request);
   else
     mq_answer_failure (request, MQ_ERR_BAD_REQUEST);
 }
 
 void
-mq_platform_switch (struct mq_platform_server *server,
-                    struct mq_http_request *request)
+mq_platform_handle_control (struct mq_platform_server *server,
+                            struct mq_http_request *request)
 {
   if (mq_is_request (request, "POST", "/standin/fault"))
     handle_fault (server, request);
@@ -179,7 +180,7 @@
     handle_stats (server, request);
   else if (mq_is_request (request, "POST", "/standin/hosts"))
     handle_host_set (server, request);
-  else if (mq_is_below (request, "DELETE", HOST_ADMIN_PATH))
+  else if (mq_is_request_below (request, "DELETE", HOST_ADMIN_PATH))
     handle_host_remove (server, request);
   else if (mq_is_request (request, "POST", "/standin/weights"))
     handle_weight_set (server, request);
--- a/standins/service_server.c
+++ b/standins/service_server.c
@@ -264,7 +264,7 @@
   const char *body = mq_http_body (request, &len);
 
   if (mq_faults_post (worker->server->faults, body, len, &error))
-    mq_answer_done (request);
+    mq_answer_empty (request);
   else
     mq_answer_failure (request, error.type);
 }
--- a/standins/table.c
+++ b/standins/table.c
@@ -323,7 +323,7 @@
 }
 
 bool
-mq_table_drop (struct mq_table *table, const char *key)
+mq_table_delete_object (struct mq_table *table, const char *key)
 {
   table->writes++;
   return erase (&table->objects, key);
@@ -358,9 +358,9 @@
 }
 
 void
-mq_table_serve (struct mq_table *table, TALLOC_CTX *ctx,
-                const struct mq_store_request *request,
-                struct mq_store_result *result)
+mq_table_execute (struct mq_table *table, TALLOC_CTX *ctx,
+                  const struct mq_store_request *request,
+                  struct mq_store_result *result)
 {
   *result = (struct mq_store_result){ .id = request->id };
   switch (request->kind)
@@ -381,7 +381,7 @@
         result->status = MQ_STORE_MISSING;
       break;
     case MQ_STORE_DROP:
-      mq_table_drop (table, request->key);
+      mq_table_delete_object (table, request->key);
       break;
     }
 }
--- a/standins/table.h
+++ b/standins/table.h
@@ -96,12 +96,12 @@
 bool mq_table_get (struct mq_table *table, TALLOC_CTX *ctx, const char *key,
                    struct mq_bytes *value);
 /* False when there was no such object.  */
-bool mq_table_drop (struct mq_table *table, const char *key);
+bool mq_table_delete_object (struct mq_table *table, const char *key);
 
 /* Answers REQUEST at once; what RESULT points to hangs below CTX.  */
-void mq_table_serve (struct mq_table *table, TALLOC_CTX *ctx,
-                     const struct mq_store_request *request,
-                     struct mq_store_result *result);
+void mq_table_execute (struct mq_table *table, TALLOC_CTX *ctx,
+                       const struct mq_store_request *request,
+                       struct mq_store_result *result);
 
 struct mq_table_counters mq_table_counters (const struct mq_table *table);
 struct mq_table_snapshot *mq_table_snapshot (const struct mq_table *table,
--- a/standins/weight_store.c
+++ b/standins/weight_store.c
@@ -111,7 +111,7 @@
   if (weight->tokens < 1.0)
     {
       *retry_after_s = seconds_to_next (weight);
-      return MQ_WEIGHT_OVER_RATE;
+      return MQ_WEIGHT_RATE_LIMITED;
     }
   weight->tokens -= 1.0;
   *bytes = weight->bytes;
--- a/standins/weight_store.h
+++ b/standins/weight_store.h
@@ -14,7 +14,7 @@
 enum mq_weight_answer
 {
   MQ_WEIGHT_LOADED,
-  MQ_WEIGHT_OVER_RATE,
+  MQ_WEIGHT_RATE_LIMITED,
   MQ_WEIGHT_UNKNOWN
 };
 
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -205,7 +205,7 @@
 {
   struct mq_store_result *result = talloc_zero (fleet, struct mq_store_result);
 
-  mq_table_serve (fleet->table, result, request, result);
+  mq_table_execute (fleet->table, result, request, result);
   count_request (fleet, request, result);
   push (fleet, EVENT_STORE, host, fleet->options.store_us)->result = result;
 }
--- a/tests/fuzz/fuzz_owner.c
+++ b/tests/fuzz/fuzz_owner.c
@@ -77,7 +77,7 @@
   struct mq_store_result result = { 0 };
   struct mq_owner_input input = { .type = MQ_OWNER_STORE };
 
-  mq_table_serve (bench->table, ctx, request, &result);
+  mq_table_execute (bench->table, ctx, request, &result);
   result.id = request->id;
   input.u.store = &result;
   handle_input (bench, &input);
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -912,7 +912,7 @@
 
       cr_assert (mq_plan_read (ctx, messages, &prompt, &error));
       mq_plan_answer (ctx, messages, &prompt, cases[i].max_tokens, &answer);
-      seen = mq_plan_seen (ctx, &prompt);
+      seen = mq_plan_digest_text (ctx, &prompt);
       cr_expect_eq (answer.tokens, cases[i].tokens, "case %zu: %u", i,
                     answer.tokens);
       cr_expect_eq (strlen (answer.text), 4 * (size_t)answer.tokens);
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -207,7 +207,7 @@
   request.key = (char *)prefixes[mq_random_below (&world->random, 5)];
   request.after = after;
   request.limit = 1 + mq_random_below (&world->random, 20);
-  mq_table_serve (world->table, world->table, &request, &result);
+  mq_table_execute (world->table, world->table, &request, &result);
   cr_assert_leq (result.row_count, request.limit);
   for (size_t i = 0; i < result.row_count; i++)
     {
@@ -237,7 +237,7 @@
       model_write (&world->objects, key, 0, value);
       break;
     case 1:
-      cr_assert_eq (mq_table_drop (world->table, key),
+      cr_assert_eq (mq_table_delete_object (world->table, key),
                     model_remove (&world->objects, key));
       break;
     default:
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -504,7 +504,7 @@
   plant_cuts (world, event->request);
   result = talloc_zero (world, struct mq_store_result);
   noted = note_removed (world, event->request);
-  mq_table_serve (world->table, result, event->request, result);
+  mq_table_execute (world->table, result, event->request, result);
   if (result->status == MQ_STORE_OK)
     {
       world->removed_count += noted;
