--- a/standins/faults.c
+++ b/standins/faults.c
@@ -1,4 +1,4 @@
-/* faults.c - the fault switches of the stand-ins.
+/* faults.c - fault injection for the stand-ins.
 
    Needs: faults.h.  */
 
@@ -14,7 +14,7 @@
   size_t count;
 };
 
-/* An order as it came; pointers lead into its JSON.  */
+/* Parsed request body; strings point into its JSON.  */
 struct order
 {
   const char *fault;
@@ -50,7 +50,7 @@
 };
 
 static void *
-need (void *memory)
+check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -60,7 +60,7 @@
 struct mq_faults *
 mq_faults_create (TALLOC_CTX *ctx, uint32_t kinds)
 {
-  struct mq_faults *faults = need (talloc_zero (ctx, struct mq_faults));
+  struct mq_faults *faults = check_alloc (talloc_zero (ctx, struct mq_faults));
 
   faults->kinds = kinds;
   return faults;
@@ -112,12 +112,12 @@
         && strcmp (faults->items[i].match, fault->match) == 0
         && strcmp (faults->items[i].worker, fault->worker) == 0)
       remove_at (faults, i);
-  faults->items = need (talloc_realloc (faults, faults->items, struct mq_fault,
-                                        faults->count + 1));
+  faults->items = check_alloc (talloc_realloc (
+      faults, faults->items, struct mq_fault, faults->count + 1));
   item = &faults->items[faults->count++];
   *item = *fault;
-  item->match = need (talloc_strdup (faults, fault->match));
-  item->worker = need (talloc_strdup (faults, fault->worker));
+  item->match = check_alloc (talloc_strdup (faults, fault->match));
+  item->worker = check_alloc (talloc_strdup (faults, fault->worker));
 }
 
 static bool
@@ -127,7 +127,7 @@
 }
 
 static bool
-numbers_fit (const struct order *order)
+are_numbers_valid (const struct order *order)
 {
   return order->count >= -1 && order->count != 0 && in_range (order->ms)
          && in_range (order->retry_after_s) && in_range (order->writes_per_s)
@@ -137,7 +137,7 @@
          && order->permille <= 1000 && order->factor > 0;
 }
 
-/* Unknown keys are refused, so that a mistyped one does not go unseen.  */
+/* Rejects unknown keys, so that typing errors are reported.  */
 static bool
 read_order (json_t *json, struct order *order)
 {
@@ -157,7 +157,7 @@
              "reads_per_s", &order->reads_per_s, "tokens", &order->tokens,
              "permille", &order->permille, "factor", &order->factor)
              == 0
-         && numbers_fit (order);
+         && are_numbers_valid (order);
 }
 
 static bool
@@ -177,7 +177,7 @@
 }
 
 static bool
-obey (struct mq_faults *faults, const struct order *order)
+execute (struct mq_faults *faults, const struct order *order)
 {
   struct mq_fault fault = {
     .match = order->match,
@@ -207,18 +207,18 @@
 {
   json_t *json = json_loadb (body, len, 0, NULL);
   struct order order;
-  bool taken;
+  bool valid;
 
   if (json == NULL)
     {
       mq_error_set (error, MQ_ERR_BAD_JSON, "fault", "");
       return false;
     }
-  taken = read_order (json, &order) && obey (faults, &order);
-  if (!taken)
+  valid = read_order (json, &order) && execute (faults, &order);
+  if (!valid)
     mq_error_set (error, MQ_ERR_BAD_REQUEST, "fault", "");
   json_decref (json);
-  return taken;
+  return valid;
 }
 
 static bool
@@ -228,7 +228,7 @@
 }
 
 static bool
-meets (const struct mq_fault *fault, const struct mq_fault_subject *subject)
+matches (const struct mq_fault *fault, const struct mq_fault_subject *subject)
 {
   if (subject->poll && fault->left != MQ_FAULT_UNTIL_CLEARED)
     return false;
@@ -252,7 +252,7 @@
     {
       struct mq_fault *item = &faults->items[i];
 
-      if (item->kind != kind || !meets (item, subject))
+      if (item->kind != kind || !matches (item, subject))
         continue;
       if (fault != NULL)
         {
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -1,7 +1,8 @@
-/* faults.h - the fault switches of the stand-ins.
+/* faults.h - fault injection for the stand-ins.
 
-   A list of faults that are switched on, each until it is cleared or has
-   shown itself a number of times.  Pure; memory that runs out aborts.
+   Holds the active faults.  A fault stays active until it is cleared or has
+   matched a given number of requests.  Performs no I/O; aborts when out of
+   memory.
    Needs: error.h, jansson.  */
 
 #ifndef MQ_FAULTS_H
@@ -11,20 +12,20 @@
 
 enum mq_fault_kind
 {
-  MQ_FAULT_DOWN,         /* 503, no effect */
-  MQ_FAULT_UNREACHABLE,  /* connection closed, no effect */
-  MQ_FAULT_SLOW,         /* effect and answer after a pause */
-  MQ_FAULT_LOST_ANSWER,  /* effect, then the connection is closed */
-  MQ_FAULT_LATE_EFFECT,  /* connection closed, effect after a pause */
-  MQ_FAULT_HANG,         /* neither effect nor answer */
-  MQ_FAULT_HOSTS_LAG,    /* changes of the host list show after a pause */
-  MQ_FAULT_RATE,         /* work beyond a rate waits in a queue */
-  MQ_FAULT_STATUS,       /* this HTTP status, no effect */
-  MQ_FAULT_REFUSE,       /* 429 with Retry-After, no effect */
-  MQ_FAULT_CRASH_STREAM, /* a stream breaks after a number of tokens */
-  MQ_FAULT_EVICT_FAILS,  /* 503 to an eviction, no effect */
-  MQ_FAULT_EVENTS_GAP,   /* a share of the cache events never comes */
-  MQ_FAULT_LOAD_LAG,     /* the load report is older */
+  MQ_FAULT_DOWN,         /* 503, not executed */
+  MQ_FAULT_UNREACHABLE,  /* connection closed, not executed */
+  MQ_FAULT_SLOW,         /* executed and answered after a delay */
+  MQ_FAULT_LOST_ANSWER,  /* executed; connection closed without a response */
+  MQ_FAULT_LATE_EFFECT,  /* connection closed, executed after a delay */
+  MQ_FAULT_HANG,         /* neither executed nor answered */
+  MQ_FAULT_HOSTS_LAG,    /* host list changes are visible after a delay */
+  MQ_FAULT_RATE,         /* requests above a rate are queued */
+  MQ_FAULT_STATUS,       /* given HTTP status, not executed */
+  MQ_FAULT_REFUSE,       /* 429 with Retry-After, not executed */
+  MQ_FAULT_CRASH_STREAM, /* stream aborted after a number of tokens */
+  MQ_FAULT_EVICT_FAILS,  /* 503 to an eviction, not executed */
+  MQ_FAULT_EVENTS_GAP,   /* a share of the cache events is lost */
+  MQ_FAULT_LOAD_LAG,     /* load reports are delayed */
   MQ_FAULT_COUNT
 };
 
@@ -32,19 +33,18 @@
 #define MQ_FAULT_UNTIL_CLEARED UINT64_MAX
 
 /**
- * struct mq_fault - one fault that is switched on
- * @kind: what goes wrong
- * @left: requests that it will still meet, or MQ_FAULT_UNTIL_CLEARED
- * @match: prefix of the key or path that it meets, empty: all
- * @worker: worker that it meets, empty: all
- * @ms: SLOW, LATE_EFFECT, HOSTS_LAG, LOAD_LAG: the pause
- * @factor: SLOW of an engine: every duration is multiplied by this
- * @status: STATUS
- * @retry_after_s: REFUSE
- * @writes_per_s: RATE, 0: no bound
- * @reads_per_s: RATE, 0: no bound
- * @tokens: CRASH_STREAM
- * @permille: EVENTS_GAP
+ * struct mq_fault - an active fault
+ * @left: requests still to be matched, or MQ_FAULT_UNTIL_CLEARED
+ * @match: prefix of the matching keys or paths; empty matches all
+ * @worker: name of the matching worker; empty matches all
+ * @ms: delay of SLOW, LATE_EFFECT, HOSTS_LAG and LOAD_LAG
+ * @factor: SLOW of an engine: multiplies every duration
+ * @status: HTTP status of STATUS
+ * @retry_after_s: Retry-After of REFUSE
+ * @writes_per_s: limit of RATE; 0 for no limit
+ * @reads_per_s: limit of RATE; 0 for no limit
+ * @tokens: tokens sent before CRASH_STREAM aborts the stream
+ * @permille: share of events lost with EVENTS_GAP
  */
 struct mq_fault
 {
@@ -63,12 +63,12 @@
 };
 
 /**
- * struct mq_fault_subject - what a request is about
- * @names: its row keys, object key or path
- * @count: how many
- * @worker: which worker it came to, NULL when there is but one
- * @poll: a regular poll: meets no fault that has a count, so that it does
- *        not use up what is meant for a call
+ * struct mq_fault_subject - request properties that faults match
+ * @names: row keys, object key or path
+ * @count: number of @names
+ * @worker: receiving worker; NULL if there is only one
+ * @poll: periodic poll; ignores faults with a count, so that polls do not
+ *        consume it
  */
 struct mq_fault_subject
 {
@@ -80,26 +80,25 @@
 
 struct mq_faults;
 
-/* KINDS: MQ_FAULT_BITs of what this stand-in can do.  */
+/* KINDS: MQ_FAULT_BITs of the supported kinds.  */
 struct mq_faults *mq_faults_create (TALLOC_CTX *ctx, uint32_t kinds);
 
 /**
- * mq_faults_post - take an order of POST /standin/fault
- * @faults: the switches
- * @body: {"fault":NAME, "count":N, "match":PREFIX, "worker":NAME, and the
- *        kind's own keys as in struct mq_fault}.  The same fault with the
- *        same match and worker is replaced.  {"fault":"clear"} clears all,
- *        with "only":NAME those of one kind
- * @len: its length
- * @error: BAD_JSON or BAD_REQUEST
+ * mq_faults_post - handle the body of POST /standin/fault
+ * @body: {"fault":NAME, "count":N, "match":PREFIX, "worker":NAME, and the keys
+ *        of that kind as in struct mq_fault}. Replaces an active fault of the
+ *        same kind, match and worker. {"fault":"clear"} clears all faults, or
+ *        one kind with "only":NAME
+ * @len: length of @body
+ * @error: set to BAD_JSON or BAD_REQUEST on failure
  *
- * Return: whether the order was taken.
+ * Return: true if the body was valid.
  */
 bool mq_faults_post (struct mq_faults *faults, const char *body, size_t len,
                      struct mq_error *error);
 
-/* Whether a fault of KIND meets SUBJECT; uses up one of its count.  FAULT
-   may be NULL.  */
+/* Returns true if an active fault of KIND matches SUBJECT, copies it to FAULT
+   unless that is NULL, and decrements its count.  */
 bool mq_faults_take (struct mq_faults *faults, enum mq_fault_kind kind,
                      const struct mq_fault_subject *subject,
                      struct mq_fault *fault);
--- a/standins/host_registry.c
+++ b/standins/host_registry.c
@@ -1,4 +1,4 @@
-/* host_registry.c - the stand-in's list of hosts, as it is and as it shows.
+/* host_registry.c - host list of the stand-in platform.
 
    Needs: host_registry.h.  */
 
@@ -8,7 +8,7 @@
 
 struct mq_host_registry
 {
-  json_t *actual; /* name to host */
+  json_t *actual; /* host by name */
   json_t *visible;
   uint64_t changes;
   uint64_t visible_number;
@@ -92,8 +92,8 @@
   return json_copy (registry->actual);
 }
 
-/* Changes of a lag let a newer state become visible first; the number keeps
-   the older one from covering it when its turn comes.  */
+/* With a varying lag, a newer list can be published before an older one; the
+   older one is then ignored.  */
 void
 mq_host_registry_publish (struct mq_host_registry *registry, json_t *state,
                           uint64_t number)
--- a/standins/http_answer.c
+++ b/standins/http_answer.c
@@ -1,4 +1,4 @@
-/* http_answer.c - what the stand-ins' HTTP servers share.
+/* http_answer.c - request matching and JSON responses for the stand-ins.
 
    Needs: http_answer.h.  */
 
@@ -31,7 +31,6 @@
          && mq_http_path (request)[strlen (path)] != '\0';
 }
 
-/* Answers with JSON, which it frees.  */
 void
 mq_answer_json (struct mq_http_request *request, int status, json_t *json)
 {
--- a/standins/http_answer.h
+++ b/standins/http_answer.h
@@ -1,4 +1,4 @@
-/* http_answer.h - what the stand-ins' HTTP servers share.
+/* http_answer.h - request matching and JSON responses for the stand-ins.
 
    Needs: http_server.h, jansson.  */
 
@@ -10,14 +10,14 @@
 
 bool mq_is_request (const struct mq_http_request *request, const char *method,
                     const char *path);
-/* PATH ends in "/" and something follows it.  */
+/* Matches paths that continue after PATH, which ends in "/".  */
 bool mq_is_request_below (const struct mq_http_request *request,
                           const char *method, const char *path);
-/* Answers with JSON, which it frees.  */
+/* Responds with JSON and releases it.  */
 void mq_answer_json (struct mq_http_request *request, int status,
                      json_t *json);
 void mq_answer_empty (struct mq_http_request *request); /* 200 {} */
-/* The type's HTTP status and {"error":NAME}.  */
+/* Responds with the HTTP status of TYPE and {"error":NAME}.  */
 void mq_answer_failure (struct mq_http_request *request,
                         enum mq_error_type type);
 
--- a/standins/platform_server.c
+++ b/standins/platform_server.c
@@ -1,8 +1,8 @@
-/* platform_server.c - the platform's stand-in as an HTTP server.
+/* platform_server.c - HTTP server of the stand-in platform.
 
-   Each request below /v1/ becomes an operation with a life of its own: it is
-   parsed, meets the faults, waits where it must, takes effect and answers if
-   its client is still there.
+   Each request below /v1/ becomes an operation that is parsed, checked
+   against the active faults, delayed if required, executed and answered.  An
+   operation outlives its request if the client disconnects.
    Needs: platform_state.h, http_answer.h, platform_wire.h.  */
 
 #include "platform_server.h"
@@ -20,7 +20,7 @@
 #define OBJECT_PATH "/v1/objects/"
 #define HOSTS_PATH "/v1/hosts"
 #define WEIGHT_PATH "/v1/weights/"
-#define SWITCH_PATH "/standin/"
+#define CONTROL_PATH "/standin/"
 
 enum
 {
@@ -38,9 +38,9 @@
 enum operation_end
 {
   END_ANSWER,
-  END_REFUSE, /* 503 in place of the effect */
-  END_CLOSE,  /* effect, then the connection is closed */
-  END_SILENT  /* effect; the connection was closed before */
+  END_REFUSE, /* 503, not executed */
+  END_CLOSE,  /* executed; the connection is closed without a response */
+  END_SILENT  /* executed after the connection was closed */
 };
 
 struct operation
@@ -56,7 +56,7 @@
   bool closed;
 };
 
-/* Operations: parse.  */
+/* Operations: parsing.  */
 
 static bool
 parse_transaction (struct operation *operation)
@@ -158,7 +158,7 @@
   return false;
 }
 
-/* Operations: effect and answer.  */
+/* Operations: execution and response.  */
 
 static void
 respond_store (struct operation *operation,
@@ -195,7 +195,7 @@
 }
 
 static void
-refuse_weight (struct mq_http_request *request, uint32_t retry_after_s)
+reject_weight (struct mq_http_request *request, uint32_t retry_after_s)
 {
   char text[16];
 
@@ -221,7 +221,7 @@
           json_pack ("{s:s,s:I}", "name", name, "bytes", (json_int_t)bytes));
       return;
     case MQ_WEIGHT_RATE_LIMITED:
-      refuse_weight (request, retry_after_s);
+      reject_weight (request, retry_after_s);
       return;
     case MQ_WEIGHT_UNKNOWN:
       mq_answer_failure (request, MQ_ERR_NOT_FOUND);
@@ -237,8 +237,8 @@
     talloc_free (operation);
 }
 
-/* Whoever answers or aborts may bring about the call of on_closed
-   before that returns, so the operation is not touched afterwards.  */
+/* Responding to or aborting a request may call on_closed synchronously and
+   free the operation, so it must not be accessed afterwards.  */
 static void
 on_closed (struct mq_http_request *request, void *data)
 {
@@ -340,8 +340,8 @@
 }
 
 static bool
-meets (struct operation *operation, enum mq_fault_kind kind,
-       struct mq_fault *fault)
+matches_fault (struct operation *operation, enum mq_fault_kind kind,
+               struct mq_fault *fault)
 {
   struct mq_fault_subject subject
       = { operation->names, operation->name_count, NULL, false };
@@ -355,7 +355,7 @@
   struct mq_platform_server *server = operation->server;
   struct mq_fault fault;
 
-  if (!meets (operation, MQ_FAULT_RATE, &fault))
+  if (!matches_fault (operation, MQ_FAULT_RATE, &fault))
     return 0;
   if (is_write (operation))
     return pace (&server->writes, fault.writes_per_s);
@@ -367,25 +367,25 @@
 {
   struct mq_fault fault;
 
-  if (!meets (operation, kind, &fault))
+  if (!matches_fault (operation, kind, &fault))
     return 0;
   return (uint64_t)fault.ms * US_PER_MS;
 }
 
-/* The faults that concern an effect meet writes only, so that a read that
-   comes between does not use up their count.  */
+/* Applies the faults that affect execution. They match writes only, so that
+   reads do not consume their count.  */
 static void
 start_write (struct operation *operation, uint64_t *wait_us)
 {
   struct mq_fault fault;
 
-  if (meets (operation, MQ_FAULT_LATE_EFFECT, &fault))
+  if (matches_fault (operation, MQ_FAULT_LATE_EFFECT, &fault))
     {
       operation->end = END_SILENT;
       *wait_us += (uint64_t)fault.ms * US_PER_MS;
       mq_http_abort (operation->request);
     }
-  else if (meets (operation, MQ_FAULT_LOST_ANSWER, NULL))
+  else if (matches_fault (operation, MQ_FAULT_LOST_ANSWER, NULL))
     operation->end = END_CLOSE;
 }
 
@@ -394,19 +394,19 @@
 {
   uint64_t wait_us;
 
-  if (meets (operation, MQ_FAULT_UNREACHABLE, NULL))
+  if (matches_fault (operation, MQ_FAULT_UNREACHABLE, NULL))
     {
       operation->finished = true;
       mq_http_abort (operation->request);
       return;
     }
-  if (meets (operation, MQ_FAULT_HANG, NULL))
+  if (matches_fault (operation, MQ_FAULT_HANG, NULL))
     {
       operation->finished = true;
       return;
     }
   wait_us = fault_wait (operation, MQ_FAULT_SLOW);
-  if (meets (operation, MQ_FAULT_DOWN, NULL))
+  if (matches_fault (operation, MQ_FAULT_DOWN, NULL))
     operation->end = END_REFUSE;
   else
     wait_us += queue_wait (operation);
@@ -448,13 +448,14 @@
 {
   struct mq_platform_server *server = data;
 
-  if (strncmp (mq_http_path (request), SWITCH_PATH, strlen (SWITCH_PATH)) == 0)
+  if (strncmp (mq_http_path (request), CONTROL_PATH, strlen (CONTROL_PATH))
+      == 0)
     mq_platform_handle_control (server, request);
   else
     handle_operation (server, request);
 }
 
-/* Whole server.  */
+/* Server.  */
 
 static void
 create_parts (struct mq_platform_server *server)
@@ -493,8 +494,8 @@
   return server;
 }
 
-/* The HTTP server goes first: it closes requests whose operations are still
-   there.  */
+/* Destroys the HTTP server first: closing its requests accesses their
+   operations.  */
 void
 mq_platform_server_destroy (struct mq_platform_server *server)
 {
--- a/standins/platform_server.h
+++ b/standins/platform_server.h
@@ -1,18 +1,18 @@
-/* platform_server.h - the platform's stand-in as an HTTP server.
+/* platform_server.h - HTTP server of the stand-in platform.
 
-   The table, object store, host list and weight store of docs/CONTRACTS.md,
-   and below /standin/ its switches:
+   Serves the table, object store, host list and weight store of
+   docs/CONTRACTS.md, and control requests below /standin/:
 
-   POST /standin/fault        faults.h; meets row keys, object keys, scan
-                              prefixes, weight names and "hosts"
+   POST /standin/fault        see faults.h; matches row keys, object keys,
+                              scan prefixes, weight names and "hosts"
    GET /standin/stats         reads, writes, conflicts, rows_written, rows,
                               objects, bytes, waiting
-   POST /standin/hosts        add a host or change some of its fields
+   POST /standin/hosts        add or update a host
    DELETE /standin/hosts/NAME remove a host
    POST /standin/weights      {"name":S,"bytes":N,"loads_per_minute":N}
 
-   A request that waits (slow, rate) takes effect even when its client has
-   given up meanwhile, as with a real store.
+   A request delayed by a fault (slow, rate) is executed even if its client
+   disconnects meanwhile.
    Needs: table.h, faults.h, http_server.h, jansson.  */
 
 #ifndef MQ_PLATFORM_SERVER_H
@@ -24,18 +24,18 @@
 
 struct mq_platform_server;
 
-/* ADDRESS: "IP:PORT", port 0 takes a free one.  */
+/* ADDRESS: "IP:PORT"; port 0 selects a free port.  */
 struct mq_platform_server *
 mq_platform_server_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                            const char *address, struct mq_error *error);
 void mq_platform_server_destroy (struct mq_platform_server *server);
 uint16_t mq_platform_server_port (const struct mq_platform_server *server);
-/* The table behind it, for checks within the same process.  */
+/* The underlying table, for assertions in the same process.  */
 struct mq_table *mq_platform_server_table (struct mq_platform_server *server);
-/* Takes an order as POST /standin/fault does.  */
+/* Handles ORDER like the body of POST /standin/fault; false if invalid.  */
 bool mq_platform_server_fault (struct mq_platform_server *server,
                                const char *order);
-/* Adds the hosts of {"hosts":[…]}; they show at once.  */
+/* Adds the hosts of {"hosts":[…]} and publishes them immediately.  */
 bool mq_platform_server_load_hosts (struct mq_platform_server *server,
                                     const char *text, size_t len);
 
--- a/standins/platform_state.h
+++ b/standins/platform_state.h
@@ -1,7 +1,7 @@
-/* platform_state.h - what the parts of the platform's stand-in share.
+/* platform_state.h - internal state of the stand-in platform.
 
-   platform_server.c serves the platform's paths, platform_switch.c the
-   switches of the stand-in.
+   Shared by platform_server.c (platform API) and platform_switch.c (control
+   requests).
    Needs: platform_server.h, faults.h, host_registry.h, weight_store.h.  */
 
 #ifndef MQ_PLATFORM_STATE_H
@@ -13,7 +13,7 @@
 #include "platform_server.h"
 #include "weight_store.h"
 
-/* Lets N a second through, one after the other, and queues the rest.  */
+/* Spaces requests evenly at a fixed rate.  */
 struct mq_request_pacer
 {
   uint64_t next_us;
@@ -33,7 +33,7 @@
 };
 
 struct timeval mq_standin_timeval_after_us (uint64_t us);
-/* Answers a request below /standin/.  */
+/* Handles a control request below /standin/.  */
 void mq_platform_handle_control (struct mq_platform_server *server,
                                  struct mq_http_request *request);
 
--- a/standins/platform_switch.c
+++ b/standins/platform_switch.c
@@ -1,5 +1,5 @@
-/* platform_switch.c - what tests and operators of the platform's stand-in
-   switch: faults, hosts, weights.
+/* platform_switch.c - control requests of the stand-in platform: faults,
+   hosts and weights.
 
    Needs: platform_state.h, http_answer.h, platform_wire.h.  */
 
@@ -26,8 +26,8 @@
                                      (uint32_t)(us % US_PER_S));
 }
 
-/* Hosts that are to become visible later.  */
-struct late_hosts
+/* Host list to be published after a delay.  */
+struct delayed_hosts
 {
   struct mq_platform_server *server;
   json_t *state;
@@ -58,9 +58,9 @@
 }
 
 static int
-free_late_hosts (struct late_hosts *late)
+free_delayed_hosts (struct delayed_hosts *delayed)
 {
-  json_decref (late->state);
+  json_decref (delayed->state);
   return 0;
 }
 
@@ -68,37 +68,37 @@
 on_hosts_due (struct tevent_context *ev, struct tevent_timer *timer,
               struct timeval now, void *data)
 {
-  struct late_hosts *late = data;
+  struct delayed_hosts *delayed = data;
 
   (void)ev;
   (void)timer;
   (void)now;
-  mq_host_registry_publish (late->server->hosts, json_incref (late->state),
-                            late->number);
-  talloc_free (late);
+  mq_host_registry_publish (delayed->server->hosts,
+                            json_incref (delayed->state), delayed->number);
+  talloc_free (delayed);
 }
 
 static void
-show_hosts (struct mq_platform_server *server)
+publish_hosts (struct mq_platform_server *server)
 {
   struct mq_fault_subject subject = { 0 };
   struct mq_fault lag = { 0 };
-  struct late_hosts *late = talloc_zero (server, struct late_hosts);
+  struct delayed_hosts *delayed = talloc_zero (server, struct delayed_hosts);
 
-  late->server = server;
-  late->state = mq_host_registry_state (server->hosts, &late->number);
-  talloc_set_destructor (late, free_late_hosts);
+  delayed->server = server;
+  delayed->state = mq_host_registry_state (server->hosts, &delayed->number);
+  talloc_set_destructor (delayed, free_delayed_hosts);
   if (!mq_faults_take (server->faults, MQ_FAULT_HOSTS_LAG, &subject, &lag))
     {
-      mq_host_registry_publish (server->hosts, json_incref (late->state),
-                                late->number);
-      talloc_free (late);
+      mq_host_registry_publish (server->hosts, json_incref (delayed->state),
+                                delayed->number);
+      talloc_free (delayed);
       return;
     }
   if (tevent_add_timer (
-          server->ev, late,
+          server->ev, delayed,
           mq_standin_timeval_after_us ((uint64_t)lag.ms * US_PER_MS),
-          on_hosts_due, late)
+          on_hosts_due, delayed)
       == NULL)
     abort ();
 }
@@ -118,7 +118,7 @@
       mq_answer_failure (request, MQ_ERR_BAD_REQUEST);
       return;
     }
-  show_hosts (server);
+  publish_hosts (server);
   mq_answer_empty (request);
 }
 
@@ -133,7 +133,7 @@
       mq_answer_failure (request, MQ_ERR_NOT_FOUND);
       return;
     }
-  show_hosts (server);
+  publish_hosts (server);
   mq_answer_empty (request);
 }
 
--- a/standins/platform_wire.c
+++ b/standins/platform_wire.c
@@ -1,4 +1,4 @@
-/* platform_wire.c - JSON of the platform's table, as docs/CONTRACTS.md has it.
+/* platform_wire.c - JSON encoding of the platform's table API.
 
    Needs: platform_wire.h, base64.h.  */
 
--- a/standins/service_effects.c
+++ b/standins/service_effects.c
@@ -1,4 +1,4 @@
-/* service_effects.c - what a plain service or tool has done, call by call.
+/* service_effects.c - record of the calls that a stand-in service executed.
 
    Needs: service_effects.h.  */
 
@@ -8,15 +8,15 @@
 
 enum
 {
-  FIRST_ROOM = 64
+  INITIAL_CAPACITY = 64
 };
 
 struct record
 {
   struct mq_effect effect;
-  uint64_t n;              /* effects on its path, this one included */
-  uint64_t same_key;       /* on a key's first record: effects under it */
-  uint64_t answered_again; /* on a key's first record */
+  uint64_t n;        /* number of this call on its path, from 1 */
+  uint64_t same_key; /* calls with this key; set on the key's first record */
+  uint64_t answered_again; /* duplicates; set on the key's first record */
 };
 
 struct mq_effects
@@ -24,13 +24,13 @@
   bool honour_keys;
   struct record *records;
   size_t count;
-  size_t room;
-  json_t *paths; /* path to number of effects */
-  json_t *keys;  /* path and key to index of the first record */
+  size_t capacity;
+  json_t *paths; /* number of calls by path */
+  json_t *keys;  /* index of the first record by path and key */
 };
 
 static void *
-need (void *memory)
+check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -48,18 +48,21 @@
 struct mq_effects *
 mq_effects_create (TALLOC_CTX *ctx, bool honour_keys)
 {
-  struct mq_effects *effects = need (talloc_zero (ctx, struct mq_effects));
+  struct mq_effects *effects
+      = check_alloc (talloc_zero (ctx, struct mq_effects));
 
   effects->honour_keys = honour_keys;
-  effects->room = FIRST_ROOM;
-  effects->records = need (talloc_array (effects, struct record, FIRST_ROOM));
-  effects->paths = need (json_object ());
-  effects->keys = need (json_object ());
+  effects->capacity = INITIAL_CAPACITY;
+  effects->records
+      = check_alloc (talloc_array (effects, struct record, INITIAL_CAPACITY));
+  effects->paths = check_alloc (json_object ());
+  effects->keys = check_alloc (json_object ());
   talloc_set_destructor (effects, free_effects);
   return effects;
 }
 
-/* Paths and keys may be any bytes, which the checking calls refuse.  */
+/* Paths and keys may not be valid UTF-8, which json_object_set_new
+   rejects.  */
 static void
 set_number (json_t *map, const char *name, uint64_t number)
 {
@@ -79,8 +82,8 @@
   return n;
 }
 
-/* Index of the first record of CALL's path and key.  It is that of the next
-   record when there is none yet, and for a call without a key.  */
+/* Index of the first record with CALL's path and key; the index of the next
+   record if there is none or CALL has no key.  */
 static size_t
 find_first (struct mq_effects *effects, const struct mq_effect *call)
 {
@@ -90,7 +93,8 @@
 
   if (call->key[0] == '\0')
     return first;
-  name = need (talloc_asprintf (effects, "%s\n%s", call->path, call->key));
+  name = check_alloc (
+      talloc_asprintf (effects, "%s\n%s", call->path, call->key));
   index = json_object_get (effects->keys, name);
   if (index != NULL)
     first = (size_t)json_integer_value (index);
@@ -105,22 +109,22 @@
 {
   struct record *record;
 
-  if (effects->count == effects->room)
+  if (effects->count == effects->capacity)
     {
-      effects->room *= 2;
-      effects->records = need (talloc_realloc (effects, effects->records,
-                                               struct record, effects->room));
+      effects->capacity *= 2;
+      effects->records = check_alloc (talloc_realloc (
+          effects, effects->records, struct record, effects->capacity));
     }
   record = &effects->records[effects->count++];
   *record = (struct record){ .n = next_on_path (effects, call->path) };
-  record->effect.worker = need (talloc_strdup (effects, call->worker));
-  record->effect.path = need (talloc_strdup (effects, call->path));
-  record->effect.key = need (talloc_strdup (effects, call->key));
-  record->effect.body = need (talloc_strdup (effects, call->body));
+  record->effect.worker = check_alloc (talloc_strdup (effects, call->worker));
+  record->effect.path = check_alloc (talloc_strdup (effects, call->path));
+  record->effect.key = check_alloc (talloc_strdup (effects, call->key));
+  record->effect.body = check_alloc (talloc_strdup (effects, call->body));
   return record;
 }
 
-/* Text that is not UTF-8 becomes null.  */
+/* Returns null if TEXT is not valid UTF-8.  */
 static json_t *
 text_json (const char *text)
 {
@@ -138,9 +142,9 @@
 }
 
 static json_t *
-answer (const struct record *record)
+format_response (const struct record *record)
 {
-  return need (json_pack (
+  return check_alloc (json_pack (
       "{s:b,s:o,s:I,s:o}", "ok", 1, "path", text_json (record->effect.path),
       "n", (json_int_t)record->n, "echo", body_json (record->effect.body)));
 }
@@ -155,16 +159,16 @@
     {
       record = &effects->records[first];
       record->answered_again++;
-      return answer (record);
+      return format_response (record);
     }
   record = add (effects, call);
   if (call->key[0] != '\0')
     effects->records[first].same_key++;
-  return answer (record);
+  return format_response (record);
 }
 
 static bool
-is_wanted (const struct record *record, const char *path)
+matches_path (const struct record *record, const char *path)
 {
   return path == NULL || strcmp (record->effect.path, path) == 0;
 }
@@ -178,7 +182,7 @@
     {
       const struct record *record = &effects->records[i];
 
-      if (!is_wanted (record, path))
+      if (!matches_path (record, path))
         continue;
       totals.effects++;
       totals.keys += record->same_key > 0;
@@ -204,7 +208,7 @@
 mq_effects_list (const struct mq_effects *effects, const char *path, bool each)
 {
   struct mq_effect_totals totals = mq_effects_totals (effects, path);
-  json_t *json = need (
+  json_t *json = check_alloc (
       json_pack ("{s:I,s:I,s:I,s:I}", "total", (json_int_t)totals.effects,
                  "keys", (json_int_t)totals.keys, "repeated_keys",
                  (json_int_t)totals.repeated_keys, "answered_again",
@@ -213,9 +217,9 @@
 
   if (!each)
     return json;
-  list = need (json_array ());
+  list = check_alloc (json_array ());
   for (size_t i = 0; i < effects->count; i++)
-    if (is_wanted (&effects->records[i], path))
+    if (matches_path (&effects->records[i], path))
       json_array_append_new (list, describe (&effects->records[i], i + 1));
   json_object_set_new (json, "effects", list);
   return json;
--- a/standins/service_effects.h
+++ b/standins/service_effects.h
@@ -1,7 +1,7 @@
-/* service_effects.h - what a plain service or tool has done, call by call.
+/* service_effects.h - record of the calls that a stand-in service executed.
 
-   Pure; the answer of a call depends only on the calls before it.  Memory
-   that runs out aborts.
+   The response to a call depends only on earlier calls.  Performs no I/O;
+   aborts when out of memory.
    Needs: jansson, talloc.  */
 
 #ifndef MQ_SERVICE_EFFECTS_H
@@ -15,11 +15,9 @@
 struct mq_effects;
 
 /**
- * struct mq_effect - one effect
- * @worker: which worker brought it about
- * @path: path of the call
- * @key: its idempotency key, empty when it had none
- * @body: its body
+ * struct mq_effect - an executed call
+ * @worker: worker that executed the call
+ * @key: idempotency key; empty if absent
  */
 struct mq_effect
 {
@@ -30,11 +28,11 @@
 };
 
 /**
- * struct mq_effect_totals - sums over the effects
- * @effects: how many
- * @keys: distinct pairs of path and idempotency key among them
- * @repeated_keys: those of @keys that had more than one effect
- * @answered_again: calls that got the first answer in place of an effect
+ * struct mq_effect_totals - totals over the recorded calls
+ * @effects: executed calls
+ * @keys: distinct pairs of path and idempotency key
+ * @repeated_keys: pairs that were executed more than once
+ * @answered_again: duplicate calls that received the first response
  */
 struct mq_effect_totals
 {
@@ -44,25 +42,25 @@
   uint64_t answered_again;
 };
 
-/* HONOUR_KEYS: a key that was seen on the same path gets its first answer
-   again, without a new effect.  */
+/* HONOUR_KEYS: deduplicate calls by path and idempotency key; a duplicate
+   receives the first response and is not executed.  */
 struct mq_effects *mq_effects_create (TALLOC_CTX *ctx, bool honour_keys);
 
 /**
- * mq_effects_apply - bring about the effect of one call
- * @effects: what was done before
- * @call: the call, copied
+ * mq_effects_apply - execute and record a call
+ * @call: copied
  *
- * Return: {"ok":true,"path":P,"n":N,"echo":BODY}, where N counts the effects
- * on the path and BODY is JSON, or a string when it was none.
+ * Return: {"ok":true,"path":P,"n":N,"echo":BODY}, where N is the number of
+ * executed calls on the path. BODY is a string if it is not valid JSON.
  */
 json_t *mq_effects_apply (struct mq_effects *effects,
                           const struct mq_effect *call);
 
-/* PATH: only effects on it, NULL: all.  */
+/* PATH: only calls on this path; NULL for all.  */
 struct mq_effect_totals mq_effects_totals (const struct mq_effects *effects,
                                            const char *path);
-/* The totals as JSON and, when EACH is set, "effects" in order of time.  */
+/* Totals as JSON; with EACH also the calls, as "effects" in order of
+   execution.  */
 json_t *mq_effects_list (const struct mq_effects *effects, const char *path,
                          bool each);
 
--- a/standins/service_server.c
+++ b/standins/service_server.c
@@ -1,7 +1,7 @@
-/* service_server.c - the workers of a plain service or tool as HTTP servers.
+/* service_server.c - HTTP servers of the workers of a stand-in service.
 
-   A call waits in its worker's queue, runs for its delay, takes effect and
-   is answered if its caller is still there.
+   A call waits in its worker's queue, runs for the configured delay, is
+   recorded, and is answered if its client is still connected.
    Needs: service_server.h, faults.h, http_answer.h.  */
 
 #include "service_server.h"
@@ -28,7 +28,7 @@
   const char *name;
   uint32_t running;
   uint32_t queued;
-  struct call *first; /* of the queue */
+  struct call *first; /* head of the queue */
   struct call *last;
 };
 
@@ -56,7 +56,8 @@
 };
 
 static bool
-meets (struct call *call, enum mq_fault_kind kind, struct mq_fault *fault)
+matches_fault (struct call *call, enum mq_fault_kind kind,
+               struct mq_fault *fault)
 {
   struct mq_fault_subject subject
       = { &call->effect.path, 1, call->worker->name, false };
@@ -80,15 +81,15 @@
   mq_answer_failure (call->request, MQ_ERR_OVERLOADED);
 }
 
-/* The call may be freed by whoever is told that its request has ended, so it
-   is not touched after an answer or abort.  */
+/* Responding to or aborting the request may free the call, so it must not be
+   accessed afterwards.  */
 static void
-conclude (struct call *call)
+finish_call (struct call *call)
 {
   struct mq_fault fault;
   json_t *answer;
 
-  if (!call->closed && meets (call, MQ_FAULT_STATUS, &fault))
+  if (!call->closed && matches_fault (call, MQ_FAULT_STATUS, &fault))
     {
       answer_fault (call, &fault);
       return;
@@ -100,7 +101,7 @@
       json_decref (answer);
       talloc_free (call);
     }
-  else if (meets (call, MQ_FAULT_LOST_ANSWER, NULL))
+  else if (matches_fault (call, MQ_FAULT_LOST_ANSWER, NULL))
     {
       json_decref (answer);
       mq_http_abort (call->request);
@@ -122,7 +123,7 @@
   (void)timer;
   (void)now;
   worker->running--;
-  conclude (call);
+  finish_call (call);
   start_next (worker);
 }
 
@@ -135,12 +136,12 @@
   struct timeval due;
 
   worker->running++;
-  if (!call->closed && meets (call, MQ_FAULT_HANG, NULL))
+  if (!call->closed && matches_fault (call, MQ_FAULT_HANG, NULL))
     {
       call->hanging = true;
       return;
     }
-  if (meets (call, MQ_FAULT_SLOW, &fault))
+  if (matches_fault (call, MQ_FAULT_SLOW, &fault))
     delay_ms += fault.ms;
   due = tevent_timeval_current_ofs (delay_ms / MS_PER_S,
                                     delay_ms % MS_PER_S * US_PER_MS);
@@ -177,7 +178,7 @@
   start_next (worker);
 }
 
-/* A hanging call holds its place until its caller gives up.  */
+/* A hanging call occupies its slot until its client disconnects.  */
 static void
 on_closed (struct mq_http_request *request, void *data)
 {
@@ -222,19 +223,19 @@
   struct mq_fault fault;
 
   mq_http_on_closed (request, on_closed, call);
-  if (meets (call, MQ_FAULT_UNREACHABLE, NULL))
+  if (matches_fault (call, MQ_FAULT_UNREACHABLE, NULL))
     {
       call->finished = true;
       mq_http_abort (request);
     }
-  else if (meets (call, MQ_FAULT_REFUSE, &fault))
+  else if (matches_fault (call, MQ_FAULT_REFUSE, &fault))
     answer_fault (call, &fault);
   else
     enqueue (call);
 }
 
 static bool
-poll_meets (struct worker *worker, enum mq_fault_kind kind)
+poll_matches_fault (struct worker *worker, enum mq_fault_kind kind)
 {
   static const char *const path = LOAD_PATH;
   struct mq_fault_subject subject = { &path, 1, worker->name, true };
@@ -245,9 +246,9 @@
 static void
 handle_load (struct worker *worker, struct mq_http_request *request)
 {
-  if (poll_meets (worker, MQ_FAULT_UNREACHABLE))
+  if (poll_matches_fault (worker, MQ_FAULT_UNREACHABLE))
     mq_http_abort (request);
-  else if (!poll_meets (worker, MQ_FAULT_HANG))
+  else if (!poll_matches_fault (worker, MQ_FAULT_HANG))
     mq_answer_json (request, 200,
                     json_pack ("{s:I,s:I,s:I,s:i,s:i}", "boot",
                                (json_int_t)worker->server->boot, "running",
@@ -355,8 +356,8 @@
   return server;
 }
 
-/* The HTTP servers go first: they close requests whose calls are still
-   there.  */
+/* Destroys the HTTP servers first: closing their requests accesses the
+   calls.  */
 void
 mq_service_server_destroy (struct mq_service_server *server)
 {
--- a/standins/service_server.h
+++ b/standins/service_server.h
@@ -1,16 +1,17 @@
-/* service_server.h - the workers of a plain service or tool as HTTP servers.
+/* service_server.h - HTTP servers of the workers of a stand-in service.
 
-   Each address is one worker with a queue of its own; all share the effects
-   and these switches, at any of the addresses:
+   Each address is a worker with its own queue.  All workers share the record
+   of executed calls and the active faults, available at every address:
 
    POST any path              a call, see service_effects.h
    GET /v1/load               load of this worker
-   POST /standin/fault        faults.h: hang, slow, status, lost_answer,
-                              unreachable, refuse; meets paths of calls and,
-                              with "worker":"NAME/INDEX", one worker
-   GET /standin/effects       ?path=P: only those, ?summary=1: totals only
+   POST /standin/fault        see faults.h: hang, slow, status, lost_answer,
+                              unreachable, refuse; matches paths of calls
+                              and, with "worker":"NAME/INDEX", one worker
+   GET /standin/effects       executed calls; ?path=P filters by path,
+                              ?summary=1 omits the calls
 
-   A call whose caller has gone takes effect all the same.
+   A call is executed even if its client disconnects.
    Needs: service_effects.h, faults.h, http_server.h.  */
 
 #ifndef MQ_SERVICE_SERVER_H
@@ -23,14 +24,14 @@
 struct mq_service_server;
 
 /**
- * struct mq_service_options - which workers, and how they behave
- * @name: name of the service; its workers are NAME/0, NAME/1, …
- * @listen: "IP:PORT" of each worker, port 0 takes a free one
- * @listen_count: how many
+ * struct mq_service_options - workers and their behaviour
+ * @name: service name; its workers are NAME/0, NAME/1, …
+ * @listen: "IP:PORT" of each worker; port 0 selects a free port
+ * @listen_count: number of workers
  * @honour_keys: see mq_effects_create
- * @delay_ms: how long each call takes
- * @concurrency: calls that a worker runs side by side, 0: any number
- * @boot: told by /v1/load
+ * @delay_ms: duration of each call
+ * @concurrency: concurrent calls per worker; 0 for no limit
+ * @boot: boot number reported by /v1/load
  */
 struct mq_service_options
 {
@@ -52,7 +53,7 @@
                                  size_t worker);
 struct mq_effects *
 mq_service_server_effects (struct mq_service_server *server);
-/* Takes an order as POST /standin/fault does.  */
+/* Handles ORDER like the body of POST /standin/fault; false if invalid.  */
 bool mq_service_server_fault (struct mq_service_server *server,
                               const char *order);
 
--- a/standins/weight_store.c
+++ b/standins/weight_store.c
@@ -1,4 +1,4 @@
-/* weight_store.c - the stand-in's store of model weights, limited in rate.
+/* weight_store.c - rate-limited store of model weights.
 
    Needs: weight_store.h.  */
 
@@ -12,7 +12,7 @@
   S_PER_MINUTE = 60
 };
 
-/* A token bucket.  */
+/* Token bucket; one token is one load.  */
 struct weight
 {
   const char *name;
@@ -77,7 +77,7 @@
 }
 
 static void
-fill (struct weight *weight, uint64_t now_us)
+refill (struct weight *weight, uint64_t now_us)
 {
   double minutes
       = (double)(now_us - weight->filled_us) / US_PER_S / S_PER_MINUTE;
@@ -107,7 +107,7 @@
 
   if (weight == NULL)
     return MQ_WEIGHT_UNKNOWN;
-  fill (weight, now_us);
+  refill (weight, now_us);
   if (weight->tokens < 1.0)
     {
       *retry_after_s = seconds_to_next (weight);
--- a/standins/weight_store.h
+++ b/standins/weight_store.h
@@ -1,6 +1,6 @@
-/* weight_store.h - the stand-in's store of model weights, limited in rate.
+/* weight_store.h - rate-limited store of model weights.
 
-   Pure: the caller brings the time.
+   Performs no I/O; the caller passes the time.
    Needs: talloc.  */
 
 #ifndef MQ_WEIGHT_STORE_H
@@ -21,18 +21,16 @@
 struct mq_weight_store *mq_weight_store_create (TALLOC_CTX *ctx);
 
 /**
- * mq_weight_store_set - add weights or change them; the full rate is free
- * @store: the store
- * @name: name of the weights
- * @bytes: their size
- * @loads_per_minute: rate; a minute's worth may come at once
- * @now_us: time on any steady clock
+ * mq_weight_store_set - add or replace weights and refill their bucket
+ * @loads_per_minute: rate limit; also the burst size
+ * @now_us: time of a monotonic clock
  */
 void mq_weight_store_set (struct mq_weight_store *store, const char *name,
                           uint64_t bytes, uint32_t loads_per_minute,
                           uint64_t now_us);
 
-/* BYTES with LOADED; RETRY_AFTER_S, whole seconds, with OVER_RATE.  */
+/* Sets BYTES with MQ_WEIGHT_LOADED and RETRY_AFTER_S, in seconds, with
+   MQ_WEIGHT_RATE_LIMITED.  */
 enum mq_weight_answer mq_weight_store_load (struct mq_weight_store *store,
                                             const char *name, uint64_t now_us,
                                             uint64_t *bytes,
