--- a/standins/engine_batch.c
+++ b/standins/engine_batch.c
@@ -1,8 +1,8 @@
-/* engine_batch.c - the sequences of the engine's model: memory, admission,
-   preemption, steps.
+/* engine_batch.c - sequences of the engine model: memory, admission,
+   preemption and steps.
 
-   Waiting and running sequences stand in lists in order of priority, then
-   arrival; the last running one is the first to lose its memory.
+   Waiting and running sequences are sorted by priority, then arrival; the
+   last running sequence is preempted first.
    Needs: engine_state.h.  */
 
 #include "engine_state.h"
@@ -14,12 +14,12 @@
 mq_engine_list_insert (struct mq_engine *engine, struct mq_engine_list *list,
                        size_t at, uint32_t item)
 {
-  if (list->count == list->room)
+  if (list->count == list->capacity)
     {
-      list->room
-          = list->room == 0 ? MQ_ENGINE_INITIAL_CAPACITY : 2 * list->room;
+      list->capacity = list->capacity == 0 ? MQ_ENGINE_INITIAL_CAPACITY
+                                           : 2 * list->capacity;
       list->items = mq_engine_check_alloc (
-          talloc_realloc (engine, list->items, uint32_t, list->room));
+          talloc_realloc (engine, list->items, uint32_t, list->capacity));
     }
   memmove (list->items + at + 1, list->items + at,
            (list->count - at) * sizeof list->items[0]);
@@ -41,8 +41,8 @@
 }
 
 static bool
-goes_before (const struct mq_engine_sequence *a,
-             const struct mq_engine_sequence *b)
+precedes (const struct mq_engine_sequence *a,
+          const struct mq_engine_sequence *b)
 {
   if (a->request.priority != b->request.priority)
     return a->request.priority < b->request.priority;
@@ -56,13 +56,13 @@
   const struct mq_engine_sequence *all = engine->sequences;
   size_t at = list->count;
 
-  while (at > 0 && goes_before (&all[item], &all[list->items[at - 1]]))
+  while (at > 0 && precedes (&all[item], &all[list->items[at - 1]]))
     at--;
   mq_engine_list_insert (engine, list, at, item);
 }
 
 static struct mq_engine_list *
-list_of (struct mq_engine *engine, enum mq_engine_sequence_state state)
+list_for_state (struct mq_engine *engine, enum mq_engine_sequence_state state)
 {
   switch (state)
     {
@@ -84,26 +84,25 @@
 {
   struct mq_engine_sequence *sequence = &engine->sequences[index];
 
-  list_remove (list_of (engine, sequence->state), index);
+  list_remove (list_for_state (engine, sequence->state), index);
   sequence->state = state;
   if (state == MQ_ENGINE_SEQUENCE_FREE)
     mq_engine_list_insert (engine, &engine->unused, engine->unused.count,
                            index);
   else
-    list_insert_ordered (engine, list_of (engine, state), index);
+    list_insert_ordered (engine, list_for_state (engine, state), index);
 }
 
 /* Memory of a sequence.  */
 
-/* Tokens whose keys and values the next token depends on.  */
 static uint32_t
 context_tokens (const struct mq_engine_sequence *sequence)
 {
   return sequence->request.prompt_tokens + sequence->generated;
 }
 
-/* The last block goes first, so that the begin, which more sequences can
-   share, is evicted last.  */
+/* Releases the last block first, so that the beginning, which is shared most,
+   is evicted last.  */
 static void
 release_blocks (struct mq_engine *engine, struct mq_engine_sequence *sequence)
 {
@@ -156,19 +155,19 @@
   return NO_SEQUENCE;
 }
 
-/* A sequence that holds memory and does not run: paused, or resumed and
-   waiting for a slot.  NO_SEQUENCE when there is none.  */
+/* Finds a sequence that holds memory but is not running: paused, or resumed
+   and waiting for a slot. Returns NO_SEQUENCE if there is none.  */
 static uint32_t
-find_parked (const struct mq_engine *engine)
+find_inactive (const struct mq_engine *engine)
 {
-  uint32_t parked = find_holder (engine, &engine->paused);
+  uint32_t inactive = find_holder (engine, &engine->paused);
 
-  return parked != NO_SEQUENCE ? parked
-                               : find_holder (engine, &engine->waiting);
+  return inactive != NO_SEQUENCE ? inactive
+                                 : find_holder (engine, &engine->waiting);
 }
 
-/* The lowest running sequence where it is of a lower class than SEQUENCE, else
-   NO_SEQUENCE.  */
+/* Returns the last running sequence if its priority is lower than that of
+   SEQUENCE, else NO_SEQUENCE.  */
 static uint32_t
 find_lower (const struct mq_engine *engine,
             const struct mq_engine_sequence *sequence)
@@ -183,8 +182,8 @@
   return NO_SEQUENCE;
 }
 
-/* Blocks of SEQUENCE that are in the cache.  The last token is always
-   computed, as the next one comes of it.  */
+/* Counts the leading blocks of SEQUENCE that are cached, excluding the last
+   token, which must be computed to generate the next one.  */
 static uint32_t
 count_hits (const struct mq_engine *engine,
             const struct mq_engine_sequence *sequence, uint32_t *idle)
@@ -222,7 +221,7 @@
 }
 
 static void
-hold_hits (struct mq_engine *engine, struct mq_engine_sequence *sequence)
+reference_hits (struct mq_engine *engine, struct mq_engine_sequence *sequence)
 {
   uint32_t idle;
   uint32_t hits = count_hits (engine, sequence, &idle);
@@ -240,7 +239,7 @@
   sequence->computed = hits * MQ_KV_BLOCK_TOKENS;
 }
 
-/* Takes memory for the whole context; false when it ran out.  */
+/* Allocates memory for the whole context; false if memory is exhausted.  */
 static bool
 grow (struct mq_engine *engine, struct mq_engine_sequence *sequence)
 {
@@ -273,7 +272,7 @@
       = mq_kv_label (engine->kv, sequence->blocks[i], &label, engine->now_us);
 }
 
-/* Lets other sequences find what is computed whole.  */
+/* Publishes completely computed blocks for reuse by other sequences.  */
 static void
 label_computed (struct mq_engine *engine, struct mq_engine_sequence *sequence)
 {
@@ -306,9 +305,9 @@
 
   if (sequence->block_count == 0)
     {
-      hold_hits (engine, sequence);
+      reference_hits (engine, sequence);
       if (!grow (engine, sequence))
-        abort (); /* fits () said otherwise */
+        abort (); /* fits () guarantees the memory */
     }
   mq_engine_set_state (engine, index, MQ_ENGINE_SEQUENCE_RUNNING);
   if (sequence->ran)
@@ -320,8 +319,8 @@
   engine->counters.cached_tokens += sequence->cached_tokens;
 }
 
-/* Makes room for a waiting sequence at the cost of parked ones and lower
-   classes; false when there is none to be had.  */
+/* Makes room for a waiting sequence by preempting inactive sequences and those
+   of lower priority; false if that is not enough.  */
 static bool
 make_room (struct mq_engine *engine, uint32_t index)
 {
@@ -334,7 +333,7 @@
         {
           if (sequence->block_count > 0 || fits (engine, sequence))
             return true;
-          victim = find_parked (engine);
+          victim = find_inactive (engine);
         }
       if (victim == NO_SEQUENCE)
         victim = find_lower (engine, sequence);
@@ -357,8 +356,8 @@
     }
 }
 
-/* Gives each running sequence the memory for its next token.  The highest
-   class is served first; where memory is out the lowest loses its own.  */
+/* Allocates the memory for the next token of each running sequence, in order
+   of priority. If memory is exhausted, preempts the last one.  */
 static void
 grow_running (struct mq_engine *engine)
 {
@@ -366,16 +365,16 @@
     {
       uint32_t index = engine->running.items[i];
 
-      uint32_t parked;
+      uint32_t inactive;
 
       if (grow (engine, &engine->sequences[index]))
         {
           i++;
           continue;
         }
-      parked = find_parked (engine);
-      preempt (engine, parked != NO_SEQUENCE
-                           ? parked
+      inactive = find_inactive (engine);
+      preempt (engine, inactive != NO_SEQUENCE
+                           ? inactive
                            : engine->running.items[engine->running.count - 1]);
     }
 }
@@ -393,9 +392,9 @@
       struct mq_engine_sequence *sequence
           = &engine->sequences[engine->running.items[i]];
       uint32_t left = context_tokens (sequence) - sequence->computed;
-      uint32_t room = engine->params.prefill_cap - *prefill;
+      uint32_t budget = engine->params.prefill_cap - *prefill;
 
-      sequence->chunk = left < room || sequence->decoding ? left : room;
+      sequence->chunk = left < budget || sequence->decoding ? left : budget;
       if (!sequence->decoding)
         *prefill += sequence->chunk;
       if (sequence->chunk > 0)
@@ -440,7 +439,7 @@
   mq_engine_set_state (engine, index, MQ_ENGINE_SEQUENCE_FREE);
 }
 
-/* True when the sequence ended.  */
+/* Returns true if the sequence has ended.  */
 static bool
 finish_chunk (struct mq_engine *engine, uint32_t index)
 {
--- a/standins/engine_jobs.c
+++ b/standins/engine_jobs.c
@@ -1,4 +1,4 @@
-/* engine_jobs.c - orders and transfers of the stand-in engine.
+/* engine_jobs.c - orders and transfers of the stand-in engine server.
 
    Needs: engine_parts.h.  */
 
@@ -9,17 +9,17 @@
 
 enum
 {
-  LABEL_TEXT = 41 /* hash, parent, depth, service */
+  LABEL_TEXT = 41 /* characters: hash, parent, depth, service flag */
 };
 
-#define HANDLE_BEGIN "kv1:"
+#define HANDLE_PREFIX "kv1:"
 
 /**
- * struct mq_engine_job - an order or a transfer under way
- * @tag: names it in the model's events
- * @request: its HTTP side, NULL once that is gone
- * @order: of an order
- * @argument: of an order
+ * struct mq_engine_job - an active order or transfer
+ * @tag: identifies the job in the model's events
+ * @request: HTTP request; NULL once it is closed
+ * @order: type, if the job is an order
+ * @argument: argument, if the job is an order
  */
 struct mq_engine_job
 {
@@ -93,10 +93,10 @@
 static char *
 format_handle (TALLOC_CTX *ctx, const struct mq_kv_label *labels, size_t count)
 {
-  size_t begin = strlen (HANDLE_BEGIN);
+  size_t begin = strlen (HANDLE_PREFIX);
   char *text = talloc_array (ctx, char, begin + count * LABEL_TEXT + 1);
 
-  memcpy (text, HANDLE_BEGIN, begin + 1);
+  memcpy (text, HANDLE_PREFIX, begin + 1);
   for (size_t i = 0; i < count; i++)
     snprintf (text + begin + i * LABEL_TEXT, LABEL_TEXT + 1,
               "%016" PRIx64 "%016" PRIx64 "%08" PRIx32 "%c", labels[i].hash,
@@ -118,14 +118,14 @@
   return true;
 }
 
-/* NULL where TEXT is no handle.  */
+/* Returns NULL if TEXT is not a valid handle.  */
 static struct mq_kv_label *
 parse_handle (TALLOC_CTX *ctx, const char *text, size_t *count)
 {
-  size_t begin = strlen (HANDLE_BEGIN);
+  size_t begin = strlen (HANDLE_PREFIX);
   struct mq_kv_label *labels;
 
-  if (text == NULL || strncmp (text, HANDLE_BEGIN, begin) != 0
+  if (text == NULL || strncmp (text, HANDLE_PREFIX, begin) != 0
       || strlen (text + begin) % LABEL_TEXT != 0)
     return NULL;
   *count = strlen (text + begin) / LABEL_TEXT;
@@ -278,7 +278,7 @@
   json_decref (body);
 }
 
-/* Between the model and the callers.  */
+/* Model events.  */
 
 void
 mq_engine_job_event (struct mq_engine_server *server,
--- a/standins/engine_kv.c
+++ b/standins/engine_kv.c
@@ -1,7 +1,7 @@
-/* engine_kv.c - the prefix cache of the stand-in engine.
+/* engine_kv.c - prefix cache of the stand-in engine.
 
-   Blocks are handles into one table, from 1; free blocks form a stack,
-   unreferenced ones a list from the least to the most recently used.
+   Blocks are indices into one table, from 1.  Free blocks form a stack,
+   unreferenced ones a list in LRU order.
    Needs: engine_kv.h.  */
 
 #include "engine_kv.h"
@@ -11,8 +11,8 @@
 
 enum
 {
-  /* Remembered hashes of evicted blocks for each block of memory.  */
-  GHOSTS_PER_BLOCK = 8
+  /* Hashes of freed blocks to remember, per block of memory.  */
+  FREED_HASHES_PER_BLOCK = 8
 };
 
 struct block
@@ -22,9 +22,9 @@
   uint64_t idle_since_us;
   uint32_t refs;
   uint32_t hits;
-  uint32_t newer; /* in the list of unreferenced blocks */
+  uint32_t newer; /* in the LRU list */
   uint32_t older;
-  uint32_t next; /* in its bucket, or in the stack of free blocks */
+  uint32_t next; /* in the hash bucket or the free stack */
   bool used;
   bool labelled;
 };
@@ -40,10 +40,10 @@
   uint32_t idle_count;
   uint32_t *buckets;
   uint64_t bucket_mask;
-  /* Hashes that were evicted.  A later one may take the place of an earlier
-     one, so recomputed_tokens is a lower bound.  */
-  uint64_t *ghosts;
-  uint64_t ghost_mask;
+  /* Hashes of freed blocks. Collisions overwrite, so recomputed_tokens is a
+     lower bound.  */
+  uint64_t *freed_hashes;
+  uint64_t freed_hash_mask;
   uint64_t accounted_us;
   mq_kv_evicted *evicted;
   void *user;
@@ -74,14 +74,15 @@
 {
   struct mq_kv *kv = mq_must (talloc_zero (ctx, struct mq_kv));
   uint64_t buckets = round_up_power (2ULL * blocks);
-  uint64_t ghosts = round_up_power ((uint64_t)GHOSTS_PER_BLOCK * blocks);
+  uint64_t freed_hashes
+      = round_up_power ((uint64_t)FREED_HASHES_PER_BLOCK * blocks);
 
   kv->blocks = mq_must (talloc_zero_array (kv, struct block, blocks + 1));
   kv->block_count = blocks;
   kv->buckets = mq_must (talloc_zero_array (kv, uint32_t, buckets));
   kv->bucket_mask = buckets - 1;
-  kv->ghosts = mq_must (talloc_zero_array (kv, uint64_t, ghosts));
-  kv->ghost_mask = ghosts - 1;
+  kv->freed_hashes = mq_must (talloc_zero_array (kv, uint64_t, freed_hashes));
+  kv->freed_hash_mask = freed_hashes - 1;
   kv->evicted = evicted;
   kv->user = user;
   for (uint32_t i = blocks; i > 0; i--)
@@ -164,7 +165,7 @@
   kv->idle_count--;
 }
 
-/* Frees a block that is neither referenced nor in the idle list.  */
+/* Frees a block that is neither referenced nor in the LRU list.  */
 static void
 free_block (struct mq_kv *kv, uint32_t block)
 {
@@ -173,7 +174,7 @@
   if (b->labelled)
     {
       unlink_bucket (kv, block);
-      kv->ghosts[b->label.hash & kv->ghost_mask] = b->label.hash;
+      kv->freed_hashes[b->label.hash & kv->freed_hash_mask] = b->label.hash;
     }
   memset (b, 0, sizeof *b);
   push_free (kv, block);
@@ -242,7 +243,7 @@
 count_stored (struct mq_kv *kv, uint64_t hash)
 {
   kv->counters.stored_tokens += MQ_KV_BLOCK_TOKENS;
-  if (kv->ghosts[hash & kv->ghost_mask] == hash)
+  if (kv->freed_hashes[hash & kv->freed_hash_mask] == hash)
     kv->counters.recomputed_tokens += MQ_KV_BLOCK_TOKENS;
 }
 
@@ -333,7 +334,7 @@
   return 0;
 }
 
-/* Marks BLOCK and the blocks before it, up to one that is marked.  */
+/* Marks BLOCK and the blocks preceding it, up to the first marked one.  */
 static void
 mark_chain (const struct mq_kv *kv, uint32_t block, bool *marked)
 {
@@ -406,7 +407,7 @@
   return mq_id_compare (first->program, second->program);
 }
 
-/* Sums up neighbours of the same program; the new count.  */
+/* Merges adjacent entries of the same program; returns the new count.  */
 static size_t
 merge_held (struct mq_kv_held *held, size_t count)
 {
--- a/standins/engine_kv.h
+++ b/standins/engine_kv.h
@@ -1,9 +1,9 @@
-/* engine_kv.h - the prefix cache of the stand-in engine.
+/* engine_kv.h - prefix cache of the stand-in engine.
 
-   Memory in blocks of 16 tokens.  A block whose tokens are computed can be
-   found by the hash of its tokens and of all before them, so sequences that
-   begin alike share blocks.  Unreferenced blocks stay until memory is short;
-   then the least recently used goes.  Pure: takes virtual time in.
+   Memory is divided into blocks of 16 tokens.  A computed block is indexed by
+   the hash of its tokens and of all preceding ones, so sequences with a common
+   prefix share blocks.  Unreferenced blocks are kept and evicted in LRU order.
+   Performs no I/O; the caller passes virtual time.
    Needs: types.h, id.h.  */
 
 #ifndef MQ_ENGINE_KV_H
@@ -16,16 +16,16 @@
 
 struct mq_kv;
 
-/* PROGRAM lost TOKENS that were evicted to make room.  */
+/* Called when TOKENS of PROGRAM are evicted to make room.  */
 typedef void mq_kv_evicted (struct mq_id program, uint32_t tokens, void *user);
 
 /**
- * struct mq_kv_label - what a computed block is
- * @hash: hash of its tokens and of all before them
- * @parent: hash of the block before it, 0 for the first
- * @depth: how many blocks lie before it
- * @service: it lies in the leading system messages; it belongs to the
- *           service and to no program
+ * struct mq_kv_label - identity of a computed block
+ * @hash: hash of its tokens and all preceding ones
+ * @parent: hash of the preceding block; 0 for the first
+ * @depth: number of preceding blocks
+ * @service: part of the leading system messages; owned by the service and not
+ *           by a program
  */
 struct mq_kv_label
 {
@@ -37,7 +37,7 @@
 
 struct mq_kv_held
 {
-  struct mq_id program; /* zero: the service */
+  struct mq_id program; /* zero for the service */
   uint32_t tokens;
 };
 
@@ -61,42 +61,44 @@
 
 struct mq_kv *mq_kv_create (TALLOC_CTX *ctx, uint32_t blocks,
                             mq_kv_evicted *evicted, void *user);
-/* Handle of the computed block with HASH, or MQ_KV_NO_BLOCK.  */
+/* Returns the computed block with HASH, or MQ_KV_NO_BLOCK.  */
 uint32_t mq_kv_find (const struct mq_kv *kv, uint64_t hash);
-/* Adds a reference for a sequence of PROGRAM, which becomes the owner of a
-   block that is not the service's.  */
+/* Adds a reference for a sequence of PROGRAM, which becomes the owner unless
+   the block belongs to the service.  */
 void mq_kv_reference (struct mq_kv *kv, uint32_t block, struct mq_id program,
                       uint64_t now_us);
-/* A block with one reference and no label; evicts the least recently used
-   block where none is free.  MQ_KV_NO_BLOCK when all are referenced.  */
+/* Returns an unlabelled block with one reference, evicting the least recently
+   used block if none is free; MQ_KV_NO_BLOCK if all are referenced.  */
 uint32_t mq_kv_allocate (struct mq_kv *kv, struct mq_id program,
                          uint64_t now_us);
-/* BLOCK is computed.  Returns the block to use in its place: another one
-   where an equal block was computed meanwhile.  */
+/* Labels a computed block. Returns the block to use from now on: an existing
+   block with the same hash, or BLOCK.  */
 uint32_t mq_kv_label (struct mq_kv *kv, uint32_t block,
                       const struct mq_kv_label *label, uint64_t now_us);
-/* Gives back a reference.  With DROP a block that nobody else references is
-   freed, else it is kept while there is room.  */
+/* Removes a reference. An unreferenced block stays cached, unless DROP is set:
+   then it is freed.  */
 void mq_kv_release (struct mq_kv *kv, uint32_t block, bool drop,
                     uint64_t now_us);
-/* Frees the unreferenced blocks that PROGRAM owns; how many tokens.  */
+/* Frees the unreferenced blocks owned by PROGRAM; returns the number of
+   tokens.  */
 uint32_t mq_kv_drop_program (struct mq_kv *kv, struct mq_id program,
                              uint64_t now_us);
 void mq_kv_drop_unreferenced (struct mq_kv *kv, uint64_t now_us);
-/* Labels, by rising depth, of PROGRAM's blocks and of all before them.  */
+/* Labels of PROGRAM's blocks and all blocks preceding them, by ascending
+   depth.  */
 struct mq_kv_label *mq_kv_program_labels (TALLOC_CTX *ctx,
                                           const struct mq_kv *kv,
                                           struct mq_id program, size_t *count);
 struct mq_id mq_kv_owner (const struct mq_kv *kv, uint32_t block);
 bool mq_kv_is_idle (const struct mq_kv *kv, uint32_t block);
-/* Blocks that mq_kv_allocate could give out.  */
+/* Number of blocks that mq_kv_allocate can return.  */
 uint32_t mq_kv_available (const struct mq_kv *kv);
 uint32_t mq_kv_used_tokens (const struct mq_kv *kv);
 uint32_t mq_kv_total_tokens (const struct mq_kv *kv);
-/* Tokens held by program, in order of ids.  */
+/* Tokens held per program, in order of program ids.  */
 struct mq_kv_held *mq_kv_held (TALLOC_CTX *ctx, const struct mq_kv *kv,
                                size_t *count);
-/* Brings the token-times of the counters up to NOW_US.  */
+/* Updates the token-time counters to NOW_US.  */
 void mq_kv_account (struct mq_kv *kv, uint64_t now_us);
 const struct mq_kv_counters *mq_kv_read_counters (const struct mq_kv *kv);
 
--- a/standins/engine_model.c
+++ b/standins/engine_model.c
@@ -1,6 +1,6 @@
 /* engine_model.c - performance model of a model engine in virtual time.
 
-   Sequences are handles into one table.
+   Sequence handles combine an index into one table with a generation.
    Needs: engine_state.h, xxhash.  */
 
 #include "engine_state.h"
@@ -83,7 +83,7 @@
   for (size_t i = 0; i < *count; i++)
     {
       hash = XXH64 (text + i * block, block, hash);
-      /* 0 stands for "no block before this one".  */
+      /* 0 is reserved for "no preceding block".  */
       hash = hash == 0 ? 1 : hash;
       hashes[i] = hash;
     }
@@ -108,9 +108,9 @@
   return job < step ? job : step;
 }
 
-/* Moves on to the end of the step or job that is next.  */
+/* Completes the step or job that ends at AT_US.  */
 static void
-move_on (struct mq_engine *engine, uint64_t at_us)
+complete_next (struct mq_engine *engine, uint64_t at_us)
 {
   mq_engine_sample_load (engine, at_us);
   if (at_us > engine->now_us)
@@ -121,8 +121,8 @@
     mq_engine_finish_step (engine);
 }
 
-/* Everything that ends up to NOW_US.  A step that would begin at NOW_US is
-   left to mq_engine_advance, so that requests of one instant share it.  */
+/* Processes everything that ends up to NOW_US. Does not begin a step at
+   NOW_US, so that requests submitted at the same time share it.  */
 static void
 run_to (struct mq_engine *engine, uint64_t now_us)
 {
@@ -135,7 +135,7 @@
       end_us = next_end_us (engine);
       if (end_us > now_us)
         break;
-      move_on (engine, end_us);
+      complete_next (engine, end_us);
     }
   mq_engine_sample_load (engine, now_us);
   if (now_us > engine->now_us)
@@ -161,7 +161,7 @@
 /* Requests.  */
 
 static uint32_t
-take_place (struct mq_engine *engine)
+allocate_sequence (struct mq_engine *engine)
 {
   size_t first = engine->sequence_capacity;
 
@@ -192,11 +192,11 @@
 find_sequence (const struct mq_engine *engine, uint64_t handle,
                uint32_t *index)
 {
-  uint32_t place = (uint32_t)handle;
+  uint32_t number = (uint32_t)handle;
 
-  if (place == 0 || place > engine->sequence_capacity)
+  if (number == 0 || number > engine->sequence_capacity)
     return false;
-  *index = place - 1;
+  *index = number - 1;
   return engine->sequences[*index].state != MQ_ENGINE_SEQUENCE_FREE
          && engine->sequences[*index].generation == handle >> 32;
 }
@@ -232,7 +232,7 @@
   run_to (engine, now_us);
   if (!check_request (engine, request, error))
     return 0;
-  index = take_place (engine);
+  index = allocate_sequence (engine);
   sequence = &engine->sequences[index];
   generation = sequence->generation;
   memset (sequence, 0, sizeof *sequence);
@@ -383,7 +383,7 @@
   return true;
 }
 
-/* Reading.  */
+/* Accessors.  */
 
 struct mq_engine_load
 mq_engine_reported_load (struct mq_engine *engine, uint64_t now_us)
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -1,14 +1,13 @@
 /* engine_model.h - performance model of a model engine in virtual time.
 
-   Continuous batching, chunked prefill, a prefix cache of limited size,
-   priorities, preemption, transfers and orders.  Pure: virtual time and
-   requests in, events out; no clock, no input or output, so that a bench can
-   run thousands of them at virtual time.  docs/ENGINE_MODEL.md has the
-   formulas.
-
-   Time never runs backwards.  A driver hands in requests at the present
-   time, then calls mq_engine_advance, then takes the events, and comes back
-   at mq_engine_next_us.  Requests of one instant enter the same step.
+   Models continuous batching, chunked prefill, a prefix cache of limited
+   size, priorities, preemption, transfers and orders.  Performs no I/O and
+   reads no clock.  docs/ENGINE_MODEL.md has the formulas.
+
+   Time must not decrease.  The caller submits requests at the current time,
+   calls mq_engine_advance, takes the events, and calls mq_engine_advance
+   again at mq_engine_next_us.  Requests submitted at the same time enter the
+   same step.
    Needs: engine_kv.h, error.h.  */
 
 #ifndef MQ_ENGINE_MODEL_H
@@ -22,24 +21,24 @@
 #define MQ_ENGINE_NEVER UINT64_MAX
 
 /**
- * struct mq_engine_params - an engine's speed and size
- * @time_scale: every duration is multiplied by this
- * @base_us: time of a step
+ * struct mq_engine_params - speed and size of an engine
+ * @time_scale: multiplies every duration
+ * @base_us: base duration of a step
  * @per_sequence_us: added for each sequence in the step
  * @prefill_us_per_token: added for each prompt token computed in the step
- * @prefill_cap: most prompt tokens computed in one step
- * @slots: sequences that run side by side
- * @queue_max: sequences that wait; more are refused
- * @cache_tokens: memory
- * @watermark_percent: memory left free when a further sequence is admitted
- * @transfer_us_per_token: export and import, one at a time
- * @order_us: time of each type of order, one at a time
- * @load_lag_us: the load report is between one and two of this old, each up
- *               to a step longer
- * @event_lag_us: cache events come this late
- * @event_gap_permille: share of cache events that never come
- * @check_fence: refuse orders with an old fencing number
- * @seed: of the gaps
+ * @prefill_cap: maximum prompt tokens computed in one step
+ * @slots: maximum concurrent sequences
+ * @queue_max: maximum waiting sequences; more are rejected
+ * @cache_tokens: cache size
+ * @watermark_percent: memory kept free when a sequence is admitted
+ * @transfer_us_per_token: duration of export and import, which are serialised
+ * @order_us: duration of each type of order; orders are serialised
+ * @load_lag_us: load reports are one to two times this old, plus up to one
+ *               step
+ * @event_lag_us: delay of cache events
+ * @event_gap_permille: share of cache events that are lost
+ * @check_fence: reject orders with a stale fencing number
+ * @seed: seed that selects the lost cache events
  */
 struct mq_engine_params
 {
@@ -62,16 +61,15 @@
 };
 
 /**
- * struct mq_engine_request - one sequence
- * @tag: given back in its events
- * @program: who it is for
- * @priority: class; a lower one yields memory and slots to a higher one
+ * struct mq_engine_request - a sequence to run
+ * @tag: returned in its events
+ * @priority: a lower one yields memory and slots to a higher one
  * @prompt_tokens: length of the prompt, at least 1
- * @shared_tokens: how many of them, at its begin, are the service's
- * @output_tokens: how many it will generate, at least 1
- * @hashes: of the whole blocks of prompt and output together, each hash
- *          covering all blocks before it (mq_engine_hash_text)
- * @hash_count: how many
+ * @shared_tokens: leading prompt tokens that belong to the service
+ * @output_tokens: tokens to generate, at least 1
+ * @hashes: hashes of the full blocks of prompt and output, each covering all
+ *          preceding blocks (mq_engine_hash_text)
+ * @hash_count: number of @hashes
  */
 struct mq_engine_request
 {
@@ -89,23 +87,22 @@
 {
   MQ_ENGINE_TOKEN,     /* a sequence generated a token */
   MQ_ENGINE_DONE,      /* a sequence generated its last token */
-  MQ_ENGINE_PREEMPTED, /* a sequence lost its memory; it is computed again */
+  MQ_ENGINE_PREEMPTED, /* a sequence lost its memory and will be recomputed */
   MQ_ENGINE_ORDERED,   /* an order took effect */
   MQ_ENGINE_EXPORTED,
   MQ_ENGINE_IMPORTED
 };
 
 /**
- * struct mq_engine_event - something that happened
- * @type: what
- * @at_us: when
- * @tag: of the sequence or job
- * @generated: tokens that the sequence generated so far
- * @cached_tokens: prompt tokens that it found in the cache when first run
- * @start_us: when it was first run
+ * struct mq_engine_event - an event of the model
+ * @at_us: virtual time of the event
+ * @tag: tag of the sequence or job
+ * @generated: tokens generated so far
+ * @cached_tokens: prompt tokens found in the cache on first admission
+ * @start_us: virtual time of the first admission
  * @transferred: tokens exported or imported
- * @labels: EXPORTED: what was exported; valid until the next event is taken
- * @label_count: how many
+ * @labels: EXPORTED: exported blocks; valid until the next event is taken
+ * @label_count: number of @labels
  */
 struct mq_engine_event
 {
@@ -136,9 +133,9 @@
 
 struct mq_engine_cache_event
 {
-  uint64_t number; /* rising; a gap in the numbers is a lost event */
+  uint64_t number; /* increasing; a gap indicates a lost event */
   uint64_t visible_us;
-  struct mq_id program; /* zero: the service */
+  struct mq_id program; /* zero for the service */
   enum mq_engine_cache_event_type type;
   uint32_t tokens;
 };
@@ -166,66 +163,68 @@
 #undef MQ_COUNTER_FIELD
 };
 
-/* An engine for a model of 7 to 8 thousand million weights on one
-   accelerator.  */
+/* Defaults for a model of 7 to 8 billion parameters on one accelerator.  */
 void mq_engine_params_default (struct mq_engine_params *params);
 struct mq_engine *mq_engine_create (TALLOC_CTX *ctx,
                                     const struct mq_engine_params *params);
 void mq_engine_destroy (struct mq_engine *engine);
 
-/* Hashes of the whole blocks of TEXT, four bytes a token.  */
+/* Hashes of the full blocks of TEXT, at four bytes per token.  */
 uint64_t *mq_engine_hash_text (TALLOC_CTX *ctx, const char *text, size_t len,
                                size_t *count);
-/* Handle of the sequence, never 0; 0 with OVERLOADED, BAD_REQUEST, or
-   TOO_LARGE where it could never fit the memory.  */
+/* Returns the handle of the sequence; 0 with OVERLOADED, BAD_REQUEST, or
+   TOO_LARGE if it cannot fit in memory.  */
 uint64_t mq_engine_submit (struct mq_engine *engine, uint64_t now_us,
                            const struct mq_engine_request *request,
                            struct mq_error *error);
-/* False when the sequence has ended.  GENERATED: tokens it had made.  */
+/* Returns false if the sequence has ended. Sets GENERATED to the tokens
+   generated so far.  */
 bool mq_engine_cancel (struct mq_engine *engine, uint64_t now_us,
                        uint64_t sequence, uint32_t *generated);
-/* A paused sequence keeps its memory while nobody else needs it.  */
+/* A paused sequence keeps its memory until other sequences need it.  */
 bool mq_engine_pause (struct mq_engine *engine, uint64_t now_us,
                       uint64_t sequence);
 bool mq_engine_resume (struct mq_engine *engine, uint64_t now_us,
                        uint64_t sequence);
 
-/* Frees what PROGRAM holds; what its running sequences use goes when they
-   end.  How many tokens were freed at once.  */
+/* Frees the cache of PROGRAM, except blocks in use, which are freed when its
+   sequences end. Returns the number of tokens freed immediately.  */
 uint32_t mq_engine_evict (struct mq_engine *engine, uint64_t now_us,
                           struct mq_id program);
-/* EXPORTED or IMPORTED follows.  LABELS as EXPORTED gave them.  */
+/* Completion is signalled by EXPORTED or IMPORTED. LABELS: as reported by
+   EXPORTED.  */
 void mq_engine_export (struct mq_engine *engine, uint64_t now_us, uint64_t tag,
                        struct mq_id program);
 void mq_engine_import (struct mq_engine *engine, uint64_t now_us, uint64_t tag,
                        struct mq_id program, const struct mq_kv_label *labels,
                        size_t count);
-/* ORDERED follows; false with STALE_FENCE where the number is checked and
-   old.  LOAD_MODEL empties the cache when it takes effect.  */
+/* Completion is signalled by ORDERED. Returns false with STALE_FENCE if
+   fencing is checked and FENCE is stale. LOAD_MODEL clears the cache.  */
 bool mq_engine_order (struct mq_engine *engine, uint64_t now_us, uint64_t tag,
                       uint64_t fence, enum mq_order_type type,
                       struct mq_error *error);
 
-/* Runs up to and including NOW_US.  */
+/* Advances to NOW_US, inclusive.  */
 void mq_engine_advance (struct mq_engine *engine, uint64_t now_us);
-/* When to advance again, MQ_ENGINE_NEVER when there is nothing to do.  */
+/* Time of the next mq_engine_advance; MQ_ENGINE_NEVER if idle.  */
 uint64_t mq_engine_next_us (const struct mq_engine *engine);
-/* Takes the oldest event; false when there is none.  */
+/* Removes the oldest event; false if there is none.  */
 bool mq_engine_next_event (struct mq_engine *engine,
                            struct mq_engine_event *event);
 
-/* The load as reported, with its lag, and as it is.  */
+/* The load as reported, with its lag, and the current load.  */
 struct mq_engine_load mq_engine_reported_load (struct mq_engine *engine,
                                                uint64_t now_us);
 struct mq_engine_load mq_engine_load (const struct mq_engine *engine);
-/* Cache events with numbers above AFTER that are visible at NOW_US, at most
-   MAX; how many.  */
+/* Copies up to MAX cache events with numbers above AFTER that are visible at
+   NOW_US; returns their number.  */
 size_t mq_engine_cache_events (const struct mq_engine *engine, uint64_t now_us,
                                uint64_t after,
                                struct mq_engine_cache_event *events,
                                size_t max);
 const struct mq_kv *mq_engine_kv (const struct mq_engine *engine);
-/* Parameters that may change while it runs: all but slots, memory, queue. */
+/* Parameters, which may be changed at run time, except slots, cache_tokens and
+   queue_max.  */
 struct mq_engine_params *mq_engine_params (struct mq_engine *engine);
 const struct mq_engine_counters *
 mq_engine_read_counters (struct mq_engine *engine, uint64_t now_us);
--- a/standins/engine_parts.h
+++ b/standins/engine_parts.h
@@ -1,7 +1,7 @@
-/* engine_parts.h - what the files of the stand-in engine's server share.
+/* engine_parts.h - internal state of the stand-in engine server.
 
-   engine_server.c drives the model and answers what is read from it;
-   engine_chat.c serves completions, engine_jobs.c orders and transfers.
+   Shared by engine_server.c (event loop, cache and load requests),
+   engine_chat.c (completions) and engine_jobs.c (orders and transfers).
    Needs: engine_server.h, engine_plan.h, faults.h, http_answer.h.  */
 
 #ifndef MQ_ENGINE_PARTS_H
@@ -16,12 +16,12 @@
 struct mq_engine_job;
 
 /**
- * struct mq_engine_server - one engine
- * @tags: names given to completions and jobs in the model's events
- * @chats: completions under way
- * @jobs: orders and transfers under way
- * @records: what /standin/stats says of each request, by request id
- * @in_force: argument of the last order of each type
+ * struct mq_engine_server - a stand-in engine
+ * @tags: last tag assigned to a completion or job
+ * @chats: active completions
+ * @jobs: active orders and transfers
+ * @records: request records for /standin/stats, by request id
+ * @in_force: argument of the last completed order of each type
  */
 struct mq_engine_server
 {
@@ -40,24 +40,26 @@
   char *in_force[MQ_ORDER_SET_ROLE + 1];
 };
 
-/* Virtual time: that of the monotonic clock since the start.  */
+/* Virtual time: microseconds since the server was created.  */
 uint64_t mq_engine_server_now (const struct mq_engine_server *server);
-/* Brings the model up to now and says what happened.  */
+/* Advances the model to the current time and handles its events.  */
 void mq_engine_server_advance (struct mq_engine_server *server);
 
-/* Parts of requests and answers.  */
+/* Request and response helpers.  */
 
-/* Object of the body; answers 400 and gives NULL where it is none.  */
+/* Parses the body as a JSON object; responds with 400 and returns NULL if it
+   is not one.  */
 json_t *mq_engine_read_body (struct mq_http_request *request);
 const char *mq_engine_member_text (const json_t *json, const char *key);
 uint32_t mq_engine_member_number (const json_t *json, const char *key,
-                                  uint32_t otherwise);
-/* Zero where JSON names no program; false where it names none rightly.  */
+                                  uint32_t fallback);
+/* Sets PROGRAM to zero if JSON has no program; returns false if the id is
+   malformed.  */
 bool mq_engine_read_program (const json_t *json, struct mq_id *program);
-/* 429 with Retry-After.  */
+/* Responds with 429 and Retry-After.  */
 void mq_engine_reject_overloaded (struct mq_http_request *request,
                                   uint32_t seconds);
-/* Closes the connection, of which nothing more is heard.  */
+/* Closes the connection without calling the on_closed callback.  */
 void mq_engine_abort_request (struct mq_http_request *request);
 
 /* Completions (engine_chat.c).  */
@@ -66,10 +68,10 @@
                           struct mq_http_request *request);
 void mq_engine_post_cancel (struct mq_engine_server *server,
                             struct mq_http_request *request);
-/* TOKEN and DONE of the model.  */
+/* Handles TOKEN and DONE events.  */
 void mq_engine_chat_event (struct mq_engine_server *server,
                            const struct mq_engine_event *event);
-/* Sends what was generated since the last time.  */
+/* Sends the tokens generated since the last call.  */
 void mq_engine_send_chats (struct mq_engine_server *server);
 void mq_engine_break_chats (struct mq_engine_server *server);
 
@@ -81,7 +83,7 @@
                             struct mq_http_request *request);
 void mq_engine_post_order (struct mq_engine_server *server,
                            struct mq_http_request *request);
-/* ORDERED, EXPORTED and IMPORTED of the model.  */
+/* Handles ORDERED, EXPORTED and IMPORTED events.  */
 void mq_engine_job_event (struct mq_engine_server *server,
                           const struct mq_engine_event *event);
 void mq_engine_break_jobs (struct mq_engine_server *server);
--- a/standins/engine_plan.c
+++ b/standins/engine_plan.c
@@ -1,4 +1,4 @@
-/* engine_plan.c - what the stand-in model reads and says.
+/* engine_plan.c - prompts and scripted answers of the stand-in model.
 
    Needs: engine_plan.h.  */
 
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Separators of the prompt's text; JSON text escapes control characters, so
-   arguments can't hold one.  */
+/* Separators in the prompt text. JSON escapes control characters, so they
+   cannot occur in arguments.  */
 #define CALL_MARK "\x1d"
 #define FIELD_MARK "\x1f"
 #define MESSAGE_END "\x1e"
@@ -20,16 +20,16 @@
 {
   char *bytes; /* talloc */
   size_t len;
-  size_t room;
+  size_t capacity;
 };
 
 static void
 text_add (struct text *text, const char *bytes, size_t len)
 {
-  if (text->len + len + 1 > text->room)
+  if (text->len + len + 1 > text->capacity)
     {
-      text->room = 2 * (text->len + len + 1);
-      text->bytes = talloc_realloc (NULL, text->bytes, char, text->room);
+      text->capacity = 2 * (text->len + len + 1);
+      text->bytes = talloc_realloc (NULL, text->bytes, char, text->capacity);
       if (text->bytes == NULL)
         abort ();
     }
@@ -45,8 +45,8 @@
     text_add (text, string, strlen (string));
 }
 
-/* Whole tokens at the end of each part keep the token borders of a program's
-   next prompt where this one has them.  */
+/* Pads TEXT to whole tokens, so that a program's next prompt has the same
+   token boundaries.  */
 static void
 text_pad (struct text *text)
 {
@@ -186,7 +186,7 @@
   return count;
 }
 
-/* New reference to the plan, NULL where there is none.  */
+/* Returns a new reference to the plan, or NULL if there is none.  */
 static json_t *
 load_plan (const json_t *user)
 {
@@ -202,7 +202,8 @@
   return NULL;
 }
 
-/* Borrowed step NUMBER of PLAN; a loop takes every step from its place on.  */
+/* Returns a borrowed reference to step NUMBER of PLAN; a loop step stands for
+   all later steps too.  */
 static const json_t *
 find_step (const json_t *plan, size_t number)
 {
@@ -247,27 +248,27 @@
     }
 }
 
-/* A text of TOKENS tokens that ends in what was seen; more tokens where that
-   would not fit, fewer where MAX_TOKENS cuts it.  */
+/* Writes TOKENS tokens ending in the digest text: more if the digest text
+   needs more, fewer if MAX_TOKENS is lower.  */
 static void
 write_text (TALLOC_CTX *ctx, const struct mq_plan_prompt *prompt,
             uint32_t tokens, uint32_t max_tokens,
             struct mq_plan_answer *answer)
 {
-  char *seen = mq_plan_digest_text (ctx, prompt);
-  size_t seen_len = strlen (seen);
-  uint32_t least
-      = (uint32_t)((seen_len + MQ_PLAN_TOKEN_BYTES - 1) / MQ_PLAN_TOKEN_BYTES);
+  char *digest = mq_plan_digest_text (ctx, prompt);
+  size_t digest_len = strlen (digest);
+  uint32_t digest_tokens = (uint32_t)((digest_len + MQ_PLAN_TOKEN_BYTES - 1)
+                                      / MQ_PLAN_TOKEN_BYTES);
   size_t len;
 
-  answer->tokens = tokens < least ? least : tokens;
+  answer->tokens = tokens < digest_tokens ? digest_tokens : tokens;
   len = (size_t)answer->tokens * MQ_PLAN_TOKEN_BYTES;
   answer->text = talloc_array (ctx, char, len + 1);
   if (answer->text == NULL)
     abort ();
-  fill_words (answer->text, len - seen_len, prompt->digest);
-  memcpy (answer->text + len - seen_len, seen, seen_len);
-  talloc_free (seen);
+  fill_words (answer->text, len - digest_len, prompt->digest);
+  memcpy (answer->text + len - digest_len, digest, digest_len);
+  talloc_free (digest);
   if (max_tokens > 0 && answer->tokens > max_tokens)
     {
       answer->tokens = max_tokens;
--- a/standins/engine_plan.h
+++ b/standins/engine_plan.h
@@ -1,8 +1,8 @@
-/* engine_plan.h - what the stand-in model reads and says.
+/* engine_plan.h - prompts and scripted answers of the stand-in model.
 
-   Turns the messages of a chat completion into the prompt's text, and the
-   plan in the last user message into the answer (docs/CONTRACTS.md, "What a
-   stand-in model does").  Pure: the same messages give the same answer.
+   Converts the messages of a chat completion to the prompt text, and the plan
+   in the last user message to the answer (docs/CONTRACTS.md, "What a stand-in
+   model does").  Deterministic: equal messages give equal answers.
    Needs: jansson, xxhash, error.h.  */
 
 #ifndef MQ_ENGINE_PLAN_H
@@ -11,17 +11,17 @@
 #include "core/error.h"
 #include <jansson.h>
 
-#define MQ_PLAN_TOKEN_BYTES 4U      /* a token of text */
-#define MQ_PLAN_DEFAULT_TOKENS 24U  /* an answer without a plan */
-#define MQ_PLAN_TOKENS_MAX 1000000U /* most tokens that a step may name */
+#define MQ_PLAN_TOKEN_BYTES 4U      /* bytes of text per token */
+#define MQ_PLAN_DEFAULT_TOKENS 24U  /* length of an answer without a plan */
+#define MQ_PLAN_TOKENS_MAX 1000000U /* limit for the tokens of a step */
 
 /**
- * struct mq_plan_prompt - the messages as the model reads them
- * @text: each message in turn and the header of the answer to come; the
- *        prompt of a program's next call begins with it and the answer
- * @tokens: length of @text in tokens; @text holds whole tokens only
+ * struct mq_plan_prompt - prompt built from the messages
+ * @text: all messages and the header of the answer; together with the answer,
+ *        a prefix of the program's next prompt
+ * @tokens: length of @text, which is padded to whole tokens
  * @shared_tokens: tokens of the leading system messages
- * @messages: how many messages
+ * @messages: number of messages
  * @digest: xxHash64 of the messages' text
  */
 struct mq_plan_prompt
@@ -36,18 +36,17 @@
 enum mq_plan_finish
 {
   MQ_PLAN_STOP,
-  MQ_PLAN_LENGTH, /* cut at max_tokens */
+  MQ_PLAN_LENGTH, /* truncated at max_tokens */
   MQ_PLAN_CALL
 };
 
 /**
- * struct mq_plan_answer - what the model says to a prompt
- * @text: its content, @tokens times MQ_PLAN_TOKEN_BYTES bytes
- * @tokens: how many tokens it generates
- * @finish: why it ends
- * @call_id: with MQ_PLAN_CALL, id of the call, unique in the program
- * @call_name: what it calls
- * @call_arguments: JSON text
+ * struct mq_plan_answer - answer of the model to a prompt
+ * @text: content, @tokens times MQ_PLAN_TOKEN_BYTES bytes
+ * @tokens: number of generated tokens
+ * @call_id: MQ_PLAN_CALL: call id, unique in the program
+ * @call_name: MQ_PLAN_CALL: name of the called service
+ * @call_arguments: MQ_PLAN_CALL: JSON text
  */
 struct mq_plan_answer
 {
@@ -59,14 +58,15 @@
   char *call_arguments;
 };
 
-/* False with BAD_JSON where MESSAGES is no array of messages.  */
+/* Builds the prompt. Returns false with BAD_JSON if MESSAGES is not an array
+   of messages.  */
 bool mq_plan_read (TALLOC_CTX *ctx, const json_t *messages,
                    struct mq_plan_prompt *prompt, struct mq_error *error);
-/* MAX_TOKENS 0: no cap.  MESSAGES as given to mq_plan_read.  */
+/* MAX_TOKENS: 0 for no limit. MESSAGES: as passed to mq_plan_read.  */
 void mq_plan_answer (TALLOC_CTX *ctx, const json_t *messages,
                      const struct mq_plan_prompt *prompt, uint32_t max_tokens,
                      struct mq_plan_answer *answer);
-/* The "[seen M DIGEST]" that ends the answer to PROMPT.  */
+/* The "[seen M DIGEST]" suffix of the answer to PROMPT.  */
 char *mq_plan_digest_text (TALLOC_CTX *ctx,
                            const struct mq_plan_prompt *prompt);
 const char *mq_plan_finish_name (enum mq_plan_finish finish);
--- a/standins/engine_report.c
+++ b/standins/engine_report.c
@@ -1,4 +1,4 @@
-/* engine_report.c - what the engine's model tells: events, cache events, load.
+/* engine_report.c - events and load reports of the engine model.
 
    Needs: engine_state.h.  */
 
@@ -137,7 +137,7 @@
       engine->reported = mq_engine_load (engine);
       return;
     }
-  /* Nothing changed for a whole lag.  */
+  /* The load did not change for at least one lag.  */
   if (engine->now_us + lag <= now_us)
     engine->sampled = mq_engine_load (engine);
   else if (now_us < engine->next_sample_us)
--- a/standins/engine_server.c
+++ b/standins/engine_server.c
@@ -1,8 +1,7 @@
-/* engine_server.c - one stand-in engine behind HTTP.
+/* engine_server.c - HTTP server of a stand-in model engine.
 
-   Virtual time is the monotonic clock's since the engine's start; a timer
-   wakes the model when it has something to do, and its events become the
-   parts of the answers.
+   Virtual time is the monotonic time since the server was created.  A timer
+   advances the model when work is due; its events are sent as responses.
    Needs: engine_parts.h, tevent.  */
 
 #include "engine_parts.h"
@@ -14,7 +13,7 @@
 
 enum
 {
-  EVENTS_GIVEN_MAX = 256
+  EVENTS_PER_RESPONSE_MAX = 256
 };
 
 #define FAULTS                                                                \
@@ -40,7 +39,7 @@
   return clock_us () - server->origin_us;
 }
 
-/* Parts of requests and answers.  */
+/* Request and response helpers.  */
 
 void
 mq_engine_reject_overloaded (struct mq_http_request *request, uint32_t seconds)
@@ -83,14 +82,14 @@
 
 uint32_t
 mq_engine_member_number (const json_t *json, const char *key,
-                         uint32_t otherwise)
+                         uint32_t fallback)
 {
   const json_t *member = json_object_get (json, key);
   json_int_t value = json_integer_value (member);
 
   return json_is_integer (member) && value >= 0 && value <= UINT32_MAX
              ? (uint32_t)value
-             : otherwise;
+             : fallback;
 }
 
 bool
@@ -102,7 +101,7 @@
          || mq_id_parse (mq_engine_member_text (json, "program"), program);
 }
 
-/* The model inside the event loop.  */
+/* Event loop.  */
 
 static void
 handle_event (struct mq_engine_server *server,
@@ -154,7 +153,7 @@
       = tevent_add_timer (server->ev, server, at, timer_fired, server);
 }
 
-/* The tokens of one instant go out as one group.  */
+/* Tokens generated at the same time are sent together.  */
 void
 mq_engine_server_advance (struct mq_engine_server *server)
 {
@@ -170,8 +169,9 @@
 /* Faults.  */
 
 static bool
-path_meets (struct mq_engine_server *server, struct mq_http_request *request,
-            enum mq_fault_kind kind, struct mq_fault *fault)
+path_matches_fault (struct mq_engine_server *server,
+                    struct mq_http_request *request, enum mq_fault_kind kind,
+                    struct mq_fault *fault)
 {
   const char *path = mq_http_path (request);
   bool poll = strcmp (mq_http_method (request), "GET") == 0;
@@ -180,10 +180,10 @@
   return mq_faults_take (server->faults, kind, &subject, fault);
 }
 
-/* Whether a lasting fault of the whole engine is on.  */
+/* Matches faults that affect the whole engine and have no count.  */
 static bool
-engine_meets (struct mq_engine_server *server, enum mq_fault_kind kind,
-              struct mq_fault *fault)
+engine_matches_fault (struct mq_engine_server *server, enum mq_fault_kind kind,
+                      struct mq_fault *fault)
 {
   struct mq_fault_subject subject = { .poll = true };
 
@@ -197,16 +197,16 @@
   struct mq_fault fault;
 
   *params = server->params;
-  if (engine_meets (server, MQ_FAULT_SLOW, &fault))
+  if (engine_matches_fault (server, MQ_FAULT_SLOW, &fault))
     params->time_scale *= fault.factor;
-  if (engine_meets (server, MQ_FAULT_EVENTS_GAP, &fault))
+  if (engine_matches_fault (server, MQ_FAULT_EVENTS_GAP, &fault))
     params->event_gap_permille = fault.permille;
-  if (engine_meets (server, MQ_FAULT_LOAD_LAG, &fault))
+  if (engine_matches_fault (server, MQ_FAULT_LOAD_LAG, &fault))
     params->load_lag_us = fault.ms * 1000;
 }
 
-/* A process that died and came back: its connections break, its memory is
-   empty, its number is another.  */
+/* Simulates a process restart: connections are aborted, the cache is empty and
+   the boot number changes.  */
 static void
 restart (struct mq_engine_server *server)
 {
@@ -252,35 +252,35 @@
 }
 
 static void
-hung_closed (struct mq_http_request *request, void *data)
+hanging_closed (struct mq_http_request *request, void *data)
 {
   (void)request;
   (void)data;
 }
 
-/* True when a fault answered, or keeps from answering, in the place of the
-   engine.  */
+/* Returns true if a fault has handled the request or blocks its response.  */
 static bool
-meets_fault (struct mq_engine_server *server, struct mq_http_request *request)
+handle_fault_match (struct mq_engine_server *server,
+                    struct mq_http_request *request)
 {
   struct mq_fault fault;
 
-  if (path_meets (server, request, MQ_FAULT_HANG, NULL))
-    mq_http_on_closed (request, hung_closed, NULL);
-  else if (path_meets (server, request, MQ_FAULT_UNREACHABLE, NULL))
+  if (path_matches_fault (server, request, MQ_FAULT_HANG, NULL))
+    mq_http_on_closed (request, hanging_closed, NULL);
+  else if (path_matches_fault (server, request, MQ_FAULT_UNREACHABLE, NULL))
     mq_http_abort (request);
-  else if (path_meets (server, request, MQ_FAULT_DOWN, NULL))
+  else if (path_matches_fault (server, request, MQ_FAULT_DOWN, NULL))
     mq_answer_failure (request, MQ_ERR_NOT_READY);
-  else if (path_meets (server, request, MQ_FAULT_REFUSE, &fault))
+  else if (path_matches_fault (server, request, MQ_FAULT_REFUSE, &fault))
     mq_engine_reject_overloaded (request, fault.retry_after_s);
-  else if (path_meets (server, request, MQ_FAULT_STATUS, &fault))
+  else if (path_matches_fault (server, request, MQ_FAULT_STATUS, &fault))
     mq_answer_json (request, (int)fault.status, json_object ());
   else
     return false;
   return true;
 }
 
-/* What is read and evicted.  */
+/* Cache, load and statistics.  */
 
 static void
 evict (struct mq_engine_server *server, struct mq_http_request *request,
@@ -289,7 +289,7 @@
   uint32_t tokens = mq_engine_evict (server->engine,
                                      mq_engine_server_now (server), program);
 
-  if (path_meets (server, request, MQ_FAULT_LOST_ANSWER, NULL))
+  if (path_matches_fault (server, request, MQ_FAULT_LOST_ANSWER, NULL))
     mq_http_abort (request);
   else
     mq_answer_json (request, 200, json_pack ("{s:i}", "tokens", (int)tokens));
@@ -306,7 +306,7 @@
   if (body == NULL)
     return;
   json_decref (body);
-  if (path_meets (server, request, MQ_FAULT_EVICT_FAILS, NULL))
+  if (path_matches_fault (server, request, MQ_FAULT_EVICT_FAILS, NULL))
     mq_answer_failure (request, MQ_ERR_NOT_READY);
   else if (valid)
     evict (server, request, program);
@@ -381,14 +381,14 @@
 {
   const char *after_text = mq_http_query (request, "after");
   uint64_t after = after_text == NULL ? 0 : strtoull (after_text, NULL, 10);
-  struct mq_engine_cache_event events[EVENTS_GIVEN_MAX];
+  struct mq_engine_cache_event events[EVENTS_PER_RESPONSE_MAX];
   json_t *list = json_array ();
   size_t count;
 
   mq_engine_server_advance (server);
   count
       = mq_engine_cache_events (server->engine, mq_engine_server_now (server),
-                                after, events, EVENTS_GIVEN_MAX);
+                                after, events, EVENTS_PER_RESPONSE_MAX);
   for (size_t i = 0; i < count; i++)
     json_array_append_new (list, pack_cache_event (&events[i]));
   after = count == 0 ? after : events[count - 1].number;
@@ -452,7 +452,7 @@
   mq_answer_json (request, 200, mq_engine_server_stats (server));
 }
 
-/* Requests.  */
+/* Request routing.  */
 
 struct path
 {
@@ -482,7 +482,7 @@
   struct mq_engine_server *server = data;
 
   if (mq_is_request_below (request, mq_http_method (request), "/v1/")
-      && meets_fault (server, request))
+      && handle_fault_match (server, request))
     return;
   for (size_t i = 0; i < sizeof paths / sizeof paths[0]; i++)
     if (mq_is_request (request, paths[i].method, paths[i].path))
@@ -493,12 +493,12 @@
   mq_answer_failure (request, MQ_ERR_NOT_FOUND);
 }
 
-/* Start and stop.  */
+/* Creation and destruction.  */
 
 static int
 server_freed (struct mq_engine_server *server)
 {
-  /* Ends every request while the streams are still there.  */
+  /* Ends the requests before the HTTP server is destroyed.  */
   mq_engine_break_chats (server);
   mq_engine_break_jobs (server);
   mq_http_server_destroy (server->http);
--- a/standins/engine_server.h
+++ b/standins/engine_server.h
@@ -1,8 +1,7 @@
-/* engine_server.h - one stand-in engine behind HTTP.
+/* engine_server.h - HTTP server of a stand-in model engine.
 
-   All paths of docs/CONTRACTS.md "Model engine", and /standin/fault and
-   /standin/stats.  The daemon runs several in one process; tests run one in
-   their own event loop.
+   Serves all paths of docs/CONTRACTS.md "Model engine", /standin/fault and
+   /standin/stats.  A process can run several engines in one event loop.
    Needs: engine_model.h, faults.h, http_server.h, jansson.  */
 
 #ifndef MQ_ENGINE_SERVER_H
@@ -15,11 +14,10 @@
 struct mq_engine_server;
 
 /**
- * struct mq_engine_server_options - one engine
- * @address: "IP:PORT"; port 0 takes a free one
- * @model: model that it serves
- * @boot: boot number, below 2^53; a restart fault raises it
- * @params: speed and size
+ * struct mq_engine_server_options - configuration of an engine
+ * @address: "IP:PORT"; port 0 selects a free port
+ * @model: name of the served model
+ * @boot: boot number, below 2^53; incremented by a restart fault
  */
 struct mq_engine_server_options
 {
@@ -33,14 +31,14 @@
 mq_engine_server_create (TALLOC_CTX *ctx, struct tevent_context *ev,
                          const struct mq_engine_server_options *options,
                          struct mq_error *error);
-/* Breaks every stream.  */
+/* Aborts all open streams.  */
 void mq_engine_server_destroy (struct mq_engine_server *server);
 uint16_t mq_engine_server_port (const struct mq_engine_server *server);
-/* As POST /standin/fault with the body ORDER (docs/ENGINE_MODEL.md); whether
-   it was taken.  */
+/* Handles ORDER like the body of POST /standin/fault (docs/ENGINE_MODEL.md);
+   false if invalid.  */
 bool mq_engine_server_fault (struct mq_engine_server *server,
                              const char *order);
-/* As GET /standin/stats; a new reference.  */
+/* Response body of GET /standin/stats; the caller owns the reference.  */
 json_t *mq_engine_server_stats (struct mq_engine_server *server);
 
 #endif
--- a/standins/engine_state.h
+++ b/standins/engine_state.h
@@ -1,8 +1,8 @@
-/* engine_state.h - the inside of the engine's model.
+/* engine_state.h - internal state of the engine model.
 
-   engine_model.c takes requests and keeps the time, engine_batch.c admits
-   and steps sequences, engine_work.c does transfers and orders,
-   engine_report.c keeps what is told.
+   Shared by engine_model.c (requests and time), engine_batch.c (admission and
+   steps of sequences), engine_work.c (transfers and orders) and
+   engine_report.c (events and load reports).
    Needs: engine_model.h.  */
 
 #ifndef MQ_ENGINE_STATE_H
@@ -26,16 +26,16 @@
 };
 
 /**
- * struct mq_engine_sequence - one request under way
- * @generation: tells apart the sequences that used this place
- * @order: rank of its arrival
- * @blocks: memory that it holds
- * @labelled: how many of @blocks were computed whole
+ * struct mq_engine_sequence - an active request
+ * @generation: incremented when the entry is reused, to detect stale handles
+ * @order: arrival number
+ * @blocks: allocated cache blocks
+ * @labelled: number of completely computed @blocks
  * @computed: tokens whose keys and values are in @blocks
- * @chunk: tokens that the step in progress computes for it
- * @decoding: all tokens but the last are computed
- * @drop: its program was evicted; keep nothing of it
- * @ran: it was admitted before
+ * @chunk: tokens computed in the current step
+ * @decoding: prefill has finished
+ * @drop: the program was evicted; free the blocks on release
+ * @ran: admitted at least once
  */
 struct mq_engine_sequence
 {
@@ -57,7 +57,7 @@
   bool ran;
 };
 
-/* A transfer or an order under way.  */
+/* An active transfer or order.  */
 struct mq_engine_work
 {
   enum mq_engine_event_type type;
@@ -74,7 +74,7 @@
 {
   uint32_t *items;
   size_t count;
-  size_t room;
+  size_t capacity;
 };
 
 struct mq_engine
@@ -91,7 +91,7 @@
   uint64_t arrivals;
   bool in_step;
   uint64_t step_end_us;
-  struct mq_engine_work *work; /* in order of due time */
+  struct mq_engine_work *work; /* sorted by due time */
   size_t work_count;
   size_t work_capacity;
   uint64_t transfer_free_us;
@@ -101,7 +101,7 @@
   size_t event_first;
   size_t event_count;
   size_t event_room;
-  struct mq_kv_label *given_labels;           /* of the event taken last */
+  struct mq_kv_label *given_labels;           /* of the last event returned */
   struct mq_engine_cache_event *cache_events; /* ring */
   uint64_t cache_event_first;                 /* position, not number */
   uint64_t cache_event_count;
@@ -149,13 +149,14 @@
 struct mq_engine_work *mq_engine_add_work (struct mq_engine *engine,
                                            enum mq_engine_event_type type,
                                            uint64_t due_us, uint64_t tag);
-/* End of a piece of work of US that begins when *FREE_US lets it.  */
+/* Appends work of duration US to the queue that is busy until *FREE_US;
+   updates *FREE_US and returns the end time.  */
 uint64_t mq_engine_queue_work (struct mq_engine *engine, uint64_t *free_us,
                                uint64_t us);
 uint64_t mq_engine_queue_transfer (struct mq_engine *engine, size_t blocks);
 void mq_engine_finish_first_work (struct mq_engine *engine);
 
-/* What is told (engine_report.c).  */
+/* Events and load reports (engine_report.c).  */
 
 struct mq_engine_event *mq_engine_add_event (struct mq_engine *engine,
                                              enum mq_engine_event_type type,
--- a/standins/engine_work.c
+++ b/standins/engine_work.c
@@ -1,4 +1,4 @@
-/* engine_work.c - transfers and orders of the engine's model.
+/* engine_work.c - transfers and orders of the engine model.
 
    Needs: engine_state.h.  */
 
@@ -48,7 +48,8 @@
                                    * engine->params.transfer_us_per_token);
 }
 
-/* Block with LABEL, referenced; MQ_KV_NO_BLOCK when memory is out.  */
+/* Returns a referenced block with LABEL; MQ_KV_NO_BLOCK if memory is
+   exhausted.  */
 static uint32_t
 store_label (struct mq_engine *engine, struct mq_id program,
              const struct mq_kv_label *label, uint32_t *stored)
@@ -67,8 +68,8 @@
   return mq_kv_label (engine->kv, block, label, engine->now_us);
 }
 
-/* Stores what is not yet there, as far as memory goes that no sequence
-   uses; how many tokens.  */
+/* Stores the missing blocks until memory is exhausted; returns the number of
+   stored tokens.  */
 static uint32_t
 store_labels (struct mq_engine *engine, const struct mq_engine_work *job)
 {
--- a/standins/standin_engine.c
+++ b/standins/standin_engine.c
@@ -1,4 +1,4 @@
-/* standin_engine.c - stand-in model engines; one process serves many.
+/* standin_engine.c - process that serves one or more stand-in model engines.
 
    Prints "listening IP:PORT" for each, in the order of the command line.
    Needs: engine_server.h, argp, tevent.  */
@@ -16,7 +16,7 @@
   ENGINES_MAX = 1024
 };
 
-/* Boot numbers of two runs must differ; this leaves room for restarts.  */
+/* Leaves room for restarts, so that boot numbers of two runs differ.  */
 #define BOOT_STEP 1000ULL
 
 enum option_key
@@ -38,18 +38,19 @@
   struct mq_engine_params params;
 };
 
-static const struct argp_option options[] = {
-  { "listen", KEY_LISTEN, "IP:PORT", 0, "an engine; may be given many times",
-    0 },
-  { "model", KEY_MODEL, "NAME", 0, "model that the engines serve", 0 },
-  { "slots", KEY_SLOTS, "N", 0, "sequences that run side by side", 0 },
-  { "time-scale", KEY_TIME_SCALE, "X", 0, "multiplies every duration", 0 },
-  { "cache-tokens", KEY_CACHE_TOKENS, "N", 0, "memory of each engine", 0 },
-  { "check-fence", KEY_CHECK_FENCE, NULL, 0,
-    "refuse orders with an old fencing number", 0 },
-  { "seed", KEY_SEED, "N", 0, "seed of the gaps in cache events", 0 },
-  { 0 }
-};
+static const struct argp_option options[]
+    = { { "listen", KEY_LISTEN, "IP:PORT", 0,
+          "address of an engine; repeatable", 0 },
+        { "model", KEY_MODEL, "NAME", 0, "served model", 0 },
+        { "slots", KEY_SLOTS, "N", 0, "maximum concurrent sequences", 0 },
+        { "time-scale", KEY_TIME_SCALE, "X", 0, "multiplies every duration",
+          0 },
+        { "cache-tokens", KEY_CACHE_TOKENS, "N", 0,
+          "cache size of each engine in tokens", 0 },
+        { "check-fence", KEY_CHECK_FENCE, NULL, 0,
+          "reject orders with a stale fencing number", 0 },
+        { "seed", KEY_SEED, "N", 0, "seed of the gaps in cache events", 0 },
+        { 0 } };
 
 static uint32_t
 parse_count (const char *text, struct argp_state *state)
@@ -58,7 +59,7 @@
   unsigned long value = strtoul (text, &end, 10);
 
   if (*text == '\0' || *end != '\0' || value == 0 || value > UINT32_MAX)
-    argp_error (state, "a number from 1 on is needed: %s", text);
+    argp_error (state, "expected a positive integer, got '%s'", text);
   return (uint32_t)value;
 }
 
@@ -69,7 +70,7 @@
   double value = strtod (text, &end);
 
   if (*text == '\0' || *end != '\0' || !(value > 0))
-    argp_error (state, "a number above 0 is needed: %s", text);
+    argp_error (state, "expected a number above 0, got '%s'", text);
   return value;
 }
 
@@ -105,7 +106,7 @@
       return 0;
     case ARGP_KEY_END:
       if (arguments->listen_count == 0 || arguments->model == NULL)
-        argp_error (state, "--listen and --model are needed");
+        argp_error (state, "--listen and --model are required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
--- a/standins/standin_platform.c
+++ b/standins/standin_platform.c
@@ -1,4 +1,4 @@
-/* standin_platform.c - the platform's stand-in as a process.
+/* standin_platform.c - process that serves the stand-in platform.
 
    Needs: platform_server.h, argp.  */
 
@@ -18,9 +18,8 @@
 
 static const struct argp_option keys[]
     = { { "listen", 'l', "IP:PORT", 0,
-          "Address of the HTTP server, port 0: free", 0 },
-        { "hosts", 'h', "FILE", 0, "JSON file with the first list of hosts",
-          0 },
+          "Address of the HTTP server; port 0 selects a free port", 0 },
+        { "hosts", 'h', "FILE", 0, "JSON file with the initial host list", 0 },
         { 0 } };
 
 static error_t
@@ -106,7 +105,7 @@
   if (server == NULL)
     return fail (mq_error_name (error.type), options.listen);
   if (options.hosts != NULL && !load_hosts (server, options.hosts))
-    return fail ("not a list of hosts", options.hosts);
+    return fail ("invalid or unreadable host list", options.hosts);
   printf ("listening 127.0.0.1:%u\n", mq_platform_server_port (server));
   fflush (stdout);
   tevent_loop_wait (ev);
--- a/standins/standin_service.c
+++ b/standins/standin_service.c
@@ -1,4 +1,4 @@
-/* standin_service.c - the workers of a plain service or tool as a process.
+/* standin_service.c - process that serves the workers of a stand-in service.
 
    Needs: service_server.h, argp.  */
 
@@ -27,17 +27,17 @@
   const char *listen[LISTEN_MAX];
 };
 
-static const struct argp_option keys[] = {
-  { "listen", 'l', "IP:PORT", 0,
-    "Address of one worker, port 0: free; may be given often", 0 },
-  { "name", 'n', "NAME", 0, "Name of the service", 0 },
-  { "honour-keys", 'k', NULL, 0,
-    "A repeated Idempotency-Key gets the first answer, without an effect", 0 },
-  { "delay-ms", KEY_DELAY, "N", 0, "How long a call takes", 0 },
-  { "concurrency", KEY_CONCURRENCY, "N", 0,
-    "Calls that a worker runs side by side; others wait", 0 },
-  { 0 }
-};
+static const struct argp_option keys[]
+    = { { "listen", 'l', "IP:PORT", 0,
+          "Address of a worker; port 0 selects a free port; repeatable", 0 },
+        { "name", 'n', "NAME", 0, "Name of the service", 0 },
+        { "honour-keys", 'k', NULL, 0,
+          "Answer duplicates of an Idempotency-Key without executing them",
+          0 },
+        { "delay-ms", KEY_DELAY, "N", 0, "Duration of each call", 0 },
+        { "concurrency", KEY_CONCURRENCY, "N", 0,
+          "Concurrent calls per worker; others are queued", 0 },
+        { 0 } };
 
 static uint32_t
 read_number (const char *argument, struct argp_state *state)
--- a/standins/table.c
+++ b/standins/table.c
@@ -1,7 +1,7 @@
-/* table.c - the stand-in's transactional table and object store, in memory.
+/* table.c - in-memory transactional table and object store.
 
-   Rows and objects lie in one skip list each, ordered by the bytes of their
-   keys; its levels are drawn from a fixed seed, so that every run is alike.
+   Rows and objects are each kept in a skip list, ordered by key bytes.  Node
+   levels come from a fixed seed, so runs are reproducible.
    Needs: table.h.  */
 
 #include "table.h"
@@ -11,16 +11,16 @@
 
 enum
 {
-  LEVELS_MAX = 20, /* good for a million keys */
+  LEVELS_MAX = 20, /* enough for a million keys */
   LEVELS_SEED = 1
 };
 
-/* KEY lies behind NEXT in the same piece of memory.  */
+/* KEY is stored after NEXT in the same allocation.  */
 struct node
 {
   char *key;
   uint64_t version;
-  struct mq_bytes value; /* its data hangs below the node */
+  struct mq_bytes value; /* data allocated below the node */
   uint32_t levels;
   struct node *next[];
 };
@@ -44,14 +44,15 @@
   uint64_t rows_written;
 };
 
-/* For each level, the link that leads to the first key not below KEY.  */
+/* For each level, the link to the first node whose key is not below the
+   searched key.  */
 struct path
 {
   struct node **links[LEVELS_MAX];
 };
 
 static void *
-need (void *memory)
+check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -63,15 +64,15 @@
 {
   struct mq_bytes copy = { .len = from.len };
 
-  /* One byte more, so that an empty value has memory too.  */
-  copy.data = need (talloc_size (ctx, from.len + 1));
+  /* One extra byte, so that the data of an empty value is not NULL.  */
+  copy.data = check_alloc (talloc_size (ctx, from.len + 1));
   if (from.len > 0)
     memcpy (copy.data, from.data, from.len);
   copy.data[from.len] = 0;
   return copy;
 }
 
-/* First node whose key is not below KEY; PATH may be NULL.  */
+/* Returns the first node whose key is not below KEY. PATH may be NULL.  */
 static struct node *
 seek (struct sorted *sorted, const char *key, struct path *path)
 {
@@ -115,7 +116,7 @@
   size_t links = levels * sizeof (struct node *);
   size_t size = strlen (key) + 1;
   struct node *node
-      = need (talloc_zero_size (ctx, sizeof *node + links + size));
+      = check_alloc (talloc_zero_size (ctx, sizeof *node + links + size));
 
   node->levels = levels;
   node->key = (char *)node + sizeof *node + links;
@@ -174,7 +175,7 @@
 struct mq_table *
 mq_table_create (TALLOC_CTX *ctx)
 {
-  struct mq_table *table = need (talloc_zero (ctx, struct mq_table));
+  struct mq_table *table = check_alloc (talloc_zero (ctx, struct mq_table));
 
   table->rows.random = LEVELS_SEED;
   table->objects.random = LEVELS_SEED;
@@ -243,7 +244,7 @@
 static void
 copy_node (TALLOC_CTX *ctx, struct mq_row *row, const struct node *node)
 {
-  row->key = need (talloc_strdup (ctx, node->key));
+  row->key = check_alloc (talloc_strdup (ctx, node->key));
   row->version = node->version;
   row->value = copy_bytes (ctx, node->value);
 }
@@ -294,7 +295,7 @@
       n++;
       node = node->next[0];
     }
-  copies = need (talloc_zero_array (ctx, struct mq_row, n + 1));
+  copies = check_alloc (talloc_zero_array (ctx, struct mq_row, n + 1));
   for (size_t i = 0; i < n; i++, from = from->next[0])
     copy_node (copies, &copies[i], from);
   *rows = copies;
@@ -334,7 +335,7 @@
 {
   struct mq_row *row = &result->rows[result->row_count++];
 
-  row->key = need (talloc_strdup (result->rows, key));
+  row->key = check_alloc (talloc_strdup (result->rows, key));
   row->version = version;
 }
 
@@ -344,12 +345,14 @@
                    struct mq_store_result *result)
 {
   size_t count = request->op_count;
-  uint64_t *versions = need (talloc_zero_array (ctx, uint64_t, count + 1));
-  bool *failed = need (talloc_zero_array (ctx, bool, count + 1));
+  uint64_t *versions
+      = check_alloc (talloc_zero_array (ctx, uint64_t, count + 1));
+  bool *failed = check_alloc (talloc_zero_array (ctx, bool, count + 1));
 
   result->status
       = mq_table_transact (table, request->ops, count, versions, failed);
-  result->rows = need (talloc_zero_array (ctx, struct mq_row, count + 1));
+  result->rows
+      = check_alloc (talloc_zero_array (ctx, struct mq_row, count + 1));
   for (size_t i = 0; i < count; i++)
     if (result->status == MQ_STORE_OK || failed[i])
       add_row (result, request->ops[i].key, versions[i]);
@@ -405,8 +408,8 @@
 static struct mq_row *
 copy_all (TALLOC_CTX *ctx, const struct sorted *sorted)
 {
-  struct mq_row *rows
-      = need (talloc_zero_array (ctx, struct mq_row, sorted->count + 1));
+  struct mq_row *rows = check_alloc (
+      talloc_zero_array (ctx, struct mq_row, sorted->count + 1));
   const struct node *node = sorted->first[0];
 
   for (size_t i = 0; node != NULL; i++, node = node->next[0])
@@ -418,7 +421,7 @@
 mq_table_snapshot (const struct mq_table *table, TALLOC_CTX *ctx)
 {
   struct mq_table_snapshot *snapshot
-      = need (talloc_zero (ctx, struct mq_table_snapshot));
+      = check_alloc (talloc_zero (ctx, struct mq_table_snapshot));
 
   snapshot->rows = copy_all (snapshot, &table->rows);
   snapshot->row_count = table->rows.count;
--- a/standins/table.h
+++ b/standins/table.h
@@ -1,30 +1,29 @@
-/* table.h - the stand-in's transactional table and object store, in memory.
+/* table.h - in-memory transactional table and object store.
 
-   Pure: no input, output, clock or randomness, so that tests of the core and
-   the fault matrix use it directly.  Keeps to docs/CONTRACTS.md.  Memory
-   that runs out aborts the process.
-   Needs: store.h, id.h (levels of the skip list).  */
+   Implements the store of docs/CONTRACTS.md.  Performs no I/O, so tests can
+   use it directly.  Aborts when out of memory.
+   Needs: store.h, id.h (skip list levels).  */
 
 #ifndef MQ_TABLE_H
 #define MQ_TABLE_H
 
 #include "core/store.h"
 
-/* Bounds of one scan's answer; at least one row is always given.  */
+/* Limits of one scan; at least one row is always returned.  */
 #define MQ_TABLE_SCAN_ROWS 1000U
 #define MQ_TABLE_SCAN_BYTES (1U << 20)
 
 struct mq_table;
 
 /**
- * struct mq_table_counters - what the table was asked and what it holds
+ * struct mq_table_counters - operations and contents of the table
  * @reads: scans and object reads
  * @writes: applied transactions, object writes and removals
- * @conflicts: transactions of which a condition did not hold
+ * @conflicts: transactions rejected by a failed condition
  * @rows_written: rows written or removed by the applied transactions
- * @rows: rows held
- * @objects: objects held
- * @bytes: keys and values of rows and objects held
+ * @rows: stored rows
+ * @objects: stored objects
+ * @bytes: size of all stored keys and values
  */
 struct mq_table_counters
 {
@@ -38,11 +37,10 @@
 };
 
 /**
- * struct mq_table_snapshot - a copy of everything, in key order
- * @rows: the table's rows
- * @row_count: how many
+ * struct mq_table_snapshot - copy of all rows and objects, in key order
+ * @row_count: number of @rows
  * @objects: the objects; their versions are 0
- * @object_count: how many
+ * @object_count: number of @objects
  */
 struct mq_table_snapshot
 {
@@ -56,16 +54,17 @@
 void mq_table_destroy (struct mq_table *table);
 
 /**
- * mq_table_transact - apply all of a transaction or nothing
+ * mq_table_transact - apply a transaction atomically
  * @table: the table
- * @ops: its operations; conditions are checked on the rows as they stand
- *       before the transaction, then the operations are applied in order
+ * @ops: operations; all conditions are checked first, then the operations are
+ *       applied in order
  * @count: how many
- * @versions: OUT, of @count: new version of each row, 0 when removed
- * @failed: OUT, of @count: whose condition did not hold; may be NULL
+ * @versions: OUT, @count elements: new version of each row; 0 if removed
+ * @failed: OUT, @count elements: operations whose condition failed; may be
+ *          NULL
  *
- * Every version is higher than all that were given out before, also after a
- * row was removed, so a condition on an old version can never hold again.
+ * Versions increase over the whole table and are never reused, so a condition
+ * on an old version cannot hold again, even after the row was removed.
  *
  * Return: MQ_STORE_OK or MQ_STORE_CONFLICT.
  */
@@ -75,16 +74,16 @@
                                         bool *failed);
 
 /**
- * mq_table_scan - rows with a key prefix, in order of their keys' bytes
+ * mq_table_scan - read rows by key prefix, in byte order of keys
  * @table: the table
  * @ctx: parent of the copies
- * @prefix: what the keys begin with, may be empty
- * @after: only keys greater than this; NULL or empty: all
- * @limit: most rows, 0: MQ_TABLE_SCAN_ROWS
- * @rows: OUT: the rows
- * @count: OUT: how many
+ * @prefix: key prefix, may be empty
+ * @after: return only greater keys; NULL or empty for all
+ * @limit: maximum rows; 0 for MQ_TABLE_SCAN_ROWS
+ * @rows: OUT
+ * @count: OUT: number of @rows
  *
- * Return: whether further rows follow.
+ * Return: true if more rows follow.
  */
 bool mq_table_scan (struct mq_table *table, TALLOC_CTX *ctx,
                     const char *prefix, const char *after, uint32_t limit,
@@ -92,13 +91,13 @@
 
 void mq_table_put (struct mq_table *table, const char *key,
                    struct mq_bytes value);
-/* False when there is no such object; VALUE is a copy below CTX.  */
+/* Returns false if the object does not exist. VALUE is a copy below CTX.  */
 bool mq_table_get (struct mq_table *table, TALLOC_CTX *ctx, const char *key,
                    struct mq_bytes *value);
-/* False when there was no such object.  */
+/* Returns false if the object did not exist.  */
 bool mq_table_delete_object (struct mq_table *table, const char *key);
 
-/* Answers REQUEST at once; what RESULT points to hangs below CTX.  */
+/* Executes REQUEST; memory referenced by RESULT is allocated below CTX.  */
 void mq_table_execute (struct mq_table *table, TALLOC_CTX *ctx,
                        const struct mq_store_request *request,
                        struct mq_store_result *result);
