--- a/tests/matrix_cells.c
+++ b/tests/matrix_cells.c
@@ -59,7 +59,7 @@
 
 /* Any step that has SCRIPT stands for it in a run without a fault.  */
 struct world_cell
-matrix_base (enum world_script script, uint32_t index)
+matrix_baseline_cell (enum world_script script, uint32_t index)
 {
   struct world_cell cell = { .seed = BASE_SEED + index };
 
@@ -91,8 +91,8 @@
 }
 
 struct world_cell
-matrix_single (enum world_step step, enum world_fault fault, uint32_t index,
-               const struct matrix_counts *counts)
+matrix_single_fault_cell (enum world_step step, enum world_fault fault,
+                          uint32_t index, const struct matrix_counts *counts)
 {
   struct world_cell cell = { .step = step, .fault = fault };
 
@@ -103,7 +103,7 @@
 }
 
 struct world_cell
-matrix_pair (uint32_t index, const struct matrix_counts *counts)
+matrix_fault_pair_cell (uint32_t index, const struct matrix_counts *counts)
 {
   struct world_cell cell = { .seed = PAIR_SEED + index };
   uint64_t random = cell.seed;
--- a/tests/matrix_cells.h
+++ b/tests/matrix_cells.h
@@ -9,11 +9,11 @@
 
 enum
 {
-  MATRIX_PAIRS = 3000,     /* pairs of faults, drawn by seed */
-  MATRIX_BASE_SEEDS = 4,   /* runs of each script without a fault */
-  MATRIX_OCCURRENCES = 6,  /* of a step that each fault is injected at */
-  MATRIX_SEEDS = 2,        /* runs of each step, fault and occurrence */
-  MATRIX_PLANT_SEEDS = 16, /* at most */
+  MATRIX_PAIRS = 3000,       /* pairs of faults, drawn by seed */
+  MATRIX_BASELINE_SEEDS = 4, /* runs of each script without a fault */
+  MATRIX_OCCURRENCES = 6,    /* of a step that each fault is injected at */
+  MATRIX_SEEDS = 2,          /* runs of each step, fault and occurrence */
+  MATRIX_PLANT_SEEDS = 16,   /* at most */
   MATRIX_SINGLES = MATRIX_OCCURRENCES * MATRIX_SEEDS,
   MATRIX_GAP_MAX = 60 /* steps between the two faults of a pair */
 };
@@ -43,11 +43,12 @@
   uint32_t steps[STEP_COUNT];
 };
 
-struct world_cell matrix_base (enum world_script script, uint32_t index);
-struct world_cell matrix_single (enum world_step step, enum world_fault fault,
-                                 uint32_t index,
-                                 const struct matrix_counts *counts);
-struct world_cell matrix_pair (uint32_t index,
-                               const struct matrix_counts *counts);
+struct world_cell matrix_baseline_cell (enum world_script script,
+                                        uint32_t index);
+struct world_cell
+matrix_single_fault_cell (enum world_step step, enum world_fault fault,
+                          uint32_t index, const struct matrix_counts *counts);
+struct world_cell matrix_fault_pair_cell (uint32_t index,
+                                          const struct matrix_counts *counts);
 
 #endif
--- a/tests/site_http.c
+++ b/tests/site_http.c
@@ -131,7 +131,7 @@
 }
 
 static void
-prepare (struct site_call *call, const struct site_ask *ask)
+prepare (struct site_call *call, const struct site_http_request *ask)
 {
   char *bearer = ask->key == NULL
                      ? NULL
@@ -145,7 +145,7 @@
   curl_easy_setopt (call->curl, CURLOPT_HTTPHEADER, call->headers);
   curl_easy_setopt (call->curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (call->curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
-  curl_easy_setopt (call->curl, CURLOPT_TIMEOUT_MS, (long)SITE_LIMIT_MS);
+  curl_easy_setopt (call->curl, CURLOPT_TIMEOUT_MS, (long)SITE_WAIT_LIMIT_MS);
   curl_easy_setopt (call->curl, CURLOPT_WRITEFUNCTION, take_body);
   curl_easy_setopt (call->curl, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (call->curl, CURLOPT_XFERINFOFUNCTION, look_at_end);
@@ -186,7 +186,7 @@
 }
 
 struct site_call *
-site_call_start (TALLOC_CTX *ctx, const struct site_ask *ask)
+site_call_start (TALLOC_CTX *ctx, const struct site_http_request *ask)
 {
   struct site_call *call = need (talloc_zero (ctx, struct site_call));
 
@@ -213,7 +213,7 @@
 }
 
 bool
-site_call_holds (struct site_call *call, const char *text)
+site_call_contains (struct site_call *call, const char *text)
 {
   bool holds;
 
@@ -253,7 +253,7 @@
 
 /* libcurl's own limit ends it.  */
 struct site_call *
-site_call (TALLOC_CTX *ctx, const struct site_ask *ask)
+site_call (TALLOC_CTX *ctx, const struct site_http_request *ask)
 {
   struct site_call *call = site_call_start (ctx, ask);
 
--- a/tests/site_kit.c
+++ b/tests/site_kit.c
@@ -84,13 +84,13 @@
 }
 
 void
-site_pause (struct site *site, uint64_t *until, const char *file, int line,
-            const char *what)
+site_poll_wait (struct site *site, uint64_t *until, const char *file, int line,
+                const char *what)
 {
   uint64_t now = site_now_ms ();
 
   if (*until == 0)
-    *until = now + SITE_LIMIT_MS;
+    *until = now + SITE_WAIT_LIMIT_MS;
   if (now >= *until)
     site_fail (site, file, line, what);
   usleep (LOOK_US);
@@ -118,7 +118,7 @@
 json_t *
 site_get (struct site *site, const char *address, const char *path)
 {
-  struct site_ask ask
+  struct site_http_request ask
       = { .address = address, .path = path, .key = OPERATOR_KEY };
   struct site_call *call = site_call (site, &ask);
   json_t *json = NULL;
@@ -153,7 +153,7 @@
 site_counter (struct site *site, const struct site_host *host,
               const char *name)
 {
-  struct site_ask ask = { .address = host->http, .path = "/metrics" };
+  struct site_http_request ask = { .address = host->http, .path = "/metrics" };
   struct site_call *call = site_call (site, &ask);
   char *line = talloc_asprintf (call, "\nmimosa_%s ", name);
   const char *found = strstr (site_call_body (call), line);
@@ -181,7 +181,7 @@
 }
 
 uint32_t
-site_owned (struct site *site, const struct site_host *host)
+site_owned_count (struct site *site, const struct site_host *host)
 {
   json_t *list = json_object_get (site_status (site, host), "partitions");
   uint32_t count = 0;
@@ -206,7 +206,7 @@
 }
 
 uint64_t
-site_work_at (struct site *site, uint32_t worker)
+site_work_count (struct site *site, uint32_t worker)
 {
   json_t *stats = site_get (site, site->engines[worker], "/standin/stats");
   json_t *effects = json_object_get (
@@ -226,7 +226,7 @@
 
 /* The program of 32 zeros holds what belongs to the service.  */
 uint64_t
-site_cached (struct site *site)
+site_cached_program_count (struct site *site)
 {
   uint64_t count = 0;
 
@@ -258,7 +258,7 @@
 }
 
 uint64_t
-site_effects (struct site *site, const char *path, uint64_t *repeated)
+site_effect_count (struct site *site, const char *path, uint64_t *repeated)
 {
   char *query
       = talloc_asprintf (site, "/standin/effects?summary=1&path=%s", path);
@@ -272,7 +272,7 @@
 void
 site_fault (struct site *site, const char *address, const char *json)
 {
-  struct site_ask ask
+  struct site_http_request ask
       = { .address = address, .path = "/standin/fault", .body = json };
   struct site_call *call = site_call (site, &ask);
 
@@ -303,7 +303,7 @@
   char **list = talloc_array (site, char *, count);
   const char *line;
 
-  if (!site_process_listens (process, count))
+  if (!site_process_wait_listening (process, count))
     site_fail (site, __FILE__, __LINE__, "the stand-in listens");
   line = process->output;
   for (uint32_t i = 0; i < count; i++)
@@ -365,18 +365,18 @@
 }
 
 char *
-site_text (struct site *site, const char *site_keys)
+site_config_text (struct site *site, const char *site_keys)
 {
   return talloc_asprintf (site, text_form, SITE_PARTITIONS,
                           site_keys == NULL ? usual_site_keys : site_keys,
-                          hash_hex (site, SITE_CLERKS),
-                          hash_hex (site, SITE_OTHERS));
+                          hash_hex (site, SITE_CLERKS_KEY),
+                          hash_hex (site, SITE_OTHERS_KEY));
 }
 
 static void
 apply_text (struct site *site, const char *site_keys)
 {
-  char *text = site_text (site, site_keys);
+  char *text = site_config_text (site, site_keys);
   const char *arguments[] = {
     "apply", site_file (site, text), "--base", "0", "--wait", "0", NULL
   };
@@ -390,7 +390,7 @@
 }
 
 struct site *
-site_begin (const struct site_options *options)
+site_start (const struct site_options *options)
 {
   struct site *site = talloc_zero (NULL, struct site);
 
@@ -408,7 +408,7 @@
 
 /* Daemons go first, so that none reports a platform that is gone.  */
 void
-site_end (struct site *site)
+site_stop (struct site *site)
 {
   if (site == NULL)
     return;
@@ -496,15 +496,16 @@
 
   TALLOC_FREE (host->process);
   host->process = site_process_start (site, host->name, arguments);
-  SITE_CHECK (site, site_process_listens (host->process, 1));
+  SITE_CHECK (site, site_process_wait_listening (host->process, 1));
   host->http = read_address (site, host->process->output, "http");
   host->peer = read_address (site, host->process->output, "peer");
 }
 
 void
-site_list (struct site *site, const struct site_host *host, bool leaving)
+site_publish_host (struct site *site, const struct site_host *host,
+                   bool leaving)
 {
-  struct site_ask ask
+  struct site_http_request ask
       = { .address = site->platform, .path = "/standin/hosts" };
   struct site_call *call;
 
@@ -522,9 +523,10 @@
 }
 
 void
-site_unlist (struct site *site, const struct site_host *host)
+site_unpublish_host (struct site *site, const struct site_host *host)
 {
-  struct site_ask ask = { .address = site->platform, .method = "DELETE" };
+  struct site_http_request ask
+      = { .address = site->platform, .method = "DELETE" };
   struct site_call *call;
 
   ask.path = talloc_asprintf (site, "/standin/hosts/%s", host->name);
@@ -534,37 +536,37 @@
 }
 
 struct site_host *
-site_entry (struct site *site, const char *name, const char *data_centre)
+site_add_entry (struct site *site, const char *name, const char *data_centre)
 {
   struct site_host *host = add_host (site, name, "entry", data_centre, 0);
 
   site_restart (site, host);
-  site_list (site, host, false);
+  site_publish_host (site, host, false);
   return host;
 }
 
 struct site_host *
-site_target (struct site *site, const char *name, const char *data_centre,
-             uint32_t worker)
+site_add_target (struct site *site, const char *name, const char *data_centre,
+                 uint32_t worker)
 {
   struct site_host *host
       = add_host (site, name, "target", data_centre, worker);
 
   site_restart (site, host);
-  site_list (site, host, false);
+  site_publish_host (site, host, false);
   return host;
 }
 
 struct site_host *
-site_target_foreign (struct site *site, const char *name,
-                     const char *data_centre, uint32_t worker)
+site_add_foreign_target (struct site *site, const char *name,
+                         const char *data_centre, uint32_t worker)
 {
   struct site_host *host
       = add_host (site, name, "target", data_centre, worker);
 
   host->site_key = FOREIGN_KEY;
   site_restart (site, host);
-  site_list (site, host, false);
+  site_publish_host (site, host, false);
   return host;
 }
 
@@ -595,8 +597,8 @@
 }
 
 struct site_host *
-site_target_relayed (struct site *site, const char *name,
-                     const char *data_centre, uint32_t worker)
+site_add_relayed_target (struct site *site, const char *name,
+                         const char *data_centre, uint32_t worker)
 {
   struct site_host *host
       = add_host (site, name, "target", data_centre, worker);
@@ -606,12 +608,12 @@
   port = (uint16_t)strtoul (strrchr (host->peer, ':') + 1, NULL, 10);
   host->relay = site_process_fork (site, "relay", run_relay, &port);
   host->listed = read_addresses (site, host->relay, 1)[0];
-  site_list (site, host, false);
+  site_publish_host (site, host, false);
   return host;
 }
 
 void
-site_relay_silence (struct site_host *host)
+site_stall_relay (struct site_host *host)
 {
   site_process_signal (host->relay, SIGUSR1);
 }
@@ -657,7 +659,7 @@
         return false;
       if (is_target (host))
         continue;
-      count = site_owned (site, host);
+      count = site_owned_count (site, host);
       entries++;
       owned += count;
       most = count > most ? count : most;
@@ -667,21 +669,21 @@
 }
 
 void
-site_settle (struct site *site)
+site_wait_stable (struct site *site)
 {
   SITE_WAIT (site, is_settled (site));
 }
 
 struct site *
-site_usual (const struct site_options *options)
+site_start_default (const struct site_options *options)
 {
-  struct site *site = site_begin (options);
+  struct site *site = site_start (options);
 
-  site_target (site, "north-1", "north", 0);
-  site_target (site, "south-1", "south", 1);
-  site_entry (site, "entry-1", "north");
-  site_entry (site, "entry-2", "south");
-  site_settle (site);
+  site_add_target (site, "north-1", "north", 0);
+  site_add_target (site, "south-1", "south", 1);
+  site_add_entry (site, "entry-1", "north");
+  site_add_entry (site, "entry-2", "south");
+  site_wait_stable (site);
   return site;
 }
 
@@ -720,17 +722,17 @@
 site_open (struct site *site, const struct site_host *host, const char *key,
            const char *service, const char *plan)
 {
-  struct site_ask ask = { .address = host->http,
-                          .path = "/v1/programs",
-                          .key = SITE_CLERKS,
-                          .idempotency_key = key };
+  struct site_http_request ask = { .address = host->http,
+                                   .path = "/v1/programs",
+                                   .key = SITE_CLERKS_KEY,
+                                   .idempotency_key = key };
 
   ask.body = site_open_body (site, service, plan);
   return site_call_start (site, &ask);
 }
 
 void
-site_await (struct site *site, struct site_call *call)
+site_wait_call (struct site *site, struct site_call *call)
 {
   SITE_WAIT (site, site_call_done (call));
 }
@@ -808,11 +810,12 @@
 {
   json_t *steps = keep_json (site, json_loads (plan, 0, NULL));
   json_t *answer;
-  struct site_ask ask = { .address = host->http, .key = SITE_CLERKS };
+  struct site_http_request ask
+      = { .address = host->http, .key = SITE_CLERKS_KEY };
   struct site_call *history;
   uint32_t tokens;
 
-  site_await (site, call);
+  site_wait_call (site, call);
   if (site_call_status (call) != 200)
     site_fail (site, __FILE__, __LINE__, site_call_body (call));
   answer = site_call_json (call);
--- a/tests/site_kit.h
+++ b/tests/site_kit.h
@@ -22,8 +22,8 @@
 };
 
 /* Keys of the organisations and the operator.  */
-#define SITE_CLERKS "key-of-clerks"
-#define SITE_OTHERS "key-of-others"
+#define SITE_CLERKS_KEY "key-of-clerks"
+#define SITE_OTHERS_KEY "key-of-others"
 
 /**
  * struct site_host - an entry host or a target host
@@ -92,43 +92,44 @@
    "drafting" (model); the tools "ledger" and "slow" (idempotent), "notice"
    (not); the agents "letters" (interactive) and "nightly" (batch), and "poems"
    (batch), which may spend a lot.  */
-struct site *site_begin (const struct site_options *options);
-void site_end (struct site *site);
+struct site *site_start (const struct site_options *options);
+void site_stop (struct site *site);
 /* The usual site: entry hosts entry-1 (north) and entry-2 (south), target
    hosts north-1 and south-1; returns once it is settled.  */
-struct site *site_usual (const struct site_options *options);
+struct site *site_start_default (const struct site_options *options);
 
 /* Starts a daemon and lists it.  */
-struct site_host *site_entry (struct site *site, const char *name,
-                              const char *data_centre);
-struct site_host *site_target (struct site *site, const char *name,
-                               const char *data_centre, uint32_t worker);
+struct site_host *site_add_entry (struct site *site, const char *name,
+                                  const char *data_centre);
+struct site_host *site_add_target (struct site *site, const char *name,
+                                   const char *data_centre, uint32_t worker);
 /* The same, listed by the address of a relay in front of it.  */
-struct site_host *site_target_relayed (struct site *site, const char *name,
-                                       const char *data_centre,
-                                       uint32_t worker);
+struct site_host *site_add_relayed_target (struct site *site, const char *name,
+                                           const char *data_centre,
+                                           uint32_t worker);
 /* All connections that the relay holds go silent; later ones work.  */
-void site_relay_silence (struct site_host *host);
+void site_stall_relay (struct site_host *host);
 struct site_host *site_host (struct site *site, const char *name);
 /* A target host whose settings hold another site's key.  */
-struct site_host *site_target_foreign (struct site *site, const char *name,
-                                       const char *data_centre,
-                                       uint32_t worker);
+struct site_host *site_add_foreign_target (struct site *site, const char *name,
+                                           const char *data_centre,
+                                           uint32_t worker);
 /* Starts its daemon anew, at the same addresses; it need not be listed.  */
 void site_restart (struct site *site, struct site_host *host);
 void site_kill (struct site_host *host);
-void site_list (struct site *site, const struct site_host *host, bool leaving);
-void site_unlist (struct site *site, const struct site_host *host);
+void site_publish_host (struct site *site, const struct site_host *host,
+                        bool leaving);
+void site_unpublish_host (struct site *site, const struct site_host *host);
 /* Waits until all hosts that run are ready, each partition has one owner
    and the owners hold equal shares.  */
-void site_settle (struct site *site);
+void site_wait_stable (struct site *site);
 
 /* Waits and checks.  */
 _Noreturn void site_fail (struct site *site, const char *file, int line,
                           const char *what);
 /* Sleeps a little; fails the test when *UNTIL is over (0: starts it).  */
-void site_pause (struct site *site, uint64_t *until, const char *file,
-                 int line, const char *what);
+void site_poll_wait (struct site *site, uint64_t *until, const char *file,
+                     int line, const char *what);
 #define SITE_CHECK(site, condition)                                           \
   do                                                                          \
     if (!(condition))                                                         \
@@ -139,7 +140,7 @@
     {                                                                         \
       uint64_t site_until = 0;                                                \
       while (!(condition))                                                    \
-        site_pause (site, &site_until, __FILE__, __LINE__, #condition);       \
+        site_poll_wait (site, &site_until, __FILE__, __LINE__, #condition);   \
     }                                                                         \
   while (0)
 
@@ -156,23 +157,23 @@
 /* Whether HOST owns PARTITION and serves it.  */
 bool site_owns (struct site *site, const struct site_host *host,
                 uint32_t partition);
-uint32_t site_owned (struct site *site, const struct site_host *host);
+uint32_t site_owned_count (struct site *site, const struct site_host *host);
 /* The worker of the tools that runs a call now, -1: none.  */
 int32_t site_tool_running (struct site *site);
 /* Work that came to worker N: requests of its engine, effects of its tools. */
-uint64_t site_work_at (struct site *site, uint32_t worker);
+uint64_t site_work_count (struct site *site, uint32_t worker);
 /* Programs whose cache the engines hold.  */
-uint64_t site_cached (struct site *site);
+uint64_t site_cached_program_count (struct site *site);
 /* The engine that generates now, -1: none.  */
 int32_t site_engine_running (struct site *site);
 /* Effects on PATH of the tools; REPEATED: keys with more than one.  */
-uint64_t site_effects (struct site *site, const char *path,
-                       uint64_t *repeated);
+uint64_t site_effect_count (struct site *site, const char *path,
+                            uint64_t *repeated);
 void site_fault (struct site *site, const char *address, const char *json);
 
 /* Programs.  */
 
-/* An Idempotency-Key for SITE_CLERKS whose program HOST owns.  */
+/* An Idempotency-Key for SITE_CLERKS_KEY whose program HOST owns.  */
 char *site_key_owned_by (struct site *site, const struct site_host *host,
                          const char *begin);
 /* Body that opens a program of SERVICE with PLAN, a JSON array.  */
@@ -183,7 +184,7 @@
                              const char *key, const char *service,
                              const char *plan);
 /* Waits for the end of the call.  */
-void site_await (struct site *site, struct site_call *call);
+void site_wait_call (struct site *site, struct site_call *call);
 
 /**
  * site_check_answer - the whole, right answer of a program that ended
@@ -201,7 +202,7 @@
                         const struct site_host *host, const char *plan);
 
 /* The operators' text with SITE_KEYS in [site], NULL: the usual ones.  */
-char *site_text (struct site *site, const char *site_keys);
+char *site_config_text (struct site *site, const char *site_keys);
 /* mimosactl with these arguments, ended by NULL.  */
 struct site_process *site_ctl_start (struct site *site,
                                      const char *const *arguments);
--- a/tests/site_process.c
+++ b/tests/site_process.c
@@ -193,9 +193,9 @@
 }
 
 bool
-site_process_listens (struct site_process *process, size_t count)
+site_process_wait_listening (struct site_process *process, size_t count)
 {
-  uint64_t until = site_now_ms () + SITE_LIMIT_MS;
+  uint64_t until = site_now_ms () + SITE_WAIT_LIMIT_MS;
   bool open = true;
 
   while (open && site_now_ms () < until)
@@ -220,7 +220,7 @@
 bool
 site_process_wait (struct site_process *process)
 {
-  uint64_t until = site_now_ms () + SITE_LIMIT_MS;
+  uint64_t until = site_now_ms () + SITE_WAIT_LIMIT_MS;
 
   while (process->pid != 0)
     {
--- a/tests/site_process.h
+++ b/tests/site_process.h
@@ -17,7 +17,7 @@
 
 enum
 {
-  SITE_LIMIT_MS = 90000, /* of a wait: then something is stuck */
+  SITE_WAIT_LIMIT_MS = 90000, /* of a wait: then something is stuck */
   SITE_ARGUMENTS_MAX = 48
 };
 
@@ -52,9 +52,9 @@
                                         void (*run) (void *data, int out),
                                         void *data);
 /* Reads standard output until COUNT lines begin with "listening".  */
-bool site_process_listens (struct site_process *process, size_t count);
+bool site_process_wait_listening (struct site_process *process, size_t count);
 void site_process_signal (struct site_process *process, int number);
-/* False when it still runs after SITE_LIMIT_MS.  Reads its output.  */
+/* False when it still runs after SITE_WAIT_LIMIT_MS.  Reads its output.  */
 bool site_process_wait (struct site_process *process);
 /* Whether it ended by itself with exit status 0.  */
 bool site_process_succeeded (const struct site_process *process);
--- a/tests/test_matrix.c
+++ b/tests/test_matrix.c
@@ -15,7 +15,7 @@
 enum
 {
   SINGLES = STEP_COUNT * (FAULT_COUNT - 1) * MATRIX_SINGLES,
-  BASES = SCRIPT_COUNT * MATRIX_BASE_SEEDS,
+  BASES = SCRIPT_COUNT * MATRIX_BASELINE_SEEDS,
   PLANTS_MAX = 64
 };
 
@@ -128,17 +128,18 @@
   size_t failed;
 
   for (uint32_t i = 0; i < BASES; i++)
-    jobs[i].cell = matrix_base ((enum world_script) (i / MATRIX_BASE_SEEDS),
-                                i % MATRIX_BASE_SEEDS);
+    jobs[i].cell = matrix_baseline_cell (
+        (enum world_script) (i / MATRIX_BASELINE_SEEDS),
+        i % MATRIX_BASELINE_SEEDS);
   matrix_run (jobs, BASES);
   failed = count_failed (jobs, BASES);
   for (int step = 0; step < STEP_COUNT; step++)
     {
       size_t first = (size_t)world_step_script ((enum world_step)step)
-                     * MATRIX_BASE_SEEDS;
+                     * MATRIX_BASELINE_SEEDS;
 
       counts->steps[step] = UINT32_MAX;
-      for (size_t i = first; i < first + MATRIX_BASE_SEEDS; i++)
+      for (size_t i = first; i < first + MATRIX_BASELINE_SEEDS; i++)
         if (jobs[i].report.steps[step] < counts->steps[step])
           counts->steps[step] = jobs[i].report.steps[step];
     }
@@ -154,8 +155,8 @@
   for (int step = 0; step < STEP_COUNT; step++)
     for (int fault = 1; fault < FAULT_COUNT; fault++)
       for (uint32_t i = 0; i < MATRIX_SINGLES; i++)
-        jobs[n++].cell = matrix_single ((enum world_step)step,
-                                        (enum world_fault)fault, i, counts);
+        jobs[n++].cell = matrix_single_fault_cell (
+            (enum world_step)step, (enum world_fault)fault, i, counts);
 }
 
 /* Steps that no run without a fault comes to can't have their cells.  */
@@ -256,7 +257,7 @@
   expect_planted ();
   fill_singles (jobs, &counts);
   for (uint32_t i = 0; i < MATRIX_PAIRS; i++)
-    jobs[SINGLES + i].cell = matrix_pair (i, &counts);
+    jobs[SINGLES + i].cell = matrix_fault_pair_cell (i, &counts);
   matrix_run (jobs, SINGLES + MATRIX_PAIRS);
   failed += count_failed (jobs, SINGLES + MATRIX_PAIRS);
   caught = run_plants ();
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -30,7 +30,7 @@
 static void
 end_site (void)
 {
-  site_end (site);
+  site_stop (site);
   site = NULL;
 }
 
@@ -62,8 +62,9 @@
 static void
 wait_for_tool (const char *earlier)
 {
-  SITE_WAIT (site, (earlier == NULL || site_effects (site, earlier, NULL) == 1)
-                       && site_tool_running (site) >= 0);
+  SITE_WAIT (site,
+             (earlier == NULL || site_effect_count (site, earlier, NULL) == 1)
+                 && site_tool_running (site) >= 0);
 }
 
 /* Notices went out COUNT times, and none twice.  */
@@ -72,7 +73,8 @@
 {
   uint64_t repeated = 0;
 
-  SITE_CHECK (site, site_effects (site, "/v1/notice", &repeated) == count);
+  SITE_CHECK (site,
+              site_effect_count (site, "/v1/notice", &repeated) == count);
   SITE_CHECK (site, repeated == 0);
 }
 
@@ -101,7 +103,7 @@
       struct site_host *other;
       struct site_call *call;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       owner = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
       if (cases[i].slow_path != NULL)
@@ -111,7 +113,7 @@
       if (cases[i].slow_path != NULL)
         wait_for_tool (cases[i].earlier);
       else
-        SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == 1
+        SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1
                              && site_engine_running (site) >= 0);
       SITE_CHECK (site, !site_call_done (call));
       site_kill (owner);
@@ -141,15 +143,15 @@
       struct site_call *again;
       char *key;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       holder = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
       make_slow ("/v1/slow", 3000);
       key = site_key_owned_by (site, site_host (site, cases[i].owner), "k");
       first = site_open (site, holder, key, "letters", tool_plan);
-      SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == 1);
+      SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1);
       site_kill (holder);
-      site_await (site, first);
+      site_wait_call (site, first);
       SITE_CHECK (site, site_call_status (first) == 0);
       again = site_open (site, other, key, "letters", tool_plan);
       site_check_answer (site, again, other, tool_plan);
@@ -163,7 +165,7 @@
 static bool
 owns_all (const struct site_host *host)
 {
-  return site_owned (site, host) == SITE_PARTITIONS;
+  return site_owned_count (site, host) == SITE_PARTITIONS;
 }
 
 /* The owner is paused for longer than its lease and wakes up believing that
@@ -179,7 +181,7 @@
   struct site_call *calls[CALLERS];
   struct site_call *later;
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   owner = site_host (site, "entry-1");
   other = site_host (site, "entry-2");
   make_slow ("/v1/slow", 2500);
@@ -191,7 +193,7 @@
                             site_key_owned_by (site, owner, begin), "letters",
                             tool_plan);
     }
-  SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == CALLERS);
+  SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == CALLERS);
   site_process_signal (owner->process, SIGSTOP);
   SITE_WAIT (site, owns_all (other));
   for (size_t i = 1; i < CALLERS; i += 2)
@@ -200,7 +202,7 @@
   for (size_t i = 0; i < CALLERS; i += 2)
     site_check_answer (site, calls[i], other, tool_plan);
   check_notices (CALLERS);
-  site_settle (site);
+  site_wait_stable (site);
   SITE_CHECK (site, site_counter (site, owner, "owner_partitions_lost") > 0);
   later = site_open (site, other, site_key_owned_by (site, owner, "later"),
                      "letters", tool_plan);
@@ -241,10 +243,10 @@
       struct site_host *entry;
       struct site_call *call;
 
-      site = site_begin (&options);
-      target = site_target (site, "north-1", "north", 0);
-      entry = site_entry (site, "entry-1", "north");
-      site_settle (site);
+      site = site_start (&options);
+      target = site_add_target (site, "north-1", "north", 0);
+      entry = site_add_entry (site, "entry-1", "north");
+      site_wait_stable (site);
       make_slow ("/v1/ledger", 300);
       make_slow ("/v1/notice", 3000);
       call = site_open (site, entry, "k", "letters", tool_plan);
@@ -254,8 +256,8 @@
         site_restart (site, target);
       else
         {
-          site_unlist (site, target);
-          site_target (site, "north-2", "north", 0);
+          site_unpublish_host (site, target);
+          site_add_target (site, "north-2", "north", 0);
         }
       SITE_WAIT (site, unknown_calls () == 1);
       site_check_answer (site, call, entry, tool_plan);
@@ -278,10 +280,10 @@
   struct site_call *call;
   int32_t engine;
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   entry = site_host (site, "entry-1");
   call = site_open (site, entry, "k", "letters", long_answer_plan);
-  SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == 1
+  SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1
                        && (engine = site_engine_running (site)) >= 0);
   target = site_host (site, engine == 0 ? "north-1" : "south-1");
   SITE_CHECK (site, !site_call_done (call));
@@ -309,7 +311,7 @@
       struct site_options options = { 0 };
       struct site_call *calls[CALLERS];
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       site_fault (site, site->platform, faults[i]);
       for (size_t j = 0; j < CALLERS; j++)
         calls[j] = site_open (
@@ -350,12 +352,13 @@
         {
           if (site_call_done (calls[count]))
             refused = calls[count];
-          site_pause (site, &until, __FILE__, __LINE__, "a batch is refused");
+          site_poll_wait (site, &until, __FILE__, __LINE__,
+                          "a batch is refused");
         }
       count++;
     }
   SITE_CHECK (site, refused != NULL && site_call_status (refused) == 503);
-  SITE_CHECK (site, site_call_holds (refused, "\"ran\":\"unknown\""));
+  SITE_CHECK (site, site_call_contains (refused, "\"ran\":\"unknown\""));
   return count;
 }
 
@@ -383,15 +386,15 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      site_await (site, calls[i]);
+      site_wait_call (site, calls[i]);
       if (site_call_status (calls[i]) != 503)
         {
           site_check_answer (site, calls[i], entry, plan);
           ends.answered++;
         }
-      else if (site_call_holds (calls[i], "\"ran\":\"not_run\""))
+      else if (site_call_contains (calls[i], "\"ran\":\"not_run\""))
         ends.not_run++;
-      else if (site_call_holds (calls[i], "\"ran\":\"unknown\""))
+      else if (site_call_contains (calls[i], "\"ran\":\"unknown\""))
         ends.unknown++;
     }
   SITE_CHECK (site, ends.answered + ends.not_run + ends.unknown == count);
@@ -409,20 +412,20 @@
   struct site_call *call = open_batch (entry, number, plan);
   uint64_t until = 0;
 
-  site_await (site, call);
+  site_wait_call (site, call);
   while (site_call_status (call) == 503)
     {
       uint64_t pause_ms = (uint64_t)json_integer_value (
           json_object_get (site_call_json (call), "retry_after_ms"));
       uint64_t back_ms = site_now_ms () + pause_ms;
 
-      SITE_CHECK (site, site_call_holds (call, "\"error\":\"store_down\""));
-      SITE_CHECK (site, site_call_holds (call, "\"ran\":\"unknown\""));
+      SITE_CHECK (site, site_call_contains (call, "\"error\":\"store_down\""));
+      SITE_CHECK (site, site_call_contains (call, "\"ran\":\"unknown\""));
       SITE_CHECK (site, pause_ms > 0);
       while (site_now_ms () < back_ms)
-        site_pause (site, &until, __FILE__, __LINE__, "a batch is served");
+        site_poll_wait (site, &until, __FILE__, __LINE__, "a batch is served");
       call = open_batch (entry, number, plan);
-      site_await (site, call);
+      site_wait_call (site, call);
     }
   return call;
 }
@@ -456,26 +459,26 @@
       size_t count;
       uint64_t notices;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       entry = site_host (site, "entry-1");
       target = site_host (site, "south-1");
       make_slow ("/v1/slow", 2000);
       call = site_open (site, entry, "k", "letters", plan);
       wait_for_tool (NULL);
       site_fault (site, site->platform, faults[i]);
-      SITE_WAIT (site, site_effects (site, "/v1/ledger", NULL) == 1);
+      SITE_WAIT (site, site_effect_count (site, "/v1/ledger", NULL) == 1);
       site_kill (target);
       site_restart (site, target);
       SITE_WAIT (site, site_get (site, target->http, "/readyz") != NULL);
       SITE_CHECK (site, config_version (target) == 1);
       count = open_until_refused (entry, batch_plan, batch);
       SITE_CHECK (site, !site_call_done (call));
-      SITE_CHECK (site, site_effects (site, "/v1/ledger", NULL) == 1);
+      SITE_CHECK (site, site_effect_count (site, "/v1/ledger", NULL) == 1);
       SITE_CHECK (site, config_version (entry) == 1);
       site_fault (site, site->platform, "{\"fault\":\"clear\"}");
       site_check_answer (site, call, entry, plan);
       ends = count_ends (batch, count, entry, batch_plan);
-      notices = site_effects (site, "/v1/notice", NULL);
+      notices = site_effect_count (site, "/v1/notice", NULL);
       SITE_CHECK (site, notices >= ends.answered);
       SITE_CHECK (site, notices <= ends.answered + ends.unknown);
       for (size_t j = 0; j < count; j++)
@@ -498,18 +501,18 @@
   struct site_host *owner;
   struct site_call *call;
 
-  site = site_begin (&options);
+  site = site_start (&options);
   /* The target's process dials entry hosts of its own data centre only, so
      entry-1 reaches it through the relay.  */
-  target = site_target_relayed (site, "south-1", "south", 0);
-  owner = site_entry (site, "entry-1", "north");
-  site_entry (site, "entry-2", "south");
-  site_settle (site);
+  target = site_add_relayed_target (site, "south-1", "south", 0);
+  owner = site_add_entry (site, "entry-1", "north");
+  site_add_entry (site, "entry-2", "south");
+  site_wait_stable (site);
   make_slow ("/v1/notice", 1500);
   call = site_open (site, owner, site_key_owned_by (site, owner, "k"),
                     "letters", tool_plan);
   wait_for_tool ("/v1/ledger");
-  site_relay_silence (target);
+  site_stall_relay (target);
   site_check_answer (site, call, owner, tool_plan);
   check_notices (1);
   SITE_CHECK (site, site_counter (site, owner, "peer_connections_silent") > 0);
@@ -564,7 +567,7 @@
       uint32_t worker;
       uint64_t work;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       entry = site_host (site, "entry-1");
       make_slow ("/v1/notice", 3000);
       first = site_open (site, entry, "first", "letters", tool_plan);
@@ -572,17 +575,17 @@
       worker = (uint32_t)site_tool_running (site);
       target = site_host (site, worker == 0 ? "north-1" : "south-1");
       if (cases[i].by_list)
-        site_list (site, target, true);
+        site_publish_host (site, target, true);
       else
         site_process_signal (target->process, SIGTERM);
       SITE_WAIT (site, is_leaving (target));
-      work = site_work_at (site, worker);
+      work = site_work_count (site, worker);
       SITE_CHECK (site, site_tool_running (site) >= 0);
       open_callers (calls, "k");
       site_check_answer (site, first, entry, tool_plan);
       check_callers (calls, entry);
       check_notices (CALLERS + 1);
-      SITE_CHECK (site, site_work_at (site, worker) == work + 1);
+      SITE_CHECK (site, site_work_count (site, worker) == work + 1);
       SITE_CHECK (site, unknown_calls () == 0);
       if (cases[i].by_list)
         site_process_signal (target->process, SIGTERM);
@@ -613,21 +616,22 @@
       struct site_call *calls[CALLERS];
       struct site_call *late;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       leaving = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
       make_slow ("/v1/slow", 2500);
       open_callers (calls, "k");
-      SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == CALLERS);
+      SITE_WAIT (site,
+                 site_effect_count (site, "/v1/notice", NULL) == CALLERS);
       if (cases[i].by_operator)
         SITE_CHECK (site, site_process_succeeded (site_ctl (site, drain)));
       else
         site_process_signal (leaving->process, SIGTERM);
       SITE_WAIT (site, is_leaving (leaving));
       late = site_open (site, leaving, "late", "letters", tool_plan);
-      site_await (site, late);
+      site_wait_call (site, late);
       SITE_CHECK (site, site_call_status (late) == 503);
-      SITE_CHECK (site, site_call_holds (late, "\"ran\":\"not_run\""));
+      SITE_CHECK (site, site_call_contains (late, "\"ran\":\"not_run\""));
       check_callers (calls, other);
       SITE_CHECK (site, site_process_wait (leaving->process));
       SITE_CHECK (site, site_process_succeeded (leaving->process));
@@ -675,7 +679,7 @@
   struct site_host *other;
   struct site_call *calls[CALLERS];
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   leaving = site_host (site, "entry-1");
   other = site_host (site, "entry-2");
   make_slow ("/v1/slow", 2500);
@@ -683,7 +687,7 @@
   site_kill (site_host (site, "north-1"));
   SITE_WAIT (site, !table_holds ("targets%2Fentry-1", "north-1"));
   open_callers (calls, "k");
-  SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == CALLERS);
+  SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == CALLERS);
   site_process_signal (leaving->process, SIGTERM);
   check_callers (calls, other);
   SITE_CHECK (site, site_process_wait (leaving->process));
@@ -734,7 +738,7 @@
   uint64_t version = 1;
   struct site_process *apply;
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   for (int round = 0; round < RACES; round++)
     {
       struct site_process *racers[2];
@@ -746,8 +750,9 @@
           marks[i] = talloc_asprintf (site, "cache_lease_ms = %d",
                                       6000 + 10 * round + i);
           racers[i] = start_apply (
-              site_text (site, talloc_asprintf (site, "lease_ms = 2000\n%s\n",
-                                                marks[i])),
+              site_config_text (
+                  site,
+                  talloc_asprintf (site, "lease_ms = 2000\n%s\n", marks[i])),
               version);
         }
       for (int i = 0; i < 2; i++)
@@ -763,11 +768,11 @@
                   strstr (text_in_force (), marks[exits[0] == 0 ? 0 : 1]));
     }
   site_fault (site, site->platform, lost);
-  apply = start_apply (site_text (site, "lease_ms = 2000\n"), version);
+  apply = start_apply (site_config_text (site, "lease_ms = 2000\n"), version);
   SITE_CHECK (site, site_process_wait (apply));
   SITE_CHECK (site, site_process_succeeded (apply));
   SITE_CHECK (site, all_hold (version + 1));
-  apply = start_apply (site_text (site, "lease_ms = 2100\n"), version);
+  apply = start_apply (site_config_text (site, "lease_ms = 2100\n"), version);
   SITE_CHECK (site, site_process_wait (apply));
   SITE_CHECK (site, site_process_exit (apply) == 3);
   SITE_CHECK (site, all_hold (version + 1));
@@ -824,25 +829,25 @@
       struct site_call *calls[CALLERS];
       struct site_host *killed = NULL;
 
-      site = site_usual (&options);
+      site = site_start_default (&options);
       make_slow ("/v1/slow", 300);
       if (cases[i].fault != NULL)
         fault_engines (cases[i].fault);
       open_callers (calls, "k");
-      SITE_WAIT (site, site_cached (site) > 0);
+      SITE_WAIT (site, site_cached_program_count (site) > 0);
       if (cases[i].restart_engines)
         fault_engines ("{\"fault\":\"restart\"}");
       check_callers (calls, site_host (site, "entry-2"));
       if (cases[i].killed != NULL)
         {
-          SITE_CHECK (site, site_cached (site) > 0);
+          SITE_CHECK (site, site_cached_program_count (site) > 0);
           killed = site_host (site, cases[i].killed);
           site_kill (killed);
           fault_engines ("{\"fault\":\"clear\"}");
         }
       if (cases[i].comes_back)
         site_restart (site, killed);
-      SITE_WAIT (site, site_cached (site) == 0);
+      SITE_WAIT (site, site_cached_program_count (site) == 0);
       SITE_WAIT (site, cache_of_ended_programs () == 0);
       end_site ();
     }
@@ -867,20 +872,21 @@
   uint64_t reads;
   uint64_t writes;
 
-  site = site_begin (&options);
-  site_target (site, "north-1", "north", 0);
-  site_target (site, "south-1", "south", 1);
-  site_target (site, "east-1", "east", 2);
-  site_entry (site, "entry-1", "north");
-  other = site_entry (site, "entry-2", "south");
-  site_entry (site, "entry-3", "east");
-  site_settle (site);
+  site = site_start (&options);
+  site_add_target (site, "north-1", "north", 0);
+  site_add_target (site, "south-1", "south", 1);
+  site_add_target (site, "east-1", "east", 2);
+  site_add_entry (site, "entry-1", "north");
+  other = site_add_entry (site, "entry-2", "south");
+  site_add_entry (site, "entry-3", "east");
+  site_wait_stable (site);
   make_slow ("/v1/slow", 3000);
   for (size_t i = 0; i < CALLERS_TWICE; i++)
     calls[i] = site_open (
         site, site_host (site, i % 2 == 0 ? "entry-2" : "entry-3"),
         talloc_asprintf (site, "k%zu", i), "letters", tool_plan);
-  SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == CALLERS_TWICE);
+  SITE_WAIT (site,
+             site_effect_count (site, "/v1/notice", NULL) == CALLERS_TWICE);
   reads = store_count ("reads");
   writes = store_count ("writes");
   site_process_signal (site_host (site, "entry-1")->process, SIGKILL);
@@ -894,7 +900,7 @@
   check_notices (CALLERS_TWICE);
   SITE_CHECK (site, site_process_wait (site_host (site, "entry-1")->process));
   SITE_CHECK (site, site_process_wait (site_host (site, "north-1")->process));
-  site_settle (site);
+  site_wait_stable (site);
 }
 
 /* A process with another site's key is listed as a target of this one.  It
@@ -906,13 +912,13 @@
   struct site_host *foreign;
   struct site_call *calls[CALLERS];
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   entry = site_host (site, "entry-1");
-  foreign = site_target_foreign (site, "north-2", "north", 2);
+  foreign = site_add_foreign_target (site, "north-2", "north", 2);
   SITE_WAIT (site, site_counter (site, entry, "peer_handshakes_refused") > 0);
   open_callers (calls, "k");
   check_callers (calls, entry);
-  SITE_CHECK (site, site_work_at (site, 2) == 0);
+  SITE_CHECK (site, site_work_count (site, 2) == 0);
   SITE_CHECK (site,
               site_counter (site, foreign, "peer_connections_made") == 0);
 }
@@ -942,24 +948,24 @@
   struct site_call *call;
   char id[MQ_ID_TEXT];
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   entry = site_host (site, "entry-1");
   make_slow ("/v1/slow", 2000);
   call = site_open (site, entry, "k", "letters", tool_plan);
   mq_id_format (mq_id_open ("clerks", "k"), id);
-  SITE_WAIT (site, site_effects (site, "/v1/notice", NULL) == 1);
+  SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct site_ask ask = { .method = cases[i].method,
-                              .address = entry->http,
-                              .key = SITE_OTHERS,
-                              .body = cases[i].body };
+      struct site_http_request ask = { .method = cases[i].method,
+                                       .address = entry->http,
+                                       .key = SITE_OTHERS_KEY,
+                                       .body = cases[i].body };
       struct site_call *foreign;
 
       ask.path = talloc_asprintf (site, cases[i].form, id);
       foreign = site_call (site, &ask);
       SITE_CHECK (site, site_call_status (foreign) == 404);
-      SITE_CHECK (site, site_call_holds (foreign, "\"not_found\""));
+      SITE_CHECK (site, site_call_contains (foreign, "\"not_found\""));
     }
   site_check_answer (site, call, entry, tool_plan);
   check_notices (1);
@@ -988,15 +994,15 @@
                                   .cache_tokens = 200000,
                                   .stream_buffer_kb = 64 };
   struct site_host *entry;
-  struct site_ask ask
-      = { .key = SITE_CLERKS, .idempotency_key = "poem", .stalled = true };
+  struct site_http_request ask
+      = { .key = SITE_CLERKS_KEY, .idempotency_key = "poem", .stalled = true };
   struct site_call *stalled;
   struct site_call *calls[CALLERS];
   char *body;
   char id[MQ_ID_TEXT];
   struct site_call *fetched;
 
-  site = site_usual (&options);
+  site = site_start_default (&options);
   entry = site_host (site, "entry-1");
   body = site_open_body (site, "poems", poem_plan (POEM_STEPS));
   body[strlen (body) - 1] = '\0';
@@ -1004,13 +1010,13 @@
   ask.path = "/v1/programs";
   ask.body = talloc_asprintf (site, "%s,\"stream\":true}", body);
   stalled = site_call_start (site, &ask);
-  SITE_WAIT (site, site_call_holds (stalled, "accepted"));
+  SITE_WAIT (site, site_call_contains (stalled, "accepted"));
   open_callers (calls, "k");
   check_callers (calls, entry);
   SITE_WAIT (site, site_counter (site, entry, "http_slow_readers") == 1);
   site_call_resume (stalled);
-  site_await (site, stalled);
-  SITE_CHECK (site, !site_call_holds (stalled, "event: final"));
+  site_wait_call (site, stalled);
+  SITE_CHECK (site, !site_call_contains (stalled, "event: final"));
   mq_id_format (mq_id_open ("clerks", "poem"), id);
   ask.idempotency_key = NULL;
   ask.stalled = false;
@@ -1018,5 +1024,5 @@
   ask.path = talloc_asprintf (site, "/v1/programs/%s?wait=1", id);
   fetched = site_call (site, &ask);
   SITE_CHECK (site, site_call_status (fetched) == 200);
-  SITE_CHECK (site, site_call_holds (fetched, "\"ended\""));
+  SITE_CHECK (site, site_call_contains (fetched, "\"ended\""));
 }
