--- a/tests/fuzz/fuzz.c
+++ b/tests/fuzz/fuzz.c
@@ -1,4 +1,4 @@
-/* fuzz.c - what the fuzzed decoders share.
+/* fuzz.c - helpers shared by the fuzz targets.
 
    Needs: fuzz.h.  */
 
@@ -10,7 +10,7 @@
 void
 fuzz_fail (const char *text, const char *file, int line)
 {
-  fprintf (stderr, "%s:%d: does not hold: %s\n", file, line, text);
+  fprintf (stderr, "%s:%d: check failed: %s\n", file, line, text);
   abort ();
 }
 
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,10 +1,10 @@
-/* fuzz.h - decoders of bytes from outside, one function for each.
+/* fuzz.h - fuzz targets for the decoders of external input.
 
-   A function takes any bytes, decodes them as the product does, checks what
-   must hold of whatever was accepted, and says whether it was.  It must give
-   the same verdict for the same bytes.  Built with MQ_FUZZER the file of each
-   is a libFuzzer program ("make fuzz"); tests/test_fuzz.c runs all of them
-   over the corpus.
+   A fuzz target decodes arbitrary bytes as the product does, checks the
+   invariants of accepted input, and returns whether it was accepted.  The
+   result must depend on the bytes only.  With MQ_FUZZER each file is built as
+   a libFuzzer program ("make fuzz"); tests/test_fuzz.c runs all targets over
+   the corpus.
    Needs: types.h.  */
 
 #ifndef MQ_FUZZ_H
@@ -12,7 +12,7 @@
 
 #include "core/types.h"
 
-/* X (name, mutations of each file of its corpus in test_fuzz)  */
+/* X (name, mutations per corpus file in test_fuzz) */
 #define FUZZ_LIST(X)                                                          \
   X (text, 500)                                                               \
   X (settings, 1000)                                                          \
@@ -30,15 +30,15 @@
   X (wire, 500)                                                               \
   X (rows, 500)
 
-/* True when the bytes were accepted.  */
+/* Returns true if the input was accepted.  */
 typedef bool fuzz_function (const uint8_t *data, size_t len);
 
 #define FUZZ_DECLARE(name, mutations) fuzz_function fuzz_##name;
 FUZZ_LIST (FUZZ_DECLARE)
 #undef FUZZ_DECLARE
 
-/* Stops the process, which libFuzzer and Criterion both report, and says what
-   did not hold.  */
+/* Prints the failed condition and aborts, which libFuzzer and Criterion
+   report.  */
 #define FUZZ_CHECK(condition)                                                 \
   do                                                                          \
     if (!(condition))                                                         \
@@ -47,16 +47,17 @@
 void fuzz_fail (const char *text, const char *file, int line)
     __attribute__ ((noreturn));
 
-/* A cursor over the input.  */
+/* Remaining input.  */
 struct fuzz_input
 {
   const uint8_t *data;
   size_t len;
 };
 
-/* The next line below CTX without its end, NULL when nothing is left.  */
+/* Returns the next line without its newline, allocated below CTX; NULL at the
+   end of the input.  */
 char *fuzz_next_line (TALLOC_CTX *ctx, struct fuzz_input *input);
-/* All that is left as zero-terminated text below CTX.  */
+/* Returns the remaining input as a null-terminated string below CTX.  */
 char *fuzz_rest (TALLOC_CTX *ctx, const struct fuzz_input *input);
 
 #ifdef MQ_FUZZER
--- a/tests/matrix_cells.c
+++ b/tests/matrix_cells.c
@@ -1,4 +1,4 @@
-/* matrix_cells.c - the tables of the fault matrix.
+/* matrix_cells.c - cells of the fault matrix and of its planted bugs.
 
    Needs: matrix_cells.h.  */
 
@@ -57,7 +57,7 @@
 const size_t matrix_plant_count
     = sizeof matrix_plants / sizeof matrix_plants[0];
 
-/* Any step that has SCRIPT stands for it in a run without a fault.  */
+/* A fault-free cell names any step of SCRIPT to select the script.  */
 struct world_cell
 matrix_baseline_cell (enum world_script script, uint32_t index)
 {
@@ -77,9 +77,8 @@
   return 1 + mq_random_below (random, count == 0 ? 1 : count);
 }
 
-/* The first run of a step and fault is at its first occurrence, the others
-   are at occurrences spread evenly over a run, the last one included.  A
-   step that occurs less often gets more seeds at each.  */
+/* Spreads the injections evenly from the first to the last occurrence of a
+   step. A step with fewer occurrences gets more seeds for each.  */
 static uint32_t
 spread_nth (uint32_t index, uint32_t count)
 {
--- a/tests/matrix_cells.h
+++ b/tests/matrix_cells.h
@@ -1,4 +1,4 @@
-/* matrix_cells.h - the tables of the fault matrix.
+/* matrix_cells.h - cells of the fault matrix and of its planted bugs.
 
    Needs: world.h.  */
 
@@ -9,22 +9,21 @@
 
 enum
 {
-  MATRIX_PAIRS = 3000,       /* pairs of faults, drawn by seed */
-  MATRIX_BASELINE_SEEDS = 4, /* runs of each script without a fault */
-  MATRIX_OCCURRENCES = 6,    /* of a step that each fault is injected at */
-  MATRIX_SEEDS = 2,          /* runs of each step, fault and occurrence */
-  MATRIX_PLANT_SEEDS = 16,   /* at most */
+  MATRIX_PAIRS = 3000,       /* random pairs of faults */
+  MATRIX_BASELINE_SEEDS = 4, /* fault-free runs of each script */
+  MATRIX_OCCURRENCES = 6,    /* occurrences of a step to inject at */
+  MATRIX_SEEDS = 2,          /* seeds for each step, fault and occurrence */
+  MATRIX_PLANT_SEEDS = 16,   /* maximum seeds of a planted bug */
   MATRIX_SINGLES = MATRIX_OCCURRENCES * MATRIX_SEEDS,
-  MATRIX_GAP_MAX = 60 /* steps between the two faults of a pair */
+  MATRIX_GAP_MAX = 60 /* maximum steps between the faults of a pair */
 };
 
 /**
- * struct matrix_plant - a bug planted in the world, and who must notice it
- * @plant: the bug
- * @invariant: what it must break
- * @cell: where it is planted
- * @seeds: how many worlds it is planted in: several for a bug whose harm
- *         depends on the order of events
+ * struct matrix_plant - a planted bug and the invariant that must detect it
+ * @invariant: invariant that must be violated
+ * @cell: cell to run with the bug
+ * @seeds: number of seeds to run; more than 1 if detection depends on the
+ *         order of events
  */
 struct matrix_plant
 {
@@ -37,7 +36,7 @@
 extern const struct matrix_plant matrix_plants[];
 extern const size_t matrix_plant_count;
 
-/* Steps by how often each occurs in a run without a fault.  */
+/* Minimum occurrences of each step in a fault-free run.  */
 struct matrix_counts
 {
   uint32_t steps[STEP_COUNT];
--- a/tests/matrix_jobs.c
+++ b/tests/matrix_jobs.c
@@ -1,8 +1,8 @@
-/* matrix_jobs.c - runs many cells of the fault matrix side by side.
+/* matrix_jobs.c - runs cells of the fault matrix in parallel.
 
-   Each child process runs every N-th cell and writes the reports to a pipe
-   of its own.  A run that crashes takes its child with it: its cell is
-   known by being the next one due, and another child goes on behind it.
+   Each child process runs every N-th cell and writes the reports to its own
+   pipe.  If a child crashes, the next cell without a report is marked as
+   crashed, and a new child continues with the cell after that.
    Needs: matrix_jobs.h, POSIX.  */
 
 #include "matrix_jobs.h"
@@ -22,11 +22,11 @@
 {
   pid_t process;
   int pipe;
-  size_t next; /* cell whose report is due */
+  size_t next; /* index of the next cell to report */
 };
 
 static void
-write_whole (int fd, const void *data, size_t len)
+write_all (int fd, const void *data, size_t len)
 {
   const char *at = data;
 
@@ -42,7 +42,7 @@
 }
 
 static bool
-read_whole (int fd, void *data, size_t len)
+read_all (int fd, void *data, size_t len)
 {
   char *at = data;
 
@@ -59,14 +59,14 @@
 }
 
 static void
-be_child (const struct matrix_job *jobs, size_t count, size_t first, int fd)
+run_child (const struct matrix_job *jobs, size_t count, size_t first, int fd)
 {
   struct world_report report;
 
   for (size_t i = first; i < count; i += CHILDREN)
     {
       world_run (&jobs[i].cell, false, &report);
-      write_whole (fd, &report, sizeof report);
+      write_all (fd, &report, sizeof report);
     }
   _exit (0);
 }
@@ -88,20 +88,20 @@
   if (child->process == 0)
     {
       close (ends[0]);
-      be_child (jobs, count, child->next, ends[1]);
+      run_child (jobs, count, child->next, ends[1]);
     }
   close (ends[1]);
   child->pipe = ends[0];
 }
 
-/* A report is there, or the child has ended before its last one.  */
+/* Reads a report. At end of file, restarts the child if cells remain.  */
 static void
-hear_child (struct child *child, struct matrix_job *jobs, size_t count)
+read_report (struct child *child, struct matrix_job *jobs, size_t count)
 {
   struct matrix_job *job = &jobs[child->next];
 
   if (child->next < count
-      && read_whole (child->pipe, &job->report, sizeof job->report))
+      && read_all (child->pipe, &job->report, sizeof job->report))
     {
       child->next += CHILDREN;
       return;
@@ -142,11 +142,11 @@
         continue;
       for (size_t i = 0; i < CHILDREN; i++)
         if (children[i].pipe >= 0 && polls[i].revents != 0)
-          hear_child (&children[i], jobs, count);
+          read_report (&children[i], jobs, count);
     }
 }
 
-/* Cells as text.  */
+/* Text form of cells.  */
 
 void
 matrix_cell_format (const struct world_cell *cell, char text[MATRIX_CELL_TEXT])
--- a/tests/matrix_jobs.h
+++ b/tests/matrix_jobs.h
@@ -1,4 +1,4 @@
-/* matrix_jobs.h - runs many cells of the fault matrix side by side.
+/* matrix_jobs.h - runs cells of the fault matrix in parallel.
 
    Needs: world.h.  */
 
@@ -8,10 +8,9 @@
 #include "world.h"
 
 /**
- * struct matrix_job - one cell and what its run showed
- * @cell: the cell
+ * struct matrix_job - a cell and the result of its run
  * @report: valid unless @crashed
- * @crashed: the run ended its process
+ * @crashed: the process crashed during the run
  */
 struct matrix_job
 {
@@ -20,7 +19,7 @@
   bool crashed;
 };
 
-/* Runs all JOBS in a few child processes.  */
+/* Runs all JOBS in child processes.  */
 void matrix_run (struct matrix_job *jobs, size_t count);
 
 enum
@@ -28,7 +27,7 @@
   MATRIX_CELL_TEXT = 160
 };
 
-/* A cell as MATRIX_CELL takes it, and back.  */
+/* Convert between a cell and the value of MATRIX_CELL.  */
 void matrix_cell_format (const struct world_cell *cell,
                          char text[MATRIX_CELL_TEXT]);
 bool matrix_cell_parse (const char *text, struct world_cell *cell);
--- a/tests/site_http.c
+++ b/tests/site_http.c
@@ -1,4 +1,4 @@
-/* site_http.c - callers of a site: blocking HTTP, each in a thread.
+/* site_http.c - HTTP requests of a test, each performed in its own thread.
 
    Needs: site_http.h.  */
 
@@ -13,13 +13,13 @@
 
 enum
 {
-  LOOK_US = 2000,
-  CONNECT_MS = 10000,
+  POLL_INTERVAL_US = 2000,
+  CONNECT_TIMEOUT_MS = 10000,
   STALLED_RECEIVE_BYTES = 4096,
   STALLED_SOCKET_BYTES = 16384
 };
 
-/* Fields below LOCK are shared with the thread.  */
+/* LOCK protects the fields below it.  */
 struct site_call
 {
   pthread_t thread;
@@ -31,7 +31,7 @@
   json_t *json;
   pthread_mutex_t lock;
   bool done;
-  bool broken_off;
+  bool aborted;
   bool stalled;
   long status;
   char *body;
@@ -39,7 +39,7 @@
 };
 
 static void *
-need (void *memory)
+check_alloc (void *memory)
 {
   if (memory == NULL)
     abort ();
@@ -52,20 +52,21 @@
   bool stalled;
 
   pthread_mutex_lock (&call->lock);
-  stalled = call->stalled && !call->broken_off && call->len > 0;
+  stalled = call->stalled && !call->aborted && call->len > 0;
   pthread_mutex_unlock (&call->lock);
   return stalled;
 }
 
 static size_t
-take_body (char *bytes, size_t size, size_t count, void *data)
+receive_body (char *bytes, size_t size, size_t count, void *data)
 {
   struct site_call *call = data;
 
   while (is_stalled (call))
-    usleep (LOOK_US);
+    usleep (POLL_INTERVAL_US);
   pthread_mutex_lock (&call->lock);
-  call->body = need (realloc (call->body, call->len + size * count + 1));
+  call->body
+      = check_alloc (realloc (call->body, call->len + size * count + 1));
   memcpy (call->body + call->len, bytes, size * count);
   call->len += size * count;
   call->body[call->len] = '\0';
@@ -74,20 +75,20 @@
 }
 
 static int
-look_at_end (void *data, curl_off_t down_total, curl_off_t down,
+check_abort (void *data, curl_off_t down_total, curl_off_t down,
              curl_off_t up_total, curl_off_t up)
 {
   struct site_call *call = data;
-  bool broken_off;
+  bool aborted;
 
   (void)down_total;
   (void)down;
   (void)up_total;
   (void)up;
   pthread_mutex_lock (&call->lock);
-  broken_off = call->broken_off;
+  aborted = call->aborted;
   pthread_mutex_unlock (&call->lock);
-  return broken_off;
+  return aborted;
 }
 
 static void *
@@ -117,9 +118,9 @@
   call->headers = curl_slist_append (call->headers, line);
 }
 
-/* So that what a stalled caller's kernel takes in is known.  */
+/* Limits the data that the kernel buffers for a stalled client.  */
 static int
-bound_receive_buffer (void *data, curl_socket_t fd, curlsocktype purpose)
+limit_receive_buffer (void *data, curl_socket_t fd, curlsocktype purpose)
 {
   int bytes = STALLED_SOCKET_BYTES;
 
@@ -131,50 +132,52 @@
 }
 
 static void
-prepare (struct site_call *call, const struct site_http_request *ask)
+prepare (struct site_call *call, const struct site_http_request *request)
 {
-  char *bearer = ask->key == NULL
+  char *bearer = request->key == NULL
                      ? NULL
-                     : talloc_asprintf (call, "Bearer %s", ask->key);
+                     : talloc_asprintf (call, "Bearer %s", request->key);
 
-  call->url = talloc_asprintf (call, "http://%s%s", ask->address, ask->path);
+  call->url
+      = talloc_asprintf (call, "http://%s%s", request->address, request->path);
   add_header (call, "Authorization", bearer);
-  add_header (call, "Idempotency-Key", ask->idempotency_key);
+  add_header (call, "Idempotency-Key", request->idempotency_key);
   add_header (call, "Expect", "");
   curl_easy_setopt (call->curl, CURLOPT_URL, call->url);
   curl_easy_setopt (call->curl, CURLOPT_HTTPHEADER, call->headers);
   curl_easy_setopt (call->curl, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (call->curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+  curl_easy_setopt (call->curl, CURLOPT_CONNECTTIMEOUT_MS,
+                    (long)CONNECT_TIMEOUT_MS);
   curl_easy_setopt (call->curl, CURLOPT_TIMEOUT_MS, (long)SITE_WAIT_LIMIT_MS);
-  curl_easy_setopt (call->curl, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (call->curl, CURLOPT_WRITEFUNCTION, receive_body);
   curl_easy_setopt (call->curl, CURLOPT_WRITEDATA, call);
-  curl_easy_setopt (call->curl, CURLOPT_XFERINFOFUNCTION, look_at_end);
+  curl_easy_setopt (call->curl, CURLOPT_XFERINFOFUNCTION, check_abort);
   curl_easy_setopt (call->curl, CURLOPT_XFERINFODATA, call);
   curl_easy_setopt (call->curl, CURLOPT_NOPROGRESS, 0L);
-  if (ask->stalled)
+  if (request->stalled)
     {
       curl_easy_setopt (call->curl, CURLOPT_BUFFERSIZE,
                         (long)STALLED_RECEIVE_BYTES);
       curl_easy_setopt (call->curl, CURLOPT_SOCKOPTFUNCTION,
-                        bound_receive_buffer);
+                        limit_receive_buffer);
     }
-  if (ask->body != NULL)
+  if (request->body != NULL)
     {
-      call->request_body = talloc_strdup (call, ask->body);
+      call->request_body = talloc_strdup (call, request->body);
       curl_easy_setopt (call->curl, CURLOPT_POSTFIELDS, call->request_body);
     }
-  if (ask->method != NULL)
+  if (request->method != NULL)
     {
-      call->method = talloc_strdup (call, ask->method);
+      call->method = talloc_strdup (call, request->method);
       curl_easy_setopt (call->curl, CURLOPT_CUSTOMREQUEST, call->method);
     }
 }
 
 static int
-end_call (struct site_call *call)
+destroy_call (struct site_call *call)
 {
   pthread_mutex_lock (&call->lock);
-  call->broken_off = true;
+  call->aborted = true;
   pthread_mutex_unlock (&call->lock);
   pthread_join (call->thread, NULL);
   pthread_mutex_destroy (&call->lock);
@@ -186,18 +189,18 @@
 }
 
 struct site_call *
-site_call_start (TALLOC_CTX *ctx, const struct site_http_request *ask)
+site_call_start (TALLOC_CTX *ctx, const struct site_http_request *request)
 {
-  struct site_call *call = need (talloc_zero (ctx, struct site_call));
+  struct site_call *call = check_alloc (talloc_zero (ctx, struct site_call));
 
-  call->curl = need (curl_easy_init ());
-  call->body = need (calloc (1, 1));
-  call->stalled = ask->stalled;
+  call->curl = check_alloc (curl_easy_init ());
+  call->body = check_alloc (calloc (1, 1));
+  call->stalled = request->stalled;
   pthread_mutex_init (&call->lock, NULL);
-  prepare (call, ask);
+  prepare (call, request);
   if (pthread_create (&call->thread, NULL, run, call) != 0)
     abort ();
-  talloc_set_destructor (call, end_call);
+  talloc_set_destructor (call, destroy_call);
   return call;
 }
 
@@ -215,12 +218,12 @@
 bool
 site_call_contains (struct site_call *call, const char *text)
 {
-  bool holds;
+  bool found;
 
   pthread_mutex_lock (&call->lock);
-  holds = strstr (call->body, text) != NULL;
+  found = strstr (call->body, text) != NULL;
   pthread_mutex_unlock (&call->lock);
-  return holds;
+  return found;
 }
 
 void
@@ -251,13 +254,13 @@
   return call->json;
 }
 
-/* libcurl's own limit ends it.  */
+/* The loop is bounded by the timeout of libcurl.  */
 struct site_call *
-site_call (TALLOC_CTX *ctx, const struct site_http_request *ask)
+site_call (TALLOC_CTX *ctx, const struct site_http_request *request)
 {
-  struct site_call *call = site_call_start (ctx, ask);
+  struct site_call *call = site_call_start (ctx, request);
 
   while (!site_call_done (call))
-    usleep (LOOK_US);
+    usleep (POLL_INTERVAL_US);
   return call;
 }
--- a/tests/site_http.h
+++ b/tests/site_http.h
@@ -1,4 +1,4 @@
-/* site_http.h - callers of a site: blocking HTTP, each in a thread.
+/* site_http.h - HTTP requests of a test, each performed in its own thread.
 
    Needs: libcurl, jansson, pthreads, talloc.  */
 
@@ -12,14 +12,14 @@
 #include <talloc.h>
 
 /**
- * struct site_http_request - one HTTP request
- * @method: NULL: GET, or POST with a body
+ * struct site_http_request - an HTTP request
+ * @method: NULL for GET, or POST if there is a body
  * @address: "IP:PORT"
- * @path: with its query
- * @key: bearer token, NULL: none
- * @idempotency_key: NULL: none
- * @body: NULL: none
- * @stalled: reads nothing after the first bytes of the answer, until
+ * @path: path and query
+ * @key: bearer token; NULL if none
+ * @idempotency_key: NULL if none
+ * @body: NULL if none
+ * @stalled: stop reading after the first bytes of the response, until
  *           site_call_resume
  */
 struct site_http_request
@@ -35,20 +35,20 @@
 
 struct site_call;
 
-/* CTX frees it, after its request has ended or was broken off.  */
+/* Freeing the call aborts the request if it is still active.  */
 struct site_call *site_call_start (TALLOC_CTX *ctx,
-                                   const struct site_http_request *ask);
+                                   const struct site_http_request *request);
 bool site_call_done (struct site_call *call);
-/* Whether what has come so far of the body holds TEXT.  */
+/* Returns true if the body received so far contains TEXT.  */
 bool site_call_contains (struct site_call *call, const char *text);
 void site_call_resume (struct site_call *call);
-/* HTTP status; 0 when there was no whole answer.  After its end only.  */
+/* HTTP status; 0 if the response is incomplete. Valid once done.  */
 long site_call_status (struct site_call *call);
 const char *site_call_body (struct site_call *call);
-/* The body as JSON, borrowed; NULL when it is none.  */
+/* Borrowed reference to the body as JSON; NULL if it is not JSON.  */
 json_t *site_call_json (struct site_call *call);
-/* Starts it and waits for its end.  */
+/* Performs a request and waits for its end.  */
 struct site_call *site_call (TALLOC_CTX *ctx,
-                             const struct site_http_request *ask);
+                             const struct site_http_request *request);
 
 #endif
--- a/tests/site_kit.c
+++ b/tests/site_kit.c
@@ -1,4 +1,4 @@
-/* site_kit.c - a small site of real processes on the loopback.
+/* site_kit.c - a complete site of real processes on the loopback interface.
 
    Needs: site_kit.h, peer_kit.h (the relay), the stand-ins' engine_plan.h.  */
 
@@ -19,10 +19,10 @@
 
 enum
 {
-  LOOK_US = 10000,
-  WORKERS_USUAL = 2,
-  CACHE_TOKENS_USUAL = 60000,
-  KEYS_TRIED_MAX = 1000
+  POLL_INTERVAL_US = 10000,
+  DEFAULT_WORKERS = 2,
+  DEFAULT_CACHE_TOKENS = 60000,
+  KEY_ATTEMPTS_MAX = 1000
 };
 
 #define OPERATOR_KEY "key-of-operator"
@@ -32,8 +32,8 @@
   "ff0102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 #define NO_PROGRAM "00000000000000000000000000000000"
 
-/* Texts: [site] and keys of the organisations are filled in.  */
-static const char text_form[]
+/* Format: partitions, settings of [site], key hashes of the organisations.  */
+static const char config_format[]
     = "[site]\nname = proofs\npartitions = %u\n%s\n"
       "[organisation clerks]\nkey_sha256 = %s\nmax_programs = 5000\n"
       "[organisation others]\nkey_sha256 = %s\n"
@@ -58,10 +58,10 @@
       "budget_turns = 400\nbudget_seconds = 600\npriority = batch\n"
       "prompt = You write long poems.\n";
 
-static const char usual_site_keys[]
+static const char default_site_keys[]
     = "lease_ms = 2000\ncache_lease_ms = 5000\n";
 
-/* ---- Failing and waiting ---- */
+/* ---- Failures and waiting ---- */
 
 static void
 dump_all (const struct site *site)
@@ -77,9 +77,9 @@
 void
 site_fail (struct site *site, const char *file, int line, const char *what)
 {
-  fprintf (stderr, "%s:%d: not so: %s\n", file, line, what);
+  fprintf (stderr, "%s:%d: check failed: %s\n", file, line, what);
   dump_all (site);
-  cr_assert_fail ("%s:%d: not so: %s", file, line, what);
+  cr_assert_fail ("%s:%d: check failed: %s", file, line, what);
   abort ();
 }
 
@@ -93,10 +93,10 @@
     *until = now + SITE_WAIT_LIMIT_MS;
   if (now >= *until)
     site_fail (site, file, line, what);
-  usleep (LOOK_US);
+  usleep (POLL_INTERVAL_US);
 }
 
-/* ---- Looking ---- */
+/* ---- Observation ---- */
 
 static int
 free_json (json_t **json)
@@ -106,7 +106,7 @@
 }
 
 static json_t *
-keep_json (struct site *site, json_t *json)
+own_json (struct site *site, json_t *json)
 {
   json_t **kept = talloc (site, json_t *);
 
@@ -118,13 +118,13 @@
 json_t *
 site_get (struct site *site, const char *address, const char *path)
 {
-  struct site_http_request ask
+  struct site_http_request request
       = { .address = address, .path = path, .key = OPERATOR_KEY };
-  struct site_call *call = site_call (site, &ask);
+  struct site_call *call = site_call (site, &request);
   json_t *json = NULL;
 
   if (site_call_status (call) == 200)
-    json = keep_json (site, json_incref (site_call_json (call)));
+    json = own_json (site, json_incref (site_call_json (call)));
   talloc_free (call);
   return json;
 }
@@ -153,8 +153,9 @@
 site_counter (struct site *site, const struct site_host *host,
               const char *name)
 {
-  struct site_http_request ask = { .address = host->http, .path = "/metrics" };
-  struct site_call *call = site_call (site, &ask);
+  struct site_http_request request
+      = { .address = host->http, .path = "/metrics" };
+  struct site_call *call = site_call (site, &request);
   char *line = talloc_asprintf (call, "\nmimosa_%s ", name);
   const char *found = strstr (site_call_body (call), line);
   uint64_t value = 0;
@@ -224,7 +225,7 @@
   return work;
 }
 
-/* The program of 32 zeros holds what belongs to the service.  */
+/* Excludes the zero program, which owns the blocks of the service.  */
 uint64_t
 site_cached_program_count (struct site *site)
 {
@@ -272,9 +273,9 @@
 void
 site_fault (struct site *site, const char *address, const char *json)
 {
-  struct site_http_request ask
+  struct site_http_request request
       = { .address = address, .path = "/standin/fault", .body = json };
-  struct site_call *call = site_call (site, &ask);
+  struct site_call *call = site_call (site, &request);
 
   if (site_call_status (call) != 200)
     site_fail (site, __FILE__, __LINE__, json);
@@ -367,8 +368,8 @@
 char *
 site_config_text (struct site *site, const char *site_keys)
 {
-  return talloc_asprintf (site, text_form, SITE_PARTITIONS,
-                          site_keys == NULL ? usual_site_keys : site_keys,
+  return talloc_asprintf (site, config_format, SITE_PARTITIONS,
+                          site_keys == NULL ? default_site_keys : site_keys,
                           hash_hex (site, SITE_CLERKS_KEY),
                           hash_hex (site, SITE_OTHERS_KEY));
 }
@@ -397,16 +398,16 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   signal (SIGPIPE, SIG_IGN);
   site->options = *options;
-  site->workers = options->workers == 0 ? WORKERS_USUAL : options->workers;
+  site->workers = options->workers == 0 ? DEFAULT_WORKERS : options->workers;
   site->operator_key_file = site_file (site, OPERATOR_KEY);
   if (site->options.cache_tokens == 0)
-    site->options.cache_tokens = CACHE_TOKENS_USUAL;
+    site->options.cache_tokens = DEFAULT_CACHE_TOKENS;
   start_standins (site);
   apply_text (site, options->site_keys);
   return site;
 }
 
-/* Daemons go first, so that none reports a platform that is gone.  */
+/* Stops the daemons first, so that none reports an unavailable platform.  */
 void
 site_stop (struct site *site)
 {
@@ -505,11 +506,11 @@
 site_publish_host (struct site *site, const struct site_host *host,
                    bool leaving)
 {
-  struct site_http_request ask
+  struct site_http_request request
       = { .address = site->platform, .path = "/standin/hosts" };
   struct site_call *call;
 
-  ask.body = talloc_asprintf (
+  request.body = talloc_asprintf (
       site,
       "{\"name\":\"%s\",\"role\":\"%s\",\"data_centre\":\"%s\","
       "\"region\":\"main\",\"address\":\"%s\",\"http\":\"%s\","
@@ -517,7 +518,7 @@
       host->name, host->role, host->data_centre,
       host->listed != NULL ? host->listed : host->peer, host->http,
       leaving ? "true" : "false");
-  call = site_call (site, &ask);
+  call = site_call (site, &request);
   SITE_CHECK (site, site_call_status (call) == 200);
   talloc_free (call);
 }
@@ -525,12 +526,12 @@
 void
 site_unpublish_host (struct site *site, const struct site_host *host)
 {
-  struct site_http_request ask
+  struct site_http_request request
       = { .address = site->platform, .method = "DELETE" };
   struct site_call *call;
 
-  ask.path = talloc_asprintf (site, "/standin/hosts/%s", host->name);
-  call = site_call (site, &ask);
+  request.path = talloc_asprintf (site, "/standin/hosts/%s", host->name);
+  call = site_call (site, &request);
   SITE_CHECK (site, site_call_status (call) == 200);
   talloc_free (call);
 }
@@ -570,10 +571,11 @@
   return host;
 }
 
-/* In a process of its own, so that it relays while the test waits.  */
+/* The relay runs in its own process, so that it forwards while the test
+   waits.  */
 static void
-on_silence (struct tevent_context *ev, struct tevent_signal *event, int number,
-            int count, void *info, void *data)
+on_stall_signal (struct tevent_context *ev, struct tevent_signal *event,
+                 int number, int count, void *info, void *data)
 {
   (void)ev;
   (void)event;
@@ -591,7 +593,7 @@
 
   kit_start ();
   relay = kit_relay (*port);
-  tevent_add_signal (kit_ev, kit_ev, SIGUSR1, 0, on_silence, relay);
+  tevent_add_signal (kit_ev, kit_ev, SIGUSR1, 0, on_stall_signal, relay);
   dprintf (out, "listening %s\n", kit_relay_address (relay));
   tevent_loop_wait (kit_ev);
 }
@@ -642,7 +644,7 @@
 }
 
 static bool
-is_settled (struct site *site)
+is_stable (struct site *site)
 {
   uint32_t entries = 0;
   uint32_t owned = 0;
@@ -671,7 +673,7 @@
 void
 site_wait_stable (struct site *site)
 {
-  SITE_WAIT (site, is_settled (site));
+  SITE_WAIT (site, is_stable (site));
 }
 
 struct site *
@@ -693,7 +695,7 @@
 site_key_owned_by (struct site *site, const struct site_host *host,
                    const char *begin)
 {
-  for (int i = 0; i < KEYS_TRIED_MAX; i++)
+  for (int i = 0; i < KEY_ATTEMPTS_MAX; i++)
     {
       char *key = talloc_asprintf (site, "%s-%d", begin, i);
       struct mq_id id = mq_id_open ("clerks", key);
@@ -722,13 +724,13 @@
 site_open (struct site *site, const struct site_host *host, const char *key,
            const char *service, const char *plan)
 {
-  struct site_http_request ask = { .address = host->http,
-                                   .path = "/v1/programs",
-                                   .key = SITE_CLERKS_KEY,
-                                   .idempotency_key = key };
+  struct site_http_request request = { .address = host->http,
+                                       .path = "/v1/programs",
+                                       .key = SITE_CLERKS_KEY,
+                                       .idempotency_key = key };
 
-  ask.body = site_open_body (site, service, plan);
-  return site_call_start (site, &ask);
+  request.body = site_open_body (site, service, plan);
+  return site_call_start (site, &request);
 }
 
 void
@@ -737,10 +739,10 @@
   SITE_WAIT (site, site_call_done (call));
 }
 
-/* What the model says to the messages before place AT of the history.  */
+/* Checks message AT against the model's answer to the preceding messages.  */
 static void
 check_assistant (struct site *site, const json_t *messages, size_t at,
-                 struct mq_plan_answer *said)
+                 struct mq_plan_answer *expected)
 {
   const json_t *message = json_array_get (messages, at);
   const json_t *call
@@ -752,29 +754,32 @@
   for (size_t i = 0; i < at; i++)
     json_array_append (before, json_array_get (messages, i));
   SITE_CHECK (site, mq_plan_read (site, before, &prompt, &error));
-  mq_plan_answer (site, before, &prompt, SITE_MAX_TOKENS, said);
+  mq_plan_answer (site, before, &prompt, SITE_MAX_TOKENS, expected);
   json_decref (before);
   SITE_CHECK (site, strcmp (text_of (message, "role"), "assistant") == 0);
-  SITE_CHECK (site, strcmp (text_of (message, "content"), said->text) == 0);
-  if (said->finish != MQ_PLAN_CALL)
+  SITE_CHECK (site,
+              strcmp (text_of (message, "content"), expected->text) == 0);
+  if (expected->finish != MQ_PLAN_CALL)
     return;
-  SITE_CHECK (site, strcmp (text_of (call, "name"), said->call_name) == 0);
-  SITE_CHECK (site, strcmp (text_of (call, "id"), said->call_id) == 0);
+  SITE_CHECK (site, strcmp (text_of (call, "name"), expected->call_name) == 0);
+  SITE_CHECK (site, strcmp (text_of (call, "id"), expected->call_id) == 0);
 }
 
-/* A tool echoes the arguments of the call that it answers.  */
+/* Checks that the tool's response echoes the arguments of the call.  */
 static void
 check_tool (struct site *site, const json_t *message,
-            const struct mq_plan_answer *said)
+            const struct mq_plan_answer *expected)
 {
   json_t *content = json_loads (text_of (message, "content"), 0, NULL);
-  json_t *arguments = json_loads (said->call_arguments, 0, NULL);
+  json_t *arguments = json_loads (expected->call_arguments, 0, NULL);
   bool failed = json_object_get (content, "error") != NULL;
 
   SITE_CHECK (site, strcmp (text_of (message, "role"), "tool") == 0);
-  SITE_CHECK (site, strcmp (text_of (message, "name"), said->call_name) == 0);
   SITE_CHECK (site,
-              strcmp (text_of (message, "tool_call_id"), said->call_id) == 0);
+              strcmp (text_of (message, "name"), expected->call_name) == 0);
+  SITE_CHECK (site,
+              strcmp (text_of (message, "tool_call_id"), expected->call_id)
+                  == 0);
   SITE_CHECK (
       site,
       failed || json_equal (json_object_get (content, "echo"), arguments));
@@ -782,25 +787,25 @@
   json_decref (arguments);
 }
 
-/* History of system, user, then assistant and tool in turn.  */
+/* Checks a history of system, user, then alternating assistant and tool.  */
 static uint32_t
 check_history (struct site *site, const json_t *messages, size_t steps,
                const char *answer)
 {
-  struct mq_plan_answer said = { 0 };
+  struct mq_plan_answer expected = { 0 };
   uint32_t tokens = 0;
   size_t at = 2;
 
   SITE_CHECK (site, json_array_size (messages) == 2 + 2 * steps - 1);
   for (size_t i = 0; i < steps; i++)
     {
-      check_assistant (site, messages, at++, &said);
-      tokens += said.tokens;
+      check_assistant (site, messages, at++, &expected);
+      tokens += expected.tokens;
       if (i + 1 < steps)
-        check_tool (site, json_array_get (messages, at++), &said);
+        check_tool (site, json_array_get (messages, at++), &expected);
     }
-  SITE_CHECK (site, said.text != NULL && said.finish == MQ_PLAN_STOP);
-  SITE_CHECK (site, strcmp (said.text, answer) == 0);
+  SITE_CHECK (site, expected.text != NULL && expected.finish == MQ_PLAN_STOP);
+  SITE_CHECK (site, strcmp (expected.text, answer) == 0);
   return tokens;
 }
 
@@ -808,9 +813,9 @@
 site_check_answer (struct site *site, struct site_call *call,
                    const struct site_host *host, const char *plan)
 {
-  json_t *steps = keep_json (site, json_loads (plan, 0, NULL));
+  json_t *steps = own_json (site, json_loads (plan, 0, NULL));
   json_t *answer;
-  struct site_http_request ask
+  struct site_http_request request
       = { .address = host->http, .key = SITE_CLERKS_KEY };
   struct site_call *history;
   uint32_t tokens;
@@ -820,9 +825,9 @@
     site_fail (site, __FILE__, __LINE__, site_call_body (call));
   answer = site_call_json (call);
   SITE_CHECK (site, strcmp (text_of (answer, "status"), "ended") == 0);
-  ask.path = talloc_asprintf (site, "/v1/programs/%s/history",
-                              text_of (answer, "program"));
-  history = site_call (site, &ask);
+  request.path = talloc_asprintf (site, "/v1/programs/%s/history",
+                                  text_of (answer, "program"));
+  history = site_call (site, &request);
   SITE_CHECK (site, site_call_status (history) == 200);
   tokens = check_history (
       site, json_object_get (site_call_json (history), "messages"),
--- a/tests/site_kit.h
+++ b/tests/site_kit.h
@@ -1,9 +1,9 @@
-/* site_kit.h - a small site of real processes on the loopback, for one test.
+/* site_kit.h - a complete site of real processes on the loopback interface.
 
-   The platform, engines and tools are stand-ins; entry hosts and target
-   hosts are the daemons.  Everything listens on free ports; only processes
-   that were started here get signals.  A check that fails first writes what
-   each process said on standard error.
+   The platform, engines and tools are stand-ins; entry hosts and target hosts
+   run the daemons.  All processes listen on free ports, and only processes
+   started here are signalled.  A failed check prints the standard error of
+   every process.
    Needs: site_process.h, site_http.h, criterion.  */
 
 #ifndef SITE_KIT_H
@@ -21,19 +21,18 @@
   SITE_BUDGET_TOKENS = 8192
 };
 
-/* Keys of the organisations and the operator.  */
 #define SITE_CLERKS_KEY "key-of-clerks"
 #define SITE_OTHERS_KEY "key-of-others"
 
 /**
  * struct site_host - an entry host or a target host
- * @process: its daemon, NULL before it was started
+ * @process: daemon; NULL before it is started
  * @http: "IP:PORT"
- * @peer: "IP:PORT" where it listens for peers
- * @relay: process of the relay in front of @peer, NULL: none
- * @listed: the address that the platform's list gives for @peer
- * @worker: target: which engine and which worker of the tools it stands by
- * @site_key: in place of the site's, NULL: that
+ * @peer: "IP:PORT" for peer connections
+ * @relay: relay process in front of @peer; NULL if none
+ * @listed: address published for @peer; NULL for @peer itself
+ * @worker: target: index of its engine and tool worker
+ * @site_key: overrides the key of the site; NULL for the default
  */
 struct site_host
 {
@@ -50,12 +49,12 @@
 };
 
 /**
- * struct site_options - what differs from test to test
- * @workers: engines and workers of the tools, 0: 2
- * @time_scale: of the engines, NULL: "0.2"
- * @site_keys: keys of [site] in place of the usual ones, NULL: those
- * @cache_tokens: of each engine as its target is told, 0: 60000
- * @stream_buffer_kb: of the entry hosts, 0: not set
+ * struct site_options - settings of a test
+ * @workers: number of engines and of tool workers; 0 for 2
+ * @time_scale: time scale of the engines; NULL for "0.2"
+ * @site_keys: settings of section [site]; NULL for the defaults
+ * @cache_tokens: cache size of each engine; 0 for 60000
+ * @stream_buffer_kb: setting of the entry hosts; 0 if unset
  */
 struct site_options
 {
@@ -67,11 +66,10 @@
 };
 
 /**
- * struct site - all of it
- * @platform: "IP:PORT", as are @engines and @tools
- * @engines: one for each target host
- * @tools: workers of the tools, which share their effects; one for each
- *         target host
+ * struct site - a running site
+ * @platform: "IP:PORT"
+ * @engines: "IP:PORT" of each engine
+ * @tools: "IP:PORT" of each tool worker; all share one record of calls
  */
 struct site
 {
@@ -88,46 +86,49 @@
   char *operator_key_file;
 };
 
-/* Starts the stand-ins and puts the operators' text in force.  Its services:
-   "drafting" (model); the tools "ledger" and "slow" (idempotent), "notice"
-   (not); the agents "letters" (interactive) and "nightly" (batch), and "poems"
-   (batch), which may spend a lot.  */
+/* Starts the stand-ins and applies the configuration. Services: "drafting"
+   (model); the tools "ledger" and "slow" (idempotent) and "notice" (not
+   idempotent); the agents "letters" (interactive), "nightly" (batch) and
+   "poems" (batch, large budget).  */
 struct site *site_start (const struct site_options *options);
 void site_stop (struct site *site);
-/* The usual site: entry hosts entry-1 (north) and entry-2 (south), target
-   hosts north-1 and south-1; returns once it is settled.  */
+/* Starts entry hosts entry-1 (north) and entry-2 (south) and target hosts
+   north-1 and south-1, and waits until the site is stable.  */
 struct site *site_start_default (const struct site_options *options);
 
-/* Starts a daemon and lists it.  */
+/* Start a daemon and publish it in the host list.  */
 struct site_host *site_add_entry (struct site *site, const char *name,
                                   const char *data_centre);
 struct site_host *site_add_target (struct site *site, const char *name,
                                    const char *data_centre, uint32_t worker);
-/* The same, listed by the address of a relay in front of it.  */
+/* Publishes the address of a relay in front of the target.  */
 struct site_host *site_add_relayed_target (struct site *site, const char *name,
                                            const char *data_centre,
                                            uint32_t worker);
-/* All connections that the relay holds go silent; later ones work.  */
+/* Stops forwarding on all open connections of the relay; new connections
+   work.  */
 void site_stall_relay (struct site_host *host);
 struct site_host *site_host (struct site *site, const char *name);
-/* A target host whose settings hold another site's key.  */
+/* Starts a target host with another site's key.  */
 struct site_host *site_add_foreign_target (struct site *site, const char *name,
                                            const char *data_centre,
                                            uint32_t worker);
-/* Starts its daemon anew, at the same addresses; it need not be listed.  */
+/* Starts or restarts the daemon at the same addresses. Does not publish
+   it.  */
 void site_restart (struct site *site, struct site_host *host);
 void site_kill (struct site_host *host);
 void site_publish_host (struct site *site, const struct site_host *host,
                         bool leaving);
 void site_unpublish_host (struct site *site, const struct site_host *host);
-/* Waits until all hosts that run are ready, each partition has one owner
-   and the owners hold equal shares.  */
+/* Waits until all running hosts are ready, each partition has one owner and
+   the partitions are balanced.  */
 void site_wait_stable (struct site *site);
 
-/* Waits and checks.  */
+/* Waiting and checking.  */
 _Noreturn void site_fail (struct site *site, const char *file, int line,
                           const char *what);
-/* Sleeps a little; fails the test when *UNTIL is over (0: starts it).  */
+/* Sleeps for one poll interval; fails the test after *UNTIL, which is
+   initialised if 0.  */
 void site_poll_wait (struct site *site, uint64_t *until, const char *file,
                      int line, const char *what);
 #define SITE_CHECK(site, condition)                                           \
@@ -144,69 +145,70 @@
     }                                                                         \
   while (0)
 
-/* Looking.  */
+/* Observation.  */
 
-/* JSON of GET PATH with the operators' key, freed with the site; NULL when
-   there is no answer.  */
+/* GET with the operator key. Returns the JSON response, freed with the site;
+   NULL on failure.  */
 json_t *site_get (struct site *site, const char *address, const char *path);
-/* Status JSON of a host; NULL when it does not answer.  */
+/* Status JSON of a host; NULL on failure.  */
 json_t *site_status (struct site *site, const struct site_host *host);
-/* Counter "mimosa_NAME" of /metrics, 0 when there is none.  */
+/* Value of "mimosa_NAME" in /metrics; 0 if absent.  */
 uint64_t site_counter (struct site *site, const struct site_host *host,
                        const char *name);
-/* Whether HOST owns PARTITION and serves it.  */
+/* Returns true if HOST is the active owner of PARTITION.  */
 bool site_owns (struct site *site, const struct site_host *host,
                 uint32_t partition);
 uint32_t site_owned_count (struct site *site, const struct site_host *host);
-/* The worker of the tools that runs a call now, -1: none.  */
+/* Index of the tool worker that is running a call; -1 if none.  */
 int32_t site_tool_running (struct site *site);
-/* Work that came to worker N: requests of its engine, effects of its tools. */
+/* Requests submitted to engine WORKER plus calls executed by tool worker
+   WORKER.  */
 uint64_t site_work_count (struct site *site, uint32_t worker);
-/* Programs whose cache the engines hold.  */
+/* Number of programs with cache on the engines.  */
 uint64_t site_cached_program_count (struct site *site);
-/* The engine that generates now, -1: none.  */
+/* Index of the engine that is generating; -1 if none.  */
 int32_t site_engine_running (struct site *site);
-/* Effects on PATH of the tools; REPEATED: keys with more than one.  */
+/* Calls executed on PATH. REPEATED, unless NULL: keys executed more than
+   once.  */
 uint64_t site_effect_count (struct site *site, const char *path,
                             uint64_t *repeated);
 void site_fault (struct site *site, const char *address, const char *json);
 
 /* Programs.  */
 
-/* An Idempotency-Key for SITE_CLERKS_KEY whose program HOST owns.  */
+/* Returns an Idempotency-Key of organisation "clerks" whose partition HOST
+   owns.  */
 char *site_key_owned_by (struct site *site, const struct site_host *host,
-                         const char *begin);
-/* Body that opens a program of SERVICE with PLAN, a JSON array.  */
+                         const char *prefix);
+/* Request body that opens a program of SERVICE. PLAN is a JSON array.  */
 char *site_open_body (struct site *site, const char *service,
                       const char *plan);
-/* Starts to open it at HOST.  */
+/* Starts a request to HOST that opens the program.  */
 struct site_call *site_open (struct site *site, const struct site_host *host,
                              const char *key, const char *service,
                              const char *plan);
-/* Waits for the end of the call.  */
 void site_wait_call (struct site *site, struct site_call *call);
 
 /**
- * site_check_answer - the whole, right answer of a program that ended
- * @site: the site
- * @call: of the caller, which has ended
- * @host: entry host to ask for the history
- * @plan: the program's plan
+ * site_check_answer - verify the answer and history of an ended program
+ * @call: request that opened the program
+ * @host: entry host that serves the history
  *
- * The history must hold the plan's calls in order, each with the answer of
- * its tool to its own arguments, and what the model says to just that
- * history; the caller's answer is the last of it, and the tokens are within
- * the budget.
+ * The history must contain the calls of the plan in order, each with the
+ * tool's response to its arguments, and the model's answers to exactly that
+ * history.  The answer must be the last message, and the token count must be
+ * within the budget.
  */
 void site_check_answer (struct site *site, struct site_call *call,
                         const struct site_host *host, const char *plan);
 
-/* The operators' text with SITE_KEYS in [site], NULL: the usual ones.  */
+/* Returns the configuration text with SITE_KEYS in section [site]; NULL for
+   the defaults.  */
 char *site_config_text (struct site *site, const char *site_keys);
-/* mimosactl with these arguments, ended by NULL.  */
+/* Starts mimosactl. ARGUMENTS ends with NULL.  */
 struct site_process *site_ctl_start (struct site *site,
                                      const char *const *arguments);
-/* The same, waits for its end.  */
+/* Runs mimosactl to completion.  */
 struct site_process *site_ctl (struct site *site,
                                const char *const *arguments);
 
--- a/tests/site_process.c
+++ b/tests/site_process.c
@@ -1,4 +1,4 @@
-/* site_process.c - programs that a test starts, and only those.
+/* site_process.c - child processes of a test.
 
    Needs: site_process.h, Linux (memfd_create, prctl).  */
 
@@ -18,8 +18,8 @@
 
 enum
 {
-  LOOK_MS = 5,
-  CHUNK = 4096
+  POLL_INTERVAL_MS = 5,
+  CHUNK_BYTES = 4096
 };
 
 uint64_t
@@ -32,7 +32,7 @@
 }
 
 static void
-pause_ms (int ms)
+sleep_ms (int ms)
 {
   poll (NULL, 0, ms);
 }
@@ -70,9 +70,9 @@
   return 0;
 }
 
-/* In the child.  PARENT is compared as it may have died before prctl.  */
+/* Runs in the child. Exits if PARENT died before prctl took effect.  */
 static void
-become_child (pid_t parent, int out, int err)
+setup_child (pid_t parent, int out, int err)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   if (getppid () != parent)
@@ -102,7 +102,7 @@
     abort ();
   if (process->pid == 0)
     {
-      become_child (parent, out[1], process->err);
+      setup_child (parent, out[1], process->err);
       *child_out = out[1];
       return process;
     }
@@ -151,11 +151,11 @@
   return process;
 }
 
-/* False at the end of the output.  */
+/* Returns false at end of file.  */
 static bool
 read_output (struct site_process *process)
 {
-  char chunk[CHUNK];
+  char chunk[CHUNK_BYTES];
   ssize_t got;
 
   while ((got = read (process->out, chunk, sizeof chunk)) > 0)
@@ -164,9 +164,9 @@
   return got < 0 && errno == EAGAIN;
 }
 
-/* Stand-ins say where they listen in words, daemons with a line of the log. */
+/* Stand-ins print "listening IP:PORT", daemons log an event "listening".  */
 static bool
-tells_address (const char *line, size_t len)
+announces_address (const char *line, size_t len)
 {
   static const char words[] = "listening";
   static const char event[] = "\"event\":\"listening\"";
@@ -185,7 +185,7 @@
     {
       const char *end = strchr (line, '\n');
 
-      if (end != NULL && tells_address (line, (size_t)(end - line)))
+      if (end != NULL && announces_address (line, (size_t)(end - line)))
         count++;
       line = end == NULL ? NULL : end + 1;
     }
@@ -205,7 +205,7 @@
       open = read_output (process);
       if (count_addresses (process->output) >= count)
         return true;
-      poll (&out, 1, LOOK_MS);
+      poll (&out, 1, POLL_INTERVAL_MS);
     }
   return false;
 }
@@ -230,7 +230,7 @@
       else if (site_now_ms () >= until)
         return false;
       else
-        pause_ms (LOOK_MS);
+        sleep_ms (POLL_INTERVAL_MS);
     }
   read_output (process);
   return true;
@@ -251,7 +251,7 @@
 void
 site_process_dump (const struct site_process *process)
 {
-  char chunk[CHUNK];
+  char chunk[CHUNK_BYTES];
   off_t at = 0;
   ssize_t got;
 
--- a/tests/site_process.h
+++ b/tests/site_process.h
@@ -1,9 +1,8 @@
-/* site_process.h - programs that a test starts, and only those.
+/* site_process.h - child processes of a test.
 
-   Each dies with the test, also when the test crashes: the kernel kills it
-   when the thread that started it ends (PR_SET_PDEATHSIG).  Files that they
-   read and what they write to standard error are kept in memory, so that
-   nothing stays behind.
+   A child dies with the test, even if the test crashes: the kernel kills it
+   when the thread that started it ends (PR_SET_PDEATHSIG).  Input files and
+   standard error are kept in memory, so no files are left behind.
    Needs: talloc.  */
 
 #ifndef SITE_PROCESS_H
@@ -17,18 +16,18 @@
 
 enum
 {
-  SITE_WAIT_LIMIT_MS = 90000, /* of a wait: then something is stuck */
+  SITE_WAIT_LIMIT_MS = 90000, /* limit of every wait */
   SITE_ARGUMENTS_MAX = 48
 };
 
 /**
- * struct site_process - one program
- * @name: what the test calls it
- * @pid: 0 once it was reaped
- * @status: as waitpid gives it, once reaped
- * @out: pipe of its standard output
- * @err: file of its standard error
- * @output: what was read of @out
+ * struct site_process - a child process
+ * @name: name in reports
+ * @pid: 0 once reaped
+ * @status: status from waitpid, valid once reaped
+ * @out: pipe for standard output
+ * @err: memory file for standard error
+ * @output: data read from @out so far
  */
 struct site_process
 {
@@ -41,25 +40,28 @@
 };
 
 uint64_t site_now_ms (void);
-/* Path of a file with TEXT that programs started later can read.  */
+/* Returns the path of a memory file with TEXT, readable by children started
+   later.  */
 char *site_file (TALLOC_CTX *ctx, const char *text);
-/* ARGUMENTS ends with NULL; its first is the name of a program of
-   $BUILD/bin.  The process is killed and reaped with CTX.  */
+/* Starts the program $BUILD/bin/ARGUMENTS[0]. ARGUMENTS ends with NULL. The
+   process is killed and reaped when CTX is freed.  */
 struct site_process *site_process_start (TALLOC_CTX *ctx, const char *name,
                                          const char *const *arguments);
-/* A child of the test that runs RUN (DATA) and never comes back.  */
+/* Forks a child that calls RUN (DATA, standard output), which must not
+   return.  */
 struct site_process *site_process_fork (TALLOC_CTX *ctx, const char *name,
                                         void (*run) (void *data, int out),
                                         void *data);
-/* Reads standard output until COUNT lines begin with "listening".  */
+/* Reads standard output until COUNT addresses have been announced.  */
 bool site_process_wait_listening (struct site_process *process, size_t count);
 void site_process_signal (struct site_process *process, int number);
-/* False when it still runs after SITE_WAIT_LIMIT_MS.  Reads its output.  */
+/* Reads the output until the process ends. Returns false if it is still
+   running after SITE_WAIT_LIMIT_MS.  */
 bool site_process_wait (struct site_process *process);
-/* Whether it ended by itself with exit status 0.  */
+/* Returns true if the process exited with status 0.  */
 bool site_process_succeeded (const struct site_process *process);
 int site_process_exit (const struct site_process *process);
-/* Writes what it said on standard error to ours.  */
+/* Copies the standard error of the process to our own.  */
 void site_process_dump (const struct site_process *process);
 
 #endif
--- a/tests/test_days.c
+++ b/tests/test_days.c
@@ -1,5 +1,4 @@
-/* test_days.c - the days of trouble that are played before a landing leave no
-   kind of trouble out.
+/* test_days.c - the scenario files cover every kind of fault.
 
    Needs: deploy/days/, tests/trouble_kinds.txt, Criterion.  */
 
@@ -17,7 +16,7 @@
   LINE_MAX_BYTES = 1024
 };
 
-/* One entry of a day: its kind, and its variants between spaces.  */
+/* Fault of a scenario: its kind and its variants, delimited by spaces.  */
 struct entry
 {
   char kind[WORD_MAX];
@@ -27,7 +26,7 @@
 static struct entry entries[ENTRIES_MAX];
 static size_t entry_count;
 
-/* Copies what the first group of PATTERN finds in LINE; false: nothing.  */
+/* Copies the first group of PATTERN in LINE to VALUE; false if no match.  */
 static bool
 find_value (const char *line, const char *pattern, char *value, size_t size)
 {
@@ -76,9 +75,10 @@
   globfree (&days);
 }
 
-/* Whether a day has KIND, in the variant HOW; NULL: in any.  */
+/* Returns true if a scenario has KIND in variant HOW; NULL for any
+   variant.  */
 static bool
-is_played (const char *kind, const char *how)
+is_covered (const char *kind, const char *how)
 {
   char word[WORD_MAX + 2];
 
@@ -90,8 +90,7 @@
   return false;
 }
 
-/* A kind of trouble, or a variant of one, that no day has is met for the
-   first time by those who are served.  */
+/* A kind or variant without a scenario would first occur in production.  */
 Test (days, every_kind_of_trouble_has_one)
 {
   FILE *kinds = fopen ("tests/trouble_kinds.txt", "r");
@@ -107,9 +106,9 @@
 
       if (kind == NULL || kind[0] == '#')
         continue;
-      cr_expect (is_played (kind, NULL), "%s", kind);
+      cr_expect (is_covered (kind, NULL), "%s", kind);
       while ((how = strtok_r (NULL, " \n", &rest)) != NULL)
-        cr_expect (is_played (kind, how), "%s %s", kind, how);
+        cr_expect (is_covered (kind, how), "%s %s", kind, how);
     }
   fclose (kinds);
 }
--- a/tests/test_examples.c
+++ b/tests/test_examples.c
@@ -1,4 +1,4 @@
-/* test_examples.c - the programs of examples/ and what is installed.
+/* test_examples.c - the example programs, --version and the installed library.
 
    Needs: the built examples, tests/install.sh, Criterion.  */
 
@@ -22,7 +22,8 @@
   return build == NULL ? "build" : build;
 }
 
-/* Standard output of a shell command; its status comes back.  */
+/* Runs a shell command, captures its standard output and returns its
+   status.  */
 static int
 run (const char *command, char output[OUTPUT_BYTES])
 {
@@ -38,7 +39,7 @@
 struct example
 {
   const char *name;
-  const char *lines[LINES_MAX]; /* each must be in the output, in order */
+  const char *lines[LINES_MAX]; /* must occur in the output in this order */
 };
 
 static const struct example examples[] = {
@@ -120,7 +121,7 @@
     }
 }
 
-/* A program outside the tree builds against what "make install" gives.  */
+/* An external program must compile and link after "make install".  */
 Test (examples, installed_library_links)
 {
   char output[OUTPUT_BYTES];
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -1,10 +1,10 @@
-/* test_fuzz.c - every decoder of bytes from outside, over its corpus and over
-   seeded mutations of it.
+/* test_fuzz.c - every decoder of external input, over its corpus and seeded
+   mutations of it.
 
-   Files "good-…" must be accepted and "bad-…" refused; the others, which the
-   fuzzer found, may be either.  Whatever comes, the checks of tests/fuzz hold
-   and nothing crashes; under ASan and UBSan nothing reads beyond its bytes.
-   The seed and the number of mutations are fixed: every run is the same.
+   Files "good-…" must be accepted and "bad-…" rejected; for other files, found
+   by the fuzzer, either result is valid.  The checks of tests/fuzz must hold
+   for any input; ASan and UBSan detect out-of-bounds reads.  Seed and number
+   of mutations are fixed, so runs are reproducible.
    Needs: fuzz/fuzz.h, Criterion.  */
 
 #include "fuzz/fuzz.h"
@@ -18,8 +18,8 @@
 
 enum
 {
-  CHANGES_MAX = 4, /* in one mutation */
-  GROWTH = 64,     /* bytes that a change may add */
+  CHANGES_MAX = 4, /* per mutation */
+  GROWTH = 64,     /* maximum bytes added by a change */
   FILE_MAX = 64 << 10,
   FIRST_SEED = 1
 };
@@ -31,7 +31,7 @@
   uint64_t mutations;
 };
 
-/* Bytes under mutation and the state of the generator.  */
+/* Input being mutated and the state of the random generator.  */
 struct mutant
 {
   uint8_t data[FILE_MAX + CHANGES_MAX * GROWTH];
@@ -58,7 +58,7 @@
   mutant->len -= len;
 }
 
-/* Puts a copy of other bytes of the mutant at AT.  */
+/* Inserts a copy of another part of the input at AT.  */
 static void
 repeat_part (struct mutant *mutant, size_t at)
 {
@@ -106,7 +106,8 @@
     }
 }
 
-/* Exactly its bytes, so that ASan sees one read beyond them.  */
+/* Copies the input to a buffer of its exact size, so that ASan detects any
+   out-of-bounds read.  */
 static bool
 run_exact (const struct fuzz_case *test, const uint8_t *data, size_t len)
 {
--- a/tests/test_matrix.c
+++ b/tests/test_matrix.c
@@ -1,9 +1,8 @@
 /* test_matrix.c - every fault at every step, and pairs of faults.
 
-   Each cell runs the world to the chosen occurrence of a step, injects its
-   fault exactly there, lets everything recover and come to rest, and judges
-   what callers, workers and the table saw.  MATRIX_CELL runs one cell alone
-   with a trace; a cell that fails prints the line for it.
+   Each cell runs the simulated site to an occurrence of a step, injects its
+   fault, waits for recovery and checks the invariants.  MATRIX_CELL runs a
+   single cell with a trace; a failed cell prints its command line.
    Needs: Criterion, matrix_cells.h, matrix_jobs.h.  */
 
 #include "matrix_cells.h"
@@ -15,7 +14,7 @@
 enum
 {
   SINGLES = STEP_COUNT * (FAULT_COUNT - 1) * MATRIX_SINGLES,
-  BASES = SCRIPT_COUNT * MATRIX_BASELINE_SEEDS,
+  BASELINES = SCRIPT_COUNT * MATRIX_BASELINE_SEEDS,
   PLANTS_MAX = 64
 };
 
@@ -37,7 +36,7 @@
             report->violations[i].text);
 }
 
-/* Failed jobs, each printed.  */
+/* Prints the failed jobs and returns their number.  */
 static size_t
 count_failed (const struct matrix_job *jobs, size_t count)
 {
@@ -62,10 +61,9 @@
   return injected;
 }
 
-/* The longest that anything took in virtual time, and the most that was left
-   behind in the store.  */
+/* Prints the maximum of each measurement over all jobs.  */
 static void
-print_bounds (const struct matrix_job *jobs, size_t count)
+print_maxima (const struct matrix_job *jobs, size_t count)
 {
   uint64_t held_us = 0;
   uint64_t unowned_us = 0;
@@ -119,20 +117,20 @@
   return jobs;
 }
 
-/* Runs every script without a fault; COUNTS gets how often a step occurs in
-   the fewest of them.  */
+/* Runs every script without a fault. Sets COUNTS to the minimum occurrences of
+   each step.  */
 static size_t
-run_bases (struct matrix_counts *counts)
+run_baselines (struct matrix_counts *counts)
 {
-  struct matrix_job *jobs = create_jobs (BASES);
+  struct matrix_job *jobs = create_jobs (BASELINES);
   size_t failed;
 
-  for (uint32_t i = 0; i < BASES; i++)
+  for (uint32_t i = 0; i < BASELINES; i++)
     jobs[i].cell = matrix_baseline_cell (
         (enum world_script) (i / MATRIX_BASELINE_SEEDS),
         i % MATRIX_BASELINE_SEEDS);
-  matrix_run (jobs, BASES);
-  failed = count_failed (jobs, BASES);
+  matrix_run (jobs, BASELINES);
+  failed = count_failed (jobs, BASELINES);
   for (int step = 0; step < STEP_COUNT; step++)
     {
       size_t first = (size_t)world_step_script ((enum world_step)step)
@@ -159,18 +157,18 @@
             (enum world_step)step, (enum world_fault)fault, i, counts);
 }
 
-/* Steps that no run without a fault comes to can't have their cells.  */
+/* A step that never occurs in a fault-free run could not be tested.  */
 static void
-expect_steps (const struct matrix_counts *counts)
+expect_steps_occur (const struct matrix_counts *counts)
 {
   for (int step = 0; step < STEP_COUNT; step++)
     cr_expect_gt (counts->steps[step], 0, "step %s never occurs",
                   world_step_name ((enum world_step)step));
 }
 
-/* Whether any of the worlds that PLANT is in broke what it must break.  */
+/* Returns true if any run with PLANT violated the expected invariant.  */
 static bool
-is_noticed (const struct matrix_plant *plant, const struct matrix_job *jobs)
+is_detected (const struct matrix_plant *plant, const struct matrix_job *jobs)
 {
   for (uint32_t i = 0; i < plant->seeds; i++)
     if (!jobs[i].crashed && jobs[i].report.broken[plant->invariant] > 0)
@@ -197,7 +195,7 @@
   count = 0;
   for (size_t i = 0; i < matrix_plant_count; i++)
     {
-      bool found = is_noticed (&matrix_plants[i], &jobs[count]);
+      bool found = is_detected (&matrix_plants[i], &jobs[count]);
 
       caught += found;
       cr_expect (found, "not noticed: %s",
@@ -210,9 +208,9 @@
   return caught;
 }
 
-/* Each invariant must be known to be able to fail.  */
+/* Every invariant must be shown to detect a planted bug.  */
 static void
-expect_planted (void)
+expect_invariants_planted (void)
 {
   bool planted[INVARIANT_COUNT] = { false };
 
@@ -234,10 +232,8 @@
   cr_expect_eq (job.report.violation_count, 0);
 }
 
-/* Story: whatever fails at whatever step, alone or as two, a person gets her
-   one whole answer or a typed refusal, a form is sent in once, a budget is
-   kept, memory is given back and a change of configuration stays.  The order
-   of events is the cell's: its step, its fault, its seed.  */
+/* No single fault or pair of faults may violate an invariant, and every
+   planted bug must be detected.  */
 Test (matrix, every_fault_at_every_step, .timeout = 900)
 {
   const char *one = getenv ("MATRIX_CELL");
@@ -252,16 +248,16 @@
       return;
     }
   jobs = create_jobs (SINGLES + MATRIX_PAIRS);
-  failed = run_bases (&counts);
-  expect_steps (&counts);
-  expect_planted ();
+  failed = run_baselines (&counts);
+  expect_steps_occur (&counts);
+  expect_invariants_planted ();
   fill_singles (jobs, &counts);
   for (uint32_t i = 0; i < MATRIX_PAIRS; i++)
     jobs[SINGLES + i].cell = matrix_fault_pair_cell (i, &counts);
   matrix_run (jobs, SINGLES + MATRIX_PAIRS);
   failed += count_failed (jobs, SINGLES + MATRIX_PAIRS);
   caught = run_plants ();
-  print_bounds (jobs, SINGLES + MATRIX_PAIRS);
+  print_maxima (jobs, SINGLES + MATRIX_PAIRS);
   printf ("matrix: cells=%zu pairs=%zu invariants=%d planted=%zu caught=%zu "
           "failed=%zu\n",
           count_injected (jobs, SINGLES, 1),
