--- a/standins/engine_batch.c
+++ b/standins/engine_batch.c
@@ -156,7 +156,7 @@
 }
 
 /* Finds a sequence that holds memory but is not running: paused, or resumed
-   and waiting for a slot. Returns NO_SEQUENCE if there is none.  */
+   and waiting for a slot.  Returns NO_SEQUENCE if there is none.  */
 static uint32_t
 find_inactive (const struct mq_engine *engine)
 {
@@ -357,7 +357,7 @@
 }
 
 /* Allocates the memory for the next token of each running sequence, in order
-   of priority. If memory is exhausted, preempts the last one.  */
+   of priority.  If memory is exhausted, preempts the last one.  */
 static void
 grow_running (struct mq_engine *engine)
 {
--- a/standins/engine_kv.c
+++ b/standins/engine_kv.c
@@ -40,7 +40,7 @@
   uint32_t idle_count;
   uint32_t *buckets;
   uint64_t bucket_mask;
-  /* Hashes of freed blocks. Collisions overwrite, so recomputed_tokens is a
+  /* Hashes of freed blocks.  Collisions overwrite, so recomputed_tokens is a
      lower bound.  */
   uint64_t *freed_hashes;
   uint64_t freed_hash_mask;
--- a/standins/engine_kv.h
+++ b/standins/engine_kv.h
@@ -71,12 +71,12 @@
    used block if none is free; MQ_KV_NO_BLOCK if all are referenced.  */
 uint32_t mq_kv_allocate (struct mq_kv *kv, struct mq_id program,
                          uint64_t now_us);
-/* Labels a computed block. Returns the block to use from now on: an existing
+/* Labels a computed block.  Returns the block to use from now on: an existing
    block with the same hash, or BLOCK.  */
 uint32_t mq_kv_label (struct mq_kv *kv, uint32_t block,
                       const struct mq_kv_label *label, uint64_t now_us);
-/* Removes a reference. An unreferenced block stays cached, unless DROP is set:
-   then it is freed.  */
+/* Removes a reference.  An unreferenced block stays cached, unless DROP is
+   set: then it is freed.  */
 void mq_kv_release (struct mq_kv *kv, uint32_t block, bool drop,
                     uint64_t now_us);
 /* Frees the unreferenced blocks owned by PROGRAM; returns the number of
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -177,7 +177,7 @@
 uint64_t mq_engine_submit (struct mq_engine *engine, uint64_t now_us,
                            const struct mq_engine_request *request,
                            struct mq_error *error);
-/* Returns false if the sequence has ended. Sets GENERATED to the tokens
+/* Returns false if the sequence has ended.  Sets GENERATED to the tokens
    generated so far.  */
 bool mq_engine_cancel (struct mq_engine *engine, uint64_t now_us,
                        uint64_t sequence, uint32_t *generated);
@@ -188,7 +188,7 @@
                        uint64_t sequence);
 
 /* Frees the cache of PROGRAM, except blocks in use, which are freed when its
-   sequences end. Returns the number of tokens freed immediately.  */
+   sequences end.  Returns the number of tokens freed immediately.  */
 uint32_t mq_engine_evict (struct mq_engine *engine, uint64_t now_us,
                           struct mq_id program);
 /* Completion is signalled by EXPORTED or IMPORTED. LABELS: as reported by
@@ -198,8 +198,8 @@
 void mq_engine_import (struct mq_engine *engine, uint64_t now_us, uint64_t tag,
                        struct mq_id program, const struct mq_kv_label *labels,
                        size_t count);
-/* Completion is signalled by ORDERED. Returns false with STALE_FENCE if
-   fencing is checked and FENCE is stale. LOAD_MODEL clears the cache.  */
+/* Completion is signalled by ORDERED.  Returns false with STALE_FENCE if
+   fencing is checked and FENCE is stale.  LOAD_MODEL clears the cache.  */
 bool mq_engine_order (struct mq_engine *engine, uint64_t now_us, uint64_t tag,
                       uint64_t fence, enum mq_order_type type,
                       struct mq_error *error);
--- a/standins/engine_plan.c
+++ b/standins/engine_plan.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Separators in the prompt text. JSON escapes control characters, so they
+/* Separators in the prompt text.  JSON escapes control characters, so they
    cannot occur in arguments.  */
 #define CALL_MARK "\x1d"
 #define FIELD_MARK "\x1f"
--- a/standins/engine_plan.h
+++ b/standins/engine_plan.h
@@ -58,11 +58,11 @@
   char *call_arguments;
 };
 
-/* Builds the prompt. Returns false with BAD_JSON if MESSAGES is not an array
+/* Builds the prompt.  Returns false with BAD_JSON if MESSAGES is not an array
    of messages.  */
 bool mq_plan_read (TALLOC_CTX *ctx, const json_t *messages,
                    struct mq_plan_prompt *prompt, struct mq_error *error);
-/* MAX_TOKENS: 0 for no limit. MESSAGES: as passed to mq_plan_read.  */
+/* MAX_TOKENS: 0 for no limit.  MESSAGES: as passed to mq_plan_read.  */
 void mq_plan_answer (TALLOC_CTX *ctx, const json_t *messages,
                      const struct mq_plan_prompt *prompt, uint32_t max_tokens,
                      struct mq_plan_answer *answer);
--- a/standins/host_registry.h
+++ b/standins/host_registry.h
@@ -15,7 +15,7 @@
 struct mq_host_registry;
 
 struct mq_host_registry *mq_host_registry_create (TALLOC_CTX *ctx);
-/* Adds HOST or updates the given fields of an existing host. Returns false if
+/* Adds HOST or updates the given fields of an existing host.  Returns false if
    a field is missing, unknown or of the wrong type.  */
 bool mq_host_registry_set (struct mq_host_registry *registry,
                            const json_t *host);
@@ -23,7 +23,7 @@
 bool mq_host_registry_remove (struct mq_host_registry *registry,
                               const char *name);
 /* Returns a new reference to the current list and stores its change number in
-   NUMBER; mq_host_registry_publish makes that list visible to clients. It
+   NUMBER; mq_host_registry_publish makes that list visible to clients.  It
    takes over the reference and ignores lists older than the visible one.  */
 json_t *mq_host_registry_state (const struct mq_host_registry *registry,
                                 uint64_t *number);
--- a/standins/platform_server.c
+++ b/standins/platform_server.c
@@ -372,7 +372,7 @@
   return (uint64_t)fault.ms * US_PER_MS;
 }
 
-/* Applies the faults that affect execution. They match writes only, so that
+/* Applies the faults that affect execution.  They match writes only, so that
    reads do not consume their count.  */
 static void
 start_write (struct operation *operation, uint64_t *wait_us)
--- a/standins/table.h
+++ b/standins/table.h
@@ -91,7 +91,7 @@
 
 void mq_table_put (struct mq_table *table, const char *key,
                    struct mq_bytes value);
-/* Returns false if the object does not exist. VALUE is a copy below CTX.  */
+/* Returns false if the object does not exist.  VALUE is a copy below CTX.  */
 bool mq_table_get (struct mq_table *table, TALLOC_CTX *ctx, const char *key,
                    struct mq_bytes *value);
 /* Returns false if the object did not exist.  */
--- a/tests/matrix_cells.c
+++ b/tests/matrix_cells.c
@@ -78,7 +78,7 @@
 }
 
 /* Spreads the injections evenly from the first to the last occurrence of a
-   step. A step with fewer occurrences gets more seeds for each.  */
+   step.  A step with fewer occurrences gets more seeds for each.  */
 static uint32_t
 spread_nth (uint32_t index, uint32_t count)
 {
--- a/tests/matrix_jobs.c
+++ b/tests/matrix_jobs.c
@@ -94,7 +94,7 @@
   child->pipe = ends[0];
 }
 
-/* Reads a report. At end of file, restarts the child if cells remain.  */
+/* Reads a report.  At end of file, restarts the child if cells remain.  */
 static void
 read_report (struct child *child, struct matrix_job *jobs, size_t count)
 {
--- a/tests/site_http.h
+++ b/tests/site_http.h
@@ -42,7 +42,7 @@
 /* Returns true if the body received so far contains TEXT.  */
 bool site_call_contains (struct site_call *call, const char *text);
 void site_call_resume (struct site_call *call);
-/* HTTP status; 0 if the response is incomplete. Valid once done.  */
+/* HTTP status; 0 if the response is incomplete.  Valid once done.  */
 long site_call_status (struct site_call *call);
 const char *site_call_body (struct site_call *call);
 /* Borrowed reference to the body as JSON; NULL if it is not JSON.  */
--- a/tests/site_kit.h
+++ b/tests/site_kit.h
@@ -86,7 +86,7 @@
   char *operator_key_file;
 };
 
-/* Starts the stand-ins and applies the configuration. Services: "drafting"
+/* Starts the stand-ins and applies the configuration.  Services: "drafting"
    (model); the tools "ledger" and "slow" (idempotent) and "notice" (not
    idempotent); the agents "letters" (interactive), "nightly" (batch) and
    "poems" (batch, large budget).  */
@@ -113,7 +113,7 @@
 struct site_host *site_add_foreign_target (struct site *site, const char *name,
                                            const char *data_centre,
                                            uint32_t worker);
-/* Starts or restarts the daemon at the same addresses. Does not publish
+/* Starts or restarts the daemon at the same addresses.  Does not publish
    it.  */
 void site_restart (struct site *site, struct site_host *host);
 void site_kill (struct site_host *host);
@@ -147,7 +147,7 @@
 
 /* Observation.  */
 
-/* GET with the operator key. Returns the JSON response, freed with the site;
+/* GET with the operator key.  Returns the JSON response, freed with the site;
    NULL on failure.  */
 json_t *site_get (struct site *site, const char *address, const char *path);
 /* Status JSON of a host; NULL on failure.  */
@@ -205,7 +205,7 @@
 /* Returns the configuration text with SITE_KEYS in section [site]; NULL for
    the defaults.  */
 char *site_config_text (struct site *site, const char *site_keys);
-/* Starts mimosactl. ARGUMENTS ends with NULL.  */
+/* Starts mimosactl.  ARGUMENTS ends with NULL.  */
 struct site_process *site_ctl_start (struct site *site,
                                      const char *const *arguments);
 /* Runs mimosactl to completion.  */
--- a/tests/site_process.c
+++ b/tests/site_process.c
@@ -70,7 +70,7 @@
   return 0;
 }
 
-/* Runs in the child. Exits if PARENT died before prctl took effect.  */
+/* Runs in the child.  Exits if PARENT died before prctl took effect.  */
 static void
 setup_child (pid_t parent, int out, int err)
 {
--- a/tests/site_process.h
+++ b/tests/site_process.h
@@ -55,7 +55,7 @@
 /* Reads standard output until COUNT addresses have been announced.  */
 bool site_process_wait_listening (struct site_process *process, size_t count);
 void site_process_signal (struct site_process *process, int number);
-/* Reads the output until the process ends. Returns false if it is still
+/* Reads the output until the process ends.  Returns false if it is still
    running after SITE_WAIT_LIMIT_MS.  */
 bool site_process_wait (struct site_process *process);
 /* Returns true if the process exited with status 0.  */
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -1,7 +1,7 @@
-/* test_engine.c - the stand-in engine's model and what it says.
+/* test_engine.c - performance model and scripted answers of the stand-in
+   engine, in virtual time.
 
-   Everything runs at virtual time.  Needs: Criterion, engine_model.h,
-   engine_plan.h.  */
+   Needs: Criterion, engine_model.h, engine_plan.h.  */
 
 #include "../standins/engine_model.h"
 #include "../standins/engine_plan.h"
@@ -18,7 +18,7 @@
 
 #define COUNT(table) (sizeof (table) / sizeof (table)[0])
 
-/* What became of one sequence or job.  */
+/* Observed progress of a sequence or job.  */
 struct seen
 {
   uint64_t handle;
@@ -70,7 +70,7 @@
   return id;
 }
 
-/* PREFIX tokens that depend on PREFIX_SEED, then others on SEED.  */
+/* Text of PREFIX tokens generated from PREFIX_SEED and TOKENS from SEED.  */
 static char *
 make_text (TALLOC_CTX *ctx, uint64_t prefix_seed, uint32_t prefix,
            uint64_t seed, uint32_t tokens)
@@ -89,13 +89,11 @@
 }
 
 /**
- * struct ask - a request of a test
- * @tag: names it
- * @program: number of its program
- * @priority: its class
- * @service: tokens of the service's prefix, the same for all
- * @prompt: tokens after that, by seed
- * @seed: of the prompt; the same seed begins alike
+ * struct ask - parameters of a request
+ * @program: program number
+ * @service: tokens of the common service prefix
+ * @prompt: tokens after the prefix
+ * @seed: seed of the prompt; equal seeds give common prefixes
  * @output: tokens to generate
  */
 struct ask
@@ -142,7 +140,7 @@
 }
 
 static void
-take_events (struct bench *bench)
+process_events (struct bench *bench)
 {
   struct mq_engine_event event;
 
@@ -174,7 +172,7 @@
     }
 }
 
-/* Runs up to UNTIL_US, or for MQ_ENGINE_NEVER until nothing is left.  */
+/* Runs up to UNTIL_US, or until idle with MQ_ENGINE_NEVER.  */
 static void
 run_until (struct bench *bench, uint64_t until_us)
 {
@@ -184,20 +182,20 @@
                   && next != MQ_ENGINE_NEVER;
        i++)
     {
-      cr_assert (i < ADVANCES_MAX, "the engine does not come to rest");
+      cr_assert (i < ADVANCES_MAX, "the engine does not become idle");
       bench->now_us = next > bench->now_us ? next : bench->now_us;
       mq_engine_advance (bench->engine, bench->now_us);
-      take_events (bench);
+      process_events (bench);
     }
   if (until_us == MQ_ENGINE_NEVER)
     return;
   bench->now_us = until_us;
   mq_engine_advance (bench->engine, until_us);
-  take_events (bench);
+  process_events (bench);
 }
 
 static void
-run_ask (struct bench *bench, const struct ask *ask)
+run_request (struct bench *bench, const struct ask *ask)
 {
   submit (bench, ask);
   run_until (bench, MQ_ENGINE_NEVER);
@@ -232,7 +230,8 @@
 {
   static const struct
   {
-    uint32_t sequences; /* at the same instant, nothing in common */
+    uint32_t
+        sequences; /* submitted at the same time, without a common prefix */
     uint32_t prompt;
     uint32_t output;
     double time_scale;
@@ -275,14 +274,14 @@
     }
 }
 
-/* Only whole blocks are found, never the last token, and only as far as two
-   prompts begin alike.  */
+/* Only full blocks of a common prefix are reused, and never the last
+   token.  */
 Test (engine, shared_prefix_is_cached)
 {
   static const struct
   {
     struct ask first;
-    uint64_t evict; /* program evicted in between, 0: none */
+    uint64_t evict; /* program evicted in between; 0 for none */
     struct ask second;
     uint32_t cached;
   } cases[] = {
@@ -310,11 +309,11 @@
       struct bench *bench = bench_create (&params);
       const struct mq_engine_counters *counters;
 
-      run_ask (bench, &cases[i].first);
+      run_request (bench, &cases[i].first);
       if (cases[i].evict != 0)
         mq_engine_evict (bench->engine, bench->now_us,
                          program_id (cases[i].evict));
-      run_ask (bench, &cases[i].second);
+      run_request (bench, &cases[i].second);
       cr_expect_eq (bench->seen[2].cached, cases[i].cached, "case %zu: %u", i,
                     bench->seen[2].cached);
       counters = mq_engine_read_counters (bench->engine, bench->now_us);
@@ -325,7 +324,7 @@
     }
 }
 
-/* Two sequences that run at the same time hold their common begin once.  */
+/* Running sequences share the blocks of their common prefix.  */
 Test (engine, running_sequences_share_memory)
 {
   struct mq_engine_params params = small_params (100, 4);
@@ -344,15 +343,15 @@
   talloc_free (bench);
 }
 
-/* Programs of six blocks take a cache of twenty in turn; whose were least
-   recently used give way, and within a program the end before the begin.  */
+/* Programs of six blocks run in turn on a cache of twenty.  Blocks are evicted
+   in LRU order, and within a program from the end.  */
 Test (engine, least_recently_used_goes_first)
 {
   static const struct
   {
-    uint64_t order[5]; /* programs in turn, 0: none */
+    uint64_t order[5]; /* programs in order; 0 for none */
     uint32_t held[5];  /* tokens of programs 1 to 4 afterwards */
-    uint64_t unreused; /* tokens evicted that were never found again */
+    uint64_t unreused; /* tokens evicted without reuse */
     uint64_t recomputed;
   } cases[] = {
     { { 1, 2, 3 }, { 0, 96, 96, 96, 0 }, 0, 0 },
@@ -373,7 +372,7 @@
           /* 96 tokens computed: the last of 97 is generated */
           struct ask ask = { n + 1, program, 1, 0, 96, program, 1 };
 
-          run_ask (bench, &ask);
+          run_request (bench, &ask);
         }
       for (uint64_t program = 1; program <= 4; program++)
         cr_expect_eq (held_by (bench, program), cases[i].held[program],
@@ -389,9 +388,8 @@
     }
 }
 
-/* A clerk waits at a window while the nightly batch fills the engine.  The
-   urgent call arrives last, takes a slot or memory from the lowest class and
-   ends first; what lost its memory still answers whole, later.  */
+/* An interactive request on an engine full of batch work must preempt the
+   lowest priority and finish first; preempted sequences must still finish.  */
 Test (engine, priorities_preempt)
 {
   static const struct
@@ -434,8 +432,8 @@
     }
 }
 
-/* Where running sequences outgrow the memory, the lowest and latest loses its
-   own and is computed again.  */
+/* When running sequences exhaust the memory, the last one of the lowest
+   priority is preempted and recomputed.  */
 Test (engine, memory_pressure_preempts_the_lowest)
 {
   struct mq_engine_params params = small_params (16, 4);
@@ -456,8 +454,8 @@
   talloc_free (bench);
 }
 
-/* A caller goes away; whatever its call was doing, its memory is free once
-   its program is evicted, and the count of its tokens is true.  */
+/* Cancelling a sequence in any state must free its memory once its program is
+   evicted, and return the tokens generated.  */
 Test (engine, cancel_frees_memory)
 {
   static const struct
@@ -502,8 +500,8 @@
     }
 }
 
-/* A program ends while a call of it still runs: what the call holds goes as
-   soon as the call ends, and isn't kept for a program that is no more.  */
+/* Blocks of a running sequence must be freed when it ends if its program was
+   evicted meanwhile.  */
 Test (engine, evicted_while_running)
 {
   struct mq_engine_params params = small_params (100, 4);
@@ -521,8 +519,8 @@
   talloc_free (bench);
 }
 
-/* A paused sequence makes no tokens, keeps its memory while nobody needs it,
-   and ends whole after it is resumed.  */
+/* A paused sequence generates nothing, keeps its memory unless others need it,
+   and finishes after it is resumed.  */
 Test (engine, pause_and_resume)
 {
   static const struct
@@ -544,7 +542,7 @@
       generated = bench->seen[1].generated;
       cr_assert (mq_engine_pause (bench->engine, bench->now_us,
                                   bench->seen[1].handle));
-      run_ask (bench, &other);
+      run_request (bench, &other);
       cr_expect_eq (bench->seen[1].generated, generated);
       cr_expect_eq (bench->seen[1].preempted > 0, cases[i].loses_memory);
       cr_assert (mq_engine_resume (bench->engine, bench->now_us,
@@ -557,7 +555,7 @@
     }
 }
 
-/* A program moves from a host that leaves: its cache goes along.  */
+/* Exported cache must be reusable on the importing engine.  */
 Test (engine, export_and_import)
 {
   struct mq_engine_params params = small_params (100, 4);
@@ -566,7 +564,7 @@
   struct ask ask = { 1, 1, 1, 32, 128, 1, 1 };
   uint64_t begin;
 
-  run_ask (from, &ask);
+  run_request (from, &ask);
   begin = from->now_us;
   mq_engine_export (from->engine, begin, 2, program_id (1));
   run_until (from, MQ_ENGINE_NEVER);
@@ -584,7 +582,7 @@
   cr_expect_eq (to->seen[3].done_us, 3200, "one at a time");
   cr_expect_eq (held_by (to, 1), 128);
   cr_expect_eq (held_by (to, 0), 32);
-  run_ask (to, &ask);
+  run_request (to, &ask);
   cr_expect_eq (to->seen[1].cached, 144);
   talloc_free (from);
   talloc_free (to);
@@ -621,8 +619,8 @@
   talloc_free (bench);
 }
 
-/* An old owner gives an order after a new one has: an engine that checks the
-   fencing number refuses it, others obey.  */
+/* An order with a stale fencing number is rejected only if the engine checks
+   it.  */
 Test (engine, orders)
 {
   static const struct
@@ -667,7 +665,7 @@
   struct ask ask = { 1, 1, 1, 32, 100, 1, 10 };
   struct mq_error error;
 
-  run_ask (bench, &ask);
+  run_request (bench, &ask);
   cr_assert (mq_engine_order (bench->engine, bench->now_us, 2, 1,
                               MQ_ORDER_LOAD_MODEL, &error));
   run_until (bench, MQ_ENGINE_NEVER);
@@ -675,8 +673,8 @@
   talloc_free (bench);
 }
 
-/* The load report is between one and two lags old; as it is taken when a step
-   ends, each lag may be a step longer.  */
+/* Load reports are one to two lags old.  Samples are taken at step ends, so
+   each lag may be one step longer.  */
 Test (engine, load_lags)
 {
   static const struct
@@ -700,8 +698,9 @@
   talloc_free (bench);
 }
 
-/* Cache events come late and some never do; what comes is in order, adds up
-   without gaps, and the same seed loses the same ones.  */
+/* Cache events are delayed and some are lost.  Delivered events must be
+   ordered, their sum correct without losses, and losses reproducible by
+   seed.  */
 Test (engine, cache_events)
 {
   static const struct
@@ -726,7 +725,7 @@
             {
               struct ask ask = { n, n, 1, 16, 150, n, 20 };
 
-              run_ask (bench, &ask);
+              run_request (bench, &ask);
             }
           cr_expect_eq (
               mq_engine_cache_events (bench->engine, 1, 0, events[round], 512),
@@ -751,15 +750,15 @@
     }
 }
 
-/* Token-time: 96 tokens held by a sequence for its 8150 + 96 * 125 us, then
-   idle for a second, then evicted by order.  */
+/* Token-time of 96 tokens: in use for 8150 + 96 * 125 us, idle for 1 s, then
+   evicted.  */
 Test (engine, token_time)
 {
   struct mq_engine_params params = small_params (20, 4);
   struct bench *bench = bench_create (&params);
   struct ask ask = { 1, 1, 1, 0, 96, 1, 1 };
 
-  run_ask (bench, &ask);
+  run_request (bench, &ask);
   cr_assert_eq (bench->now_us, 20150);
   bench->now_us += 1000000;
   mq_engine_evict (bench->engine, bench->now_us, program_id (1));
@@ -771,9 +770,9 @@
   talloc_free (bench);
 }
 
-/* Requests, cancels, pauses and evictions at random.  Every sequence ends
-   whole or cancelled, the engine comes to rest, and once every program is
-   evicted nothing but the service's prefix is held.  */
+/* Random requests, cancels, pauses and evictions.  Every sequence must finish
+   or be cancelled, the engine must become idle, and evicting every program
+   must leave only the service prefix cached.  */
 static void
 soak (uint64_t seed)
 {
@@ -929,8 +928,7 @@
     }
 }
 
-/* What differs from the first row must show in the digest: a message lost,
-   doubled, swapped, or of another program.  */
+/* The digest must detect a lost, duplicated, swapped or foreign message.  */
 Test (plan, digest_shows_other_histories)
 {
   static const char *const histories[] = {
@@ -971,8 +969,8 @@
     }
 }
 
-/* The next turn's prompt begins with this one's prompt and answer, whole
-   tokens each, so that an engine finds both in its cache.  */
+/* The next turn's prompt must begin with this turn's prompt and answer, in
+   whole tokens, so that both are found in the cache.  */
 Test (plan, next_prompt_begins_with_this_one)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
--- a/tests/test_engine_server.c
+++ b/tests/test_engine_server.c
@@ -1,4 +1,4 @@
-/* test_engine_server.c - the contract with model engines, at the stand-in.
+/* test_engine_server.c - the model engine API, tested on the stand-in.
 
    Needs: Criterion, engine_server.h, http_client.h.  */
 
@@ -88,15 +88,15 @@
   ",{\"role\":\"user\",\"content\":\"plan=[{\\\"answer\\\":100}]\"}],"        \
   "\"request_id\":\"r\"" more "}"
 
-/* Each path, as it should be asked and otherwise.  */
+/* Valid and invalid requests to each path.  */
 Test (engine_server, paths)
 {
   static const struct
   {
     const char *path;
-    const char *body; /* NULL: GET */
+    const char *body; /* NULL for GET */
     int status;
-    const char *holds; /* the answer holds this */
+    const char *holds; /* must occur in the response */
   } cases[] = {
     { "/v1/chat/completions", CHAT (",\"program\":\"" PROGRAM "\""), 200,
       "\"completion_tokens\":100,\"cached_tokens\":0}}\n\ndata: [DONE]\n\n" },
@@ -150,7 +150,7 @@
   bench_destroy (bench);
 }
 
-/* A program moves to another engine and finds its cache there.  */
+/* A program whose cache was exported must find it on the importing engine.  */
 Test (engine_server, export_and_import)
 {
   struct bench *bench = bench_create ();
@@ -176,7 +176,7 @@
   bench_destroy (bench);
 }
 
-/* Cache events are read from a number on until there are no more.  */
+/* Cache events are read in pages by number, until none are left.  */
 Test (engine_server, events)
 {
   struct bench *bench = bench_create ();
--- a/tests/test_matrix.c
+++ b/tests/test_matrix.c
@@ -117,8 +117,8 @@
   return jobs;
 }
 
-/* Runs every script without a fault. Sets COUNTS to the minimum occurrences of
-   each step.  */
+/* Runs every script without a fault.  Sets COUNTS to the minimum occurrences
+   of each step.  */
 static size_t
 run_baselines (struct matrix_counts *counts)
 {
--- a/tests/test_process.c
+++ b/tests/test_process.c
@@ -1,8 +1,8 @@
-/* test_process.c - failures of whole processes, with the real daemons.
+/* test_process.c - process, connection and store failures with real daemons.
 
-   Each case starts a small site on the loopback, brings a failure about by
-   signals, by a relay or by the stand-ins' switches, and checks what callers
-   and the outside world saw.  Waits end on events, with a generous limit.
+   Each case starts a site on the loopback interface, injects a failure by
+   signal, relay or stand-in fault, and checks the clients' answers and the
+   executed calls.  Waits end on events, with a generous timeout.
    Needs: criterion, site_kit.h.  */
 
 #include "core/id.h"
@@ -20,11 +20,11 @@
   CALLERS_TWICE = 2 * CALLERS,
   RACES = 4,
   BATCH_MAX = 64,
-  POEM_STEPS = 120, /* of 1,000 tokens of 4 bytes */
-  LOOKS = 40        /* between two batch programs */
+  POEM_STEPS = 120,      /* each of 1,000 tokens of 4 bytes */
+  POLLS_PER_PROGRAM = 40 /* polls of one batch program before the next */
 };
 
-/* The site of the test that runs; ended also after a failed check.  */
+/* Site of the current test; stopped by .fini after a failed check.  */
 static struct site *site;
 
 static void
@@ -36,7 +36,7 @@
 
 TestSuite (process, .fini = end_site, .timeout = CASE_SECONDS);
 
-/* Plans: a step of each kind; the slow tool's pause is set by a fault.  */
+/* Plan with all kinds of tools; their durations are set by faults.  */
 static const char tool_plan[]
     = "[{\"call\":\"ledger\",\"arguments\":{\"n\":1},\"tokens\":12},"
       "{\"call\":\"notice\",\"arguments\":{\"n\":2},\"tokens\":12},"
@@ -48,7 +48,7 @@
       "{\"answer\":1000}]";
 
 static void
-make_slow (const char *path, uint32_t ms)
+slow_down (const char *path, uint32_t ms)
 {
   char *fault = talloc_asprintf (
       site, "{\"fault\":\"slow\",\"match\":\"%s\",\"ms\":%u}", path, ms);
@@ -56,9 +56,9 @@
   site_fault (site, site->tools[0], fault);
 }
 
-/* Waits until the tool call after that of EARLIER runs at a worker.  A call
-   counts as an effect when it has ended, so the one that runs then is the
-   next of the plan, however long the earlier one took; NULL: the first.  */
+/* Waits until the tool call after the one to path EARLIER is running; NULL for
+   the first call.  Calls are recorded when they end, so the running call is
+   the next one of the plan.  */
 static void
 wait_for_tool (const char *earlier)
 {
@@ -67,7 +67,7 @@
                  && site_tool_running (site) >= 0);
 }
 
-/* Notices went out COUNT times, and none twice.  */
+/* Checks that the notice tool executed COUNT calls and none twice.  */
 static void
 check_notices (uint64_t count)
 {
@@ -78,18 +78,17 @@
   SITE_CHECK (site, repeated == 0);
 }
 
-/* The owner of the program dies (kill -9) while a tool call of its chain
-   runs, or while its model generates.  The caller waits at the other entry
-   host and must get the whole answer of a history without gap or double;
-   the notice goes out once, also when just it was running.  Cause: the new
-   owner knows the program only from the log and from targets' processes.  */
+/* The owner is killed during a tool call or while the model generates.  The
+   client, connected to the other entry host, must get the complete answer, and
+   the notice must be executed once, even if it was running.  The new owner can
+   recover the program only from the log and the target processes.  */
 Test (process, owner_killed)
 {
   static const struct
   {
     const char *plan;
-    const char *slow_path; /* NULL: killed while the model generates */
-    const char *earlier;   /* the tool call before that */
+    const char *slow_path; /* NULL to kill while the model generates */
+    const char *earlier;   /* path of the preceding tool call */
   } cases[] = {
     { tool_plan, "/v1/slow", "/v1/notice" },
     { tool_plan, "/v1/notice", "/v1/ledger" },
@@ -107,7 +106,7 @@
       owner = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
       if (cases[i].slow_path != NULL)
-        make_slow (cases[i].slow_path, 3000);
+        slow_down (cases[i].slow_path, 3000);
       call = site_open (site, other, site_key_owned_by (site, owner, "k"),
                         "letters", cases[i].plan);
       if (cases[i].slow_path != NULL)
@@ -123,10 +122,9 @@
     }
 }
 
-/* The entry host that holds the caller's connection dies.  The caller knows
-   nothing of its program and asks again at the other host with the same
-   Idempotency-Key; it must find that program, not open a second one, whether
-   the dead host owned it or not.  */
+/* The entry host of the client connection is killed.  A retry at the other
+   host with the same Idempotency-Key must find the existing program, whichever
+   host owned it.  */
 Test (process, holder_killed)
 {
   static const struct
@@ -146,7 +144,7 @@
       site = site_start_default (&options);
       holder = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
-      make_slow ("/v1/slow", 3000);
+      slow_down ("/v1/slow", 3000);
       key = site_key_owned_by (site, site_host (site, cases[i].owner), "k");
       first = site_open (site, holder, key, "letters", tool_plan);
       SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1);
@@ -168,11 +166,10 @@
   return site_owned_count (site, host) == SITE_PARTITIONS;
 }
 
-/* The owner is paused for longer than its lease and wakes up believing that
-   it is still in charge.  Its callers and those of the other host get one
-   whole answer each, the notices go out once, and when it has heard of its
-   loss it serves again.  Cause: a lease that lapses stops nobody who
-   sleeps; only the fencing number and the row's version do.  */
+/* The owner is stopped for longer than its lease and resumes as a stale
+   owner.  Every client must get one complete answer, each notice must be
+   executed once, and the stale owner must recover.  Only fencing and row
+   versions can stop a stale owner.  */
 Test (process, owner_paused)
 {
   struct site_options options = { 0 };
@@ -184,7 +181,7 @@
   site = site_start_default (&options);
   owner = site_host (site, "entry-1");
   other = site_host (site, "entry-2");
-  make_slow ("/v1/slow", 2500);
+  slow_down ("/v1/slow", 2500);
   for (size_t i = 0; i < CALLERS; i++)
     {
       char *begin = talloc_asprintf (site, "k%zu", i);
@@ -223,12 +220,11 @@
   return count;
 }
 
-/* The target's process dies (kill -9) while a notice is being recorded, and
-   comes back without memory or not at all.  Whether the notice went out
-   can't be known: the program is told so and goes on, the operator sees the
-   call in the status, and it is never repeated.  The ledger call before it
-   is made slow too: killed during that one, the target leaves nothing
-   unknown, since an idempotent call is repeated.  */
+/* The target process is killed during a notice, and restarts without state or
+   not at all.  The outcome is unknown: the program must be told and continue,
+   the status must list the call, and the call must not be repeated.  The
+   preceding ledger call is slow too and must not be hit by the kill: it is
+   idempotent, so it would be repeated.  */
 Test (process, target_killed_in_notice)
 {
   static const struct
@@ -247,8 +243,8 @@
       target = site_add_target (site, "north-1", "north", 0);
       entry = site_add_entry (site, "entry-1", "north");
       site_wait_stable (site);
-      make_slow ("/v1/ledger", 300);
-      make_slow ("/v1/notice", 3000);
+      slow_down ("/v1/ledger", 300);
+      slow_down ("/v1/notice", 3000);
       call = site_open (site, entry, "k", "letters", tool_plan);
       wait_for_tool ("/v1/ledger");
       site_kill (target);
@@ -261,7 +257,7 @@
         }
       SITE_WAIT (site, unknown_calls () == 1);
       site_check_answer (site, call, entry, tool_plan);
-      /* The tool goes on alone, whoever called it.  */
+      /* The tool finishes the call even though its client is gone.  */
       SITE_WAIT (site, site_tool_running (site) < 0);
       check_notices (1);
       SITE_CHECK (site, unknown_calls () == 1);
@@ -269,9 +265,9 @@
     }
 }
 
-/* The target's process dies while the model generates the answer.  A model
-   call may be repeated, so it is, at the other target; the caller sees one
-   whole answer.  */
+/* The target process is killed while the model generates the answer.  The
+   model call must be repeated at the other target and the client must get one
+   complete answer.  */
 Test (process, target_killed_in_answer)
 {
   struct site_options options = { .time_scale = "0.4" };
@@ -292,10 +288,9 @@
   check_notices (1);
 }
 
-/* The platform's transactions take effect and their answers are lost, or
-   take effect long after, or come slowly.  Callers get the same answers, and
-   each notice goes out once.  Cause: a write without an answer may have
-   happened, may happen later or not at all.  */
+/* Store transactions are executed without a response, executed late, or are
+   slow.  Clients must get correct answers and each notice must be executed
+   once.  A write without a response may be applied now, later or never.  */
 Test (process, store_answers)
 {
   static const char *const faults[] = {
@@ -333,13 +328,13 @@
   return site_open (site, entry, key, "nightly", plan);
 }
 
-/* Opens one batch program after the other until one is refused; those before
-   it wait, as programs under way do.  The refusal must say "unknown": with
-   the store out of reach this owner can't know that no other one has taken
-   the partition and run the same key.  Gives how many were opened.  */
+/* Opens batch programs until one is rejected and returns their number; earlier
+   ones stay pending.  The rejection must report "unknown": with the store
+   unavailable, the owner cannot exclude that another one has taken over the
+   partition and run the same key.  */
 static size_t
-open_until_refused (const struct site_host *entry, const char *plan,
-                    struct site_call *calls[BATCH_MAX])
+open_until_rejected (const struct site_host *entry, const char *plan,
+                     struct site_call *calls[BATCH_MAX])
 {
   struct site_call *refused = NULL;
   uint64_t until = 0;
@@ -348,7 +343,7 @@
   while (refused == NULL && count < BATCH_MAX)
     {
       calls[count] = open_batch (entry, count, plan);
-      for (size_t i = 0; i < LOOKS && refused == NULL; i++)
+      for (size_t i = 0; i < POLLS_PER_PROGRAM && refused == NULL; i++)
         {
           if (site_call_done (calls[count]))
             refused = calls[count];
@@ -369,8 +364,8 @@
       json_object_get (site_status (site, host), "config_version"));
 }
 
-/* What became of the batch programs that waited for the store.  A partition
-   that moves as the store comes back may have one refused.  */
+/* Results of the batch programs that waited for the store.  A program can be
+   rejected if its partition moves when the store recovers.  */
 struct batch_ends
 {
   size_t answered;
@@ -401,13 +396,11 @@
   return ends;
 }
 
-/* Asks for a batch program with its key as a caller does who was refused:
-   not before the pause that the refusal told.  The host that owns the
-   program's partition may not have asked the store since its return; until
-   it has, it refuses the same way.  */
+/* Retries a rejected batch program with the same key after the retry_after_ms
+   of each rejection.  The owner rejects it until it has noticed that the store
+   is available again.  */
 static struct site_call *
-open_batch_again (const struct site_host *entry, size_t number,
-                  const char *plan)
+retry_batch (const struct site_host *entry, size_t number, const char *plan)
 {
   struct site_call *call = open_batch (entry, number, plan);
   uint64_t until = 0;
@@ -430,12 +423,11 @@
   return call;
 }
 
-/* The platform is down for a while in the middle of programs.  Idempotent
-   steps go on; final answers wait and then come; new batch programs are
-   refused, and asked again with the same key after the pause that the refusal
-   told they run once; what was refused as not run had not run; the
-   configuration stays in force, and a target's process that restarts gets it
-   from its peers.  */
+/* The platform is unavailable while programs are active.  Idempotent steps
+   must continue and final answers be delayed; new batch programs must be
+   rejected and run once when retried; programs rejected as not run must not
+   have run; the configuration must stay in force, and a restarted target
+   process must get it from its peers.  */
 Test (process, store_down)
 {
   static const char plan[]
@@ -462,7 +454,7 @@
       site = site_start_default (&options);
       entry = site_host (site, "entry-1");
       target = site_host (site, "south-1");
-      make_slow ("/v1/slow", 2000);
+      slow_down ("/v1/slow", 2000);
       call = site_open (site, entry, "k", "letters", plan);
       wait_for_tool (NULL);
       site_fault (site, site->platform, faults[i]);
@@ -471,7 +463,7 @@
       site_restart (site, target);
       SITE_WAIT (site, site_get (site, target->http, "/readyz") != NULL);
       SITE_CHECK (site, config_version (target) == 1);
-      count = open_until_refused (entry, batch_plan, batch);
+      count = open_until_rejected (entry, batch_plan, batch);
       SITE_CHECK (site, !site_call_done (call));
       SITE_CHECK (site, site_effect_count (site, "/v1/ledger", NULL) == 1);
       SITE_CHECK (site, config_version (entry) == 1);
@@ -482,18 +474,17 @@
       SITE_CHECK (site, notices >= ends.answered);
       SITE_CHECK (site, notices <= ends.answered + ends.unknown);
       for (size_t j = 0; j < count; j++)
-        site_check_answer (site, open_batch_again (entry, j, batch_plan),
-                           entry, batch_plan);
+        site_check_answer (site, retry_batch (entry, j, batch_plan), entry,
+                           batch_plan);
       check_notices (count);
       end_site ();
     }
 }
 
-/* The connection between the owner and the target's process goes silent for
-   good while a notice is being recorded; new connections work.  The owner
-   replaces it and hears the outcome of that same attempt: the notice goes
-   out once and is not unknown.  Cause: something between the two ends lost
-   track of the connection; TCP would notice after minutes.  */
+/* The connection between owner and target stalls during a notice; new
+   connections work, as after a middlebox drops its state.  The owner must
+   reconnect, long before TCP would time out, and get the outcome of the same
+   attempt: the notice is executed once and its outcome is known.  */
 Test (process, silent_connection)
 {
   struct site_options options = { .workers = 1 };
@@ -502,13 +493,13 @@
   struct site_call *call;
 
   site = site_start (&options);
-  /* The target's process dials entry hosts of its own data centre only, so
-     entry-1 reaches it through the relay.  */
+  /* Targets connect only to entry hosts of their own data centre, so entry-1
+     connects to this one, through the relay.  */
   target = site_add_relayed_target (site, "south-1", "south", 0);
   owner = site_add_entry (site, "entry-1", "north");
   site_add_entry (site, "entry-2", "south");
   site_wait_stable (site);
-  make_slow ("/v1/notice", 1500);
+  slow_down ("/v1/notice", 1500);
   call = site_open (site, owner, site_key_owned_by (site, owner, "k"),
                     "letters", tool_plan);
   wait_for_tool ("/v1/ledger");
@@ -529,7 +520,7 @@
   return state != NULL && strcmp (state, "leaving") == 0;
 }
 
-/* Programs at both entry hosts, by keys that begin with BEGIN.  */
+/* Opens programs at both entry hosts with keys that begin with BEGIN.  */
 static void
 open_callers (struct site_call *calls[CALLERS], const char *begin)
 {
@@ -546,10 +537,9 @@
     site_check_answer (site, calls[i], host, tool_plan);
 }
 
-/* A target host is to go: the platform lists it as leaving, or its process
-   is told to stop, while it records a notice.  It gets no new work from the
-   moment that its process knows; the notice is finished, not cut or
-   repeated; the process ends with status 0.  */
+/* A target is drained during a notice, by the host list or by SIGTERM. It must
+   get no new work, the notice must be finished and not repeated, and the
+   process must exit with status 0.  */
 Test (process, target_leaves)
 {
   static const struct
@@ -569,7 +559,7 @@
 
       site = site_start_default (&options);
       entry = site_host (site, "entry-1");
-      make_slow ("/v1/notice", 3000);
+      slow_down ("/v1/notice", 3000);
       first = site_open (site, entry, "first", "letters", tool_plan);
       wait_for_tool ("/v1/ledger");
       worker = (uint32_t)site_tool_running (site);
@@ -595,11 +585,10 @@
     }
 }
 
-/* An entry host is told to stop, by a signal or by the operator, with
-   callers connected and programs of its own in the middle of a tool call.
-   Every caller gets its answer, its partitions are handed over, and the
-   process ends with status 0; a caller that comes too late is refused as
-   not run.  */
+/* An entry host with clients and active programs is drained by a signal or by
+   the operator.  Every client must get its answer, the partitions must be
+   handed over and the process must exit with status 0; later requests must be
+   rejected as not run.  */
 Test (process, entry_leaves)
 {
   static const char *const drain[] = { "drain", "entry-1", NULL };
@@ -619,7 +608,7 @@
       site = site_start_default (&options);
       leaving = site_host (site, "entry-1");
       other = site_host (site, "entry-2");
-      make_slow ("/v1/slow", 2500);
+      slow_down ("/v1/slow", 2500);
       open_callers (calls, "k");
       SITE_WAIT (site,
                  site_effect_count (site, "/v1/notice", NULL) == CALLERS);
@@ -643,10 +632,9 @@
     }
 }
 
-/* Whether a row of the platform's table whose key begins with PREFIX holds
-   TEXT.  */
+/* Returns true if the value of a row with key prefix PREFIX contains TEXT.  */
 static bool
-table_holds (const char *prefix, const char *text)
+table_contains (const char *prefix, const char *text)
 {
   char *path
       = talloc_asprintf (site, "/v1/table/rows?prefix=%s&limit=100", prefix);
@@ -668,10 +656,9 @@
   return false;
 }
 
-/* A target host has died and is still listed; later an entry host is told to
-   stop.  Its successor must not take the grants of the programs for spent
-   because the dead process can't tell: a user would see programs end with
-   budget_tokens that had hardly spent anything.  */
+/* An entry host is drained while a dead target is still listed.  Its successor
+   must not count the outstanding budget grants as spent, which would end
+   programs with budget_tokens too early.  */
 Test (process, entry_leaves_after_target_died)
 {
   struct site_options options = { 0 };
@@ -682,10 +669,10 @@
   site = site_start_default (&options);
   leaving = site_host (site, "entry-1");
   other = site_host (site, "entry-2");
-  make_slow ("/v1/slow", 2500);
-  SITE_CHECK (site, table_holds ("targets%2Fentry-1", "north-1"));
+  slow_down ("/v1/slow", 2500);
+  SITE_CHECK (site, table_contains ("targets%2Fentry-1", "north-1"));
   site_kill (site_host (site, "north-1"));
-  SITE_WAIT (site, !table_holds ("targets%2Fentry-1", "north-1"));
+  SITE_WAIT (site, !table_contains ("targets%2Fentry-1", "north-1"));
   open_callers (calls, "k");
   SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == CALLERS);
   site_process_signal (leaving->process, SIGTERM);
@@ -709,7 +696,7 @@
 }
 
 static bool
-all_hold (uint64_t version)
+all_have_version (uint64_t version)
 {
   for (size_t i = 0; i < site->host_count; i++)
     if (config_version (&site->hosts[i]) != version)
@@ -717,19 +704,19 @@
   return true;
 }
 
-/* Text in force as mimosactl shows it.  */
+/* Active configuration text from mimosactl show.  */
 static const char *
-text_in_force (void)
+active_config_text (void)
 {
   static const char *const arguments[] = { "show", NULL };
 
   return site_ctl (site, arguments)->output;
 }
 
-/* Two operators apply different texts at once over the same version: one
-   wins, the other is told of the conflict, and every host holds the
-   winner's.  Then the answer to an apply is lost after it took effect: it is
-   settled by reading, and reported as accepted.  */
+/* Two operators apply different configurations concurrently on the same
+   version: one must succeed, the other must get a conflict, and every host
+   must have the accepted one.  If the response to an accepted apply is lost,
+   mimosactl must read the result back and report success.  */
 Test (process, operators_race)
 {
   static const char lost[]
@@ -763,19 +750,19 @@
       SITE_CHECK (site, (exits[0] == 0 && exits[1] == 3)
                             || (exits[0] == 3 && exits[1] == 0));
       version++;
-      SITE_CHECK (site, all_hold (version));
-      SITE_CHECK (site,
-                  strstr (text_in_force (), marks[exits[0] == 0 ? 0 : 1]));
+      SITE_CHECK (site, all_have_version (version));
+      SITE_CHECK (
+          site, strstr (active_config_text (), marks[exits[0] == 0 ? 0 : 1]));
     }
   site_fault (site, site->platform, lost);
   apply = start_apply (site_config_text (site, "lease_ms = 2000\n"), version);
   SITE_CHECK (site, site_process_wait (apply));
   SITE_CHECK (site, site_process_succeeded (apply));
-  SITE_CHECK (site, all_hold (version + 1));
+  SITE_CHECK (site, all_have_version (version + 1));
   apply = start_apply (site_config_text (site, "lease_ms = 2100\n"), version);
   SITE_CHECK (site, site_process_wait (apply));
   SITE_CHECK (site, site_process_exit (apply) == 3);
-  SITE_CHECK (site, all_hold (version + 1));
+  SITE_CHECK (site, all_have_version (version + 1));
 }
 
 static void
@@ -799,18 +786,16 @@
   return (uint64_t)tokens;
 }
 
-/* Programs end while the engines refuse or lose evictions, or start anew in
-   the middle of them; the owner or the target's process dies between the end
-   and the eviction.  The engines' memory of these programs goes in the end,
-   all of it.  Cause: an eviction is an order to something that may not hear
-   it, from something that may not live to repeat it.  */
+/* Programs end while engines reject evictions, lose their responses or
+   restart, or the owner or target is killed before the eviction.  All cache of
+   the ended programs must be evicted eventually.  */
 Test (process, cache_evicted)
 {
   static const struct
   {
     const char *fault;
     bool restart_engines;
-    const char *killed; /* after the end of the programs */
+    const char *killed; /* host killed after the programs have ended */
     bool comes_back;
   } cases[] = {
     { .fault = "{\"fault\":\"evict_fails\",\"count\":12}" },
@@ -830,7 +815,7 @@
       struct site_host *killed = NULL;
 
       site = site_start_default (&options);
-      make_slow ("/v1/slow", 300);
+      slow_down ("/v1/slow", 300);
       if (cases[i].fault != NULL)
         fault_engines (cases[i].fault);
       open_callers (calls, "k");
@@ -860,10 +845,9 @@
       site_get (site, site->platform, "/standin/stats"), name));
 }
 
-/* All hosts of a data centre die at once, with programs under way at each of
-   them.  The hosts of the others take over, and every caller that is
-   connected to one of those gets its whole answer.  Prints what that cost
-   the store.  */
+/* All hosts of a data centre are killed while they have active programs.
+   Every client connected to another data centre must get its complete answer.
+   Prints the load on the store.  */
 Test (process, data_centre_lost)
 {
   struct site_options options = { .workers = 3 };
@@ -880,7 +864,7 @@
   other = site_add_entry (site, "entry-2", "south");
   site_add_entry (site, "entry-3", "east");
   site_wait_stable (site);
-  make_slow ("/v1/slow", 3000);
+  slow_down ("/v1/slow", 3000);
   for (size_t i = 0; i < CALLERS_TWICE; i++)
     calls[i] = site_open (
         site, site_host (site, i % 2 == 0 ? "entry-2" : "entry-3"),
@@ -903,8 +887,8 @@
   site_wait_stable (site);
 }
 
-/* A process with another site's key is listed as a target of this one.  It
-   can't prove the key: it is refused, and no work goes there.  */
+/* A target with another site's key is in the host list.  Its connections must
+   be rejected and it must get no work.  */
 Test (process, foreign_site_key)
 {
   struct site_options options = { .workers = 3 };
@@ -923,15 +907,14 @@
               site_counter (site, foreign, "peer_connections_made") == 0);
 }
 
-/* Another organisation asks for a program by its id, tries to go on with it,
-   to close and to cancel it.  To it the program is not there, and the
-   program's own caller gets its answer.  */
+/* Requests of another organisation for a program must get 404 and must not
+   affect the program.  */
 Test (process, foreign_program)
 {
   static const struct
   {
     const char *method;
-    const char *form; /* with the program's id */
+    const char *form; /* format of the path; takes the program id */
     const char *body;
   } cases[] = {
     { "GET", "/v1/programs/%s", NULL },
@@ -950,20 +933,20 @@
 
   site = site_start_default (&options);
   entry = site_host (site, "entry-1");
-  make_slow ("/v1/slow", 2000);
+  slow_down ("/v1/slow", 2000);
   call = site_open (site, entry, "k", "letters", tool_plan);
   mq_id_format (mq_id_open ("clerks", "k"), id);
   SITE_WAIT (site, site_effect_count (site, "/v1/notice", NULL) == 1);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct site_http_request ask = { .method = cases[i].method,
-                                       .address = entry->http,
-                                       .key = SITE_OTHERS_KEY,
-                                       .body = cases[i].body };
+      struct site_http_request request = { .method = cases[i].method,
+                                           .address = entry->http,
+                                           .key = SITE_OTHERS_KEY,
+                                           .body = cases[i].body };
       struct site_call *foreign;
 
-      ask.path = talloc_asprintf (site, cases[i].form, id);
-      foreign = site_call (site, &ask);
+      request.path = talloc_asprintf (site, cases[i].form, id);
+      foreign = site_call (site, &request);
       SITE_CHECK (site, site_call_status (foreign) == 404);
       SITE_CHECK (site, site_call_contains (foreign, "\"not_found\""));
     }
@@ -982,19 +965,17 @@
   return talloc_strdup_append (plan, "{\"answer\":16}]");
 }
 
-/* A caller stops reading its stream.  It is cut off once the bound on unsent
-   bytes is reached, others at the same host are served meanwhile, and its
-   program goes on to its end, where the answer can be fetched whole.  The
-   text alone, of 480 kB, is more than the bound of 64 KiB and what the two
-   kernels hold (twice 128 and twice 16 KiB), however few events it comes
-   in.  */
+/* A client stops reading its stream.  It must be disconnected when the limit
+   of unsent bytes is reached, without affecting other clients; its program
+   must finish and its answer stay available.  The 480 kB text exceeds the 64
+   KiB limit plus the socket buffers of both kernels.  */
 Test (process, slow_reader)
 {
   struct site_options options = { .time_scale = "0.01",
                                   .cache_tokens = 200000,
                                   .stream_buffer_kb = 64 };
   struct site_host *entry;
-  struct site_http_request ask
+  struct site_http_request request
       = { .key = SITE_CLERKS_KEY, .idempotency_key = "poem", .stalled = true };
   struct site_call *stalled;
   struct site_call *calls[CALLERS];
@@ -1006,10 +987,10 @@
   entry = site_host (site, "entry-1");
   body = site_open_body (site, "poems", poem_plan (POEM_STEPS));
   body[strlen (body) - 1] = '\0';
-  ask.address = entry->http;
-  ask.path = "/v1/programs";
-  ask.body = talloc_asprintf (site, "%s,\"stream\":true}", body);
-  stalled = site_call_start (site, &ask);
+  request.address = entry->http;
+  request.path = "/v1/programs";
+  request.body = talloc_asprintf (site, "%s,\"stream\":true}", body);
+  stalled = site_call_start (site, &request);
   SITE_WAIT (site, site_call_contains (stalled, "accepted"));
   open_callers (calls, "k");
   check_callers (calls, entry);
@@ -1018,11 +999,11 @@
   site_wait_call (site, stalled);
   SITE_CHECK (site, !site_call_contains (stalled, "event: final"));
   mq_id_format (mq_id_open ("clerks", "poem"), id);
-  ask.idempotency_key = NULL;
-  ask.stalled = false;
-  ask.body = NULL;
-  ask.path = talloc_asprintf (site, "/v1/programs/%s?wait=1", id);
-  fetched = site_call (site, &ask);
+  request.idempotency_key = NULL;
+  request.stalled = false;
+  request.body = NULL;
+  request.path = talloc_asprintf (site, "/v1/programs/%s?wait=1", id);
+  fetched = site_call (site, &request);
   SITE_CHECK (site, site_call_status (fetched) == 200);
   SITE_CHECK (site, site_call_contains (fetched, "\"ended\""));
 }
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -1,6 +1,6 @@
-/* test_service.c - the stand-in for plain services and tools.
+/* test_service.c - stand-in for services and tools.
 
-   Effects as a pure table first, then faults over HTTP, client and server in
+   Tests the record of calls, then faults over HTTP with client and server in
    one event loop.
    Needs: Criterion, service_server.h, http_client.h.  */
 
@@ -14,13 +14,12 @@
 
 enum
 {
-  PATIENCE_S = 60, /* far beyond what any case takes */
+  TIMEOUT_S = 60, /* safety limit */
   CALLS_MAX = 4
 };
 
-/* The same notice is asked for twice under one key.  Where the service
-   honours keys the second gets the first answer; where it does not, the
-   doubled effect shows in repeated_keys.  */
+/* A duplicate call gets the first response if keys are honoured; otherwise it
+   is executed again and counted in repeated_keys.  */
 static const struct
 {
   bool honour_keys;
@@ -121,7 +120,7 @@
   (void)timer;
   (void)now;
   (void)data;
-  cr_assert_fail ("waited %d s for what never came", PATIENCE_S);
+  cr_assert_fail ("waited %d s for what never came", TIMEOUT_S);
 }
 
 static struct world
@@ -141,7 +140,7 @@
   cr_assert (world.server != NULL && world.client != NULL, "%s",
              mq_error_name (error.type));
   tevent_add_timer (world.ev, world.top,
-                    tevent_timeval_current_ofs (PATIENCE_S, 0),
+                    tevent_timeval_current_ofs (TIMEOUT_S, 0),
                     on_out_of_patience, NULL);
   return world;
 }
@@ -213,8 +212,8 @@
       .effects;
 }
 
-/* One call of worker 0 at /notices/send, with a limit of 500 ms where the
-   fault never answers.  */
+/* One call to worker 0 at /notices/send; timeout 500 ms if the fault blocks
+   the response.  */
 static const struct
 {
   const char *order;
@@ -262,9 +261,8 @@
     }
 }
 
-/* The answer to a notice is lost and the caller asks again at another worker
-   with the same key.  Without keys honoured the household gets two notices;
-   with them, one.  */
+/* The response to a call is lost and the call is retried at another worker
+   with the same key.  It is executed twice unless keys are honoured.  */
 static const struct
 {
   bool honour_keys;
@@ -312,8 +310,9 @@
     ;
 }
 
-/* A tool hangs with both places of its worker taken.  Others wait, the load
-   says so, and they run once the callers of the hanging ones give up.  */
+/* With all slots of a worker hanging, further calls must be queued and
+   reported in the load, and run when the clients of the hanging calls
+   disconnect.  */
 Test (service, calls_beyond_the_concurrency_wait)
 {
   struct mq_service_options options = { .concurrency = 2, .boot = 9 };
@@ -338,8 +337,7 @@
   destroy_world (&world);
 }
 
-/* A caller gives up on a slow call.  The effect comes all the same: that is
-   why a timeout says nothing about whether a call ran.  */
+/* A call is executed even if its client times out.  */
 Test (service, an_abandoned_call_takes_effect)
 {
   struct mq_service_options options = { .delay_ms = 1500, .boot = 9 };
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -1,4 +1,4 @@
-/* test_table.c - the stand-in's table against a naive model.
+/* test_table.c - the stand-in table against a naive model.
 
    Needs: Criterion, standins/table.h, id.h.  */
 
@@ -14,7 +14,7 @@
   OPS_MAX = 4
 };
 
-/* The naive model: rows and objects in no order, found by looking at all.  */
+/* Naive model: unordered rows and objects with linear search.  */
 struct model_row
 {
   char key[KEY_MAX];
@@ -74,7 +74,8 @@
   return true;
 }
 
-/* Keys "a0".."c9…": several prefixes, and keys that extend others.  */
+/* Keys "a0".."c9…", with several prefixes and keys that are prefixes of
+   others.  */
 static void
 draw_key (struct world *world, char key[KEY_MAX])
 {
@@ -87,7 +88,7 @@
   key[len] = '\0';
 }
 
-/* Conditions that hold and ones that do not, old versions among them.  */
+/* Conditions that hold and that fail, including stale versions.  */
 static uint64_t
 draw_condition (struct world *world, const char *key)
 {
@@ -330,9 +331,8 @@
     }
 }
 
-/* One client reads rows whose values together are larger than an answer may
-   be.  An answer cut by bytes says so, and going on after its last key gives
-   every row once.  */
+/* A scan cut by the size limit must report more rows, and continuing after its
+   last key must return every row exactly once.  */
 static const struct
 {
   size_t value_len;
