--- a/standins/engine_model.c
+++ b/standins/engine_model.c
@@ -1,6 +1,6 @@
 /* engine_model.c - performance model of a model engine in virtual time.
 
-   Sequences are handles into one table.
+   Sequence handles combine an index into one table with a generation.
    Needs: engine_state.h, xxhash.  */
 
 #include "engine_state.h"
@@ -51,13 +51,13 @@
 mq_engine_create (TALLOC_CTX *ctx, const struct mq_engine_params *params)
 {
   struct mq_engine *engine
-      = mq_engine_need (talloc_zero (ctx, struct mq_engine));
+      = mq_engine_check_alloc (talloc_zero (ctx, struct mq_engine));
 
   engine->params = *params;
   engine->random = params->seed;
   engine->kv = mq_kv_create (engine, params->cache_tokens / MQ_KV_BLOCK_TOKENS,
                              on_evicted, engine);
-  engine->cache_events = mq_engine_need (talloc_zero_array (
+  engine->cache_events = mq_engine_check_alloc (talloc_zero_array (
       engine, struct mq_engine_cache_event, MQ_ENGINE_CACHE_EVENTS_KEPT));
   engine->reported = mq_engine_load (engine);
   engine->sampled = engine->reported;
@@ -79,11 +79,11 @@
   uint64_t hash = 0;
 
   *count = len / block;
-  hashes = mq_engine_need (talloc_array (ctx, uint64_t, *count + 1));
+  hashes = mq_engine_check_alloc (talloc_array (ctx, uint64_t, *count + 1));
   for (size_t i = 0; i < *count; i++)
     {
       hash = XXH64 (text + i * block, block, hash);
-      /* 0 stands for "no block before this one".  */
+      /* 0 is reserved for "no preceding block".  */
       hash = hash == 0 ? 1 : hash;
       hashes[i] = hash;
     }
@@ -108,9 +108,9 @@
   return job < step ? job : step;
 }
 
-/* Moves on to the end of the step or job that is next.  */
+/* Completes the step or job that ends at AT_US.  */
 static void
-move_on (struct mq_engine *engine, uint64_t at_us)
+complete_next (struct mq_engine *engine, uint64_t at_us)
 {
   mq_engine_sample_load (engine, at_us);
   if (at_us > engine->now_us)
@@ -121,8 +121,8 @@
     mq_engine_finish_step (engine);
 }
 
-/* Everything that ends up to NOW_US.  A step that would begin at NOW_US is
-   left to mq_engine_advance, so that requests of one instant share it.  */
+/* Processes everything that ends up to NOW_US. Does not begin a step at
+   NOW_US, so that requests submitted at the same time share it.  */
 static void
 run_to (struct mq_engine *engine, uint64_t now_us)
 {
@@ -135,7 +135,7 @@
       end_us = next_end_us (engine);
       if (end_us > now_us)
         break;
-      move_on (engine, end_us);
+      complete_next (engine, end_us);
     }
   mq_engine_sample_load (engine, now_us);
   if (now_us > engine->now_us)
@@ -161,19 +161,21 @@
 /* Requests.  */
 
 static uint32_t
-take_place (struct mq_engine *engine)
+allocate_sequence (struct mq_engine *engine)
 {
-  size_t first = engine->sequence_room;
+  size_t first = engine->sequence_capacity;
 
   if (engine->unused.count == 0)
     {
-      engine->sequence_room = first == 0 ? MQ_ENGINE_FIRST_ROOM : 2 * first;
-      engine->sequences = mq_engine_need (
+      engine->sequence_capacity
+          = first == 0 ? MQ_ENGINE_INITIAL_CAPACITY : 2 * first;
+      engine->sequences = mq_engine_check_alloc (
           talloc_realloc (engine, engine->sequences, struct mq_engine_sequence,
-                          engine->sequence_room));
+                          engine->sequence_capacity));
       memset (engine->sequences + first, 0,
-              (engine->sequence_room - first) * sizeof engine->sequences[0]);
-      for (size_t i = engine->sequence_room; i > first; i--)
+              (engine->sequence_capacity - first)
+                  * sizeof engine->sequences[0]);
+      for (size_t i = engine->sequence_capacity; i > first; i--)
         mq_engine_list_insert (engine, &engine->unused, engine->unused.count,
                                (uint32_t)(i - 1));
     }
@@ -190,11 +192,11 @@
 find_sequence (const struct mq_engine *engine, uint64_t handle,
                uint32_t *index)
 {
-  uint32_t place = (uint32_t)handle;
+  uint32_t number = (uint32_t)handle;
 
-  if (place == 0 || place > engine->sequence_room)
+  if (number == 0 || number > engine->sequence_capacity)
     return false;
-  *index = place - 1;
+  *index = number - 1;
   return engine->sequences[*index].state != MQ_ENGINE_SEQUENCE_FREE
          && engine->sequences[*index].generation == handle >> 32;
 }
@@ -230,20 +232,20 @@
   run_to (engine, now_us);
   if (!check_request (engine, request, error))
     return 0;
-  index = take_place (engine);
+  index = allocate_sequence (engine);
   sequence = &engine->sequences[index];
   generation = sequence->generation;
   memset (sequence, 0, sizeof *sequence);
   sequence->generation = generation;
   sequence->order = ++engine->arrivals;
   sequence->request = *request;
-  sequence->hashes = mq_engine_need (
+  sequence->hashes = mq_engine_check_alloc (
       talloc_array (engine, uint64_t, request->hash_count + 1));
   if (request->hash_count > 0)
     memcpy (sequence->hashes, request->hashes,
             request->hash_count * sizeof request->hashes[0]);
   sequence->request.hashes = sequence->hashes;
-  sequence->blocks = mq_engine_need (talloc_array (
+  sequence->blocks = mq_engine_check_alloc (talloc_array (
       engine, uint32_t,
       mq_engine_blocks (request->prompt_tokens + request->output_tokens)));
   mq_engine_set_state (engine, index, MQ_ENGINE_SEQUENCE_WAITING);
@@ -329,7 +331,7 @@
   size_t count;
 
   run_to (engine, now_us);
-  labels = mq_kv_chain (engine, engine->kv, program, &count);
+  labels = mq_kv_program_labels (engine, engine->kv, program, &count);
   job = mq_engine_add_work (engine, MQ_ENGINE_EXPORTED,
                             mq_engine_queue_transfer (engine, count), tag);
   job->program = program;
@@ -348,8 +350,8 @@
   job = mq_engine_add_work (engine, MQ_ENGINE_IMPORTED,
                             mq_engine_queue_transfer (engine, count), tag);
   job->program = program;
-  job->labels
-      = mq_engine_need (talloc_array (engine, struct mq_kv_label, count + 1));
+  job->labels = mq_engine_check_alloc (
+      talloc_array (engine, struct mq_kv_label, count + 1));
   if (count > 0)
     memcpy (job->labels, labels, count * sizeof labels[0]);
   job->label_count = count;
@@ -381,7 +383,7 @@
   return true;
 }
 
-/* Reading.  */
+/* Accessors.  */
 
 struct mq_engine_load
 mq_engine_reported_load (struct mq_engine *engine, uint64_t now_us)
--- a/standins/engine_report.c
+++ b/standins/engine_report.c
@@ -1,4 +1,4 @@
-/* engine_report.c - what the engine's model tells: events, cache events, load.
+/* engine_report.c - events and load reports of the engine model.
 
    Needs: engine_state.h.  */
 
@@ -15,9 +15,9 @@
 
   if (engine->event_count == engine->event_room)
     {
-      engine->event_room = engine->event_room == 0 ? MQ_ENGINE_FIRST_ROOM
+      engine->event_room = engine->event_room == 0 ? MQ_ENGINE_INITIAL_CAPACITY
                                                    : 2 * engine->event_room;
-      engine->events = mq_engine_need (talloc_realloc (
+      engine->events = mq_engine_check_alloc (talloc_realloc (
           engine, engine->events, struct mq_engine_event, engine->event_room));
     }
   event = &engine->events[engine->event_count++];
@@ -137,7 +137,7 @@
       engine->reported = mq_engine_load (engine);
       return;
     }
-  /* Nothing changed for a whole lag.  */
+  /* The load did not change for at least one lag.  */
   if (engine->now_us + lag <= now_us)
     engine->sampled = mq_engine_load (engine);
   else if (now_us < engine->next_sample_us)
--- a/standins/engine_work.c
+++ b/standins/engine_work.c
@@ -1,4 +1,4 @@
-/* engine_work.c - transfers and orders of the engine's model.
+/* engine_work.c - transfers and orders of the engine model.
 
    Needs: engine_state.h.  */
 
@@ -11,12 +11,13 @@
 {
   size_t at = engine->work_count;
 
-  if (engine->work_count == engine->work_room)
+  if (engine->work_count == engine->work_capacity)
     {
-      engine->work_room = engine->work_room == 0 ? MQ_ENGINE_FIRST_ROOM
-                                                 : 2 * engine->work_room;
-      engine->work = mq_engine_need (talloc_realloc (
-          engine, engine->work, struct mq_engine_work, engine->work_room));
+      engine->work_capacity = engine->work_capacity == 0
+                                  ? MQ_ENGINE_INITIAL_CAPACITY
+                                  : 2 * engine->work_capacity;
+      engine->work = mq_engine_check_alloc (talloc_realloc (
+          engine, engine->work, struct mq_engine_work, engine->work_capacity));
     }
   while (at > 0 && engine->work[at - 1].due_us > due_us)
     at--;
@@ -47,7 +48,8 @@
                                    * engine->params.transfer_us_per_token);
 }
 
-/* Block with LABEL, referenced; MQ_KV_NO_BLOCK when memory is out.  */
+/* Returns a referenced block with LABEL; MQ_KV_NO_BLOCK if memory is
+   exhausted.  */
 static uint32_t
 store_label (struct mq_engine *engine, struct mq_id program,
              const struct mq_kv_label *label, uint32_t *stored)
@@ -56,23 +58,23 @@
 
   if (block != MQ_KV_NO_BLOCK)
     {
-      mq_kv_hold (engine->kv, block, program, engine->now_us);
+      mq_kv_reference (engine->kv, block, program, engine->now_us);
       return block;
     }
-  block = mq_kv_take (engine->kv, program, engine->now_us);
+  block = mq_kv_allocate (engine->kv, program, engine->now_us);
   if (block == MQ_KV_NO_BLOCK)
     return block;
   *stored += MQ_KV_BLOCK_TOKENS;
   return mq_kv_label (engine->kv, block, label, engine->now_us);
 }
 
-/* Stores what is not yet there, as far as memory goes that no sequence
-   uses; how many tokens.  */
+/* Stores the missing blocks until memory is exhausted; returns the number of
+   stored tokens.  */
 static uint32_t
 store_labels (struct mq_engine *engine, const struct mq_engine_work *job)
 {
-  uint32_t *blocks
-      = mq_engine_need (talloc_array (NULL, uint32_t, job->label_count + 1));
+  uint32_t *blocks = mq_engine_check_alloc (
+      talloc_array (NULL, uint32_t, job->label_count + 1));
   size_t count = 0;
   uint32_t stored = 0;
 
--- a/standins/http_answer.c
+++ b/standins/http_answer.c
@@ -1,4 +1,4 @@
-/* http_answer.c - what the stand-ins' HTTP servers share.
+/* http_answer.c - request matching and JSON responses for the stand-ins.
 
    Needs: http_answer.h.  */
 
@@ -23,15 +23,14 @@
 }
 
 bool
-mq_is_below (const struct mq_http_request *request, const char *method,
-             const char *path)
+mq_is_request_below (const struct mq_http_request *request, const char *method,
+                     const char *path)
 {
   return strcmp (mq_http_method (request), method) == 0
          && begins_with (mq_http_path (request), path)
          && mq_http_path (request)[strlen (path)] != '\0';
 }
 
-/* Answers with JSON, which it frees.  */
 void
 mq_answer_json (struct mq_http_request *request, int status, json_t *json)
 {
@@ -48,7 +47,7 @@
 }
 
 void
-mq_answer_done (struct mq_http_request *request)
+mq_answer_empty (struct mq_http_request *request)
 {
   mq_answer_json (request, 200, json_object ());
 }
--- a/tests/fuzz/fuzz_owner.c
+++ b/tests/fuzz/fuzz_owner.c
@@ -78,7 +78,7 @@
   struct mq_store_result result = { 0 };
   struct mq_owner_input input = { .type = MQ_OWNER_STORE };
 
-  mq_table_serve (harness->table, ctx, request, &result);
+  mq_table_execute (harness->table, ctx, request, &result);
   result.id = request->id;
   input.u.store = &result;
   handle_input (harness, &input);
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -517,7 +517,7 @@
   inject_truncated_checkpoint (world, event->request);
   result = talloc_zero (world, struct mq_store_result);
   noted = record_removed_batches (world, event->request);
-  mq_table_serve (world->table, result, event->request, result);
+  mq_table_execute (world->table, result, event->request, result);
   if (result->status == MQ_STORE_OK)
     {
       world->removed_count += noted;
