--- a/bench/capacity_spread.c
+++ b/bench/capacity_spread.c
@@ -40,7 +40,7 @@
   uint64_t sent[HOSTS_MAX];
   uint64_t bytes[HOSTS_MAX];
   uint64_t polls;
-  struct packet *in_commit[DELAY_MS + 1];
+  struct packet *in_flight[DELAY_MS + 1];
   uint64_t version;
   struct mq_row row;
 };
@@ -91,8 +91,8 @@
   packet->to = to;
   packet->message = talloc_zero (packet, struct mq_message);
   mq_message_copy (packet, packet->message, message);
-  packet->next = site->in_commit[at];
-  site->in_commit[at] = packet;
+  packet->next = site->in_flight[at];
+  site->in_flight[at] = packet;
 }
 
 static void
@@ -114,9 +114,9 @@
 deliver (struct site *site)
 {
   uint64_t at = site->now_ms % (DELAY_MS + 1);
-  struct packet *packet = site->in_commit[at];
+  struct packet *packet = site->in_flight[at];
 
-  site->in_commit[at] = NULL;
+  site->in_flight[at] = NULL;
   while (packet != NULL)
     {
       struct packet *next = packet->next;
--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -229,7 +229,7 @@
   struct mq_text_draft *draft;
   uint8_t *states;
   uint32_t *path;
-  size_t *next; /* per path entry: next dependency to add_successor */
+  size_t *next; /* per path entry: next dependency to visit */
   size_t depth;
 };
 
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -20,7 +20,7 @@
  * @drain_seconds: wall time to wait for outstanding requests afterwards
  * @time_scale: wall time per unit of model time
  * @letters: number of batch letters
- * @letters_concurrent: batch letters in pending_commit at a time
+ * @letters_concurrent: batch letters in flight at a time
  * @check_every: check the history of one in so many programs; 0 for none
  * @tag: prefix of idempotency keys, unique to the run
  */
--- a/src/router/commit_queue.c
+++ b/src/router/commit_queue.c
@@ -26,7 +26,7 @@
  * struct mq_commit - an atomic unit: one write of this host, or a transaction
  *                    forwarded by another host
  * @entries: strings are owned by the commit
- * @sent: in the transaction in pending_commit
+ * @sent: in the transaction in flight
  * @cancelled: @done is not called
  */
 struct mq_commit
@@ -45,8 +45,8 @@
  * struct part_queue - queue of writes to one part of the table
  * @destination: TO_TABLE or TO_BATCH_HOST
  * @waiting: oldest first
- * @batch: commits of the transaction in pending_commit
- * @count: commits in @batch, 0 if no transaction is in pending_commit
+ * @batch: commits of the transaction in flight
+ * @count: commits in @batch, 0 if no transaction is in flight
  * @rows: rows written by @batch
  */
 struct part_queue
--- a/src/router/commit_queue.h
+++ b/src/router/commit_queue.h
@@ -1,8 +1,8 @@
 /* commit_queue.h - group commit: writes to one part of the platform's table
    share a transaction.
 
-   Each part has at most one transaction in pending_commit.  Writes that arrive
-   meanwhile are batched into the next one; without one in pending_commit, a
+   Each part has at most one transaction in flight.  Writes that arrive
+   meanwhile are batched into the next one; without one in flight, a
    write is sent at once.  A slow or overloaded table thus gets fewer, larger
    calls.
 
--- a/src/router/router_clean.c
+++ b/src/router/router_clean.c
@@ -19,7 +19,7 @@
  * @part: index over the parts of both tables
  * @from: first key of the next scan
  * @next_ms: time of the next scan
- * @busy: a scan or removal is in pending_commit
+ * @busy: a scan or removal is in flight
  */
 struct mq_cleaner
 {
--- a/src/router/router_reserve.c
+++ b/src/router/router_reserve.c
@@ -4,7 +4,7 @@
    Organisations are mapped to the same leases: the holder of an organisation's
    lease issues its permits.
 
-   One call is in pending_commit at a time: a list of all leases, a renewal of
+   One call is in flight at a time: a list of all leases, a renewal of
    the leases held, or an attempt to claim free ones.
 
    Needs: router_state.h, reserve.h, clock.h, proto/turn.pb-c.h.  */
@@ -37,13 +37,13 @@
 
 /**
  * struct mq_leases - lease state of this host
- * @busy: a call is in pending_commit
+ * @busy: a call is in flight
  * @stopped: leases were released; no more are claimed
  * @listed: the leases are known as of @listed_ms
  * @known: the leases were listed at least once
  * @moved: a lease may have moved, at least that of @moved_slot
- * @clock_sample: clock sample from which the call in pending_commit counts
- * @claimed: slots that the call in pending_commit claims
+ * @clock_sample: clock sample from which the call in flight counts
+ * @claimed: slots that the call in flight claims
  */
 struct mq_leases
 {
--- a/tests/test_commit_queue.c
+++ b/tests/test_commit_queue.c
@@ -146,7 +146,7 @@
     }
 }
 
-/* Writes that arrive while a transaction is in pending_commit share the next
+/* Writes that arrive while a transaction is in flight share the next
  * one.  */
 Test (commits, batched)
 {
--- a/tests/test_front.c
+++ b/tests/test_front.c
@@ -505,7 +505,7 @@
 }
 
 /* A request beyond the limit is refused at once; the others are kept.  */
-Test (front, request_acquire_permit)
+Test (front, request_limit)
 {
   struct fixture *fixture = create_fixture (1);
   struct mq_actions *actions = mq_actions_create (fixture);
