--- a/Makefile
+++ b/Makefile
@@ -226,6 +226,11 @@
 includes:
 	@sh tests/includes.sh
 
+## doc-names: identifiers and files that the pages name exist
+.PHONY: doc-names
+doc-names:
+	@sh tests/doc_names.sh
+
 ## proto: generate proto/*.pb-c.[ch] again (needs protobuf-c-compiler)
 proto:
 	cd proto && protoc-c --c_out=. *.proto
