--- a/src/core/text/text_check.c
+++ b/src/core/text/text_check.c
@@ -156,7 +156,7 @@
 
       if (item.len == 0)
         add_error (draft, MQ_ERR_TEXT_BAD_VALUE, position, "depends",
-                   "a name between two commas");
+                   "non-empty service names, separated by commas");
       else
         add_dependency (draft, service, name, position);
       talloc_free (name);
@@ -380,7 +380,8 @@
   if (service != NULL && service->kind != MQ_SERVICE_PLAIN
       && kind_is_known (draft, service_index (draft, service)))
     add_error (draft, MQ_ERR_TEXT_BAD_VALUE, section_position (section),
-               section->name, "a route of a service of kind plain");
+               section->name,
+               "[route SERVICE.NAME] where SERVICE is of kind plain");
   route
       = service == NULL ? &unused : add_route (draft->text, service, dot + 1);
   if (route != NULL)
@@ -443,8 +444,8 @@
       if (!key_is_set (b)
           || memcmp (a->key_hash, b->key_hash, MQ_KEY_BYTES) != 0)
         continue;
-      subject = talloc_asprintf (draft, "key_sha256 of %s, as of %s", b->name,
-                                 a->name);
+      subject = talloc_asprintf (draft, "key_sha256 of %s, same as of %s",
+                                 b->name, a->name);
       add_error (
           draft, MQ_ERR_TEXT_DUPLICATE,
           key_or_header (draft->organisation_sections[at], "key_sha256"),
--- a/src/core/text/text_ini.c
+++ b/src/core/text/text_ini.c
@@ -84,7 +84,7 @@
     {
       type = MQ_ERR_TOO_LARGE;
       subject = "number of errors";
-      allowed = "correct those listed; more follow";
+      allowed = "correct the listed errors; there are more";
     }
   mq_error_set (error, type, subject, allowed);
   trim_partial_character (error->subject);
@@ -99,7 +99,7 @@
   const struct mq_error *a = left;
   const struct mq_error *b = right;
 
-  /* Sort the "more follow" entry last.  */
+  /* Sort the "number of errors" entry last.  */
   if ((a->type == MQ_ERR_TOO_LARGE) != (b->type == MQ_ERR_TOO_LARGE))
     return a->type == MQ_ERR_TOO_LARGE ? 1 : -1;
   if (a->line != b->line)
@@ -171,15 +171,16 @@
 {
   if (reader->raw_len > MQ_TEXT_LINE_MAX)
     {
-      report_syntax (reader, MQ_TEXT_LINE_MAX, "the line is too long",
-                     "at most 198 bytes; prompt may be given several times");
+      report_syntax (
+          reader, MQ_TEXT_LINE_MAX, "line too long",
+          "at most 198 bytes; a long prompt may use several prompt keys");
       return false;
     }
   if (memchr (reader->raw, '\0', reader->raw_len) != NULL
       || !is_utf8 (reader->raw, reader->raw_len))
     {
-      report_syntax (reader, 0, "the line holds a byte that is no text",
-                     "UTF-8 without zero bytes");
+      report_syntax (reader, 0, "invalid byte in line",
+                     "UTF-8 without NUL bytes");
       return false;
     }
   return true;
@@ -258,11 +259,12 @@
   reader->skipping = bracket == 0;
   if (bracket == 0)
     {
-      report_syntax (reader, reader->raw_len, "']' is missing", "[TYPE NAME]");
+      report_syntax (reader, reader->raw_len, "missing ']'", "[TYPE NAME]");
       return;
     }
   if (!only_comment_follows (reader, bracket))
-    report_syntax (reader, bracket + 1, "text after ']'", "[TYPE NAME]");
+    report_syntax (reader, bracket + 1, "unexpected text after ']'",
+                   "[TYPE NAME]");
   split_header (reader, reader->indent + 1, bracket);
 }
 
@@ -275,7 +277,7 @@
 close_line (struct ini_reader *reader)
 {
   if (reader->pair_due)
-    report_syntax (reader, reader->indent, "no '=' in the line",
+    report_syntax (reader, reader->indent, "missing '='",
                    "KEY = VALUE, [TYPE NAME] or ; comment");
   reader->pair_due = false;
 }
@@ -374,12 +376,13 @@
   (void)section; /* truncated by inih */
   reader->pair_due = false;
   if (key[0] == '\0')
-    report_syntax (reader, reader->indent, "no key before '='", "KEY = VALUE");
+    report_syntax (reader, reader->indent, "missing key before '='",
+                   "KEY = VALUE");
   else if (reader->skipping)
     return 1;
   else if (reader->ini->section_count == 0)
-    report_syntax (reader, reader->indent, "a key before any section",
-                   "[TYPE NAME] first");
+    report_syntax (reader, reader->indent, "key outside a section",
+                   "[TYPE NAME] before the first key");
   else
     keep_pair (reader, key, value);
   return 1;
@@ -399,7 +402,7 @@
     {
       struct mq_text_position start = { 1, 1 };
 
-      mq_error_list_add (errors, MQ_ERR_TOO_LARGE, start, "the text",
+      mq_error_list_add (errors, MQ_ERR_TOO_LARGE, start, "configuration text",
                          "at most 1 MiB");
       talloc_free (reader.ini);
       return NULL;
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -58,49 +58,50 @@
     .type = MQ_KEY_NAME,
     .required = true,
     .offset = PROCESS (host),
-    .help = "name of this host, as in the platform's list" },
+    .help = "name of this host, as in the platform's host list" },
   { .section = "process",
     .name = "data_centre",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_NAME,
     .required = true,
     .offset = PROCESS (data_centre),
-    .help = "where it stands" },
+    .help = "data centre of this host" },
   { .section = "process",
     .name = "region",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_NAME,
     .fallback = "main",
     .offset = PROCESS (region),
-    .help = "where its data centre stands" },
+    .help = "region of the data centre" },
   { .section = "process",
     .name = "http",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_ADDRESS,
     .required = true,
     .offset = PROCESS (http),
-    .help = "where callers (entryd) and operators reach it" },
+    .help = "listen address for callers (entryd) and operators" },
   { .section = "process",
     .name = "peer",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_ADDRESS,
     .required = true,
     .offset = PROCESS (peer),
-    .help = "where the system's own processes reach it" },
+    .help = "listen address for other processes of the site" },
   { .section = "process",
     .name = "platform",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_URL,
     .required = true,
     .offset = PROCESS (platform),
-    .help = "the platform's table, object store and host list" },
+    .help = "URL of the platform's table, object store and host list" },
   { .section = "process",
     .name = "site_key",
     .kinds = MQ_KEY_ALL_KINDS,
     .type = MQ_KEY_HEX_32,
     .required = true,
     .offset = PROCESS (site_key),
-    .help = "secret that the processes of a site prove to each other" },
+    .help = "shared secret with which processes of a site authenticate to "
+            "each other" },
   { .section = "process",
     .name = "operator_key_sha256",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -115,7 +116,7 @@
     .fallback = "finish",
     .choices = policy_choices,
     .offset = offsetof (struct process_section, policy),
-    .help = "placement of calls; all but finish are for comparison" },
+    .help = "placement policy of calls; all but finish are for comparison" },
   { .section = "process",
     .name = "commit",
     .kinds = ENTRYD,
@@ -123,7 +124,8 @@
     .fallback = "output",
     .choices = commit_choices,
     .offset = offsetof (struct process_section, commit_each_step),
-    .help = "what waits for the store; each_step is for comparison" },
+    .help = "what waits for commits: output or each step; each_step is for "
+            "comparison" },
   { .section = "process",
     .name = "order",
     .kinds = TARGETD,
@@ -131,7 +133,7 @@
     .fallback = "attained",
     .choices = order_choices,
     .offset = PROCESS (order),
-    .help = "order of waiting calls; fifo is for comparison" },
+    .help = "scheduling order of queued calls; fifo is for comparison" },
   { .section = "process",
     .name = "drain_seconds",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -140,7 +142,7 @@
     .max = 86400,
     .fallback = "120",
     .offset = PROCESS (drain_seconds),
-    .help = "a planned stop that takes longer is cut" },
+    .help = "time limit of a planned shutdown, after which it is forced" },
   { .section = "process",
     .name = "stream_buffer_kb",
     .kinds = ENTRYD,
@@ -149,7 +151,8 @@
     .max = 65536,
     .fallback = "1024",
     .offset = PROCESS (stream_buffer_kb),
-    .help = "a stream with more than this unsent is given up" },
+    .help
+    = "maximum unsent data of a stream; the stream is aborted above it" },
   /* [worker NAME] */
   { .section = "worker",
     .name = "service",
@@ -157,7 +160,8 @@
     .type = MQ_KEY_NAME,
     .required = true,
     .offset = WORKER (service),
-    .help = "service of the operators' text that it serves" },
+    .help
+    = "name of the service that it serves, as in the configuration text" },
   { .section = "worker",
     .name = "kind",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -172,7 +176,7 @@
     .type = MQ_KEY_URL,
     .required = true,
     .offset = offsetof (struct worker_section, url),
-    .help = "where the worker is reached" },
+    .help = "URL of the worker" },
   { .section = "worker",
     .name = "slots",
     .kinds = MQ_KEY_ALL_KINDS,
@@ -181,7 +185,7 @@
     .max = 4096,
     .fallback = "8",
     .offset = WORKER (slots),
-    .help = "calls let through side by side" },
+    .help = "maximum concurrent calls" },
   { .section = "worker",
     .name = "model",
     .kinds = MODEL,
@@ -190,7 +194,7 @@
     .min = 1,
     .max = MQ_NAME_MAX - 1,
     .offset = WORKER (model),
-    .help = "model that it serves" },
+    .help = "name of the model that it serves" },
   { .section = "worker",
     .name = "cache_tokens",
     .kinds = MODEL,
@@ -199,7 +203,7 @@
     .max = UINT32_MAX,
     .fallback = "0",
     .offset = WORKER (cache_tokens),
-    .help = "tokens that its cache holds, 0: not known" },
+    .help = "cache capacity in tokens, 0 if unknown" },
 };
 
 static const char *const roles[] = { "entryd", "targetd", NULL };
@@ -279,7 +283,7 @@
 
   if (draft->role != MQ_HOST_TARGET)
     {
-      report_section (draft, section, "workers belong to mimosa-targetd");
+      report_section (draft, section, "only mimosa-targetd has workers");
       return;
     }
   mq_key_read_section (draft->settings, mq_settings_keys (), section, kinds,
@@ -369,8 +373,7 @@
   if (draft.settings != NULL && fill_draft (&draft, source, len))
     check_workers (&draft);
   else if (errors->count == 0)
-    mq_error_list_add (&draft.errors, MQ_ERR_NO_MEMORY, start, "the settings",
-                       "");
+    mq_error_list_add (&draft.errors, MQ_ERR_NO_MEMORY, start, "settings", "");
   if (errors->count == 0)
     return draft.settings;
   mq_error_list_sort (&draft.errors);
--- a/tests/test_text.c
+++ b/tests/test_text.c
@@ -40,23 +40,24 @@
     { { 2, 2, MQ_ERR_TEXT_MISSING, "name of [site]", "letters" } } },
   { "key before any section",
     "name = s\n" FIXTURE_SITE,
-    { { 1, 1, MQ_ERR_TEXT_SYNTAX, "a key before any section", "first" } } },
+    { { 1, 1, MQ_ERR_TEXT_SYNTAX, "key outside a section",
+        "before the first key" } } },
   { "no equals sign",
     FIXTURE_SITE "  lease_ms 5\n",
-    { { 3, 3, MQ_ERR_TEXT_SYNTAX, "no '=' in the line", "KEY = VALUE" } } },
+    { { 3, 3, MQ_ERR_TEXT_SYNTAX, "missing '='", "KEY = VALUE" } } },
   { "two bad lines are both named",
     FIXTURE_SITE "one\n\n; comment\ntwo",
-    { { 3, 1, MQ_ERR_TEXT_SYNTAX, "no '=' in the line", NULL },
-      { 6, 1, MQ_ERR_TEXT_SYNTAX, "no '=' in the line", NULL } } },
+    { { 3, 1, MQ_ERR_TEXT_SYNTAX, "missing '='", NULL },
+      { 6, 1, MQ_ERR_TEXT_SYNTAX, "missing '='", NULL } } },
   { "empty key",
     FIXTURE_SITE " = 3\n",
-    { { 3, 2, MQ_ERR_TEXT_SYNTAX, "no key before '='", NULL } } },
+    { { 3, 2, MQ_ERR_TEXT_SYNTAX, "missing key before '='", NULL } } },
   { "bracket not closed",
     FIXTURE_SITE "[service x\nkind = nonsense\n",
-    { { 3, 11, MQ_ERR_TEXT_SYNTAX, "']' is missing", "[TYPE NAME]" } } },
+    { { 3, 11, MQ_ERR_TEXT_SYNTAX, "missing ']'", "[TYPE NAME]" } } },
   { "text after the bracket",
     "[site] s\nname = s\n",
-    { { 1, 7, MQ_ERR_TEXT_SYNTAX, "text after ']'", NULL } } },
+    { { 1, 7, MQ_ERR_TEXT_SYNTAX, "unexpected text after ']'", NULL } } },
   { "section without its name",
     FIXTURE_SITE "[service]\nkind = nonsense\n",
     { { 3, 2, MQ_ERR_TEXT_SYNTAX, "service", "[service NAME]" } } },
@@ -131,7 +132,7 @@
         "first given in line 3" } } },
   { "two organisations with one key",
     FIXTURE_SITE "[organisation o]\n" KEY_A "[organisation p]\n" KEY_A,
-    { { 6, 14, MQ_ERR_TEXT_DUPLICATE, "key_sha256 of p, as of o",
+    { { 6, 14, MQ_ERR_TEXT_DUPLICATE, "key_sha256 of p, same as of o",
         "a different key" } } },
   { "unknown dependencies, nearest named",
     FIXTURE_SITE FIXTURE_MODEL "[service a]\nkind = agent\n"
@@ -145,7 +146,8 @@
     { { 8, 13, MQ_ERR_TEXT_DUPLICATE, "m", "once" } } },
   { "nothing between two commas",
     FIXTURE_SITE FIXTURE_MODEL "[service a]\nkind = agent\ndepends = m,\n",
-    { { 8, 13, MQ_ERR_TEXT_BAD_VALUE, "depends", "between two commas" } } },
+    { { 8, 13, MQ_ERR_TEXT_BAD_VALUE, "depends",
+        "non-empty service names" } } },
   { "agent without a model",
     FIXTURE_SITE FIXTURE_MODEL "[service a]\nkind = agent\ndepends = t\n"
                                "[service t]\nkind = tool\npath = /t\n"
@@ -196,8 +198,7 @@
     { { 6, 8, MQ_ERR_TEXT_BAD_VALUE, "m.r", "kind plain" } } },
   { "a byte that is no text",
     FIXTURE_SITE "; caf\xe9\n",
-    { { 3, 1, MQ_ERR_TEXT_SYNTAX, "the line holds a byte that is no text",
-        "UTF-8" } } },
+    { { 3, 1, MQ_ERR_TEXT_SYNTAX, "invalid byte in line", "UTF-8" } } },
   { "errors of all parts in line order",
     "[site]\nname = ?\n[service a]\nkind = agent\ndepends = b\n"
     "weight = 1\nwords\n[service b]\nkind = tool\n",
@@ -205,7 +206,7 @@
       { 5, 11, MQ_ERR_TEXT_MISSING, "depends of a names no model service",
         NULL },
       { 6, 1, MQ_ERR_TEXT_UNKNOWN_KEY, "weight", "kind, depends" },
-      { 7, 1, MQ_ERR_TEXT_SYNTAX, "no '=' in the line", NULL },
+      { 7, 1, MQ_ERR_TEXT_SYNTAX, "missing '='", NULL },
       { 8, 10, MQ_ERR_TEXT_MISSING, "idempotent of [service b]", NULL },
       { 8, 10, MQ_ERR_TEXT_MISSING, "path of [service b]", NULL } } },
 };
@@ -394,7 +395,7 @@
           cr_expect_eq (errors.count, 1);
           cr_expect_eq (errors.items[0].line, 9);
           cr_expect_eq (errors.items[0].type, MQ_ERR_TEXT_SYNTAX);
-          cr_expect_str_eq (errors.items[0].subject, "the line is too long");
+          cr_expect_str_eq (errors.items[0].subject, "line too long");
         }
       talloc_free (ctx);
     }
