--- a/src/core/owner/owner_take.c
+++ b/src/core/owner/owner_take.c
@@ -3,8 +3,8 @@
    Liveness of another host is only a hint.  Ownership is decided by raising
    the fence (fencing token) in the partition's row by compare-and-swap.  After
    that, commits of the previous owner fail on the row's version, and its calls
-   are rejected by target processes that have seen the new fence. Needs:
-   owner_parts.h, id.h, proto/log.pb-c.h.  */
+   are rejected by target processes that have seen the new fence.
+   Needs: owner_parts.h, id.h, proto/log.pb-c.h.  */
 
 #include "owner_parts.h"
 #include "../id.h"
--- a/src/core/router/attempt.h
+++ b/src/core/router/attempt.h
@@ -1,5 +1,6 @@
 /* attempt.h - classification of worker responses and the decision to retry.
-   Pure. Needs: route.h.  */
+   Pure.
+   Needs: route.h.  */
 
 #ifndef MQ_ATTEMPT_H
 #define MQ_ATTEMPT_H
--- a/src/core/router/chain.h
+++ b/src/core/router/chain.h
@@ -5,8 +5,8 @@
    the data of each of its events, each with a line feed.  Each turn has its
    own row, keyed by its id and readable from any host.  A row holds the full
    text or, if that exceeds the row size, the end of the text and the id of the
-   turn whose row precedes it.  Recent chains are cached in memory. Needs:
-   types.h, store.h, idmap.h.  */
+   turn whose row precedes it.  Recent chains are cached in memory.
+   Needs: types.h, store.h, idmap.h.  */
 
 #ifndef MQ_CHAIN_H
 #define MQ_CHAIN_H
--- a/src/core/router/outage.h
+++ b/src/core/router/outage.h
@@ -3,7 +3,8 @@
    A stored turn cannot end before its record is written, so a turn that begins
    early in an outage is likely to time out.  The first try of a caller is
    therefore rejected with a retry delay, and a retry is run: this keeps
-   callers trying for longer than a short outage. Pure. Needs: types.h.  */
+   callers trying for longer than a short outage. Pure.
+   Needs: types.h.  */
 
 #ifndef MQ_OUTAGE_H
 #define MQ_OUTAGE_H
--- a/tests/test_budget_model.c
+++ b/tests/test_budget_model.c
@@ -5,7 +5,8 @@
    issued tokens, lost messages and hosts that lose their state.  It runs the
    real budgets and leases (budget.h, reserve.h) and checks the bound after
    each step of a seeded random walk.  Injected faults show that the walks can
-   detect violations. Needs: Criterion, budget.h, reserve.h, id.h.  */
+   detect violations.
+   Needs: Criterion, budget.h, reserve.h, id.h.  */
 
 #include "core/router/budget.h"
 #include "core/id.h"
--- a/tests/test_quota_model.c
+++ b/tests/test_quota_model.c
@@ -6,7 +6,8 @@
    the issuer, clock offset and drift, and changes of the limit.  At each use
    of a permit, all intervals that end there are checked against one token
    bucket, in seeded random walks.  Injected faults show that the walks can
-   detect violations. Needs: Criterion, quota.h, id.h.  */
+   detect violations.
+   Needs: Criterion, quota.h, id.h.  */
 
 #include "core/id.h"
 #include "core/organisation/quota.h"
